--- a/event/address.go
+++ b/event/address.go
@@ -4,7 +4,7 @@
 
 import "net/netip"
 
-// Host returns the IP number of an address (IP:port); empty if it is none.
+// Host returns the IP address of an IP:port address; empty if it is not valid.
 func Host(address string) string {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/event/event.go
+++ b/event/event.go
@@ -7,194 +7,195 @@
 	"strings"
 )
 
-// RequestID names one request of one caller. An entry makes it and no two
-// requests ever share one.
+// RequestID identifies one request of one caller. An entry generates it; it is
+// never reused.
 type RequestID string
 
-// DispatchID names one offer of a request. A slot that declared an offer void
-// never runs it, but may be offered the same request again under another one.
+// DispatchID identifies one offer of a request to a slot. A slot never runs an
+// offer that it declared void, but may get the same request under another ID.
 type DispatchID string
 
-// attemptSign stands between the request and the attempt in a DispatchID.
-const attemptSign = "."
+// attemptSeparator separates the request from the attempt in a DispatchID.
+const attemptSeparator = "."
 
-// Dispatch returns the name of a request's offer after some void attempts.
+// Dispatch returns the ID of the offer that follows attempt void offers.
 func (id RequestID) Dispatch(attempt int) DispatchID {
 	if attempt == 0 {
 		return DispatchID(id)
 	}
-	return DispatchID(string(id) + attemptSign + strconv.Itoa(attempt))
+	return DispatchID(string(id) + attemptSeparator + strconv.Itoa(attempt))
 }
 
-// Request returns the request that is offered.
+// Request returns the ID of the offered request.
 func (id DispatchID) Request() RequestID {
-	base, _, _ := strings.Cut(string(id), attemptSign)
+	base, _, _ := strings.Cut(string(id), attemptSeparator)
 	return RequestID(base)
 }
 
-// Attempt returns how many offers of the request came before.
+// Attempt returns the number of earlier offers of the request.
 func (id DispatchID) Attempt() int {
-	_, rest, _ := strings.Cut(string(id), attemptSign)
-	n, _ := strconv.Atoi(rest) // without a sign it is the first, 0
+	_, rest, _ := strings.Cut(string(id), attemptSeparator)
+	n, _ := strconv.Atoi(rest) // 0 for the first offer, which has no separator
 	return n
 }
 
-// BoxID names a box of the system, as its settings do.
+// BoxID is the name of a box, from its settings.
 type BoxID string
 
-// EndpointID names an endpoint, as the catalog does.
+// EndpointID identifies an endpoint, by its name in the catalog.
 type EndpointID string
 
-// Incarnation tells the lives of one process apart. A restarted process has
-// another one.
+// Incarnation identifies one instance of a process; it changes when the process
+// restarts.
 type Incarnation uint64
 
-// Epoch orders the owners of a pool. A later owner has a larger epoch.
+// Epoch numbers the owners of a pool. A later owner has a larger epoch.
 type Epoch uint64
 
-// Ticket is what a scheduler knows of a waiting request: its description, never
-// its body.
+// Ticket describes a waiting request to a scheduler. It does not have the body.
+// Its field names are part of the wire format.
 type Ticket struct {
 	ID      RequestID
 	Team    string
-	Rank    int // of the tier; the larger pays more
+	Rank    int // priority of the tier; larger is higher
 	Service string
 	Pool    string
 	// PromptTokens and OutputTokens are estimates; both are 0 for plain services.
 	PromptTokens int
 	OutputTokens int
-	// Prefix has the marks of the prompt, one each engine.MarkTokens, each over
-	// all before it.
+	// Prefix has cumulative hashes of the prompt, one for every engine.MarkTokens
+	// tokens.
 	Prefix []uint64
-	// Deadline is the time left, from when the ticket is received.
+	// Deadline is the remaining time, counted from when the ticket is received.
 	Deadline Span
 	NoRepeat bool
-	// Attempt counts the earlier offers of the request, all of them void.
+	// Attempt is the number of earlier offers of the request, all of them void.
 	Attempt int
 	// Waited is how long the request has waited, from its arrival at the entry.
 	Waited Span
-	// Key binds the request to at most one run, together with its team; empty
-	// for none. Digest tells requests of one key apart.
+	// Key is the idempotency key, unique within the team: at most one request with
+	// it runs. Empty for none. Digest distinguishes requests with the same key.
 	Key    string
 	Digest uint64
-	// Target is the time left until the answer's beginning is no longer useful in
-	// full; 0 means that only the deadline counts.
+	// Target is the remaining time in which the answer should begin; 0 means that
+	// only the deadline counts.
 	Target Span
-	// Patience is the longest that the request may be expected to wait; 0 is
-	// without a limit.
+	// Patience is the longest wait that may be expected for the request, else it
+	// is refused; 0 is no limit.
 	Patience Span
-	// Placed says that the request had a place before, which was of no use, or whose
-	// answer broke off: it does not queue anew.
+	// Placed is set when the request was granted before, but was not served or its
+	// answer broke off: it is not queued behind others again.
 	Placed bool
-	// Returned says that the caller was refused before and asks again.
+	// Returned is set when the caller was refused before and retries.
 	Returned bool
-	// DataCentre is where the request's entry is; empty if it does not matter.
+	// DataCentre is the location of the request's entry; empty for no preference.
 	DataCentre string
-	// Avoid has endpoints that must not be chosen: they had the request before.
+	// Avoid lists endpoints that must not be chosen: they had the request before.
 	Avoid []EndpointID
 }
 
-// Event is something that happened: a pointer to one of the event types of this
-// package.
+// Event is a pointer to one of the event types of this package.
 type Event interface{ IsEvent() }
 
-// Submitted says that an entry registered a request, perhaps again.
+// Submitted is a request that an entry registers, possibly again.
 type Submitted struct {
 	Entry  BoxID
 	Ticket Ticket
 }
 
-// Withdrawn says that an entry no longer wants a request that it has seen no
-// decision on. If it was granted all the same, it is never offered.
+// Withdrawn cancels a request that its entry has received no decision on. If it
+// was granted in the meantime, it is never offered.
 type Withdrawn struct {
 	Entry BoxID
 	ID    RequestID
 	Pool  string
 }
 
-// Begun says that the answer of a granted request has begun: its prompt is read.
+// Begun reports that the answer of a granted request began: its prefill is done.
 type Begun struct {
 	ID   RequestID
 	Pool string
-	// After is the time from the hand-over to the answer's beginning.
+	// After is the time from sending the request to the beginning of the answer.
 	After Span
 }
 
-// Finished says that a granted request no longer uses its endpoint.
+// Finished reports that a granted request no longer uses its endpoint.
 type Finished struct {
 	ID   RequestID
 	Pool string
 	// Tokens is the number of output tokens that were served.
 	Tokens int
-	// Failed is set when the endpoint did not serve the request to its end.
+	// Failed is set when the endpoint did not complete the request.
 	Failed bool
-	// Void is set when the request has not run there and will not, and Unused when it
-	// was not even offered.
+	// Void is set when the request did not run there and never will, and Unused when
+	// it was not even offered.
 	Void   bool
 	Unused bool
-	// FirstAfter is the time from the hand-over to the answer's beginning; 0 if
-	// there was none.
+	// FirstAfter is the time from sending the request to the beginning of the
+	// answer; 0 if there was no answer.
 	FirstAfter Span
-	// TokenGap is the usual time between the answer's tokens; 0 if unknown.
+	// TokenGap is the typical time between the answer's tokens; 0 if unknown.
 	TokenGap Span
 }
 
-// Adopted says that a request runs at an endpoint by the word of an entry: an
-// earlier owner granted it, or the entry itself did without one.
+// Adopted is a request that runs at an endpoint without this scheduler's grant,
+// as its entry reports: an earlier owner granted it, or the entry itself while
+// there was no owner.
 type Adopted struct {
 	Entry    BoxID
 	Ticket   Ticket
 	Endpoint EndpointID
 }
 
-// EntryGone says that an entry has ended: what it had waiting or running is over.
+// EntryRemoved removes an entry with all its waiting and running requests.
 type EntryGone struct{ Entry BoxID }
 
-// EndpointSeen carries what is known of an endpoint without a slot of the system
-// beside it.
+// EndpointUpdated has the last observed state of an endpoint that has no slot.
 type EndpointSeen struct {
 	Endpoint Endpoint
 	Address  string // IP:port
-	// Down is set while it gives no sign of life, and Unsure from when it failed until
-	// it has served again: it gets one request at a time.
+	// Down is set while it is unreachable. HalfOpen is set from a failure until it
+	// has served a request again: it gets one request at a time.
 	Down   bool
 	Unsure bool
-	// Limited says that it names a limit: it takes Limit requests a second from all boxes together.
+	// Limited is set when it asked for a limit of Limit requests a second over all boxes.
 	Limited bool
 	Limit   float64
 }
 
-// PartChanged says which part of endpoints' limits is to be spent, 1 for all of them.
+// LimitShareChanged sets the share of the endpoints' rate limits that this
+// scheduler may use, from 0 to 1.
 type PartChanged struct{ Part float64 }
 
-// Rested says that an endpoint wants nothing of an entry for a while.
+// CooldownRequested reports that an endpoint asked an entry to send it nothing for
+// a while.
 type Rested struct {
 	Entry    BoxID
 	Endpoint EndpointID
 	For      Span
 }
 
-// EndpointGone says that an endpoint has ended for good.
+// EndpointRemoved reports that an endpoint instance terminated.
 type EndpointGone struct{ ID EndpointID }
 
-// EntrySeen says that an entry is alive and which version of the catalog is in
-// force there.
+// EntryHeartbeat reports that an entry is alive, and the version of the catalog
+// that it uses.
 type EntrySeen struct {
 	Entry   BoxID
 	Version uint64
 }
 
-// SlotReported carries what a slot says about its endpoint.
+// SlotReported carries a slot's report about its endpoint.
 type SlotReported struct{ Report Report }
 
-// PlatformListed carries the IP numbers of the boxes that the platform's list
-// says are leaving. The map must not be changed.
+// DrainListUpdated has the IP addresses of the boxes that are draining according
+// to the platform. The map must not be modified.
 type PlatformListed struct{ Leaving map[string]bool }
 
-// Tick says that time passed.
+// Tick is sent regularly to trigger what depends on time.
 type Tick struct{}
 
-// PoolChanged carries the settings of a pool that are now in force.
+// PoolChanged replaces the settings of a pool.
 type PoolChanged struct{ Pool Pool }
 
 func (*Submitted) IsEvent()      {}
@@ -213,150 +214,151 @@
 func (*PartChanged) IsEvent()    {}
 func (*Rested) IsEvent()         {}
 
-// Report is a slot's regular message about its endpoint.
+// Report is a slot's periodic report about its endpoint.
 type Report struct {
 	Endpoint    EndpointID
 	Pool        string
-	Address     string // of the slot, as IP:port
+	Address     string // of the slot, IP:port
 	Incarnation Incarnation
 	Leaving     bool
 	// Down is set while the endpoint does not answer its slot.
 	Down bool
-	// Running has the offers that the slot took and that have not ended.
+	// Running lists the offers that the slot accepted and that have not finished.
 	Running []DispatchID
-	// Waiting is the queue length that the endpoint itself told of, and LoadAge
-	// the age of that figure.
+	// QueueLength is as the endpoint reported it, and LoadAge the age of that
+	// report.
 	Waiting int
 	LoadAge Span
-	// TokenGap is the measured time between tokens; 0 is unknown.
+	// TokenGap is the measured time between tokens; 0 if unknown.
 	TokenGap Span
 }
 
-// Pool has the settings of a pool that its scheduler needs.
+// Pool has the settings of a pool for its scheduler.
 type Pool struct {
 	Name string
 	// MaxWaiting bounds the queue, in requests.
 	MaxWaiting int
-	// PrefillWeight is what a second of repeated prefill counts, beside a second
-	// of a caller's waiting; 0 stands for 1.
+	// PrefillWeight is the cost of a second of repeated prefill relative to a
+	// second of a caller's waiting; 0 means 1.
 	PrefillWeight float64
 	Endpoints     []Endpoint
-	// Profile tells how fast an endpoint of speed 1 is.
+	// Profile is the performance of an endpoint of speed 1.
 	Profile Profile
-	// LeastOutstanding places each request where the fewest run, in the order of
-	// arrival within its rank and without a forecast: the baseline that the scheduler
-	// is compared with.
+	// LeastOutstanding selects the baseline policy: each request goes to the endpoint
+	// with the fewest running, in order of arrival within its rank, without a forecast.
 	LeastOutstanding bool
-	// Discovered says that endpoints tell of themselves (EndpointSeen) instead of
-	// standing in Endpoints.
+	// Discovered is set when endpoints register themselves (EndpointUpdated) instead
+	// of being listed in Endpoints.
 	Discovered bool
 }
 
-// Profile is the speed of an endpoint of speed 1. Zero values stand for the
-// reference engine's.
+// Profile is the performance of an endpoint of speed 1. Zero fields take the
+// values of the reference engine.
 type Profile struct {
 	PrefillRate float64 // prompt tokens a second
 	TokenGap    Span    // between a stream's tokens
-	CallTime    Span    // of a call without tokens
+	CallTime    Span    // duration of a call without tokens
 }
 
-// Endpoint has the settings of an endpoint that its scheduler needs.
+// Endpoint has the settings of an endpoint for its scheduler.
 type Endpoint struct {
 	ID EndpointID
-	// Concurrency is the number of requests it may have at once.
+	// Concurrency is the maximum number of concurrent requests.
 	Concurrency int
-	// Speed is relative; 1 is the reference engine. It counts until the slot
-	// has measured.
+	// Speed is relative to the reference engine. It is used until the slot has
+	// measured the speed.
 	Speed float64
-	// Leaving endpoints get no new work.
+	// Draining endpoints get no new requests.
 	Leaving bool
-	// DataCentre is where the endpoint is; empty if it does not matter.
+	// DataCentre is the location of the endpoint; empty for no preference.
 	DataCentre string
 }
 
-// Effects is what the world is asked to do, in the order of each slice. The
-// caller owns it and may reuse it after Reset.
+// Effects are the decisions to carry out, in the order of each slice. The caller
+// owns it and may reuse it after Reset.
 type Effects struct {
 	Grants   []Granted
 	Refusals []Refused
-	// Dropped has requests whose entry fell silent.
+	// Dropped lists requests whose entry became unreachable.
 	Dropped []RequestID
 }
 
-// Reset empties e and keeps its memory.
+// Reset empties e and keeps its allocated memory.
 func (e *Effects) Reset() {
 	e.Grants = e.Grants[:0]
 	e.Refusals = e.Refusals[:0]
 	e.Dropped = e.Dropped[:0]
 }
 
-// Granted tells an entry to offer a request to a slot.
+// Granted instructs an entry to offer a request to a slot. Its field names are
+// part of the wire format.
 type Granted struct {
 	Entry       BoxID
 	ID          RequestID
 	Endpoint    EndpointID
 	Address     string
 	Incarnation Incarnation
-	// Attempt is the ticket's.
+	// Attempt is that of the ticket.
 	Attempt int
-	// Fresh asks for a new connection: the endpoint failed lately, and on one that was
-	// kept the request's fate would be unknown if it is dead.
+	// Fresh asks for a new connection: the endpoint failed recently, and if an idle
+	// connection were broken, it would be unknown whether the request ran.
 	Fresh bool
-	// Paced says that whoever decided knew of the limits that the endpoint names, or that they are over.
+	// Paced is set when the decision took the endpoint's rate limit, or its removal, into account.
 	Paced  bool
 	Inputs Inputs
-	// Attach, if set, is the dispatch whose answer there is to be fetched:
+	// Attach, if set, is a dispatch at the endpoint whose answer is to be fetched;
 	// nothing is offered.
 	Attach DispatchID
 }
 
-// Refused tells an entry that a request is given up, not having run.
+// Refused tells an entry that a request is refused. It has not run.
 type Refused struct {
 	Entry  BoxID
 	ID     RequestID
 	Reason Reason
-	// RetryAfter is when the caller should come back.
+	// RetryAfter is the time after which the caller should retry.
 	RetryAfter Span
 	Inputs     Inputs
 }
 
-// Inputs are what decided on a request, for the log.
+// Inputs are the figures that a decision on a request was based on, for the log.
 type Inputs struct {
-	Ahead   int  // requests that waited before it
-	Wait    Span // expected, in the queue or to the answer's beginning
-	Running int  // requests at the endpoint, itself included
+	Ahead   int  // requests queued before it
+	Wait    Span // expected time in the queue or to the beginning of the answer
+	Running int  // requests at the endpoint, including this one
 	Spent   int  // of the team's quota in its window
-	Limit   int  // that it may spend
+	Limit   int  // of the team's quota
 }
 
-// Reason says why a request is given up.
+// Reason is the reason for a refusal.
 type Reason int
 
-// The reasons of a refusal.
+// Reasons for a refusal.
 const (
-	// ReasonNone is the zero value and no reason.
+	// ReasonNone is the zero value: not refused.
 	ReasonNone Reason = iota
-	// ReasonShed: capacity ran short and others had a better right to it.
+	// ReasonShed: capacity is short and other requests take precedence.
 	ReasonShed
-	// ReasonDeadline: the deadline passed, or cannot be met.
+	// ReasonDeadline: the deadline has passed or cannot be met.
 	ReasonDeadline
-	// ReasonNoPool: there is no such pool.
+	// ReasonNoPool: the pool does not exist.
 	ReasonNoPool
-	// ReasonClaimed: another request has the key, and its answer is not here.
+	// ReasonClaimed: another request claimed the idempotency key, and its answer
+	// cannot be fetched.
 	ReasonClaimed
-	// ReasonKeyReused: another request, with other content, has the key.
+	// ReasonKeyReused: a request with different content claimed the idempotency key.
 	ReasonKeyReused
-	// ReasonQuota: the team has spent its quota.
+	// ReasonQuota: the team has used up its quota.
 	ReasonQuota
-	// ReasonBudget: the service has no repeats left for now.
+	// ReasonBudget: the retry budget of the service is used up.
 	ReasonBudget
-	// ReasonPoison: endpoints ended under requests of the same content.
+	// ReasonPoison: endpoints terminated while running requests of the same content.
 	ReasonPoison
-	// ReasonRest: all endpoints want nothing of the entry for a while.
+	// ReasonCooldown: all endpoints asked the entry to send nothing for a while.
 	ReasonRest
 )
 
-// String returns the reason as logs and answers have it.
+// String returns the reason as written in logs and answers.
 func (r Reason) String() string {
 	switch r {
 	case ReasonShed:
--- a/event/time.go
+++ b/event/time.go
@@ -8,39 +8,38 @@
 	"lynxramp.org/internal/uptime"
 )
 
-// Time is a moment in nanoseconds since an origin that the process chooses. It
-// only ever grows and says nothing about the wall clock.
+// Time is a monotonic time in nanoseconds since an origin that the process
+// chooses. It is unrelated to the wall clock.
 type Time int64
 
-// Span is a length of time in nanoseconds.
+// Duration is a length of time in nanoseconds.
 type Span = time.Duration
 
-// Units of Span.
+// Units of Duration.
 const (
 	Microsecond = time.Microsecond
 	Millisecond = time.Millisecond
 	Second      = time.Second
 )
 
-// Add returns the moment s after t.
+// Add returns t+s.
 func (t Time) Add(s Span) Time { return t + Time(s) }
 
-// Sub returns the span from u to t.
+// Sub returns the duration t-u.
 func (t Time) Sub(u Time) Span { return Span(t - u) }
 
-// Clock turns a clock that never goes back and goes on while the computer is suspended into event time: what
-// was lent, leased or found fresh before is as old when it wakes as it is for all others. Its origin is its
-// making.
+// Clock reads a monotonic clock that advances while the computer is suspended, so that leases and validity
+// periods also expire during a suspension. Its origin is the time of its creation.
 type Clock struct {
 	origin Span
 	source func() Span
 }
 
-// NewClock returns a clock that starts at zero now.
+// NewClock returns a clock that reads 0 now.
 func NewClock() Clock { return ClockOf(uptime.Now) }
 
-// ClockOf returns a clock that starts at zero now and goes as source does.
+// NewClockFrom returns a clock that reads 0 now and advances as source does.
 func ClockOf(source func() Span) Clock { return Clock{origin: source(), source: source} }
 
-// Now returns the present event time.
+// Now returns the current time.
 func (c Clock) Now() Time { return Time(c.source() - c.origin) }
