--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -119,12 +119,12 @@
 	if len(out.Grants) != 0 {
 		t.Fatal("an endpoint that was not reached a moment ago was granted")
 	}
-	s.Tick(event.Time(suspectTime+event.Millisecond), &out)
+	s.Tick(event.Time(suspectBackoff+event.Millisecond), &out)
 	if len(out.Grants) != 0 {
 		// The request's deadline is a second: it may have been refused instead.
 		return
 	}
-	s.Submit(event.Time(suspectTime+2*event.Millisecond), "entry", submission(3, 0, false), &out)
+	s.Submit(event.Time(suspectBackoff+2*event.Millisecond), "entry", submission(3, 0, false), &out)
 	if len(out.Grants) != 1 {
 		t.Errorf("the endpoint was not tried again: %+v", out)
 	}
@@ -199,7 +199,7 @@
 	var out event.Effects
 	s.Submit(0, "entry", submission(1, 0, false), &out)
 	s.Finish(0, &message.Finish{Finished: event.Finished{ID: "1", Pool: "s", Void: true, Unused: true}, Endpoint: "e", Suspect: true}, &out)
-	now := event.Time(suspectTime + event.Millisecond)
+	now := event.Time(suspectBackoff + event.Millisecond)
 	s.Tick(now, &out)
 	out.Reset()
 	for id := 2; id <= 4; id++ {
@@ -270,8 +270,8 @@
 		if got := spentOf(s, event.Time(2*event.Second), budget.Team("t")); got != c.want {
 			t.Errorf("%s: %d count, want %d", name, got, c.want)
 		}
-		if len(s.counted) != 0 {
-			t.Errorf("%s: %d submissions are kept", name, len(s.counted))
+		if len(s.charges) != 0 {
+			t.Errorf("%s: %d submissions are kept", name, len(s.charges))
 		}
 	}
 }
--- a/admission/asked.go
+++ b/admission/asked.go
@@ -7,44 +7,44 @@
 	"lynxramp.org/event"
 )
 
-// This file is how what endpoints ask for in their answers reaches the pools.
+// This file passes the feedback of endpoints on to the pools.
 
-// Hear takes a word of an endpoint that an entry heard, and reports whether it changed what is believed of the
-// endpoint for all entries.
+// ApplyFeedback applies the feedback of an endpoint that an entry received, and reports whether the state of
+// the endpoint changed for all entries.
 func (s *State) Hear(now event.Time, entry event.BoxID, h *backpressure.Heard, out *event.Effects) bool {
 	k, ok := s.endpoints[h.Endpoint]
 	if ok && h.Word.Rest > 0 {
 		s.step(now, s.service(now, k.Service), &event.Rested{Entry: entry, Endpoint: h.Endpoint, For: h.Word.Rest}, out)
 	}
-	if !ok || !k.asked.Hear(now, s.service(now, k.Service).pool.GrantedAt(h.Request), h.Word) {
+	if !ok || !k.feedback.Hear(now, s.service(now, k.Service).pool.GrantedAt(h.Request), h.Word) {
 		return false
 	}
-	s.tell(now, k, out)
+	s.updatePool(now, k, out)
 	return true
 }
 
-// Learn takes what another who decides believes of an endpoint.
+// MergeFeedback applies the feedback state of an endpoint that another scheduler observed.
 func (s *State) Learn(now event.Time, b backpressure.State, out *event.Effects) {
-	if k, ok := s.endpoints[b.Endpoint]; ok && k.asked.Learn(now, b) {
-		s.tell(now, k, out)
+	if k, ok := s.endpoints[b.Endpoint]; ok && k.feedback.Learn(now, b) {
+		s.updatePool(now, k, out)
 	}
 }
 
-// Asked returns what is believed of an endpoint by its words.
+// FeedbackState returns the state of an endpoint according to its feedback.
 func (s *State) Asked(id event.EndpointID) backpressure.State {
 	if k, ok := s.endpoints[id]; ok {
-		return k.asked.State(id)
+		return k.feedback.State(id)
 	}
 	return backpressure.State{Endpoint: id}
 }
 
-// SetPart takes which part of endpoints' limits is to be spent here.
-func (s *State) SetPart(now event.Time, part float64, out *event.Effects) {
-	if part == s.part {
+// SetLimitShare sets the share of the endpoints' rate limits that is used here, from 0 to 1.
+func (s *State) SetPart(now event.Time, share float64, out *event.Effects) {
+	if share == s.limitShare {
 		return
 	}
-	s.part = part
+	s.limitShare = share
 	for _, v := range s.services {
-		s.step(now, v, &event.PartChanged{Part: part}, out)
+		s.step(now, v, &event.PartChanged{Part: share}, out)
 	}
 }
--- a/admission/asked_test.go
+++ b/admission/asked_test.go
@@ -12,8 +12,8 @@
 	"lynxramp.org/registry"
 )
 
-// askedState returns a State with two endpoints of few places.
-func askedState() *State {
+// twoEndpointState returns a State with two endpoints of few places.
+func twoEndpointState() *State {
 	s := newTestState(0)
 	var out event.Effects
 	s.RemoveEndpoint(0, "e", &out)
@@ -42,7 +42,7 @@
 
 // TestAnotherStartHasNotAskedForAnything: what an endpoint asked for is of one start of it.
 func TestAnotherStartHasNotAskedForAnything(t *testing.T) {
-	s := askedState()
+	s := twoEndpointState()
 	var out event.Effects
 	now := event.Time(event.Second)
 	s.Hear(now, "entry", &backpressure.Heard{Endpoint: "a/1", Word: backpressure.Word{Limited: true, Rate: 0.2, Leaving: true}}, &out)
@@ -59,7 +59,7 @@
 
 // TestLeavingByAnswerOutlivesWhatIsRegistered: an endpoint that registers as ready after its answer is leaving all the same.
 func TestLeavingByAnswerOutlivesWhatIsRegistered(t *testing.T) {
-	s := askedState()
+	s := twoEndpointState()
 	var out event.Effects
 	s.Hear(1, "entry", &backpressure.Heard{Endpoint: "a/1", Word: backpressure.Word{Leaving: true}}, &out)
 	s.SetEndpoint(2, message.Endpoint{Endpoint: registry.Endpoint{ID: "a/1", Service: "s", Address: "10.0.0.1:80", Slots: 4, Sequence: 2}}, &out)
@@ -70,7 +70,7 @@
 
 // TestRestIsOfOneEntry: the endpoint is granted to others meanwhile.
 func TestRestIsOfOneEntry(t *testing.T) {
-	s := askedState()
+	s := twoEndpointState()
 	var out event.Effects
 	s.Hear(1, "one", &backpressure.Heard{Endpoint: "a/1", Word: backpressure.Word{Rest: 10 * event.Second}}, &out)
 	s.Hear(1, "one", &backpressure.Heard{Endpoint: "b/1", Word: backpressure.Word{Rest: 10 * event.Second}}, &out)
@@ -84,7 +84,7 @@
 
 // TestLimitIsRaisedLoweredAndTakenBack: each within the answers of requests that were granted after the word before.
 func TestLimitIsRaisedLoweredAndTakenBack(t *testing.T) {
-	s := askedState()
+	s := twoEndpointState()
 	var out event.Effects
 	s.RemoveEndpoint(0, "b/1", &out)
 	now := event.Time(event.Second)
--- a/admission/counted.go
+++ b/admission/counted.go
@@ -8,10 +8,9 @@
 	"lynxramp.org/message"
 )
 
-// counted is what a submission counts: against its team's quota, or against the retry
-// budget of its service. It counts from when it is admitted until its request has run,
-// and is taken back when it turns out that no endpoint ever had the request.
-type counted struct {
+// charge is what a submission spent: from its team's quota, or from the retry budget of its service. It
+// is kept from admission until the request has run, and refunded if no endpoint received the request.
+type charge struct {
 	entry event.BoxID
 	// submission is as it was admitted.
 	submission *message.Submission
@@ -20,99 +19,100 @@
 	quota      int
 	repeat     bool
 	granted    bool
-	at         event.Time
+	chargedAt  event.Time
 }
 
-// count keeps what a submission counts from now on.
-func (s *State) count(now event.Time, entry event.BoxID, m *message.Submission) {
+// addCharge records the charge of an admitted submission.
+func (s *State) addCharge(now event.Time, entry event.BoxID, m *message.Submission) {
 	t := &m.Ticket
 	if !m.Repeat {
 		s.service(now, t.Service).requests.Add(now, 1)
 	}
-	s.keepCounted(t.ID, &counted{
-		entry: entry, team: t.Team, service: t.Service, quota: m.Quota, repeat: m.Repeat, at: now, submission: m,
+	s.storeCharge(t.ID, &charge{
+		entry: entry, team: t.Team, service: t.Service, quota: m.Quota, repeat: m.Repeat, chargedAt: now, submission: m,
 	})
 }
 
-// keepCounted keeps what a submission counts, in place of what one before of its id did.
-func (s *State) keepCounted(id event.RequestID, c *counted) {
-	s.dropCounted(id)
-	s.counted[id] = c
-	if s.countedOf[c.entry] == nil {
-		s.countedOf[c.entry] = make(map[event.RequestID]*counted)
+// storeCharge stores a charge and replaces the previous one of the same request.
+func (s *State) storeCharge(id event.RequestID, c *charge) {
+	s.removeCharge(id)
+	s.charges[id] = c
+	if s.chargesByEntry[c.entry] == nil {
+		s.chargesByEntry[c.entry] = make(map[event.RequestID]*charge)
 	}
-	s.countedOf[c.entry][id] = c
+	s.chargesByEntry[c.entry][id] = c
 }
 
-// dropCounted forgets what a submission counts: it does so for good, or was taken back.
-func (s *State) dropCounted(id event.RequestID) {
-	c, ok := s.counted[id]
+// removeCharge removes a charge that is final or refunded.
+func (s *State) removeCharge(id event.RequestID) {
+	c, ok := s.charges[id]
 	if !ok {
 		return
 	}
-	delete(s.counted, id)
-	delete(s.countedOf[c.entry], id)
-	if len(s.countedOf[c.entry]) == 0 {
-		delete(s.countedOf, c.entry)
+	delete(s.charges, id)
+	delete(s.chargesByEntry[c.entry], id)
+	if len(s.chargesByEntry[c.entry]) == 0 {
+		delete(s.chargesByEntry, c.entry)
 	}
 }
 
-// uncount takes back what a request counts that no endpoint had. That its caller asked
-// stays counted: the retry budget grows with what was asked.
-func (s *State) uncount(now event.Time, id event.RequestID) {
-	c, ok := s.counted[id]
+// refund refunds the charge of a request that no endpoint received. The request itself still counts
+// towards the retry budget of its service.
+func (s *State) refund(now event.Time, id event.RequestID) {
+	c, ok := s.charges[id]
 	if !ok {
 		return
 	}
-	s.dropCounted(id)
+	s.removeCharge(id)
 	if c.repeat {
-		s.budget.GiveBack(now, budget.Repeats(c.service), c.at, 1)
+		s.budget.GiveBack(now, budget.Repeats(c.service), c.chargedAt, 1)
 		return
 	}
-	s.budget.GiveBack(now, budget.Team(c.team), c.at, c.quota)
+	s.budget.GiveBack(now, budget.Team(c.team), c.chargedAt, c.quota)
 }
 
-// unask also takes back that the caller asked: the request will be submitted again.
-func (s *State) unask(now event.Time, id event.RequestID) {
-	if c, ok := s.counted[id]; ok && !c.repeat {
-		s.service(now, c.service).requests.Remove(now, c.at, 1)
+// refundSubmission is refund for a request that will be submitted again: it also stops counting towards
+// the retry budget.
+func (s *State) refundSubmission(now event.Time, id event.RequestID) {
+	if c, ok := s.charges[id]; ok && !c.repeat {
+		s.service(now, c.service).requests.Remove(now, c.chargedAt, 1)
 	}
-	s.uncount(now, id)
+	s.refund(now, id)
 }
 
-// step hands an event to a service's pool, and keeps the count of what comes of it.
+// step sends an event to a service's pool, and updates charges and runs by its decisions.
 func (s *State) step(now event.Time, v *service, e event.Event, out *event.Effects) {
 	grants, refusals, dropped := len(out.Grants), len(out.Refusals), len(out.Dropped)
 	v.pool.Step(now, e, out)
 	for i := range out.Grants[grants:] {
 		g := &out.Grants[grants+i]
-		if c, ok := s.counted[g.ID]; ok {
+		if c, ok := s.charges[g.ID]; ok {
 			c.granted = true
-			s.began(now, c.submission, g.Endpoint)
+			s.recordGrant(now, c.submission, g.Endpoint)
 		}
 	}
 	for i := range out.Refusals[refusals:] {
-		s.notRun(now, out.Refusals[refusals+i].ID)
+		s.releaseUnrun(now, out.Refusals[refusals+i].ID)
 	}
 	for _, id := range out.Dropped[dropped:] {
-		s.notRun(now, id)
+		s.releaseUnrun(now, id)
 	}
 }
 
-// notRun takes back what a request counts that was given up.
-func (s *State) notRun(now event.Time, id event.RequestID) {
-	s.uncount(now, id)
-	s.poison.Unsent(id)
+// releaseUnrun refunds a request that was refused or dropped, and cancels its trial.
+func (s *State) releaseUnrun(now event.Time, id event.RequestID) {
+	s.refund(now, id)
+	s.poison.RecordUnsent(id)
 }
 
-// forgetEntry takes back what an entry's waiting requests count. What it was granted
-// may have run.
-func (s *State) forgetEntry(now event.Time, entry event.BoxID) {
-	for id, c := range s.countedOf[entry] {
+// removeCharges refunds the waiting requests of an entry. Granted ones are not refunded: they may
+// have run.
+func (s *State) removeCharges(now event.Time, entry event.BoxID) {
+	for id, c := range s.chargesByEntry[entry] {
 		if c.granted {
-			s.dropCounted(id)
+			s.removeCharge(id)
 			continue
 		}
-		s.notRun(now, id)
+		s.releaseUnrun(now, id)
 	}
 }
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
 
-// Package admission decides on requests for all services of a deployment: quotas
-// of teams, retry budgets of services, and, with package sched, which endpoint
-// runs a request and when.
+// Package admission decides on requests for all services of a deployment. It applies the quotas of
+// teams, the retry budgets of services and the checks of package poison; package sched then selects
+// an endpoint and a time.
 //
-// State is a reducer. The owner has one, over all entries, and spends out of a Book of
-// package budget. Each entry has another for the time without an owner, which spends out
-// of the Allowances that an owner lent.
+// State is a reducer. The owner has one for all entries, which spends from a Book of package budget.
+// Each entry has another for the time without an owner, which spends from the Allowances that an
+// owner leased to it.
 package admission
--- a/admission/poison.go
+++ b/admission/poison.go
@@ -10,25 +10,24 @@
 	"lynxramp.org/poison"
 )
 
-// maxHeld bounds the calls that wait for word on their requests.
+// maxHeld bounds the calls that wait for the outcome of another run of their requests.
 const maxHeld = 1000
 
-// heldRetryAfter is what a caller is told who waited in vain for word on its request: about how
-// long a run takes that tells.
+// heldRetryAfter is the retry-after time for a caller whose call waited in vain for another run: about
+// the duration of a run.
 const heldRetryAfter = event.Second
 
-// mayRun asks whether a call's request may run, by what its earlier runs did to their endpoints:
-// one that ends what runs it comes again as a new call, at any entry. One that is to wait is
-// held, one that may not run is refused.
-func (s *State) mayRun(now event.Time, entry event.BoxID, m *message.Submission, out *event.Effects) bool {
+// checkPoison reports whether a call may run, given the terminations under earlier runs of its request.
+// A call that has to wait is held, one that may not run is refused.
+func (s *State) checkPoison(now event.Time, entry event.BoxID, m *message.Submission, out *event.Effects) bool {
 	t := &m.Ticket
-	verdict, wait := s.ask(now, entry, m)
+	verdict, wait := s.poisonVerdict(now, entry, m)
 	switch {
-	case verdict == poison.Free:
-		s.keepApart(m)
+	case verdict == poison.Allow:
+		s.separateTrial(m)
 		return true
 	case verdict == poison.Wait && len(s.held) < maxHeld:
-		s.held = append(s.held, parked{entry: entry, submission: *m, arrived: now, until: now.Add(max(patienceOf(t), recordPatience))})
+		s.held = append(s.held, waiting{entry: entry, submission: *m, queuedAt: now, until: now.Add(max(waitTimeout(t), recordTimeout))})
 	case verdict == poison.Wait:
 		s.refuseHeld(entry, t.ID, heldRetryAfter, out)
 	default:
@@ -37,24 +36,24 @@
 	return false
 }
 
-func (s *State) ask(now event.Time, entry event.BoxID, m *message.Submission) (poison.Verdict, event.Span) {
+func (s *State) poisonVerdict(now event.Time, entry event.BoxID, m *message.Submission) (poison.Verdict, event.Span) {
 	t := &m.Ticket
 	return s.poison.Ask(now, &poison.Call{Print: m.Print, Entry: entry, Request: t.ID, Attempt: t.Attempt, Left: t.Deadline})
 }
 
 func (s *State) refuseHeld(entry event.BoxID, id event.RequestID, after event.Span, out *event.Effects) {
-	s.poison.Unsent(id)
+	s.poison.RecordUnsent(id)
 	out.Refusals = append(out.Refusals, event.Refused{Entry: entry, ID: id, Reason: event.ReasonPoison, RetryAfter: after})
 }
 
-// keepApart has a trial avoid the endpoints that run other requests under suspicion, where its
-// service has another endpoint.
-func (s *State) keepApart(m *message.Submission) {
-	apart := s.poison.Avoid(m.Ticket.ID)
-	if len(apart) == 0 {
+// separateTrial makes a trial avoid the endpoints with trials of other requests, if its service has
+// another endpoint.
+func (s *State) separateTrial(m *message.Submission) {
+	avoided := s.poison.Avoid(m.Ticket.ID)
+	if len(avoided) == 0 {
 		return
 	}
-	avoid := append(slices.Clone(m.Ticket.Avoid), apart...)
+	avoid := append(slices.Clone(m.Ticket.Avoid), avoided...)
 	for id, k := range s.endpoints {
 		if k.Service == m.Ticket.Service && !k.Down && !k.Leaving && !slices.Contains(avoid, id) {
 			m.Ticket.Avoid = avoid
@@ -63,53 +62,53 @@
 	}
 }
 
-// Ended takes in that endpoints ended under requests.
+// RecordEnds records endpoints that terminated during runs.
 func (s *State) Ended(now event.Time, ends []poison.End, out *event.Effects) {
 	for i := range ends {
 		delete(s.runs, ends[i].Request)
-		s.poison.Ended(now, &ends[i])
+		s.poison.RecordEnd(now, &ends[i])
 	}
-	s.holdBack(now, out)
+	s.holdQueued(now, out)
 }
 
-// holdBack takes calls of requests that have come to run once at a time from the queues of their
-// services: they do not go on to an endpoint unasked.
-func (s *State) holdBack(now event.Time, out *event.Effects) {
-	cautious := s.poison.TakeCautious()
-	if len(cautious) == 0 {
+// holdQueued withdraws the calls of newly serialized requests from the queues of their services, and
+// checks them again.
+func (s *State) holdQueued(now event.Time, out *event.Effects) {
+	serialized := s.poison.TakeSerialized()
+	if len(serialized) == 0 {
 		return
 	}
-	for _, c := range s.queued(cautious) {
+	for _, c := range s.queuedCalls(serialized) {
 		id := c.submission.Ticket.ID
-		m := aged(c.submission, now.Sub(c.at))
-		s.uncount(now, id)
+		m := afterWait(c.submission, now.Sub(c.chargedAt))
+		s.refund(now, id)
 		s.step(now, s.service(now, m.Ticket.Service), &event.Withdrawn{Entry: c.entry, ID: id}, out)
-		s.enter(now, c.entry, &m, out)
+		s.checkAndAdmit(now, c.entry, &m, out)
 	}
 }
 
-// EntryDied takes note that an entry has ended, and with it what it knew.
+// EntryTerminated records that an entry terminated and will not report the outcome of its runs.
 func (s *State) EntryDied(now event.Time, entry event.BoxID, out *event.Effects) {
-	s.poison.EntryDied(now, entry)
+	s.poison.EntryTerminated(now, entry)
 	s.Release(now, out)
 }
 
-// ran takes in what a run told of its request.
-func (s *State) ran(now event.Time, f *message.Finish, out *event.Effects) {
-	s.ended(now, f)
+// recordOutcome records the outcome of a run for its request.
+func (s *State) recordOutcome(now event.Time, f *message.Finish, out *event.Effects) {
+	s.recordRunEnd(now, f)
 	switch {
 	case f.Unsent:
-		s.poison.Unsent(f.ID)
+		s.poison.RecordUnsent(f.ID)
 	case f.Ran == message.RanWell:
 		s.poison.Answered(now, f.Print)
 	}
-	s.poison.Over(now, f.ID, f.Ran == message.RanAlive)
-	if s.poison.TakeFreed() {
+	s.poison.RecordFinish(now, f.ID, f.Ran == message.RanAlive)
+	if s.poison.TakeUnblocked() {
 		s.Release(now, out)
 	}
 }
 
-// Release lets calls go on that waited for word on their requests, oldest first.
+// ReleaseHeld checks the held calls again, oldest first.
 func (s *State) Release(now event.Time, out *event.Effects) {
 	held := s.held
 	s.held = nil
@@ -118,10 +117,10 @@
 			s.refuseHeld(p.entry, p.submission.Ticket.ID, heldRetryAfter, out)
 			continue
 		}
-		m := aged(&p.submission, now.Sub(p.arrived))
-		switch verdict, wait := s.ask(now, p.entry, &m); verdict {
-		case poison.Free:
-			s.keepApart(&m)
+		m := afterWait(&p.submission, now.Sub(p.queuedAt))
+		switch verdict, wait := s.poisonVerdict(now, p.entry, &m); verdict {
+		case poison.Allow:
+			s.separateTrial(&m)
 			s.spendAndAdmit(now, p.entry, &m, out)
 		case poison.Wait:
 			s.held = append(s.held, p)
@@ -131,11 +130,11 @@
 	}
 }
 
-// aged returns a submission as it is after some more time.
-func aged(m *message.Submission, waited event.Span) message.Submission {
-	one := *m
-	one.Ticket.Waited += waited
-	one.Ticket.Deadline -= waited
-	one.Ticket.Target = max(event.Millisecond, one.Ticket.Target-waited)
-	return one
+// afterWait returns a submission with its times adjusted for a further wait.
+func afterWait(m *message.Submission, waited event.Span) message.Submission {
+	adjusted := *m
+	adjusted.Ticket.Waited += waited
+	adjusted.Ticket.Deadline -= waited
+	adjusted.Ticket.Target = max(event.Millisecond, adjusted.Ticket.Target-waited)
+	return adjusted
 }
--- a/admission/poison_test.go
+++ b/admission/poison_test.go
@@ -74,14 +74,14 @@
 	return nil
 }
 
-// end ends a call's run as its endpoint's end does.
-func (r *poisonRig) end(id int, p poison.Print) {
+// endRun ends a call's run as its endpoint's endRun does.
+func (r *poisonRig) endRun(id int, p poison.Print) {
 	request, endpoint := event.RequestID(fmt.Sprint(id)), r.granted(id)
 	r.Ended(r.now, []poison.End{{Print: p, Endpoint: endpoint, Request: request, Ran: event.Millisecond}}, &r.out)
 	r.Finish(r.now, &message.Finish{Finished: event.Finished{ID: request, Pool: "s", Failed: true}, Endpoint: endpoint, Print: p}, &r.out)
 }
 
-func (r *poisonRig) answer(id int, p poison.Print) {
+func (r *poisonRig) succeed(id int, p poison.Print) {
 	r.Finish(r.now, &message.Finish{
 		Finished: event.Finished{ID: event.RequestID(fmt.Sprint(id)), Pool: "s"}, Endpoint: r.granted(id), Print: p, Ran: message.RanWell,
 	}, &r.out)
@@ -93,7 +93,7 @@
 func TestCallsWaitForWordOnTheirRequest(t *testing.T) {
 	r := newPoisonRig(t, 6, 4)
 	r.submit(1, badPrint)
-	r.end(1, badPrint)
+	r.endRun(1, badPrint)
 	before := spentOf(r.State, r.now, budget.Team("t"))
 	for id := 2; id < 6; id++ {
 		r.submit(id, badPrint)
@@ -112,7 +112,7 @@
 	if spent := spentOf(r.State, r.now, budget.Team("t")) - before; spent != 200 {
 		t.Errorf("%d tokens spent by two that run", spent)
 	}
-	r.answer(2, badPrint)
+	r.succeed(2, badPrint)
 	for id := 3; id < 6; id++ {
 		if r.granted(id) == "" {
 			t.Errorf("call %d does not go on after a run that ended well", id)
@@ -127,7 +127,7 @@
 	for id := range 2 {
 		r.submit(id, badPrint)
 		r.save()
-		r.end(id, badPrint)
+		r.endRun(id, badPrint)
 		r.RemoveEndpoint(r.now, r.granted(id), &r.out)
 	}
 	r.submit(2, badPrint)
@@ -138,7 +138,7 @@
 	if one := r.refused(3); one == nil || one.Reason != event.ReasonPoison || one.RetryAfter <= 0 {
 		t.Errorf("a call that waited in vain: %+v", one)
 	}
-	r.end(2, badPrint)
+	r.endRun(2, badPrint)
 	r.submit(4, badPrint)
 	if one := r.refused(4); one == nil || one.Reason != event.ReasonPoison || one.RetryAfter <= event.Second {
 		t.Errorf("a call of a request that is held off: %+v", one)
@@ -159,8 +159,8 @@
 	if r.granted(3) != "" || r.granted(4) != "" {
 		t.Fatal("they do not wait")
 	}
-	r.end(2, badPrint)
-	r.answer(1, "busy")
+	r.endRun(2, badPrint)
+	r.succeed(1, "busy")
 	r.save()
 	if r.granted(3) == "" || r.granted(4) != "" {
 		t.Errorf("granted at %q and %q, want one of them", r.granted(3), r.granted(4))
@@ -189,7 +189,7 @@
 	if len(r.parked) != 3 {
 		t.Fatalf("%d calls wait for the quota", len(r.parked))
 	}
-	r.end(1, badPrint)
+	r.endRun(1, badPrint)
 	for range 40 {
 		r.now = r.now.Add(50 * event.Millisecond)
 		r.Tick(r.now, &r.out)
@@ -251,13 +251,13 @@
 	for id := range 200 {
 		r.submit(id, poison.Print(fmt.Sprint("p", id)))
 		if id%2 == 0 {
-			r.answer(id, poison.Print(fmt.Sprint("p", id)))
+			r.succeed(id, poison.Print(fmt.Sprint("p", id)))
 		}
 	}
 	if len(r.runs) == 0 || len(r.runs) > 100 {
 		t.Errorf("%d runs of 100 under way are kept", len(r.runs))
 	}
-	r.now = r.now.Add(event.Second + unclearFor + sweepEvery)
+	r.now = r.now.Add(event.Second + inconclusiveRunTTL + sweepInterval)
 	r.Tick(r.now, &r.out)
 	if len(r.runs) != 0 {
 		t.Errorf("%d runs are kept whose time is over", len(r.runs))
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -12,56 +12,56 @@
 	"lynxramp.org/poison"
 )
 
-// Times of runs.
+// Retention of runs.
 const (
-	// unclearFor is how long a run is kept that told nothing of its request, or whose time is
-	// over: an endpoint that ended under it is found silent, or followed by another, within it.
-	unclearFor = 10 * event.Second
-	sweepEvery = 5 * event.Second
+	// inconclusiveRunTTL is how long a run is kept after an unclear outcome or its deadline. An endpoint that
+	// terminated during the run is found unreachable, or replaced, within it.
+	inconclusiveRunTTL = 10 * event.Second
+	sweepInterval      = 5 * event.Second
 )
 
-// run is a call that was granted. Who asked for it may die with what it saw: if the endpoint is
-// then found to have ended, it is taken to have ended under the run.
+// run is a granted call. If its endpoint is found to have terminated, the run counts as a termination
+// even if the entry terminated too and cannot report it.
 type run struct {
-	print    poison.Print
-	endpoint event.EndpointID
-	attempt  int
-	began    event.Time
-	over     event.Time // 0 while it is under way
-	until    event.Time // it is kept
+	fingerprint poison.Print
+	endpoint    event.EndpointID
+	attempt     int
+	startedAt   event.Time
+	finishedAt  event.Time // 0 while in progress
+	keptUntil   event.Time
 }
 
-// began takes note of a grant.
-func (s *State) began(now event.Time, m *message.Submission, endpoint event.EndpointID) {
+// recordGrant records a granted call.
+func (s *State) recordGrant(now event.Time, m *message.Submission, endpoint event.EndpointID) {
 	t := &m.Ticket
-	s.poison.Granted(t.ID, endpoint)
-	s.keepRun(t.ID, &run{print: m.Print, endpoint: endpoint, attempt: t.Attempt, began: now, until: now.Add(t.Deadline + unclearFor)})
+	s.poison.RecordGrant(t.ID, endpoint)
+	s.addRun(t.ID, &run{fingerprint: m.Print, endpoint: endpoint, attempt: t.Attempt, startedAt: now, keptUntil: now.Add(t.Deadline + inconclusiveRunTTL)})
 }
 
-func (s *State) keepRun(id event.RequestID, r *run) {
-	if r.print != "" {
+func (s *State) addRun(id event.RequestID, r *run) {
+	if r.fingerprint != "" {
 		s.runs[id] = r
 	}
 }
 
-// ended takes note that a run is over; it is kept if it is unclear what came of it.
-func (s *State) ended(now event.Time, f *message.Finish) {
+// recordRunEnd records that a run finished; it is kept if its outcome is unclear.
+func (s *State) recordRunEnd(now event.Time, f *message.Finish) {
 	r, ok := s.runs[f.ID]
 	switch {
 	case !ok:
 	case f.Unsent, f.Ran != message.RanUnclear:
 		delete(s.runs, f.ID)
 	default:
-		r.over, r.until = now, now.Add(unclearFor)
+		r.finishedAt, r.keptUntil = now, now.Add(inconclusiveRunTTL)
 	}
 }
 
-// Fallen takes in that endpoints have ended or are silent, with when each was last heard: what
-// ran there since is taken to have ended with it.
-func (s *State) Fallen(now event.Time, heard map[event.EndpointID]event.Time, out *event.Effects) {
+// EndpointsLost records that endpoints terminated or became unreachable, with the time when each was
+// last heard from. Runs that were in progress then, or started since, count as terminations.
+func (s *State) Fallen(now event.Time, lastHeard map[event.EndpointID]event.Time, out *event.Effects) {
 	var ids []event.RequestID
 	for id, r := range s.runs {
-		if at, ok := heard[r.endpoint]; ok && (r.over == 0 || r.over >= at) {
+		if at, ok := lastHeard[r.endpoint]; ok && (r.finishedAt == 0 || r.finishedAt >= at) {
 			ids = append(ids, id)
 		}
 	}
@@ -69,34 +69,34 @@
 	var ends []poison.End
 	for _, id := range ids {
 		r := s.runs[id]
-		ends = append(ends, poison.End{Print: r.print, Endpoint: r.endpoint, Request: id, Attempt: r.attempt, Ran: now.Sub(r.began)})
+		ends = append(ends, poison.End{Print: r.fingerprint, Endpoint: r.endpoint, Request: id, Attempt: r.attempt, Ran: now.Sub(r.startedAt)})
 	}
 	s.Ended(now, ends, out)
 }
 
-// sweepRuns forgets runs whose time is over.
+// sweepRuns removes expired runs.
 func (s *State) sweepRuns(now event.Time) {
 	if now < s.sweepAt {
 		return
 	}
-	s.sweepAt = now.Add(sweepEvery)
-	maps.DeleteFunc(s.runs, func(_ event.RequestID, r *run) bool { return now >= r.until })
+	s.sweepAt = now.Add(sweepInterval)
+	maps.DeleteFunc(s.runs, func(_ event.RequestID, r *run) bool { return now >= r.keptUntil })
 }
 
-// queued returns the calls of requests that wait for an endpoint, oldest first.
-func (s *State) queued(prints []poison.Print) []*counted {
-	wanted := make(map[poison.Print]bool, len(prints))
-	for _, p := range prints {
+// queuedCalls returns the calls of requests that are queued for an endpoint, oldest first.
+func (s *State) queuedCalls(fingerprints []poison.Print) []*charge {
+	wanted := make(map[poison.Print]bool, len(fingerprints))
+	for _, p := range fingerprints {
 		wanted[p] = true
 	}
-	var list []*counted
-	for _, c := range s.counted {
+	var list []*charge
+	for _, c := range s.charges {
 		if !c.granted && wanted[c.submission.Print] {
 			list = append(list, c)
 		}
 	}
-	slices.SortFunc(list, func(c, d *counted) int {
-		return cmp.Or(cmp.Compare(c.at, d.at), cmp.Compare(c.submission.Ticket.ID, d.submission.Ticket.ID))
+	slices.SortFunc(list, func(c, d *charge) int {
+		return cmp.Or(cmp.Compare(c.chargedAt, d.chargedAt), cmp.Compare(c.submission.Ticket.ID, d.submission.Ticket.ID))
 	})
 	return list
 }
--- a/poison/book.go
+++ b/poison/book.go
@@ -11,249 +11,252 @@
 	"lynxramp.org/event"
 )
 
-// End says that an endpoint ended, or a connection to it did, under a run of a request.
+// End reports that an endpoint terminated, or a connection to it broke, during a run of a request.
+// Its field names are part of the wire format.
 type End struct {
-	// Number counts the ends that an entry has told of since its start, from 1.
+	// Number is the sequence number of the End, from 1, within one instance of the entry.
 	Number   uint64
 	Print    Print
 	Endpoint event.EndpointID
-	// Request is the call that ran, and Attempt how often it had been sent before.
+	// Request is the call that ran, and Attempt the number of times it was sent before.
 	Request event.RequestID
 	Attempt int
-	// Ran is how long it had run, and Ago how long ago the end was when it was told.
+	// Ran is how long it had run, and Ago the time from the End to the report of it.
 	Ran, Ago event.Span
 }
 
-// Book is what is known of requests under which endpoints ended. Its zero value is not of use;
-// NewBook and NewAlone make one. It is a reducer and not safe for concurrent use.
+// Tracker tracks requests under which endpoints terminated, and decides which calls may run. Use
+// NewTracker or NewDegradedTracker to make one. It is a reducer and not safe for concurrent use.
 type Book struct {
-	cases   map[Print]*suspicion
-	trials  map[event.RequestID]*suspicion // those under way
-	well    recent                         // requests that ended well lately
-	newly   []Print                        // cautious since TakeCautious was called
-	changes []Change
-	isFreed bool // calls that wait may go on since TakeFreed was called
-	// isAlone says that no log is told: there are no trials.
-	isAlone bool
-	heldOff map[Print]bool // by the word of an owner that is lost
+	cases           map[Print]*requestCase
+	trials          map[event.RequestID]*requestCase // in progress
+	successes       recentSuccesses                  // requests with recent successful runs
+	newlySerialized []Print                          // since the last call of TakeSerialized
+	changes         []Change
+	isUnblocked     bool // since the last call of TakeUnblocked
+	// isDegraded is set at an entry without an owner: nothing is written to the log, and there are
+	// no trials.
+	isDegraded  bool
+	quarantined map[Print]bool // the suspects that the last owner sent
 
-	dirty     []Print // of which the log is to be told, in this order
+	dirty     []Print // to be written to the log, in this order
 	isDirty   map[Print]bool
-	pending   []pendingLine // on their way to the log
+	pending   []pendingLine // proposed but not committed
 	isPending bool
-	// listed are those that Suspects returned last, and isStale that there may be others now.
-	listed   []Print
-	revision uint64
-	isStale  bool
+	// listed is the last result of Suspects; listChanged is set when it may be outdated.
+	listed      []Print
+	revision    uint64
+	listChanged bool
 }
 
-// suspicion is what is known of one request.
-type suspicion struct {
-	print  Print
-	ends   []ended
-	trials int // runs since it was suspected
-	// isCautious says that it runs once at a time, and not before the log knows of it.
-	isCautious bool
-	// isProven says that a trial ended its endpoint, or nobody lives to tell what came of it.
-	isProven bool
-	news     event.Time // the last end, or the last trial's
-	trial    *trial     // under way; nil for none
+// requestCase is the state of one request.
+type requestCase struct {
+	fingerprint Print
+	ends        []termination
+	trials      int // counted trials
+	// isSerialized is set when it runs one call at a time, each recorded in the log first.
+	isSerialized bool
+	// isProven is set when a trial terminated its endpoint, or its outcome will not be reported.
+	isProven   bool
+	lastChange event.Time // time of the last termination or end of a trial
+	trial      *trial     // in progress; nil for none
 }
 
-// ended is an endpoint that ended, 0 if it isn't known which, and until when a run of it must have
-// begun to be of that life.
-type ended struct {
+// termination is an endpoint instance that terminated: the hash of its name, 0 if unknown, and when.
+// A run that started later was on another instance.
+type termination struct {
 	endpoint uint64
 	at       event.Time
 }
 
-// NewBook returns the book of an owner, with what the log has of the owners before.
+// NewTracker returns the Tracker of an owner, with the state that earlier owners wrote to the log.
 func NewBook(now event.Time, l *Ledger) *Book {
-	b := newBook()
-	b.isStale = true
+	b := newTracker()
+	b.listChanged = true
 	for p, line := range l.lines {
-		c := &suspicion{print: p, trials: line.Trials, isProven: line.Proven, news: now}
+		c := &requestCase{fingerprint: p, trials: line.Trials, isProven: line.Proven, lastChange: now}
 		for _, endpoint := range line.Ends {
-			c.ends = append(c.ends, ended{endpoint, now})
+			c.ends = append(c.ends, termination{endpoint, now})
 		}
-		c.isCautious = true
+		c.isSerialized = true
 		b.cases[p] = c
 	}
 	return b
 }
 
-// NewAlone returns the book of an entry without an owner, which told it last whom it held off.
-func NewAlone(heldOff []Print) *Book {
-	b := newBook()
-	b.isAlone = true
-	b.heldOff = make(map[Print]bool, len(heldOff))
-	for _, p := range heldOff {
-		b.heldOff[p] = true
+// NewDegradedTracker returns the Tracker of an entry without an owner. It rejects the suspects
+// that the last owner sent.
+func NewAlone(suspects []Print) *Book {
+	b := newTracker()
+	b.isDegraded = true
+	b.quarantined = make(map[Print]bool, len(suspects))
+	for _, p := range suspects {
+		b.quarantined[p] = true
 	}
 	return b
 }
 
-func newBook() *Book {
-	return &Book{cases: make(map[Print]*suspicion), trials: make(map[event.RequestID]*suspicion), isDirty: make(map[Print]bool)}
+func newTracker() *Book {
+	return &Book{cases: make(map[Print]*requestCase), trials: make(map[event.RequestID]*requestCase), isDirty: make(map[Print]bool)}
 }
 
-func (c *suspicion) isSuspected() bool { return len(c.ends) >= suspectEnds }
+func (c *requestCase) isSuspected() bool { return len(c.ends) >= suspectEnds }
 
-// free returns when the request may run next.
-func (c *suspicion) free() event.Time {
+// nextRunAt returns the earliest time of the next run.
+func (c *requestCase) nextRunAt() event.Time {
 	switch {
 	case !c.isSuspected() || c.trials == 0:
 		return 0
 	case c.trials >= maxTrials:
-		return c.until()
+		return c.expiresAt()
 	case c.isProven:
-		return c.news.Add(provenPause)
+		return c.lastChange.Add(provenPause)
 	default:
-		return c.news.Add(unclearPause)
+		return c.lastChange.Add(inconclusivePause)
 	}
 }
 
-// until returns when what is known of the request is over: its trial, or all of it.
-func (c *suspicion) until() event.Time {
+// expiresAt returns when the trial in progress, or else the whole case, expires.
+func (c *requestCase) expiresAt() event.Time {
 	switch {
 	case c.trial != nil:
-		return c.trial.until
+		return c.trial.deadline
 	case !c.isSuspected():
-		return c.news.Add(singleFor)
+		return c.lastChange.Add(singleEndTTL)
 	case c.trials >= maxTrials && !c.isProven:
-		return c.news.Add(unprovenFor)
+		return c.lastChange.Add(unprovenQuarantine)
 	default:
-		return c.news.Add(provenFor)
+		return c.lastChange.Add(provenQuarantine)
 	}
 }
 
-// Ended takes in an end.
-func (b *Book) Ended(now event.Time, e *End) {
+// RecordEnd records a termination, unless that of the same endpoint instance is recorded.
+func (b *Book) RecordEnd(now event.Time, e *End) {
 	if e.Print == "" {
 		return
 	}
 	c, ok := b.cases[e.Print]
 	if !ok {
-		if !b.makeRoom() {
-			b.change(LeftUncounted, &suspicion{print: e.Print}, "")
+		if !b.ensureCapacity() {
+			b.addChange(Untracked, &requestCase{fingerprint: e.Print}, "")
 			return
 		}
-		c = &suspicion{print: e.Print}
+		c = &requestCase{fingerprint: e.Print}
 		b.cases[e.Print] = c
 	}
 	isTrial := c.trial != nil && c.trial.request == e.Request && c.trial.attempt == e.Attempt
-	end := ended{endpoint: hashOf(e.Endpoint), at: now.Add(-e.Ago)}
-	if !isTrial && c.knows(end, end.at.Add(-e.Ran)) {
+	end := termination{endpoint: hashOf(e.Endpoint), at: now.Add(-e.Ago)}
+	if !isTrial && c.coversRun(end, end.at.Add(-e.Ran)) {
 		return
 	}
-	b.add(now, c, end)
+	b.addTermination(now, c, end)
 	if isTrial {
-		c.trial.isLost = true
+		c.trial.endpointEnded = true
 		c.isProven = c.isProven || c.trial.isCounted
-		b.change(TrialLost, c, e.Request)
+		b.addChange(TrialEndedEndpoint, c, e.Request)
 	}
-	b.beware(now, c)
+	b.serialize(now, c)
 }
 
-func (b *Book) add(now event.Time, c *suspicion, end ended) {
-	was := c.isSuspected()
+func (b *Book) addTermination(now event.Time, c *requestCase, end termination) {
+	wasSuspected := c.isSuspected()
 	c.ends = append(c.ends, end)
 	c.ends = c.ends[max(0, len(c.ends)-maxEnds):]
-	c.news = now
-	b.mark(c.print)
-	if !was && c.isSuspected() {
-		b.change(Suspected, c, "")
+	c.lastChange = now
+	b.markDirty(c.fingerprint)
+	if !wasSuspected && c.isSuspected() {
+		b.addChange(Suspected, c, "")
 	}
 }
 
-// beware has a request run once at a time under which an endpoint ended, unless a run of it
-// ended well a moment ago.
-func (b *Book) beware(now event.Time, c *suspicion) {
-	if c.isCautious || len(c.ends) < cautionEnds || b.well.has(now, c.print) {
+// serialize starts to serialize a request with terminations, unless a run of it succeeded recently.
+func (b *Book) serialize(now event.Time, c *requestCase) {
+	if c.isSerialized || len(c.ends) < serializeEnds || b.successes.has(now, c.fingerprint) {
 		return
 	}
-	c.isCautious = true
-	b.newly = append(b.newly, c.print)
+	c.isSerialized = true
+	b.newlySerialized = append(b.newlySerialized, c.fingerprint)
 }
 
-// TakeCautious returns the requests that have come to run once at a time since the last call.
-func (b *Book) TakeCautious() []Print {
-	list := b.newly
-	b.newly = nil
+// TakeSerialized returns the requests that became serialized since the last call.
+func (b *Book) TakeSerialized() []Print {
+	list := b.newlySerialized
+	b.newlySerialized = nil
 	return list
 }
 
-// knows reports whether a run that began at a time was of a life of its endpoint whose end is
-// known: that endpoint may be there again under its name.
-func (c *suspicion) knows(end ended, began event.Time) bool {
-	return slices.ContainsFunc(c.ends, func(one ended) bool { return one.endpoint == end.endpoint && began <= one.at })
+// coversRun reports whether a run that started at began was on an endpoint instance whose
+// termination is recorded; a new instance may have the same name.
+func (c *requestCase) coversRun(end termination, began event.Time) bool {
+	return slices.ContainsFunc(c.ends, func(t termination) bool { return t.endpoint == end.endpoint && began <= t.at })
 }
 
-// makeRoom makes room for one more request: the oldest one that is not suspected goes. It
-// reports whether there is room.
-func (b *Book) makeRoom() bool {
+// ensureCapacity makes room for one more request by evicting the oldest one that is not suspected.
+// It reports whether there is room.
+func (b *Book) ensureCapacity() bool {
 	if len(b.cases) < maxCases {
 		return true
 	}
-	var oldest *suspicion
+	var oldest *requestCase
 	for _, c := range b.cases {
-		if !c.isSuspected() && (oldest == nil || c.news < oldest.news || c.news == oldest.news && c.print < oldest.print) {
+		if !c.isSuspected() && (oldest == nil || c.lastChange < oldest.lastChange || c.lastChange == oldest.lastChange && c.fingerprint < oldest.fingerprint) {
 			oldest = c
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	b.forget(oldest)
+	b.remove(oldest)
 	return true
 }
 
-// Answered takes note that a run of a request ended well: it does not end what runs it.
+// RecordSuccess records a successful run of a request, which clears it.
 func (b *Book) Answered(now event.Time, p Print) {
 	if p == "" {
 		return
 	}
-	b.well.add(now, p)
+	b.successes.add(now, p)
 	c, ok := b.cases[p]
 	if !ok {
 		return
 	}
 	if c.isSuspected() {
-		b.change(Cleared, c, "")
+		b.addChange(Cleared, c, "")
 	}
-	b.forget(c)
+	b.remove(c)
 }
 
-func (b *Book) forget(c *suspicion) {
+func (b *Book) remove(c *requestCase) {
 	if c.trial != nil {
 		delete(b.trials, c.trial.request)
 	}
-	delete(b.cases, c.print)
-	b.isFreed = true
-	b.mark(c.print)
+	delete(b.cases, c.fingerprint)
+	b.isUnblocked = true
+	b.markDirty(c.fingerprint)
 }
 
-func byPrint(c, d *suspicion) int { return cmp.Compare(c.print, d.print) }
+func compareFingerprints(c, d *requestCase) int { return cmp.Compare(c.fingerprint, d.fingerprint) }
 
 func hashOf(endpoint event.EndpointID) uint64 { return xxhash.Sum64String(string(endpoint)) }
 
-// Tick ends trials of which nothing was heard, and forgets what is old.
+// Tick abandons overdue trials, removes expired cases, and serializes requests whose last
+// success is no longer recent.
 func (b *Book) Tick(now event.Time) {
-	var due []*suspicion
+	var due []*requestCase
 	for _, c := range b.cases {
-		if now >= c.until() || !c.isCautious {
+		if now >= c.expiresAt() || !c.isSerialized {
 			due = append(due, c)
 		}
 	}
-	slices.SortFunc(due, byPrint)
+	slices.SortFunc(due, compareFingerprints)
 	for _, c := range due {
 		switch {
-		case now < c.until():
-			b.beware(now, c)
+		case now < c.expiresAt():
+			b.serialize(now, c)
 		case c.trial != nil:
-			b.loseTrial(now, c)
+			b.abandonTrial(now, c)
 		default:
-			b.forget(c)
+			b.remove(c)
 		}
 	}
 }
--- a/poison/change.go
+++ b/poison/change.go
@@ -4,42 +4,42 @@
 
 import "lynxramp.org/event"
 
-// Change is a belief of a Book that changed, for the log.
+// Change is a change in the state of a request, for the operator's log.
 type Change struct {
 	What    ChangeKind
 	Print   Print
-	Ends    int // under it since a run ended well
+	Ends    int // terminations since a run last succeeded
 	Trials  int
-	Request event.RequestID // of the trial; empty where there is none
+	Request event.RequestID // of the trial; empty for other changes
 }
 
-// ChangeKind says what changed.
+// ChangeKind is the kind of a Change.
 type ChangeKind uint8
 
-// The changes.
+// Kinds of changes.
 const (
-	Suspected ChangeKind = iota // the request runs once at a time, some times
+	Suspected ChangeKind = iota // it gets trials only from now on
 	TrialBegan
-	TrialEnded    // without a word on the request
-	TrialLost     // its endpoint ended too
-	TrialUnknown  // who saw it has ended
-	Cleared       // a run of the request ended well
-	LeftUncounted // there is no room for one more request
+	TrialInconclusive   // its outcome is unclear
+	TrialEndedEndpoint  // its endpoint terminated
+	TrialOutcomeUnknown // nobody will report it
+	Cleared             // a run of the request succeeded
+	Untracked           // the Tracker is full
 )
 
-// String returns the change as logs have it.
+// String returns the kind as written in logs.
 func (k ChangeKind) String() string {
 	return [...]string{"suspected", "trial began", "trial ended", "trial ended its endpoint", "trial's end is not known", "cleared", "left uncounted"}[k]
 }
 
-func (b *Book) change(what ChangeKind, c *suspicion, request event.RequestID) {
+func (b *Book) addChange(kind ChangeKind, c *requestCase, request event.RequestID) {
 	if len(b.changes) >= maxChanges {
 		return
 	}
-	b.changes = append(b.changes, Change{What: what, Print: c.print, Ends: len(c.ends), Trials: c.trials, Request: request})
+	b.changes = append(b.changes, Change{What: kind, Print: c.fingerprint, Ends: len(c.ends), Trials: c.trials, Request: request})
 }
 
-// TakeChanges returns what changed since the last call.
+// TakeChanges returns the changes since the last call.
 func (b *Book) TakeChanges() []Change {
 	list := b.changes
 	b.changes = nil
--- a/poison/doc.go
+++ b/poison/doc.go
@@ -1,30 +1,32 @@
 // SPDX-License-Identifier: MIT
 
-// Package poison tells which requests end the endpoints that run them, and bounds how many.
+// Package poison detects requests that terminate the endpoints that run them (queries of death),
+// and bounds how many endpoints such a request can terminate.
 //
-// A request comes again and again as new calls, at any entry. Its Print, made of its content,
-// tells that two calls are of the same request. A Book keeps, for each Print, the endpoints that
-// ended under it since a run of it last ended well:
+// Callers retry such a request as new calls, through any entry. Calls of the same request are
+// recognised by a Fingerprint of their content. A Tracker keeps, for each Fingerprint, the
+// endpoints that terminated under it since one of its runs last succeeded:
 //
-//   - After one end its calls run one at a time, each not before the log says that it runs. Ten
-//     others run beside the one that ends an endpoint, and all of them go on so: a run that ends
-//     well clears a request.
-//   - After two it is suspected. It has maxTrials runs, counted in the log before each, apart from
-//     the trials of other requests and with a pause after each.
-//   - Then it is held off for some time, and after that it is as any other.
-//   - One of which a run ended well within wellFor is not suspected for ends alone.
+//   - After one termination the request is serialized: its calls run one at a time, each only
+//     once the replicated log has the run. A run that succeeds clears the request. Other requests
+//     that ran on the same endpoint are serialized too, until one of their runs succeeds.
+//   - After two it is suspected. It gets maxTrials trial runs, each counted in the log before it
+//     starts, at endpoints without other trials, and with a pause after each.
+//   - Then it is quarantined for some time, and after that forgotten.
+//   - A request that had a successful run within successWindow is not serialized.
 //
-// The bound is kept by construction, over owners and entries, the dead and the unheard included:
-// of a request none of whose runs ends well,
+// For a request none of whose runs succeeds, changes of the owner and unreachable entries
+// included,
 //
-//	runs begun after the first end that is known <= 1 + maxTrials
+//	runs started after the first known termination <= 1 + maxTrials
 //
-// until it is forgotten. A run of which nobody lives to tell what came of it is taken to have
-// ended its endpoint, as the log says that it ran. Before the first known end nothing is
-// recorded; an end is known once it is told by the entry that ran the request, or by the owner
-// that granted the run, when its endpoint falls silent. Only one that both die of is not.
+// until it is forgotten. A run whose outcome nobody can report any more counts as a termination,
+// since the log has the run. Nothing is recorded before the first known termination. A
+// termination is known when the entry that ran the request reports it, or when the owner that
+// granted the run finds the endpoint unreachable; it stays unknown only if both terminate too.
 //
-// All is bounded: the requests of a Book and of the log (maxCases; those with a single end go
-// first), the bytes of a Record, the list that entries are told of. An entry without an owner
-// runs no request that it was told of, or under which it saw two ends by itself.
+// Memory and messages are bounded: the requests in a Tracker and in the log (maxCases; those with
+// a single termination are evicted first), the size of a Record, and the list that is sent to
+// entries. An entry without an owner runs no request on that list, and none under which it
+// observed two terminations itself.
 package poison
--- a/poison/print.go
+++ b/poison/print.go
@@ -12,16 +12,15 @@
 	"github.com/pkg/errors"
 )
 
-// printBytes is the length of a Print. With 128 bits nobody finds a request with the print of
-// another team's.
-const printBytes = 16
+// fingerprintBytes is the length of a Fingerprint: 128 bits, so that collisions cannot be found.
+const fingerprintBytes = 16
 
-// Print tells requests of one content from all others: equal Prints are requests of one caller
-// with the same method, host, path and body. It is printBytes of a keyed hash, as they are;
-// empty for a request that has none.
+// Fingerprint identifies the content of a request: requests with equal Fingerprints are of one
+// team and have the same method, host, URI and body. It has fingerprintBytes raw bytes of a keyed
+// hash; it is empty for a request without one.
 type Print string
 
-// String returns the print as logs have it.
+// String returns the fingerprint in hexadecimal, as in logs.
 func (p Print) String() string { return hex.EncodeToString([]byte(p)) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -31,19 +30,18 @@
 func (p *Print) UnmarshalText(text []byte) error {
 	data, err := hex.DecodeString(string(text))
 	if err != nil {
-		return errors.Wrap(err, "print of a request")
+		return errors.Wrap(err, "decode request fingerprint")
 	}
 	*p = Print(data)
 	return nil
 }
 
-// Printer makes the Print of a request while its body comes, in parts of any size: to hash
-// 4 MB at once would hold up all that a box does for some milliseconds. It is an io.Writer of
-// the body.
+// Fingerprinter computes the Fingerprint of a request incrementally while its body arrives:
+// hashing a large body at once would block a box for milliseconds. The body is written to it.
 type Printer struct{ hash hash.Hash }
 
-// NewPrinter returns a Printer for a request of a team, whose name may be empty. The team is the
-// key of the hash, so that no team can make a request with the print of another one's.
+// NewFingerprinter returns a Fingerprinter for a request of a team, whose name may be empty. The
+// team is the key of the hash, so that no team can forge a request with another team's fingerprint.
 func NewPrinter(team, method, host, uri string) *Printer {
 	p := &Printer{hash: hmac.New(sha256.New, []byte(team))}
 	for _, field := range []string{method, host, uri} {
@@ -53,8 +51,8 @@
 	return p
 }
 
-// Write takes a part of the body. It never fails.
+// Write adds a part of the body. It never fails.
 func (p *Printer) Write(part []byte) (int, error) { return p.hash.Write(part) }
 
-// Print returns the print of the request with the body as far as it has come.
-func (p *Printer) Print() Print { return Print(p.hash.Sum(nil)[:printBytes]) }
+// Sum returns the fingerprint of the request with the body written so far.
+func (p *Printer) Print() Print { return Print(p.hash.Sum(nil)[:fingerprintBytes]) }
--- a/poison/recent.go
+++ b/poison/recent.go
@@ -4,25 +4,25 @@
 
 import "lynxramp.org/event"
 
-// recent keeps which requests ended well within wellFor, the newest maxWell of them at the least.
-// Its zero value has none.
-type recent struct {
-	now, before map[Print]event.Time
-	since       event.Time // of now
+// recentSuccesses records which requests had a successful run within successWindow, at least the latest
+// maxSuccesses of them, in two generations. The zero value is empty.
+type recentSuccesses struct {
+	current, previous map[Print]event.Time
+	currentSince      event.Time // when current was started
 }
 
-func (r *recent) add(now event.Time, p Print) {
-	if r.now == nil || len(r.now) >= maxWell || now.Sub(r.since) >= wellFor {
-		r.now, r.before = make(map[Print]event.Time), r.now
-		r.since = now
+func (r *recentSuccesses) add(now event.Time, p Print) {
+	if r.current == nil || len(r.current) >= maxSuccesses || now.Sub(r.currentSince) >= successWindow {
+		r.current, r.previous = make(map[Print]event.Time), r.current
+		r.currentSince = now
 	}
-	r.now[p] = now
+	r.current[p] = now
 }
 
-func (r *recent) has(now event.Time, p Print) bool {
-	at, ok := r.now[p]
+func (r *recentSuccesses) has(now event.Time, p Print) bool {
+	at, ok := r.current[p]
 	if !ok {
-		at, ok = r.before[p]
+		at, ok = r.previous[p]
 	}
-	return ok && now.Sub(at) < wellFor
+	return ok && now.Sub(at) < successWindow
 }
--- a/poison/record.go
+++ b/poison/record.go
@@ -10,62 +10,62 @@
 	"lynxramp.org/event"
 )
 
-// recordLines is of how many requests a Record tells at the most: 130 bytes each.
-const recordLines = 200
+// maxRecordLines bounds the requests in a Record, of about 130 bytes each.
+const maxRecordLines = 200
 
-// listedMost is how many of those that are held off entries are told: 9 kB.
-const listedMost = 512
+// maxListed bounds the list of suspects that is sent to entries: about 9 kB.
+const maxListed = 512
 
-// Record is what is put into the replicated log. A Line stands for all that is known of its
-// request, in place of what the log said before.
+// Record is a command of the replicated log. Each Line replaces the previous one of its request.
 type Record struct {
 	Lines []Line `json:"lines"`
 }
 
-// Line is what is known of a request; one without ends says that it is as any other.
+// Line is the state of a request; one without Ends deletes it.
 type Line struct {
 	Print Print `json:"print"`
-	// Ends are the endpoints that ended under it, by a hash of their names; 0 is a run under way.
+	// Ends are hashes of the names of the endpoints that terminated under it; 0 is a run in progress.
 	Ends   []uint64 `json:"ends,omitempty"`
 	Trials int      `json:"trials,omitempty"`
 	Proven bool     `json:"proven,omitempty"`
 }
 
-// pendingLine is a Line on its way to the log, with the trial that it covers.
+// pendingLine is a Line that is proposed but not committed, with the trial that it records.
 type pendingLine struct {
-	print Print
-	trial *trial
+	fingerprint Print
+	trial       *trial
 }
 
-// mark takes note that the log is to be told of a request.
-func (b *Book) mark(p Print) {
-	b.isStale = true
-	if b.isAlone || b.isDirty[p] {
+// markDirty marks a request to be written to the log.
+func (b *Book) markDirty(p Print) {
+	b.listChanged = true
+	if b.isDegraded || b.isDirty[p] {
 		return
 	}
 	b.isDirty[p] = true
 	b.dirty = append(b.dirty, p)
 }
 
-// TellAll has the log told of all that is known: it was told of nothing before.
+// MarkAllDirty marks all requests to be written to the log. It is called when the log could not
+// be written before.
 func (b *Book) TellAll() {
 	for _, p := range slices.Sorted(maps.Keys(b.cases)) {
-		b.mark(p)
+		b.markDirty(p)
 	}
 }
 
-// Due reports whether a Record is wanted. There is none while one is on its way.
+// Due reports whether a Record should be made. None is due while one is being committed.
 func (b *Book) Due() bool { return !b.isPending && len(b.dirty) > 0 }
 
-// IsSaved reports whether the log has all that is known.
+// IsSaved reports whether the log has the state of all requests.
 func (b *Book) IsSaved() bool { return !b.isPending && len(b.dirty) == 0 }
 
-// MakeRecord returns a Record to be put into the log, of those requests first that go out of the
-// book, so that the log has no more of them than a book may. It reports whether the log has all
-// that is known when the Record is there.
+// MakeRecord returns the next Record to write to the log. Deletions come first, so that the log
+// never has more requests than a Tracker may. isAll reports whether the log has the state of all
+// requests once the Record is committed.
 func (b *Book) MakeRecord() (r Record, isAll bool) {
-	slices.SortStableFunc(b.dirty, func(p, q Print) int { return cmp.Compare(b.isKnown(p), b.isKnown(q)) })
-	n := min(len(b.dirty), recordLines)
+	slices.SortStableFunc(b.dirty, func(p, q Print) int { return cmp.Compare(b.saveOrder(p), b.saveOrder(q)) })
+	n := min(len(b.dirty), maxRecordLines)
 	b.pending, b.isPending = b.pending[:0], true
 	for _, p := range b.dirty[:n] {
 		delete(b.isDirty, p)
@@ -81,19 +81,20 @@
 	return r, len(b.dirty) == 0
 }
 
-func (b *Book) isKnown(p Print) int {
+// saveOrder returns the sort key of a request in a Record: 0 for a deletion, else 1.
+func (b *Book) saveOrder(p Print) int {
 	if _, ok := b.cases[p]; ok {
 		return 1
 	}
 	return 0
 }
 
-func (c *suspicion) line() Line {
-	l := Line{Print: c.print, Trials: c.trials, Proven: c.isProven}
+func (c *requestCase) line() Line {
+	l := Line{Print: c.fingerprint, Trials: c.trials, Proven: c.isProven}
 	for _, e := range c.ends {
 		l.Ends = append(l.Ends, e.endpoint)
 	}
-	// If nobody lives to tell what came of a run, it is taken to have ended its endpoint.
+	// A run whose outcome nobody reports counts as a termination.
 	switch {
 	case c.trial == nil:
 	case c.trial.isCounted:
@@ -104,63 +105,62 @@
 	return l
 }
 
-// Committed says that the Record that was made last is in the log for good: the trials that it
-// tells of may run.
+// Committed reports that the last Record is committed: the trials that it has may run.
 func (b *Book) Committed() {
 	b.isPending = false
-	for _, one := range b.pending {
-		if one.trial != nil {
-			one.trial.isSaved = true
+	for _, line := range b.pending {
+		if line.trial != nil {
+			line.trial.isSaved = true
 		}
 	}
 }
 
-// Foreign takes in a Record that another owner put into the log, which came to be there after
-// this book was made. What either knows holds.
+// Merge merges a Record of another owner that was committed after this Tracker was made: it adds
+// terminations and trials, and removes nothing.
 func (b *Book) Foreign(now event.Time, r Record) {
 	for _, line := range r.Lines {
-		b.mark(line.Print)
+		b.markDirty(line.Print)
 		if len(line.Ends) == 0 {
 			continue
 		}
 		c, ok := b.cases[line.Print]
 		if !ok {
-			if !b.makeRoom() {
+			if !b.ensureCapacity() {
 				continue
 			}
-			c = &suspicion{print: line.Print}
+			c = &requestCase{fingerprint: line.Print}
 			b.cases[line.Print] = c
 		}
-		c.news = now
+		c.lastChange = now
 		c.trials = max(c.trials, line.Trials)
 		c.isProven = c.isProven || line.Proven
 		for _, endpoint := range line.Ends {
-			if len(c.ends) < maxEnds && !slices.ContainsFunc(c.ends, func(e ended) bool { return e.endpoint == endpoint }) {
-				c.ends = append(c.ends, ended{endpoint, now})
+			if len(c.ends) < maxEnds && !slices.ContainsFunc(c.ends, func(e termination) bool { return e.endpoint == endpoint }) {
+				c.ends = append(c.ends, termination{endpoint, now})
 			}
 		}
-		b.beware(now, c)
+		b.serialize(now, c)
 	}
 }
 
-// Suspects returns the requests that an entry without an owner must not run, the newest if
-// there are more than a message may have, and a number that is another one when the list is.
+// Suspects returns the requests that an entry without an owner must not run, the most recent
+// maxListed of them, and a revision that increases whenever the list changes.
 func (b *Book) Suspects() (list []Print, revision uint64) {
-	if !b.isStale {
+	if !b.listChanged {
 		return b.listed, b.revision
 	}
-	b.isStale = false
-	var all []*suspicion
+	b.listChanged = false
+	var all []*requestCase
 	for _, c := range b.cases {
 		if c.isSuspected() && c.trials > 0 {
 			all = append(all, c)
 		}
 	}
-	slices.SortFunc(all, func(c, d *suspicion) int {
-		return cmp.Or(cmp.Compare(d.news, c.news), cmp.Compare(c.print, d.print))
+	slices.SortFunc(all, func(c, d *requestCase) int {
+		return cmp.Or(cmp.Compare(d.lastChange, c.lastChange), cmp.Compare(c.fingerprint, d.fingerprint))
 	})
-	for _, c := range all[:min(len(all), listedMost)] {
-		list = append(list, c.print)
+	for _, c := range all[:min(len(all), maxListed)] {
+		list = append(list, c.fingerprint)
 	}
 	slices.Sort(list)
 	if !slices.Equal(list, b.listed) {
@@ -170,11 +170,11 @@
 	return b.listed, b.revision
 }
 
-// Ledger is what the log has: the newest Line on each request. The zero value has none. It is
+// Ledger is the state of the log: the latest Line of each request. The zero value is empty. It is
 // not safe for concurrent use.
 type Ledger struct{ lines map[Print]Line }
 
-// Apply takes a Record of the log.
+// Apply applies a Record of the log.
 func (l *Ledger) Apply(r Record) {
 	if l.lines == nil {
 		l.lines = make(map[Print]Line)
@@ -188,7 +188,7 @@
 	}
 }
 
-// Record returns all that the log has, for a snapshot.
+// Record returns all Lines, for a snapshot.
 func (l *Ledger) Record() Record {
 	var r Record
 	for _, p := range slices.Sorted(maps.Keys(l.lines)) {
--- a/poison/trial.go
+++ b/poison/trial.go
@@ -8,106 +8,106 @@
 	"lynxramp.org/event"
 )
 
-// Verdict is what a Book says of a request that wants to run.
+// Verdict is the result of Tracker.Check.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts of Tracker.Check.
 const (
-	// Free: nothing speaks against it, or it is the trial that may run.
-	Free Verdict = iota
-	// Wait: another run of the request, or the log, will soon tell.
+	// Allow: the call may run.
+	Allow Verdict = iota
+	// Wait: another run of the request, or a commit, must finish first.
 	Wait
-	// HeldOff: it may come back later.
-	HeldOff
+	// Reject: the caller may retry later.
+	Reject
 )
 
-// trial is a run of a suspected request.
+// trial is a run of a serialized request.
 type trial struct {
-	entry   event.BoxID
-	request event.RequestID
-	attempt int
-	until   event.Time
-	// isCounted says that it is one of maxTrials; else it is a run after a single end.
-	isCounted bool
-	isSaved   bool // the log has it
-	isLost    bool // its endpoint ended
-	endpoint  event.EndpointID
+	entry    event.BoxID
+	request  event.RequestID
+	attempt  int
+	deadline event.Time
+	// isCounted is set if it is one of maxTrials; else it is a run after a single termination.
+	isCounted     bool
+	isSaved       bool // recorded in the log
+	endpointEnded bool // its endpoint terminated
+	endpoint      event.EndpointID
 }
 
-// Call is a call of a request that wants to run.
+// Call is a call that is waiting to run.
 type Call struct {
 	Print   Print
 	Entry   event.BoxID
 	Request event.RequestID
-	Attempt int        // how often it has been sent before
-	Left    event.Span // of its time
+	Attempt int        // number of times it was sent before
+	Left    event.Span // time to its deadline
 }
 
-// Ask says whether a call may run; HeldOff comes with when it may come back. A call that is to
-// wait asks again.
+// Check reports whether a call may run; with Reject it returns after how long the caller may retry.
+// A call that has to wait is checked again after a commit, or when TakeUnblocked reports true.
 func (b *Book) Ask(now event.Time, call *Call) (Verdict, event.Span) {
 	p := call.Print
-	if b.heldOff[p] {
-		return HeldOff, ownerSoon
+	if b.quarantined[p] {
+		return Reject, noOwnerRetryAfter
 	}
 	c, ok := b.cases[p]
-	if !ok || !c.isCautious {
-		return Free, 0
+	if !ok || !c.isSerialized {
+		return Allow, 0
 	}
-	if b.isAlone {
-		return b.askAlone(c)
+	if b.isDegraded {
+		return b.checkDegraded(c)
 	}
 	if t := c.trial; t != nil && t.request == call.Request && t.attempt != call.Attempt {
-		b.loseTrial(now, c)
+		b.abandonTrial(now, c)
 	}
 	switch t := c.trial; {
 	case t == nil:
 	case t.request == call.Request && t.isSaved:
-		return Free, 0
+		return Allow, 0
 	default:
 		return Wait, 0
 	}
-	if free := c.free(); now < free {
-		return HeldOff, free.Sub(now)
+	if next := c.nextRunAt(); now < next {
+		return Reject, next.Sub(now)
 	}
 	if c.trials >= maxTrials {
-		b.forget(c)
-		return Free, 0
+		b.remove(c)
+		return Allow, 0
 	}
-	b.beginTrial(now, c, call)
+	b.startTrial(now, c, call)
 	return Wait, 0
 }
 
-// askAlone is Ask without an owner: nothing that is known lasts beyond this entry.
-func (b *Book) askAlone(c *suspicion) (Verdict, event.Span) {
+// checkDegraded is Check for an entry without an owner, where there are no trials.
+func (b *Book) checkDegraded(c *requestCase) (Verdict, event.Span) {
 	if c.isSuspected() {
-		return HeldOff, ownerSoon
+		return Reject, noOwnerRetryAfter
 	}
-	return Free, 0
+	return Allow, 0
 }
 
-func (b *Book) beginTrial(now event.Time, c *suspicion, call *Call) {
+func (b *Book) startTrial(now event.Time, c *requestCase, call *Call) {
 	c.trial = &trial{
-		entry: call.Entry, request: call.Request, attempt: call.Attempt, until: now.Add(call.Left + trialMargin),
+		entry: call.Entry, request: call.Request, attempt: call.Attempt, deadline: now.Add(call.Left + trialMargin),
 		isCounted: c.isSuspected(),
 	}
 	b.trials[call.Request] = c
-	b.mark(c.print)
+	b.markDirty(c.fingerprint)
 	if c.trial.isCounted {
 		c.trials++
-		b.change(TrialBegan, c, call.Request)
+		b.addChange(TrialBegan, c, call.Request)
 	}
 }
 
-// Granted takes note of where a call is to run.
-func (b *Book) Granted(request event.RequestID, endpoint event.EndpointID) {
+// RecordGrant records at which endpoint a call will run.
+func (b *Book) RecordGrant(request event.RequestID, endpoint event.EndpointID) {
 	if c, ok := b.trials[request]; ok {
 		c.trial.endpoint = endpoint
 	}
 }
 
-// Avoid returns the endpoints that a trial must not share: those with trials of others. Of two
-// that are suspected and end together with an endpoint, neither would be found out.
+// Avoid returns the endpoints that a trial must not use: those with trials of other requests. If
+// two trials shared an endpoint that terminates, it would be unknown which one caused it.
 func (b *Book) Avoid(request event.RequestID) []event.EndpointID {
 	if c, ok := b.trials[request]; !ok || !c.trial.isCounted {
 		return nil
@@ -122,76 +122,77 @@
 	return slices.Compact(list)
 }
 
-// Unsent takes note that a call was not sent: if it was a trial it is as if it had not been.
-func (b *Book) Unsent(request event.RequestID) {
+// RecordUnsent records that a call was not sent. If it was a trial, the trial is cancelled and not
+// counted.
+func (b *Book) RecordUnsent(request event.RequestID) {
 	if c, ok := b.trials[request]; ok {
-		b.dropTrial(c, true)
+		b.removeTrial(c, true)
 	}
 }
 
-// dropTrial takes a trial off, and its charge.
-func (b *Book) dropTrial(c *suspicion, charged bool) {
-	if charged && c.trial.isCounted {
+// removeTrial removes a trial; with uncount it does not count as one of maxTrials.
+func (b *Book) removeTrial(c *requestCase, uncount bool) {
+	if uncount && c.trial.isCounted {
 		c.trials--
 	}
 	delete(b.trials, c.trial.request)
 	c.trial = nil
-	b.isFreed = true
-	b.mark(c.print)
+	b.isUnblocked = true
+	b.markDirty(c.fingerprint)
 }
 
-// TakeFreed reports whether calls that wait may go on since the last call, as far as runs have
-// ended: each run's end would else have to look at all that wait.
-func (b *Book) TakeFreed() bool {
-	freed := b.isFreed
-	b.isFreed = false
-	return freed
+// TakeUnblocked reports whether a run finished or a request was removed since its last call,
+// so that waiting calls are to be checked again. It avoids checking them after each run.
+func (b *Book) TakeUnblocked() bool {
+	unblocked := b.isUnblocked
+	b.isUnblocked = false
+	return unblocked
 }
 
-// Over takes note that a call has run; isAlive says that its endpoint is known to have
-// outlived it.
-func (b *Book) Over(now event.Time, request event.RequestID, isAlive bool) {
+// RecordFinish records that a call finished; isAlive is set if its endpoint is known to have
+// survived it.
+func (b *Book) RecordFinish(now event.Time, request event.RequestID, isAlive bool) {
 	c, ok := b.trials[request]
 	if !ok {
 		return
 	}
-	if c.trial.isCounted && !c.trial.isLost {
-		b.change(TrialEnded, c, request)
+	if c.trial.isCounted && !c.trial.endpointEnded {
+		b.addChange(TrialInconclusive, c, request)
 	}
-	b.dropTrial(c, isAlive && len(c.ends) < provenEnds)
-	c.news = now
+	b.removeTrial(c, isAlive && len(c.ends) < provenEnds)
+	c.lastChange = now
 }
 
-// loseTrial ends a trial of whose end nobody will tell. A run after a single end is then taken
-// to have ended its endpoint; any other is counted already.
-func (b *Book) loseTrial(now event.Time, c *suspicion) {
+// abandonTrial ends a trial whose outcome nobody will report. A run after a single termination
+// then counts as a termination; a counted trial counts as proof.
+func (b *Book) abandonTrial(now event.Time, c *requestCase) {
 	t := c.trial
 	if t.endpoint == "" {
-		b.dropTrial(c, true)
+		b.removeTrial(c, true)
 		return
 	}
-	b.dropTrial(c, false)
-	c.news = now
+	b.removeTrial(c, false)
+	c.lastChange = now
 	if t.isCounted {
 		c.isProven = true
-		b.change(TrialUnknown, c, t.request)
+		b.addChange(TrialOutcomeUnknown, c, t.request)
 		return
 	}
-	if !t.isLost {
-		b.add(now, c, ended{endpoint: hashOf(t.endpoint), at: now})
+	if !t.endpointEnded {
+		b.addTermination(now, c, termination{endpoint: hashOf(t.endpoint), at: now})
 	}
 }
 
-// EntryDied takes note that an entry has ended: what came of its trials nobody will tell.
-func (b *Book) EntryDied(now event.Time, entry event.BoxID) {
-	var list []*suspicion
+// EntryTerminated abandons the trials of an entry that terminated.
+func (b *Book) EntryTerminated(now event.Time, entry event.BoxID) {
+	var list []*requestCase
 	for _, c := range b.trials {
 		if c.trial.entry == entry {
 			list = append(list, c)
 		}
 	}
-	slices.SortFunc(list, byPrint)
+	slices.SortFunc(list, compareFingerprints)
 	for _, c := range list {
-		b.loseTrial(now, c)
+		b.abandonTrial(now, c)
 	}
 }
