--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -27,7 +27,7 @@
 	return t
 }
 
-// recordedBook is an owner's book whose records are committed at once.
+// recordedBook is an owner's Book whose records are committed at once.
 type recordedBook struct{ *budget.Book }
 
 func (b recordedBook) Spend(now event.Time, entry event.BoxID, a budget.Account, amount int) bool {
@@ -39,19 +39,19 @@
 	return b.Book.Spend(now, entry, a, amount)
 }
 
-// noSuspects returns a book of an owner that knows nothing.
-func noSuspects() *poison.Book { return poison.NewBook(0, &poison.Ledger{}) }
+// emptyPoisonTracker returns the tracker of an owner without a history.
+func emptyPoisonTracker() *poison.Book { return poison.NewBook(0, &poison.Ledger{}) }
 
-// newTestState returns a State with one endpoint that has many places.
+// newTestState returns a State with one endpoint that has a large capacity.
 func newTestState(now event.Time) *State {
-	s := New(testLimits, 1, recordedBook{budget.NewBook(now, 5*event.Second)}, noSuspects())
+	s := New(testLimits, 1, recordedBook{budget.NewBook(now, 5*event.Second)}, emptyPoisonTracker())
 	s.SetTable(now, testTable())
 	var out event.Effects
 	s.SetEndpoint(now, message.Endpoint{Endpoint: registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 1 << 20, Sequence: 1}}, &out)
 	return s
 }
 
-// spentOf returns what counts in an account.
+// spentOf returns the amount spent from an account.
 func spentOf(s *State, now event.Time, a budget.Account) int {
 	spent, _ := s.budget.State(now, a)
 	return spent
@@ -74,7 +74,7 @@
 		if len(out.Grants) == 1 {
 			granted = append(granted, now)
 		} else if len(out.Refusals) != 1 || out.Refusals[0].Reason != event.ReasonQuota || out.Refusals[0].RetryAfter <= 0 {
-			t.Fatalf("neither granted nor refused with when to come back: %+v", out)
+			t.Fatalf("neither granted nor refused with a retry-after time: %+v", out)
 		}
 	}
 	const limit = (8*1000 + 1000) * 1.1
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestUnreachedEndpointIsLeftAlone(t *testing.T) {
+func TestUnreachableEndpointIsNotGranted(t *testing.T) {
 	s := newTestState(0)
 	var out event.Effects
 	s.Submit(0, "entry", submission(1, 0, false), &out)
@@ -117,7 +117,7 @@
 	out.Reset()
 	s.Submit(event.Time(event.Millisecond), "entry", submission(2, 0, false), &out)
 	if len(out.Grants) != 0 {
-		t.Fatal("an endpoint that was not reached a moment ago was granted")
+		t.Fatal("a recently unreachable endpoint was granted")
 	}
 	s.Tick(event.Time(suspectBackoff+event.Millisecond), &out)
 	if len(out.Grants) != 0 {
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestRequestWaitsForItsQuota: one that has room in a moment waits for it, another
-// is told when it has.
-func TestRequestWaitsForItsQuota(t *testing.T) {
+// TestRequestWaitsForQuota: a request waits if the quota is available within its target; another one is
+// refused with the time when it is.
+func TestRequestWaitsForQuota(t *testing.T) {
 	s := newTestState(0)
 	var out event.Effects
 	fill := submission(1, 9400, false)
@@ -142,28 +142,28 @@
 	}
 	out.Reset()
 	near := event.Time(7900 * event.Millisecond)
-	patient := submission(2, 500, false)
-	patient.Ticket.Target = 2 * event.Second
-	s.Submit(near, "entry", patient, &out)
-	hasty := submission(3, 500, false)
-	hasty.Ticket.Target = 100 * event.Millisecond
-	s.Submit(near, "entry", hasty, &out)
+	longTarget := submission(2, 500, false)
+	longTarget.Ticket.Target = 2 * event.Second
+	s.Submit(near, "entry", longTarget, &out)
+	shortTarget := submission(3, 500, false)
+	shortTarget.Ticket.Target = 100 * event.Millisecond
+	s.Submit(near, "entry", shortTarget, &out)
 	if len(out.Grants) != 0 || len(out.Refusals) != 1 || out.Refusals[0].ID != "3" {
-		t.Fatalf("want the hasty one refused and the patient one kept: %+v", out)
+		t.Fatalf("want the request with the short target refused and the other one kept: %+v", out)
 	}
 	if after := out.Refusals[0].RetryAfter; after < 100*event.Millisecond || after > 400*event.Millisecond {
-		t.Errorf("told to come back after %v, there is room in 0.1 s", after)
+		t.Errorf("retry after %v, the quota is available in 0.1 s", after)
 	}
 	out.Reset()
 	s.Tick(near.Add(200*event.Millisecond), &out)
 	if len(out.Grants) != 1 || out.Grants[0].ID != "2" {
-		t.Errorf("the quota has room and the request was not granted: %+v", out)
+		t.Errorf("the quota is available and the request was not granted: %+v", out)
 	}
 }
 
-// TestUnsentSubmissionCountsNothing: what was never sent gives back its part of the
-// quota, or of the retry budget, and only that one.
-func TestUnsentSubmissionCountsNothing(t *testing.T) {
+// TestUnsentRequestIsRefunded: a request that was not sent is refunded to the quota, or to the retry
+// budget; one that was rejected is not.
+func TestUnsentRequestIsRefunded(t *testing.T) {
 	finish := func(s *State, unsent bool) {
 		var out event.Effects
 		s.Finish(0, &message.Finish{Finished: event.Finished{ID: "1", Pool: "s", Void: true}, Endpoint: "e", Unsent: unsent}, &out)
@@ -187,14 +187,14 @@
 			wantQuota = 500
 		}
 		if gotQuota != wantQuota || gotRepeats != wantRepeats {
-			t.Errorf("%s: quota %d and %d repeats given back, want %d and %d", name, gotQuota, gotRepeats, wantQuota, wantRepeats)
+			t.Errorf("%s: quota %d and %d repeats refunded, want %d and %d", name, gotQuota, gotRepeats, wantQuota, wantRepeats)
 		}
 	}
 }
 
-// TestFailedEndpointIsTriedByOneRequest: when its time is over, an endpoint that was
-// not reached is tried by one request, and by all again once that was served.
-func TestFailedEndpointIsTriedByOneRequest(t *testing.T) {
+// TestFailedEndpointGetsOneRequest: after its backoff an unreachable endpoint gets one request, and more
+// once that has been served.
+func TestFailedEndpointGetsOneRequest(t *testing.T) {
 	s := newTestState(0)
 	var out event.Effects
 	s.Submit(0, "entry", submission(1, 0, false), &out)
@@ -208,17 +208,17 @@
 	if len(out.Grants) != 1 || !out.Grants[0].Fresh {
 		t.Fatalf("grants %+v, want one", out.Grants)
 	}
-	tried := out.Grants[0].ID
+	probe := out.Grants[0].ID
 	out.Reset()
-	s.Finish(now, &message.Finish{Finished: event.Finished{ID: tried, Pool: "s"}, Endpoint: "e"}, &out)
+	s.Finish(now, &message.Finish{Finished: event.Finished{ID: probe, Pool: "s"}, Endpoint: "e"}, &out)
 	if len(out.Grants) != 2 {
-		t.Errorf("%d granted after it served again, want the other 2", len(out.Grants))
+		t.Errorf("%d granted after it served a request, want the other 2", len(out.Grants))
 	}
 }
 
-// TestRequestWaitsForItsQuotaOnce: one that is handed to another who decides does not
-// wait anew. On an incident a request had its 429 after 0.44 s of a target of 1.2.
-func TestRequestWaitsForItsQuotaOnce(t *testing.T) {
+// TestEarlierWaitCountsTowardsQuotaWait: a request that waited with another scheduler does not wait its
+// full time for the quota again.
+func TestEarlierWaitCountsTowardsQuotaWait(t *testing.T) {
 	s := newTestState(0)
 	var out event.Effects
 	s.Submit(0, "entry", submission(1, 9400, false), &out)
@@ -229,28 +229,27 @@
 	again.Ticket.Target = 900 * event.Millisecond
 	s.Submit(near, "entry", again, &out)
 	if len(out.Refusals) != 1 || out.Refusals[0].Reason != event.ReasonQuota {
-		t.Errorf("%+v, want it refused at once: it has waited a quarter of its target", out)
+		t.Errorf("%+v, want a refusal at once: it has waited a quarter of its target", out)
 	}
 }
 
-// TestWhatNeverRanCountsNothing: a quota counts what endpoints had. A request that
-// waited and was refused, withdrawn, or whose entry went, gives back what it counted;
-// before, only one that was refused at its arrival did.
-func TestWhatNeverRanCountsNothing(t *testing.T) {
+// TestRequestThatNeverRanIsRefunded: a waiting request that is refused, withdrawn or removed with its
+// entry is refunded to the quota; one that was granted is not.
+func TestRequestThatNeverRanIsRefunded(t *testing.T) {
 	for name, c := range map[string]struct {
 		waits bool
 		end   func(s *State, out *event.Effects)
 		want  int
 	}{
-		"refused when its time was over": {true, func(s *State, out *event.Effects) { s.Tick(event.Time(2*event.Second), out) }, 0},
+		"refused after its deadline": {true, func(s *State, out *event.Effects) { s.Tick(event.Time(2*event.Second), out) }, 0},
 		"withdrawn while it waited": {true, func(s *State, out *event.Effects) {
 			s.Withdraw(0, "entry", message.Withdrawal{ID: "1", Service: "s"}, out)
 		}, 0},
 		"withdrawn before its grant was seen": {false, func(s *State, out *event.Effects) {
 			s.Withdraw(0, "entry", message.Withdrawal{ID: "1", Service: "s"}, out)
 		}, 0},
-		"its entry went while it waited": {true, func(s *State, out *event.Effects) { s.EntryGone(0, "entry", out) }, 0},
-		"its entry went while it ran":    {false, func(s *State, out *event.Effects) { s.EntryGone(0, "entry", out) }, 500},
+		"entry removed while it waited": {true, func(s *State, out *event.Effects) { s.EntryGone(0, "entry", out) }, 0},
+		"entry removed while it ran":    {false, func(s *State, out *event.Effects) { s.EntryGone(0, "entry", out) }, 500},
 		"it has run": {false, func(s *State, out *event.Effects) {
 			s.Finish(0, &message.Finish{Finished: event.Finished{ID: "1", Pool: "s"}, Endpoint: "e"}, out)
 		}, 500},
@@ -268,20 +267,19 @@
 		}
 		c.end(s, &out)
 		if got := spentOf(s, event.Time(2*event.Second), budget.Team("t")); got != c.want {
-			t.Errorf("%s: %d count, want %d", name, got, c.want)
+			t.Errorf("%s: %d spent, want %d", name, got, c.want)
 		}
 		if len(s.charges) != 0 {
-			t.Errorf("%s: %d submissions are kept", name, len(s.charges))
+			t.Errorf("%s: %d charges are kept", name, len(s.charges))
 		}
 	}
 }
 
-// TestWaitingRequestsAwaitTheRecord: requests that waited for an owner are handed to a new
-// one before its first record is committed. They are kept for that moment, however long
-// they have waited; they were refused for their quota.
-func TestWaitingRequestsAwaitTheRecord(t *testing.T) {
+// TestRequestsWaitForBudgetRecord: a new owner receives waiting requests before its first record is
+// committed; they must not be refused for their quota, however long they have waited.
+func TestRequestsWaitForBudgetRecord(t *testing.T) {
 	book := budget.NewBook(0, 5*event.Second)
-	s := New(testLimits, 1, book, noSuspects())
+	s := New(testLimits, 1, book, emptyPoisonTracker())
 	s.SetTable(0, testTable())
 	var out event.Effects
 	s.SetEndpoint(0, message.Endpoint{Endpoint: registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 9, Sequence: 1}}, &out)
@@ -290,20 +288,19 @@
 	s.Submit(0, "entry", waited, &out)
 	s.Tick(event.Time(5*event.Millisecond), &out)
 	if len(out.Refusals) != 0 {
-		t.Fatalf("refused while the record is awaited: %+v", out.Refusals)
+		t.Fatalf("refused before the record is committed: %+v", out.Refusals)
 	}
 	book.MakeRecord(event.Time(6 * event.Millisecond))
 	book.Committed()
 	s.Unpark(event.Time(6*event.Millisecond), &out)
 	if len(out.Grants) != 1 {
-		t.Errorf("not granted when the record is committed: %+v", out)
+		t.Errorf("not granted after the record is committed: %+v", out)
 	}
 }
 
-// TestLastEndpointIsNotLeftAlone: an endpoint that does not answer one request is left alone
-// for a while, but not the only one that its service has. On a hunted day the last of a
-// service hung two requests a second, and the service had nothing for 3 s.
-func TestLastEndpointIsNotLeftAlone(t *testing.T) {
+// TestOnlyEndpointStaysInUseAfterFailure: the only usable endpoint of a service keeps getting requests
+// after it failed one; otherwise the service would be unavailable.
+func TestOnlyEndpointStaysInUseAfterFailure(t *testing.T) {
 	fail := func(s *State) {
 		var out event.Effects
 		s.Submit(0, "entry", submission(1, 0, false), &out)
--- a/admission/asked_test.go
+++ b/admission/asked_test.go
@@ -12,7 +12,7 @@
 	"lynxramp.org/registry"
 )
 
-// twoEndpointState returns a State with two endpoints of few places.
+// twoEndpointState returns a State with two endpoints of capacity 4.
 func twoEndpointState() *State {
 	s := newTestState(0)
 	var out event.Effects
@@ -40,8 +40,8 @@
 	return at
 }
 
-// TestAnotherStartHasNotAskedForAnything: what an endpoint asked for is of one start of it.
-func TestAnotherStartHasNotAskedForAnything(t *testing.T) {
+// TestFeedbackAppliesToOneInstance: a new instance of an endpoint does not inherit the feedback of the last one.
+func TestFeedbackAppliesToOneInstance(t *testing.T) {
 	s := twoEndpointState()
 	var out event.Effects
 	now := event.Time(event.Second)
@@ -53,12 +53,13 @@
 	s.RemoveEndpoint(now, "a/1", &out)
 	s.SetEndpoint(now, message.Endpoint{Endpoint: registry.Endpoint{ID: "a/2", Service: "s", Address: "10.0.0.1:80", Slots: 4, Sequence: 1}}, &out)
 	if at := grantsOf(s, now, "entry", 10, 5); at["a/2"] != 5 {
-		t.Errorf("granted %v, want 5 at the new start", at)
+		t.Errorf("granted %v, want 5 at the new instance", at)
 	}
 }
 
-// TestLeavingByAnswerOutlivesWhatIsRegistered: an endpoint that registers as ready after its answer is leaving all the same.
-func TestLeavingByAnswerOutlivesWhatIsRegistered(t *testing.T) {
+// TestDrainingByFeedbackOutlastsRegistration: an endpoint that reported draining stays draining when it registers as
+// ready later.
+func TestDrainingByFeedbackOutlastsRegistration(t *testing.T) {
 	s := twoEndpointState()
 	var out event.Effects
 	s.Hear(1, "entry", &backpressure.Heard{Endpoint: "a/1", Word: backpressure.Word{Leaving: true}}, &out)
@@ -68,22 +69,23 @@
 	}
 }
 
-// TestRestIsOfOneEntry: the endpoint is granted to others meanwhile.
-func TestRestIsOfOneEntry(t *testing.T) {
+// TestCooldownAppliesToOneEntry: other entries may still use an endpoint that asked one entry for a cooldown.
+func TestCooldownAppliesToOneEntry(t *testing.T) {
 	s := twoEndpointState()
 	var out event.Effects
 	s.Hear(1, "one", &backpressure.Heard{Endpoint: "a/1", Word: backpressure.Word{Rest: 10 * event.Second}}, &out)
 	s.Hear(1, "one", &backpressure.Heard{Endpoint: "b/1", Word: backpressure.Word{Rest: 10 * event.Second}}, &out)
 	if at := grantsOf(s, 2, "one", 0, 4); len(at) != 0 {
-		t.Errorf("granted %v to the entry that is asked for rest", at)
+		t.Errorf("granted %v to the entry in cooldown", at)
 	}
 	if at := grantsOf(s, 3, "other", 10, 4); at["a/1"]+at["b/1"] != 4 {
 		t.Errorf("granted %v to another entry", at)
 	}
 }
 
-// TestLimitIsRaisedLoweredAndTakenBack: each within the answers of requests that were granted after the word before.
-func TestLimitIsRaisedLoweredAndTakenBack(t *testing.T) {
+// TestLimitIsRaisedLoweredAndRevoked: each change takes effect with the answer to a request that was granted after the
+// previous change.
+func TestLimitIsRaisedLoweredAndRevoked(t *testing.T) {
 	s := twoEndpointState()
 	var out event.Effects
 	s.RemoveEndpoint(0, "b/1", &out)
@@ -91,7 +93,7 @@
 	id := 0
 	answer := func(w backpressure.Word) {
 		t.Helper()
-		for range 100 { // a grant comes when the limit has room
+		for range 100 { // until the limit allows a grant
 			now = now.Add(50 * event.Millisecond)
 			out.Reset()
 			s.Tick(now, &out)
@@ -115,7 +117,7 @@
 	for _, w := range []backpressure.Word{{Limited: true, Rate: 2}, {Limited: true, Rate: 5}, {Limited: true, Rate: 1}, {}} {
 		answer(w)
 		if b := s.Asked("a/1"); b.Limited != w.Limited || b.Rate != w.Rate {
-			t.Errorf("after %+v: %+v is believed", w, b)
+			t.Errorf("after %+v the state is %+v", w, b)
 		}
 	}
 }
--- a/admission/park_test.go
+++ b/admission/park_test.go
@@ -11,15 +11,14 @@
 	"lynxramp.org/registry"
 )
 
-// TestRequestsAwaitAnOwner replays an election under load at one of many entries: what it was
-// lent of a quota covers the short requests and none of the long ones. Who can still be in
-// time when there is an owner again waits for it; who can't is told when that is sure.
-func TestRequestsAwaitAnOwner(t *testing.T) {
-	const lent, short, long = 3000, 100, 5000
-	const patience = 720 * event.Millisecond
-	held := &budget.Allowances{}
-	held.Take(budget.Lent{Number: 1, UpTo: []budget.Holding{{Account: budget.Team("t"), UpTo: lent}}})
-	s := New(testLimits, 1, held, noSuspects())
+// TestRequestsWaitForOwner: during an election an entry's leased share of a quota covers short requests
+// and no long ones. A long request waits for an owner until its timeout and is then refused.
+func TestRequestsWaitForOwner(t *testing.T) {
+	const leased, short, long = 3000, 100, 5000
+	const timeout = 720 * event.Millisecond
+	allowances := &budget.Allowances{}
+	allowances.Take(budget.Lent{Number: 1, UpTo: []budget.Holding{{Account: budget.Team("t"), UpTo: leased}}})
+	s := New(testLimits, 1, allowances, emptyPoisonTracker())
 	s.SetTable(0, testTable())
 	var out event.Effects
 	s.SetEndpoint(0, message.Endpoint{Endpoint: registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 1 << 20, Sequence: 1}}, &out)
@@ -32,7 +31,7 @@
 		if now <= event.Time(500*event.Millisecond) {
 			n := int(now / event.Time(step))
 			for _, m := range []*message.Submission{submission(2*n, short, false), submission(2*n+1, long, false)} {
-				m.Ticket.Deadline, m.Ticket.Target, m.Ticket.Patience = 15*event.Second, 800*event.Millisecond, patience
+				m.Ticket.Deadline, m.Ticket.Target, m.Ticket.Patience = 15*event.Second, 800*event.Millisecond, timeout
 				arrived[m.Ticket.ID] = now
 				s.Submit(now, "entry", m, &out)
 			}
@@ -50,8 +49,8 @@
 		t.Errorf("%d granted and %d refused, want the 11 short and the 11 long ones", granted, len(refused))
 	}
 	for id, at := range refused {
-		if waited := at.Sub(arrived[id]); waited < patience || waited > patience+step {
-			t.Errorf("%s was told after %v that it has no place, want %v", id, waited, patience)
+		if waited := at.Sub(arrived[id]); waited < timeout || waited > timeout+step {
+			t.Errorf("%s was refused after %v, want %v", id, waited, timeout)
 		}
 	}
 }
--- a/admission/poison_test.go
+++ b/admission/poison_test.go
@@ -15,7 +15,7 @@
 
 const badPrint = poison.Print("a request")
 
-// poisonRig is a State with some endpoints and the log of its book.
+// poisonRig is a State with some endpoints, and the log of its tracker.
 type poisonRig struct {
 	*State
 	t      *testing.T
@@ -38,7 +38,7 @@
 	return r
 }
 
-// save lets the log have what the book knows, and calls go on that wait for it.
+// save commits the state of the tracker and checks held calls again.
 func (r *poisonRig) save() {
 	for r.book.Due() {
 		record, _ := r.book.MakeRecord()
@@ -55,7 +55,7 @@
 	r.Submit(r.now, "entry", m, &r.out)
 }
 
-// granted returns where a call was granted; empty if it was not.
+// granted returns the endpoint that a call was granted; empty if none.
 func (r *poisonRig) granted(id int) event.EndpointID {
 	for _, g := range r.out.Grants {
 		if g.ID == event.RequestID(fmt.Sprint(id)) {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// endRun ends a call's run as its endpoint's endRun does.
+// endRun reports that the endpoint of a call terminated.
 func (r *poisonRig) endRun(id int, p poison.Print) {
 	request, endpoint := event.RequestID(fmt.Sprint(id)), r.granted(id)
 	r.Ended(r.now, []poison.End{{Print: p, Endpoint: endpoint, Request: request, Ran: event.Millisecond}}, &r.out)
@@ -87,10 +87,9 @@
 	}, &r.out)
 }
 
-// TestCallsWaitForWordOnTheirRequest: after an end one call of a request runs, when the log knows
-// of it, and the others wait: for its good end, with which all go on, and no longer than they can
-// be in time. What waits spends no quota.
-func TestCallsWaitForWordOnTheirRequest(t *testing.T) {
+// TestHeldCallsWaitForRunningCall: after a termination one call of the request runs, once its run is
+// committed; the others are held until it succeeds, and do not spend quota.
+func TestHeldCallsWaitForRunningCall(t *testing.T) {
 	r := newPoisonRig(t, 6, 4)
 	r.submit(1, badPrint)
 	r.endRun(1, badPrint)
@@ -100,29 +99,29 @@
 	}
 	r.submit(9, "another")
 	if r.granted(9) == "" {
-		t.Error("another request waits")
+		t.Error("another request is held")
 	}
 	if r.granted(2) != "" {
-		t.Error("a run that the log does not know of")
+		t.Error("a run that is not committed")
 	}
 	r.save()
 	if r.granted(2) == "" || r.granted(3) != "" {
 		t.Errorf("granted at %q and %q, want one of them", r.granted(2), r.granted(3))
 	}
 	if spent := spentOf(r.State, r.now, budget.Team("t")) - before; spent != 200 {
-		t.Errorf("%d tokens spent by two that run", spent)
+		t.Errorf("%d tokens spent by two running calls, want 200", spent)
 	}
 	r.succeed(2, badPrint)
 	for id := 3; id < 6; id++ {
 		if r.granted(id) == "" {
-			t.Errorf("call %d does not go on after a run that ended well", id)
+			t.Errorf("call %d is not granted after a successful run", id)
 		}
 	}
 }
 
-// TestCallsThatWaitAreToldWhenToComeBack: no call waits beyond its patience, and one of a request
-// that is held off is refused at once.
-func TestCallsThatWaitAreToldWhenToComeBack(t *testing.T) {
+// TestHeldCallsAreRefusedWithRetryAfter: a held call is refused after its timeout, and a call of a
+// quarantined request at once.
+func TestHeldCallsAreRefusedWithRetryAfter(t *testing.T) {
 	r := newPoisonRig(t, 6, 4)
 	for id := range 2 {
 		r.submit(id, badPrint)
@@ -136,28 +135,27 @@
 	r.now = r.now.Add(800 * event.Millisecond)
 	r.Tick(r.now, &r.out)
 	if one := r.refused(3); one == nil || one.Reason != event.ReasonPoison || one.RetryAfter <= 0 {
-		t.Errorf("a call that waited in vain: %+v", one)
+		t.Errorf("a held call after its timeout: %+v", one)
 	}
 	r.endRun(2, badPrint)
 	r.submit(4, badPrint)
 	if one := r.refused(4); one == nil || one.Reason != event.ReasonPoison || one.RetryAfter <= event.Second {
-		t.Errorf("a call of a request that is held off: %+v", one)
+		t.Errorf("a call of a quarantined request: %+v", one)
 	}
 	if len(r.held) != 0 || len(r.runs) != 0 {
 		t.Errorf("%d calls held, %d runs kept", len(r.held), len(r.runs))
 	}
 }
 
-// TestQueuedCallsAreHeldBack: calls that wait for an endpoint when the first one ends under their
-// request do not go on unasked.
-func TestQueuedCallsAreHeldBack(t *testing.T) {
+// TestQueuedCallsAreHeld: calls that are queued for an endpoint when their request is serialized are held.
+func TestQueuedCallsAreHeld(t *testing.T) {
 	r := newPoisonRig(t, 2, 1)
 	r.submit(1, "busy")
 	r.submit(2, badPrint)
 	r.submit(3, badPrint)
 	r.submit(4, badPrint)
 	if r.granted(3) != "" || r.granted(4) != "" {
-		t.Fatal("they do not wait")
+		t.Fatal("calls 3 and 4 are not queued")
 	}
 	r.endRun(2, badPrint)
 	r.succeed(1, "busy")
@@ -167,11 +165,11 @@
 	}
 }
 
-// TestCallsThatWaitForAQuotaAreHeldBack: the same for those that wait for their team's quota.
-func TestCallsThatWaitForAQuotaAreHeldBack(t *testing.T) {
+// TestCallsWaitingForQuotaAreHeld: calls that wait for a quota when their request is serialized are held.
+func TestCallsWaitingForQuotaAreHeld(t *testing.T) {
 	r := newPoisonRig(t, 2, 200)
 	r.submit(1, badPrint)
-	for id := 100; ; id++ { // the team spends all it may
+	for id := 100; ; id++ { // use up the quota
 		m := submission(id, 100, false)
 		m.Ticket.Deadline = 20 * event.Second
 		r.Submit(r.now, "other", m, &r.out)
@@ -179,7 +177,7 @@
 			break
 		}
 	}
-	// Room comes with time: the calls wait for it.
+	// The quota is available again soon: the calls wait for it.
 	r.now = r.now.Add(7900 * event.Millisecond)
 	for id := 2; id < 5; id++ {
 		m := submission(id, 100, false)
@@ -200,32 +198,31 @@
 	}
 }
 
-// TestEndIsFoundWhereNobodyTells: the entry that ran a request dies with what it saw. When the
-// endpoint falls silent, the run counts; one that ended before its last sign of life does not.
-func TestEndIsFoundWhereNobodyTells(t *testing.T) {
+// TestUnreportedTerminationIsDetected: if the entry of a run terminates too, the run counts when the
+// endpoint becomes unreachable; a run that finished before the endpoint was last heard from does not.
+func TestUnreportedTerminationIsDetected(t *testing.T) {
 	r := newPoisonRig(t, 3, 4)
 	r.submit(1, badPrint)
-	r.submit(2, "left before")
-	r.Finish(r.now, &message.Finish{Finished: event.Finished{ID: "2", Pool: "s"}, Endpoint: r.granted(2), Print: "left before"}, &r.out)
-	heard := r.now.Add(event.Second)
+	r.submit(2, "finished before")
+	r.Finish(r.now, &message.Finish{Finished: event.Finished{ID: "2", Pool: "s"}, Endpoint: r.granted(2), Print: "finished before"}, &r.out)
+	lastHeard := r.now.Add(event.Second)
 	r.EntryGone(r.now, "entry", &r.out)
-	r.now = heard.Add(4 * event.Second)
-	r.Fallen(r.now, map[event.EndpointID]event.Time{"e1": heard, "e2": heard, "e3": heard}, &r.out)
-	for id, p := range []poison.Print{badPrint, "left before"} {
+	r.now = lastHeard.Add(4 * event.Second)
+	r.Fallen(r.now, map[event.EndpointID]event.Time{"e1": lastHeard, "e2": lastHeard, "e3": lastHeard}, &r.out)
+	for id, p := range []poison.Print{badPrint, "finished before"} {
 		r.submit(10+id, p)
 	}
 	if r.granted(10) != "" {
-		t.Error("an end that nobody told of does not count")
+		t.Error("an unreported termination does not count")
 	}
 	if r.granted(11) == "" {
-		t.Error("a run counts that was over before its endpoint fell silent")
+		t.Error("a run counts that finished before its endpoint became unreachable")
 	}
 }
 
-// TestTrialKeepsApartWhereItCan: a trial avoids the endpoint of another one, but for a service
-// that has no other endpoint.
-func TestTrialKeepsApartWhereItCan(t *testing.T) {
-	for endpoints, apart := range map[int]bool{1: false, 2: true} {
+// TestTrialAvoidsEndpointsOfOtherTrials: unless its service has no other endpoint.
+func TestTrialAvoidsEndpointsOfOtherTrials(t *testing.T) {
+	for endpoints, isSeparate := range map[int]bool{1: false, 2: true} {
 		r := newPoisonRig(t, endpoints, 4)
 		for _, p := range []poison.Print{badPrint, "another"} {
 			for _, endpoint := range []event.EndpointID{"x1", "x2"} {
@@ -239,14 +236,14 @@
 		if r.granted(1) == "" || r.granted(2) == "" {
 			t.Fatalf("%d endpoints: granted at %q and %q", endpoints, r.granted(1), r.granted(2))
 		}
-		if (r.granted(1) != r.granted(2)) != apart {
+		if (r.granted(1) != r.granted(2)) != isSeparate {
 			t.Errorf("%d endpoints: both trials at %q", endpoints, r.granted(1))
 		}
 	}
 }
 
-// TestRunsAreForgotten: what is kept of runs goes with them, and with their time.
-func TestRunsAreForgotten(t *testing.T) {
+// TestRunsAreRemoved: runs are removed when they succeed and when they expire.
+func TestRunsAreRemoved(t *testing.T) {
 	r := newPoisonRig(t, 6, 100)
 	for id := range 200 {
 		r.submit(id, poison.Print(fmt.Sprint("p", id)))
@@ -255,11 +252,11 @@
 		}
 	}
 	if len(r.runs) == 0 || len(r.runs) > 100 {
-		t.Errorf("%d runs of 100 under way are kept", len(r.runs))
+		t.Errorf("%d runs are kept, want those of the 100 in progress", len(r.runs))
 	}
 	r.now = r.now.Add(event.Second + inconclusiveRunTTL + sweepInterval)
 	r.Tick(r.now, &r.out)
 	if len(r.runs) != 0 {
-		t.Errorf("%d runs are kept whose time is over", len(r.runs))
+		t.Errorf("%d expired runs are kept", len(r.runs))
 	}
 }
--- a/admission/size_test.go
+++ b/admission/size_test.go
@@ -12,7 +12,7 @@
 	"lynxramp.org/routing"
 )
 
-// manyTable has as many teams and routes.
+// manyTable returns a table with n teams and routes.
 func manyTable(n int, generation string) *routing.Table {
 	t := &routing.Table{Services: []routing.Service{{Name: "s"}}}
 	for i := range n {
@@ -24,40 +24,40 @@
 	return t
 }
 
-// inheritedState returns a State of an owner that follows another.
+// inheritedState returns the State of an owner that replaces another one.
 func inheritedState() *State {
 	var past budget.Ledger
 	past.Apply(budget.Record{})
 	past.Heard(0)
-	return New(testLimits, 1, recordedBook{budget.InheritLedger(0, 5*event.Second, &past)}, noSuspects())
+	return New(testLimits, 1, recordedBook{budget.InheritLedger(0, 5*event.Second, &past)}, emptyPoisonTracker())
 }
 
-// mostTable is the longest that an owner may take over a new configuration: an eighth of the
-// time after which another box stands for its place, since its loop stands still meanwhile.
-const mostTable = 50 * time.Millisecond
+// maxTableTime is the longest that an owner may take to apply a new configuration, which blocks its
+// loop: an eighth of the minimum election timeout.
+const maxTableTime = 50 * time.Millisecond
 
-// TestTableIsInForceWithinALease: all teams of a configuration are given limits in one step of
-// an owner, and those that left are looked for. The best of some runs counts, for machines
-// that do other work too.
-func TestTableIsInForceWithinALease(t *testing.T) {
+// TestLargeTableIsAppliedInTime: an owner applies a new table, and drops the limits of removed teams, in
+// one step that must not cost it its leadership. The fastest of several runs counts, since the machine
+// may be busy.
+func TestLargeTableIsAppliedInTime(t *testing.T) {
 	const teams = 14000
 	old, next := manyTable(teams, "a"), manyTable(teams, "b")
 	first, change := time.Hour, time.Hour
 	for range 5 {
 		s := inheritedState()
-		began := time.Now()
+		start := time.Now()
 		s.SetTable(0, old)
-		first = min(first, time.Since(began))
-		began = time.Now()
+		first = min(first, time.Since(start))
+		start = time.Now()
 		s.SetTable(0, next)
-		change = min(change, time.Since(began))
+		change = min(change, time.Since(start))
 	}
-	if first > mostTable || change > mostTable {
-		t.Errorf("%d teams and routes are in force in %v, as many others in %v, want %v at the most", teams, first, change, mostTable)
+	if first > maxTableTime || change > maxTableTime {
+		t.Errorf("%d teams and routes are applied in %v and replaced in %v, want at most %v", teams, first, change, maxTableTime)
 	}
 }
 
-// BenchmarkSetTable measures a configuration with all its teams new, and the same once more.
+// BenchmarkSetTable measures applying a table to a new State, again, and in place of another one.
 func BenchmarkSetTable(b *testing.B) {
 	for _, n := range []int{16, 1200, 14000} {
 		one, other := manyTable(n, "a"), manyTable(n, "b")
@@ -81,11 +81,10 @@
 	}
 }
 
-// TestTeamThatLeftHasNoLimit: the limit of a team that left the configuration, or has no quota
-// any more, was kept for as long as the owner lasted.
-func TestTeamThatLeftHasNoLimit(t *testing.T) {
+// TestRemovedTeamHasNoLimit: the limit of a team that was removed, or has no quota any more, must not be kept.
+func TestRemovedTeamHasNoLimit(t *testing.T) {
 	s := newTestState(0)
-	left, unbounded := budget.Team("t"), budget.Team("u")
+	removed, unlimited := budget.Team("t"), budget.Team("u")
 	table := testTable()
 	table.Teams = append(table.Teams, routing.Team{Name: "u", Rate: 10, Burst: 10})
 	table.Index()
@@ -93,20 +92,20 @@
 	next := &routing.Table{Services: table.Services, Teams: []routing.Team{{Name: "u"}, {Name: "v", Rate: 10, Burst: 10}}}
 	next.Index()
 	s.SetTable(0, next)
-	for account, want := range map[budget.Account]bool{left: false, unbounded: false, budget.Team("v"): true} {
+	for account, want := range map[budget.Account]bool{removed: false, unlimited: false, budget.Team("v"): true} {
 		if _, limit := s.budget.State(0, account); (limit > 0) != want {
-			t.Errorf("%s has a limit of %d, wants one: %v", account, limit, want)
+			t.Errorf("%s has a limit of %d, want one: %v", account, limit, want)
 		}
 	}
 }
 
-// TestServiceThatLeftHasNoRetryBudget is the same for the repeats of a service.
-func TestServiceThatLeftHasNoRetryBudget(t *testing.T) {
+// TestRemovedServiceHasNoRetryBudget: the limit on repeats of a removed service must not be kept.
+func TestRemovedServiceHasNoRetryBudget(t *testing.T) {
 	s := newTestState(0)
 	next := &routing.Table{Services: []routing.Service{{Name: "other"}}}
 	next.Index()
 	s.SetTable(0, next)
 	if _, limit := s.budget.State(0, budget.Repeats("s")); limit > 0 {
-		t.Errorf("a limit of %d for the repeats of a service that left", limit)
+		t.Errorf("a limit of %d for the repeats of a removed service", limit)
 	}
 }
