--- a/admission/asked.go
+++ b/admission/asked.go
@@ -39,12 +39,12 @@
 }
 
 // SetLimitShare sets the share of the endpoints' rate limits that is used here, from 0 to 1.
-func (s *State) SetPart(now event.Time, share float64, out *event.Effects) {
-	if share == s.limitShare {
+func (s *State) SetPart(now event.Time, limitShare float64, out *event.Effects) {
+	if limitShare == s.limitShare {
 		return
 	}
-	s.limitShare = share
+	s.limitShare = limitShare
 	for _, v := range s.services {
-		s.step(now, v, &event.PartChanged{Part: share}, out)
+		s.step(now, v, &event.PartChanged{Part: limitShare}, out)
 	}
 }
--- a/admission/park.go
+++ b/admission/park.go
@@ -17,8 +17,8 @@
 // committed, however long it has waited before. It allows for slow disks.
 const recordTimeout = 150 * event.Millisecond
 
-// waiting is a request that waits for its team's quota, or for the outcome of another run.
-type waiting struct {
+// parked is a request that waits for its team's quota, or for the outcome of another run.
+type parked struct {
 	entry      event.BoxID
 	submission message.Submission
 	queuedAt   event.Time
@@ -40,7 +40,7 @@
 		s.refuseQuota(now, entry, m, out)
 		return
 	}
-	s.parked = append(s.parked, waiting{
+	s.parked = append(s.parked, parked{
 		entry: entry, submission: *m, queuedAt: now, until: now.Add(timeout),
 	})
 }
@@ -72,9 +72,9 @@
 
 // Unpark retries the requests that wait for a quota, oldest first.
 func (s *State) Unpark(now event.Time, out *event.Effects) {
-	parked := s.parked
+	waiting := s.parked
 	s.parked = nil
-	for _, p := range parked {
+	for _, p := range waiting {
 		m := afterWait(&p.submission, now.Sub(p.queuedAt))
 		verdict, _ := s.poisonVerdict(now, p.entry, &m)
 		switch {
--- a/poison/book.go
+++ b/poison/book.go
@@ -36,8 +36,8 @@
 	isUnblocked     bool // since the last call of TakeUnblocked
 	// isDegraded is set at an entry without an owner: nothing is written to the log, and there are
 	// no trials.
-	isDegraded  bool
-	quarantined map[Print]bool // the suspects that the last owner sent
+	isDegraded bool
+	suspects   map[Print]bool // sent by the last owner
 
 	dirty     []Print // to be written to the log, in this order
 	isDirty   map[Print]bool
@@ -89,9 +89,9 @@
 func NewAlone(suspects []Print) *Book {
 	b := newTracker()
 	b.isDegraded = true
-	b.quarantined = make(map[Print]bool, len(suspects))
+	b.suspects = make(map[Print]bool, len(suspects))
 	for _, p := range suspects {
-		b.quarantined[p] = true
+		b.suspects[p] = true
 	}
 	return b
 }
--- a/poison/trial.go
+++ b/poison/trial.go
@@ -47,7 +47,7 @@
 // A call that has to wait is checked again after a commit, or when TakeUnblocked reports true.
 func (b *Book) Ask(now event.Time, call *Call) (Verdict, event.Span) {
 	p := call.Print
-	if b.quarantined[p] {
+	if b.suspects[p] {
 		return Reject, noOwnerRetryAfter
 	}
 	c, ok := b.cases[p]
@@ -67,8 +67,8 @@
 	default:
 		return Wait, 0
 	}
-	if next := c.nextRunAt(); now < next {
-		return Reject, next.Sub(now)
+	if nextRunAt := c.nextRunAt(); now < nextRunAt {
+		return Reject, nextRunAt.Sub(now)
 	}
 	if c.trials >= maxTrials {
 		b.remove(c)
