--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -27,7 +27,7 @@
 	return t
 }
 
-// recordedBook is an owner's Book whose records are committed at once.
+// recordedBook is an owner's Allocator whose records are committed at once.
 type recordedBook struct{ *budget.Book }
 
 func (b recordedBook) Spend(now event.Time, entry event.BoxID, a budget.Account, amount int) bool {
--- a/admission/asked.go
+++ b/admission/asked.go
@@ -9,8 +9,8 @@
 
 // This file passes the feedback of endpoints on to the pools.
 
-// ApplyFeedback applies the feedback of an endpoint that an entry received, and reports whether the state of
-// the endpoint changed for all entries.
+// ObserveFeedback records feedback of an endpoint that an entry received, and reports whether the state of the
+// endpoint changed for all entries.
 func (s *State) Hear(now event.Time, entry event.BoxID, h *backpressure.Heard, out *event.Effects) bool {
 	k, ok := s.endpoints[h.Endpoint]
 	if ok && h.Word.Rest > 0 {
@@ -23,7 +23,7 @@
 	return true
 }
 
-// MergeFeedback applies the feedback state of an endpoint that another scheduler observed.
+// ApplyFeedbackState applies the feedback state of an endpoint that another scheduler observed.
 func (s *State) Learn(now event.Time, b backpressure.State, out *event.Effects) {
 	if k, ok := s.endpoints[b.Endpoint]; ok && k.feedback.Learn(now, b) {
 		s.updatePool(now, k, out)
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -9,8 +9,8 @@
 	"lynxramp.org/routing"
 )
 
-// Budget is what a State spends quotas and repeats from: an owner's Book, or the Allowances leased to
-// an entry.
+// Budget is what a State spends quotas and retries from: an owner's Allocator, or the Leases of an
+// entry.
 type Budget interface {
 	// Spend spends an amount for an entry and reports whether it was available.
 	Spend(now event.Time, entry event.BoxID, a budget.Account, amount int) bool
@@ -28,7 +28,7 @@
 	State(now event.Time, a budget.Account) (spent, limit int)
 }
 
-// requestWindowRatio is the part of a retry window whose requests bound a service's repeats. The rule
+// requestWindowRatio is the part of a retry window whose requests bound a service's retries. The rule
 // counts the requests of the current window, the previous one, or one shifted by half a window; each
 // span of half a window lies within one of them. It is below 0.5 since a Window expires late.
 const requestWindowRatio = 0.48
@@ -55,18 +55,18 @@
 	}
 }
 
-// setRepeatLimit limits a service's repeats by its recent requests. A repeat may arrive up to
+// setRetryLimit limits a service's retries by its recent requests. A retry may arrive up to
 // message.RepeatLife after its decision, so the window is extended by that.
-func (s *State) setRepeatLimit(now event.Time, name string, v *service) {
+func (s *State) setRetryLimit(now event.Time, name string, v *service) {
 	most := s.limits.RetryMin + int(s.limits.RetryRatio*float64(v.requests.Total(now)))
 	s.budget.SetLimit(now, budget.Repeats(name), budget.Limit{
 		Window: s.limits.RetryWindow + message.RepeatLife, Most: most, Base: s.limits.RetryMin,
 	})
 }
 
-// spendRepeat spends one repeat of a service and reports whether it was available.
-func (s *State) spendRepeat(now event.Time, entry event.BoxID, name string) bool {
-	s.setRepeatLimit(now, name, s.service(now, name))
+// spendRetry spends one retry of a service and reports whether it was available.
+func (s *State) spendRetry(now event.Time, entry event.BoxID, name string) bool {
+	s.setRetryLimit(now, name, s.service(now, name))
 	return s.budget.Spend(now, entry, budget.Repeats(name), 1)
 }
 
--- a/admission/size_test.go
+++ b/admission/size_test.go
@@ -99,13 +99,13 @@
 	}
 }
 
-// TestRemovedServiceHasNoRetryBudget: the limit on repeats of a removed service must not be kept.
+// TestRemovedServiceHasNoRetryBudget: the limit on retries of a removed service must not be kept.
 func TestRemovedServiceHasNoRetryBudget(t *testing.T) {
 	s := newTestState(0)
 	next := &routing.Table{Services: []routing.Service{{Name: "other"}}}
 	next.Index()
 	s.SetTable(0, next)
 	if _, limit := s.budget.State(0, budget.Repeats("s")); limit > 0 {
-		t.Errorf("a limit of %d for the repeats of a removed service", limit)
+		t.Errorf("a limit of %d for the retries of a removed service", limit)
 	}
 }
--- a/admission/state.go
+++ b/admission/state.go
@@ -27,14 +27,14 @@
 // consecutive failures.
 const suspectBackoff = event.Second
 
-// Limits bound the quotas and repeats of a deployment.
+// Limits bound the quotas and retries of a deployment.
 type Limits struct {
 	QuotaWindow event.Span
 	// A quota may be exceeded by the fraction QuotaOvershoot plus QuotaSlack tokens.
 	QuotaOvershoot float64
 	QuotaSlack     float64
 	// In each RetryWindow, RetryMin plus the fraction RetryRatio of a service's requests may be
-	// sent again.
+	// retried.
 	RetryWindow event.Span
 	RetryRatio  float64
 	RetryMin    int
@@ -103,7 +103,7 @@
 	}
 	for i := range t.Services {
 		name := t.Services[i].Name
-		s.setRepeatLimit(now, name, s.service(now, name))
+		s.setRetryLimit(now, name, s.service(now, name))
 	}
 	for i := range t.Teams {
 		if t.Teams[i].Rate > 0 {
@@ -179,7 +179,7 @@
 func (s *State) spendAndAdmit(now event.Time, entry event.BoxID, m *message.Submission, out *event.Effects) {
 	t := &m.Ticket
 	if m.Repeat {
-		if !s.spendRepeat(now, entry, t.Service) {
+		if !s.spendRetry(now, entry, t.Service) {
 			s.poison.RecordUnsent(t.ID)
 			out.Refusals = append(out.Refusals, event.Refused{Entry: entry, ID: t.ID, Reason: event.ReasonBudget, RetryAfter: budgetRetryAfter})
 			return
--- a/poison/record.go
+++ b/poison/record.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// Merge merges a Record of another owner that was committed after this Tracker was made: it adds
+// ApplyForeign merges a Record of another owner that was committed after this Tracker was made: it adds
 // terminations and trials, and removes nothing.
 func (b *Book) Foreign(now event.Time, r Record) {
 	for _, line := range r.Lines {
