--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -93,17 +93,17 @@
 
 func TestRetryBudgetHolds(t *testing.T) {
 	s := newTestState(0)
-	repeats := 0
+	retries := 0
 	for i := range 1000 {
 		now := event.Time(i) * event.Time(event.Millisecond)
 		var out event.Effects
 		s.Submit(now, "entry", submission(i, 0, false), &out)
 		out.Reset()
 		s.Submit(now, "entry", submission(10000+i, 0, true), &out)
-		repeats += len(out.Grants)
+		retries += len(out.Grants)
 	}
-	if most := int(0.2*1000) + 20; repeats > most || repeats < most/2 {
-		t.Errorf("%d repeats of 1000 requests, the budget is %d", repeats, most)
+	if most := int(0.2*1000) + 20; retries > most || retries < most/2 {
+		t.Errorf("%d retries of 1000 requests, the budget is %d", retries, most)
 	}
 }
 
@@ -176,18 +176,18 @@
 		var out event.Effects
 		s.Submit(0, "entry", submission(9, 700, false), &out)
 		s.Submit(0, "entry", submission(1, 500, c.repeat), &out)
-		quota, repeats := spentOf(s, 0, budget.Team("t")), spentOf(s, 0, budget.Repeats("s"))
+		quota, retries := spentOf(s, 0, budget.Team("t")), spentOf(s, 0, budget.Repeats("s"))
 		finish(s, c.unsent)
-		gotQuota, gotRepeats := quota-spentOf(s, 0, budget.Team("t")), repeats-spentOf(s, 0, budget.Repeats("s"))
-		wantQuota, wantRepeats := 0, 0
+		gotQuota, gotRetries := quota-spentOf(s, 0, budget.Team("t")), retries-spentOf(s, 0, budget.Repeats("s"))
+		wantQuota, wantRetries := 0, 0
 		switch {
 		case c.unsent && c.repeat:
-			wantRepeats = 1
+			wantRetries = 1
 		case c.unsent:
 			wantQuota = 500
 		}
-		if gotQuota != wantQuota || gotRepeats != wantRepeats {
-			t.Errorf("%s: quota %d and %d repeats refunded, want %d and %d", name, gotQuota, gotRepeats, wantQuota, wantRepeats)
+		if gotQuota != wantQuota || gotRetries != wantRetries {
+			t.Errorf("%s: quota %d and %d retries refunded, want %d and %d", name, gotQuota, gotRetries, wantQuota, wantRetries)
 		}
 	}
 }
