--- a/event/event.go
+++ b/event/event.go
@@ -68,6 +68,7 @@
 	Prefix []uint64
 	// Deadline is the remaining time, counted from when the ticket is received.
 	Deadline Span
+	// NoRepeat is set when the call must not be repeated.
 	NoRepeat bool
 	// Attempt is the number of earlier offers of the request, all of them void.
 	Attempt int
