--- a/backpressure/asked.go
+++ b/backpressure/asked.go
@@ -4,44 +4,43 @@
 
 import "lynxramp.org/event"
 
-// Asked is what is believed of one start of an endpoint by its words. The zero Asked is one of whom nothing was
-// heard.
+// Tracker holds the last observed feedback of one endpoint instance. The zero Tracker has observed none.
 type Asked struct {
-	// Limited says that it names a limit, Rate in requests a second from all boxes together.
+	// Limited is true while the endpoint sets a rate limit: Rate requests a second from all boxes together.
 	Limited bool
 	Rate    float64
-	// Leaving says that it takes nothing new. A start that said so never takes it back.
+	// Draining is true once the endpoint accepts no new requests. It is never reset for the same instance.
 	Leaving bool
-	// limitAt is when it was last heard to name a limit.
-	limitAt event.Time
+	// limitedAt is when feedback with a limit was last received.
+	limitedAt event.Time
 }
 
-// Hear takes a word that came with the answer to a request sent at a moment, and reports whether it changed what
-// is believed. Answers overtake each other, and a long one may have begun before the last word: a limit is
-// raised or over only by the answer to a request that was sent after it was last named.
-func (a *Asked) Hear(now, sent event.Time, w Word) bool {
+// Observe applies feedback from the response to a request sent at the given time, and reports whether the state
+// changed. Responses arrive out of order: only the response to a request that was sent after the limit was last
+// received may raise or lift it. A lower limit takes effect at once.
+func (a *Asked) Hear(now, sent event.Time, f Word) bool {
 	before := *a
-	a.Leaving = a.Leaving || w.Leaving
-	isLater := sent > a.limitAt
+	a.Leaving = a.Leaving || f.Leaving
+	isNewer := sent > a.limitedAt
 	switch {
-	case w.Unread:
-	case w.Limited:
-		if !a.Limited || w.Rate < a.Rate || isLater {
-			a.Limited, a.Rate = true, w.Rate
+	case f.Unread:
+	case f.Limited:
+		if !a.Limited || f.Rate < a.Rate || isNewer {
+			a.Limited, a.Rate = true, f.Rate
 		}
-		a.limitAt = now
-	case a.Limited && isLater:
+		a.limitedAt = now
+	case a.Limited && isNewer:
 		a.Limited, a.Rate = false, 0
 	}
 	return a.differs(before)
 }
 
-// Learn takes what another box believes, and reports whether that is new.
+// Apply takes over the state published by another box, and reports whether it changed anything.
 func (a *Asked) Learn(now event.Time, s State) bool {
 	before := *a
 	a.Limited, a.Rate, a.Leaving = s.Limited, s.Rate, a.Leaving || s.Leaving
 	if s.Limited {
-		a.limitAt = now
+		a.limitedAt = now
 	}
 	return a.differs(before)
 }
@@ -50,13 +49,13 @@
 	return a.Limited != b.Limited || a.Rate != b.Rate || a.Leaving != b.Leaving
 }
 
-// State returns what is believed as it is told to others.
+// State returns the state to publish to other boxes.
 func (a *Asked) State(endpoint event.EndpointID) State {
 	return State{Endpoint: endpoint, Limited: a.Limited, Rate: a.Rate, Leaving: a.Leaving}
 }
 
-// State is what is believed of an endpoint, as boxes tell each other. One that asks for nothing says that what
-// it asked for is over.
+// State is the feedback of an endpoint as boxes publish it to each other. A State without restrictions lifts
+// earlier ones, except draining.
 type State struct {
 	Endpoint event.EndpointID
 	Limited  bool
@@ -64,14 +63,14 @@
 	Leaving  bool
 }
 
-// Asks reports whether the endpoint asks for anything.
+// Restricts reports whether the endpoint limits or stops requests.
 func (s State) Asks() bool { return s.Limited || s.Leaving }
 
-// Heard is a word with the answer that had it.
+// Report is feedback of an endpoint as an entry reports it.
 type Heard struct {
 	Endpoint event.EndpointID
-	// Request is whose answer had it; empty for what the box believes and is asked for by no answer now: such a
-	// word ends nothing.
+	// Request is the request whose response carried the feedback. It is empty for a report of the entry's last
+	// observed state, which can't lift a limit.
 	Request event.RequestID
 	Word    Word
 }
--- a/backpressure/doc.go
+++ b/backpressure/doc.go
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: MIT
 
-// Package backpressure keeps what endpoints ask for in their answers: fewer requests, none for a while, or none
-// any more.
+// Package backpressure applies what endpoints ask for in response headers: a rate limit, a cooldown, or no new
+// requests at all (draining).
 //
-// A Word is what one answer asks for, and Asked what is believed of one start of an endpoint by its words.
+// Feedback is what one response asks for, and Tracker the resulting state of one endpoint instance.
 //
-// A limit is of all boxes together. Whoever decides on requests spends it by a Pacer: the owner as much of it as
-// belongs to the entries that are connected to it, and an entry without an owner an equal part. A Pacer begins
-// with nothing to spend. So over any span, owners and entries
+// A rate limit holds for all boxes together. Whoever grants requests spends its share through a Pacer: the owner
+// the shares of the entries connected to it, and a degraded entry (one without an owner) an equal share. A Pacer
+// starts without tokens. So over any span, summed over owners and entries,
 //
 //	requests sent <= limit * span + burst
 //
-// as the parts of the entries add up to the limit, an owner leaves out those of entries that may be deciding
-// alone, and a new owner begins when no other has the lease.
+// because the shares of the entries add up to the limit, an owner leaves out the shares of entries that may be
+// degraded, and a new owner starts only when no other holds the lease.
 //
-// A Gate stands before every request that an entry sends, whoever decided on it. What the entry believes stops
-// what was decided by somebody who did not know it: a grant on its way, an owner that is new.
+// A Gate checks each request before an entry sends it, whoever granted it. It stops grants made without the latest
+// feedback: those already on their way, and those of a new owner.
 package backpressure
--- a/backpressure/gate.go
+++ b/backpressure/gate.go
@@ -12,116 +12,113 @@
 )
 
 const (
-	// trickleEvery is how often an entry sends a request to a limited endpoint by the grant of an owner that
-	// knows no limits, to hear when it is over.
-	trickleEvery = 10 * event.Second
-	// forgetAfter is how long what an endpoint asked for is kept after the endpoint was last known to be there.
-	forgetAfter = 60 * event.Second
-	// ownFor is how long what the entry heard by itself is told to new owners.
-	ownFor = 10 * event.Second
+	// probeInterval is how often an entry uses the grant of an owner that doesn't support limits for a limited
+	// endpoint, to find out whether the limit still holds.
+	probeInterval = 10 * event.Second
+	// retention is how long the state of an endpoint is kept after the endpoint was last registered.
+	retention = 60 * event.Second
+	// recentSpan is how long feedback that the entry itself received is reported to new owners.
+	recentSpan = 10 * event.Second
 )
 
-// Permit is what a grant rests on.
+// Permit says whether a grant accounts for the endpoint's rate limit.
 type Permit uint8
 
-// The permits.
 const (
-	// PermitPlain: whoever decided knew of no limit of the endpoint.
+	// PermitNoLimit: the granter knew of no limit.
 	PermitPlain Permit = iota
-	// PermitPaced: it was spent from the endpoint's limit, or given by one who knows that the limit is over.
+	// PermitPaced: the granter spent it from the endpoint's limit, or knows that the limit was lifted.
 	PermitPaced
-	// PermitBlind: the owner is of a build that knows no limits.
+	// PermitLegacy: the owner runs a build that doesn't support limits.
 	PermitBlind
 )
 
-// Gate stands before every request that an entry sends. The zero Gate stops nothing. It may be used by several
-// goroutines.
+// Gate checks each request before an entry sends it. The zero Gate stops nothing. It is safe for concurrent use.
 type Gate struct {
-	count atomic.Int64 // of endpoints; none as a rule
-	mu    sync.Mutex
-	all   map[event.EndpointID]*gated
+	count     atomic.Int64 // of endpoints; usually 0
+	mu        sync.Mutex
+	endpoints map[event.EndpointID]*endpointState
 }
 
-// gated is what an entry keeps of an endpoint.
-type gated struct {
+// endpointState is the state that an entry keeps of an endpoint.
+type endpointState struct {
 	Asked
-	ownAt  event.Time // when the entry itself last heard it ask for something; 0 for never
-	restTo event.Time // until when it wants nothing from this entry
-	letAt  event.Time // when it was last sent a request by a blind grant
-	seenAt event.Time // when it was last known to be there
+	observedAt    event.Time // when the entry itself last received a limit or draining; 0 for never
+	cooldownUntil event.Time // the entry sends nothing before
+	probedAt      event.Time // when a PermitLegacy grant was last used
+	lastSeen      event.Time // when it was last registered
 }
 
-// IsAsked reports whether anything is believed of any endpoint.
+// IsTracking reports whether the gate holds state of any endpoint.
 func (g *Gate) IsAsked() bool { return g.count.Load() > 0 }
 
-// IsLimited reports whether an endpoint is believed to name a limit: each of its answers counts then, also one
-// that asks for nothing.
+// IsLimited reports whether an endpoint is known to set a limit. Each of its responses must then be observed, also
+// one without feedback.
 func (g *Gate) IsLimited(endpoint event.EndpointID) bool {
 	if !g.IsAsked() {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	one, ok := g.all[endpoint]
-	return ok && one.Limited
+	e, ok := g.endpoints[endpoint]
+	return ok && e.Limited
 }
 
-// Hear takes a word of an endpoint in the answer to a request sent at a moment, and reports whether it changed
-// what is believed. A limit whose owner keeps it is raised or over by the owner's word alone (Learn): the owner has
-// heard it named by other entries since, and must be told of each answer until it agrees.
-func (g *Gate) Hear(now, sent event.Time, endpoint event.EndpointID, w Word, kept bool) bool {
-	if kept {
+// Observe applies feedback from the response to a request sent at the given time, and reports whether the state
+// changed. If the owner keeps the limit (byOwner), only the owner raises or lifts it, through Apply: it may have
+// received the limit from other entries since, and every response must be reported to it until it lifts the limit.
+func (g *Gate) Hear(now, sent event.Time, endpoint event.EndpointID, f Word, byOwner bool) bool {
+	if byOwner {
 		sent = 0
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	one := g.at(now, endpoint)
-	if w.Limited || w.Leaving {
-		one.ownAt = now
+	e := g.at(now, endpoint)
+	if f.Limited || f.Leaving {
+		e.observedAt = now
 	}
-	isNew := one.Hear(now, sent, w)
-	if until := now.Add(w.Rest); w.Rest > 0 && until > one.restTo {
-		isNew = isNew || now >= one.restTo
-		one.restTo = until
+	changed := e.Hear(now, sent, f)
+	if until := now.Add(f.Rest); f.Rest > 0 && until > e.cooldownUntil {
+		changed = changed || now >= e.cooldownUntil
+		e.cooldownUntil = until
 	}
-	return isNew
+	return changed
 }
 
-func (g *Gate) at(now event.Time, endpoint event.EndpointID) *gated {
-	one, ok := g.all[endpoint]
+func (g *Gate) at(now event.Time, endpoint event.EndpointID) *endpointState {
+	e, ok := g.endpoints[endpoint]
 	if !ok {
-		if g.all == nil {
-			g.all = make(map[event.EndpointID]*gated)
+		if g.endpoints == nil {
+			g.endpoints = make(map[event.EndpointID]*endpointState)
 		}
-		one = &gated{seenAt: now}
-		g.all[endpoint] = one
-		g.count.Store(int64(len(g.all)))
+		e = &endpointState{lastSeen: now}
+		g.endpoints[endpoint] = e
+		g.count.Store(int64(len(g.endpoints)))
 	}
-	return one
+	return e
 }
 
-// Learn takes what an owner believes.
+// Apply takes over the state published by an owner.
 func (g *Gate) Learn(now event.Time, s State) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.at(now, s.Endpoint).Learn(now, s)
 }
 
-// Stopped is why a request must not be sent.
+// StopReason is why a request must not be sent.
 type Stopped uint8
 
-// The reasons.
 const (
 	StoppedNot Stopped = iota
-	// StoppedByLimit: the endpoint names a limit, and the request is not spent from it.
+	// StoppedByLimit: the endpoint sets a limit, and the grant was not spent from it.
 	StoppedByLimit
-	// StoppedByLeaving: the endpoint is leaving.
+	// StoppedByDrain: the endpoint is draining.
 	StoppedByLeaving
-	// StoppedByRest: the endpoint wants nothing of this entry for a while.
+	// StoppedByCooldown: the endpoint asked this entry to send nothing for a while.
 	StoppedByRest
 )
 
-// String returns the reason as logs have it.
+// String returns the reason as used in logs and metrics.
 func (s Stopped) String() string {
 	switch s {
 	case StoppedByLimit:
@@ -135,77 +132,80 @@
 	}
 }
 
-// Stops reports whether a request must not be sent to an endpoint now, and why.
+// Check returns why a request must not be sent to an endpoint now, or NotStopped. A PermitLegacy grant that passes
+// counts as a probe.
 func (g *Gate) Stops(now event.Time, endpoint event.EndpointID, p Permit) Stopped {
 	if !g.IsAsked() {
 		return StoppedNot
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	one, ok := g.all[endpoint]
+	e, ok := g.endpoints[endpoint]
 	if !ok {
 		return StoppedNot
 	}
 	switch {
-	case one.Leaving:
+	case e.Leaving:
 		return StoppedByLeaving
-	case now < one.restTo:
+	case now < e.cooldownUntil:
 		return StoppedByRest
-	case one.Limited && p != PermitPaced && !one.trickles(now, p):
+	case e.Limited && p != PermitPaced && !e.allowProbe(now, p):
 		return StoppedByLimit
 	}
 	return StoppedNot
 }
 
-// trickles reports whether a blind grant may be used, and takes note of it.
-func (one *gated) trickles(now event.Time, p Permit) bool {
-	if p != PermitBlind || now.Sub(max(one.letAt, one.limitAt)) < trickleEvery {
+// allowProbe reports whether a PermitLegacy grant may be used as a probe, and records the probe if so.
+func (e *endpointState) allowProbe(now event.Time, p Permit) bool {
+	if p != PermitBlind || now.Sub(max(e.probedAt, e.limitedAt)) < probeInterval {
 		return false
 	}
-	one.letAt = now
+	e.probedAt = now
 	return true
 }
 
-// Belief returns what is believed of an endpoint, to be told to who granted it without knowing that.
+// Report returns the last observed state of an endpoint, for an owner that granted it without knowing that state.
 func (g *Gate) Belief(now event.Time, endpoint event.EndpointID) Heard {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	one, ok := g.all[endpoint]
+	e, ok := g.endpoints[endpoint]
 	if !ok {
 		return Heard{Endpoint: endpoint, Word: Word{Unread: true}}
 	}
-	return one.heard(now, endpoint)
+	return e.report(now, endpoint)
 }
 
-func (one *gated) heard(now event.Time, endpoint event.EndpointID) Heard {
-	return Heard{Endpoint: endpoint, Word: Word{Limited: one.Limited, Rate: one.Rate, Unread: !one.Limited, Leaving: one.Leaving, Rest: max(0, one.restTo.Sub(now))}}
+func (e *endpointState) report(now event.Time, endpoint event.EndpointID) Heard {
+	return Heard{Endpoint: endpoint, Word: Word{Limited: e.Limited, Rate: e.Rate, Unread: !e.Limited, Leaving: e.Leaving, Rest: max(0, e.cooldownUntil.Sub(now))}}
 }
 
-// Own returns what a new owner is told: what the entry heard lately by itself, up to a number of endpoints. Of
-// the rest an owner hears when it grants them.
-func (g *Gate) Own(now event.Time, most int) []Heard {
+// RecentReports returns what to report to a new owner: the state of up to limit endpoints that the entry itself
+// received lately. The others are reported when the owner grants them.
+func (g *Gate) Own(now event.Time, limit int) []Heard {
 	if !g.IsAsked() {
 		return nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var list []Heard
-	for id, one := range g.all {
-		if one.isOwn(now) {
-			list = append(list, one.heard(now, id))
+	for id, e := range g.endpoints {
+		if e.isRecent(now) {
+			list = append(list, e.report(now, id))
 		}
 	}
-	sortHeard(list)
-	return list[:min(len(list), most)]
+	sortReports(list)
+	return list[:min(len(list), limit)]
 }
 
-func (one *gated) asks(now event.Time) bool { return one.Limited || one.Leaving || now < one.restTo }
+func (e *endpointState) restricts(now event.Time) bool {
+	return e.Limited || e.Leaving || now < e.cooldownUntil
+}
 
-func (one *gated) isOwn(now event.Time) bool {
-	return now < one.restTo || (one.Limited || one.Leaving) && one.ownAt != 0 && now.Sub(one.ownAt) < ownFor
+func (e *endpointState) isRecent(now event.Time) bool {
+	return now < e.cooldownUntil || (e.Limited || e.Leaving) && e.observedAt != 0 && now.Sub(e.observedAt) < recentSpan
 }
 
-// Rests returns the rests that the entry was asked for and that last.
+// Cooldowns returns the cooldowns that have not ended.
 func (g *Gate) Rests(now event.Time) []Heard {
 	if !g.IsAsked() {
 		return nil
@@ -213,49 +213,49 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var list []Heard
-	for id, one := range g.all {
-		if now < one.restTo {
-			list = append(list, one.heard(now, id))
+	for id, e := range g.endpoints {
+		if now < e.cooldownUntil {
+			list = append(list, e.report(now, id))
 		}
 	}
-	sortHeard(list)
+	sortReports(list)
 	return list
 }
 
-func sortHeard(list []Heard) {
+func sortReports(list []Heard) {
 	slices.SortFunc(list, func(a, b Heard) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 }
 
-// States returns what is believed of all endpoints, by id.
+// States returns the state of all tracked endpoints, ordered by id.
 func (g *Gate) States() []State {
 	if !g.IsAsked() {
 		return nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	list := make([]State, 0, len(g.all))
-	for id, one := range g.all {
-		list = append(list, one.State(id))
+	list := make([]State, 0, len(g.endpoints))
+	for id, e := range g.endpoints {
+		list = append(list, e.State(id))
 	}
 	slices.SortFunc(list, func(a, b State) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return list
 }
 
-// Sweep forgets endpoints that ask for nothing any more, and those that are gone for long: one that is gone for a
-// moment may come back.
-func (g *Gate) Sweep(now event.Time, isThere func(event.EndpointID) bool) {
+// Sweep removes endpoints without restrictions, and those that have not been registered for the retention time: an
+// endpoint may reappear after a short absence.
+func (g *Gate) Sweep(now event.Time, isRegistered func(event.EndpointID) bool) {
 	if !g.IsAsked() {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for id, one := range g.all {
-		if isThere(id) {
-			one.seenAt = now
+	for id, e := range g.endpoints {
+		if isRegistered(id) {
+			e.lastSeen = now
 		}
-		if !one.asks(now) || now.Sub(one.seenAt) > forgetAfter {
-			delete(g.all, id)
+		if !e.restricts(now) || now.Sub(e.lastSeen) > retention {
+			delete(g.endpoints, id)
 		}
 	}
-	g.count.Store(int64(len(g.all)))
+	g.count.Store(int64(len(g.endpoints)))
 }
--- a/backpressure/pacer.go
+++ b/backpressure/pacer.go
@@ -5,57 +5,57 @@
 import "lynxramp.org/event"
 
 const (
-	// leastRate is what is spent of a limit that allows less, in requests a second: an endpoint that gets no
-	// request can't say that its limit is over.
-	leastRate = 0.1
-	// burstTime is how long an unspent limit adds up, beyond one request: some ticks of whoever spends it.
+	// minRate is the lowest rate that is spent, in requests a second, whatever the limit: an endpoint that
+	// receives no requests can't report that its limit was lifted.
+	minRate = 0.1
+	// burstTime is the span over which unused tokens accumulate, beyond one request. It covers some ticks of the
+	// caller.
 	burstTime = 0.1 // seconds
-	// mostRate is what is spent of a limit that allows more: a limit may be any number, and this is far above what
-	// an endpoint takes.
-	mostRate = 1e6
+	// maxRate bounds the rate, since an endpoint may report any number. It is far above what an endpoint serves.
+	maxRate = 1e6
 )
 
-// Pacer spends a rate of requests. The zero Pacer has no rate and spends nothing.
+// Pacer is a token bucket. The zero Pacer has no rate and no tokens.
 type Pacer struct {
-	rate  float64 // a second
-	saved float64 // requests
-	at    event.Time
+	rate       float64 // tokens a second
+	tokens     float64
+	refilledAt event.Time
 }
 
-// Set has a part of a limit spent from now on. What is saved stays.
-func (p *Pacer) Set(now event.Time, limit, part float64) {
-	p.save(now)
-	p.rate = min(max(limit, leastRate), mostRate) * part
-	p.saved = min(p.saved, p.most())
+// SetRate sets the rate to a share of a limit. Accumulated tokens are kept, up to the new burst.
+func (p *Pacer) Set(now event.Time, limit, share float64) {
+	p.refill(now)
+	p.rate = min(max(limit, minRate), maxRate) * share
+	p.tokens = min(p.tokens, p.burst())
 }
 
-// Rate returns what is spent, in requests a second.
+// Rate returns the rate in requests a second.
 func (p *Pacer) Rate() float64 { return p.rate }
 
-// most returns how many requests are saved at the most.
-func (p *Pacer) most() float64 { return max(1, p.rate*burstTime) }
+// burst returns the capacity of the bucket.
+func (p *Pacer) burst() float64 { return max(1, p.rate*burstTime) }
 
-func (p *Pacer) save(now event.Time) {
-	if now > p.at {
-		p.saved = min(p.most(), p.saved+p.rate*now.Sub(p.at).Seconds())
-		p.at = now
+func (p *Pacer) refill(now event.Time) {
+	if now > p.refilledAt {
+		p.tokens = min(p.burst(), p.tokens+p.rate*now.Sub(p.refilledAt).Seconds())
+		p.refilledAt = now
 	}
 }
 
-// Room returns how many requests may be sent now.
+// Available returns how many requests may be sent now.
 func (p *Pacer) Room(now event.Time) int {
-	p.save(now)
-	return int(p.saved + roundingSlack)
+	p.refill(now)
+	return int(p.tokens + roundingSlack)
 }
 
-// roundingSlack is what sums of many small parts may lack of a whole request.
+// roundingSlack compensates for rounding in sums of many small amounts.
 const roundingSlack = 1e-6
 
-// Take spends a request.
+// Take takes the token of one request.
 func (p *Pacer) Take(now event.Time) {
-	p.save(now)
-	p.saved--
+	p.refill(now)
+	p.tokens--
 }
 
-// GiveBack takes back a request that was spent and not sent.
-func (p *Pacer) GiveBack() { p.saved = min(p.most(), p.saved+1) }
+// Refund returns the token of a request that was not sent.
+func (p *Pacer) GiveBack() { p.tokens = min(p.burst(), p.tokens+1) }
--- a/backpressure/word.go
+++ b/backpressure/word.go
@@ -4,21 +4,22 @@
 
 import "lynxramp.org/event"
 
-// Word is what an endpoint asks for in one answer. The zero Word asks for nothing, and says so: a limit that
-// was named before is over.
+// Feedback is what an endpoint asks for in one response. The zero Feedback asks for nothing, and lifts an earlier
+// limit.
 type Word struct {
-	// Limited says that the endpoint names a limit: it takes Rate requests a second from all boxes together,
-	// for as long as its answers say so.
+	// Limited is true if the endpoint sets a rate limit: it accepts Rate requests a second from all boxes
+	// together, for as long as its responses say so.
 	Limited bool
 	Rate    float64
-	// Unread says that a limit was named which can't be read: the answer tells nothing of limits.
+	// Unread is true if the response names a limit that can't be parsed. Such a response leaves the limit as it
+	// was.
 	Unread bool
-	// Rest is for how long the endpoint, which has turned the request away, wants nothing from the box that has
-	// the answer; 0 for no rest.
+	// Rest is the cooldown: how long an endpoint that rejected the request wants none from the entry that received
+	// the response; 0 for none.
 	Rest event.Span
-	// Leaving says that the endpoint is about to end and takes nothing new, from any box.
+	// Leaving is true if the endpoint is draining: it accepts no new requests from any box.
 	Leaving bool
 }
 
-// Asks reports whether the word asks for anything.
-func (w Word) Asks() bool { return w.Limited || w.Rest > 0 || w.Leaving }
+// Restricts reports whether the feedback limits or stops requests.
+func (f Word) Asks() bool { return f.Limited || f.Rest > 0 || f.Leaving }
