--- a/budget/account.go
+++ b/budget/account.go
@@ -45,9 +45,9 @@
 type allotment struct {
 	recorded         bool // the Record has a Line of the account
 	headroom, leased int
-	// spent is how much was spent since the Record was made. settled was on lease before
+	// spent is how much was spent since the Record was made. charged was on lease before
 	// and was spent or counted as spent since: it still counts against leased.
-	spent, settled int
+	spent, charged int
 }
 
 // account is the owner's state of one budget, kept from first use until nothing of it
@@ -83,16 +83,16 @@
 // expire counts an earlier owner's leases as spent once nobody can use them any more.
 func (a *account) expire(now event.Time) {
 	if a.inherited > 0 && now >= a.inheritedUntil {
-		a.settle(now, a.inheritedUntil, a.inherited)
+		a.charge(now, a.inheritedUntil, a.inherited)
 		a.inherited = 0
 	}
 }
 
-// settle moves an amount from outstanding to spent, as spent at the given time.
-func (a *account) settle(now, at event.Time, amount int) {
+// charge moves an amount from outstanding to spent, as spent at the given time.
+func (a *account) charge(now, at event.Time, amount int) {
 	a.spent.AddAt(now, at, amount)
-	a.committed.settled += amount
-	a.pending.settled += amount
+	a.committed.charged += amount
+	a.pending.charged += amount
 }
 
 // spend spends an amount that was checked to fit.
@@ -122,7 +122,7 @@
 // leasable returns how much more an allotment allows to lease.
 func (a *account) leasable(now event.Time, p *allotment) int {
 	if p.recorded {
-		return p.leased - p.settled - a.outstanding()
+		return p.leased - p.charged - a.outstanding()
 	}
 	return a.unrecordedMax() - a.total(now)
 }
@@ -136,8 +136,8 @@
 	a.isStale = a.isStale || a.isPending || a.committed.recorded
 }
 
-// latest returns the allotment of the newest Record, which may be pending.
-func (a *account) latest() *allotment {
+// allotment returns the allotment of the newest Record, which may be pending.
+func (a *account) allotment() *allotment {
 	if a.isPending {
 		return &a.pending
 	}
@@ -147,11 +147,11 @@
 // needsRecord reports whether so much of the latest allotment is used that a new Record is
 // needed, or an account without one must be recorded.
 func (a *account) needsRecord(now event.Time) bool {
-	p := a.latest()
+	p := a.allotment()
 	if !p.recorded {
 		return a.isHighUsage(now)
 	}
-	return p.spent > p.headroom/2 || p.settled > p.leased/2
+	return p.spent > p.headroom/2 || p.charged > p.leased/2
 }
 
 // isIdle reports whether nothing of the account counts, here or in the log.
--- a/budget/allowances.go
+++ b/budget/allowances.go
@@ -106,8 +106,8 @@
 			l.UpTo = l.Spent
 		}
 	}
-	for _, l := range u.UpTo {
-		s.applyLease(l)
+	for _, lease := range u.UpTo {
+		s.applyLease(lease)
 	}
 	s.lastUpdate = u.Number
 }
@@ -167,12 +167,12 @@
 // reportSome returns unreported leases by name, as many as fit in one message.
 func (s *Allowances) reportSome() []Holding {
 	var list []Holding
-	bytes, most := 0, cmp.Or(s.maxBytes, defaultBounds.messageBytes)
+	bytes, maxBytes := 0, cmp.Or(s.maxBytes, defaultBounds.messageBytes)
 	for _, name := range slices.Sorted(maps.Keys(s.unreported)) {
-		if bytes >= most {
+		if bytes >= maxBytes {
 			break
 		}
-		bytes += s.leases[name].maxBytes()
+		bytes += s.leases[name].bytes()
 		list = append(list, s.report(name))
 	}
 	return list
--- a/budget/book.go
+++ b/budget/book.go
@@ -148,7 +148,7 @@
 	b.checkRecord(now, a)
 	a.usage.add(now, amount)
 	if h := b.holders[entry]; h != nil {
-		c := h.lease(name)
+		c := h.leaseState(name)
 		c.usage.add(now, amount)
 		c.wantedUntil = now.Add(b.bounds.useSpan)
 	}
--- a/budget/bounds.go
+++ b/budget/bounds.go
@@ -7,10 +7,10 @@
 // bounds limits the size of messages and Records and the work for one message, whatever the
 // number of accounts.
 type bounds struct {
-	// maxScan is the most accounts that are checked for one message to an entry; the next
+	// scans is the most accounts that are checked for one message to an entry; the next
 	// one continues from there. With no more limits than that, and few entries, each entry
 	// is leased a share of every account; otherwise of those that it used within useSpan.
-	maxScan int
+	scans   int
 	useSpan event.Span
 	// maxLeases is the most leases (accounts times entries) with which each entry is leased
 	// a share of every account.
@@ -24,7 +24,7 @@
 // link of 1.25 MB/s for a small part of the 0.5 s after which an entry considers a silent
 // owner lost.
 var defaultBounds = bounds{
-	maxScan:      512,
+	scans:        512,
 	maxLeases:    1 << 18,       // about 0.2 kB each
 	useSpan:      4 * usageSpan, // also covers accounts that an entry uses occasionally
 	messageBytes: 15 << 10,
--- a/budget/lend.go
+++ b/budget/lend.go
@@ -23,8 +23,8 @@
 	UpTo    int
 }
 
-// maxBytes returns the largest size of the lease in a message.
-func (l *Holding) maxBytes() int { return len(l.Account) + leaseOverhead }
+// bytes returns the largest size of the lease in a message.
+func (l *Holding) bytes() int { return len(l.Account) + leaseOverhead }
 
 // evenFraction is the fraction of what is leased that is split evenly among entries; the
 // rest is split by usage.
@@ -74,7 +74,7 @@
 	isRevoking, isRevoked bool
 }
 
-func (h *holder) lease(name Account) *leaseState {
+func (h *holder) leaseState(name Account) *leaseState {
 	l, ok := h.leases[name]
 	if !ok {
 		l = &leaseState{name: name}
@@ -137,16 +137,16 @@
 
 // ApplyReport applies an entry's report: what it has spent, and the number of the last
 // update that it applied.
-func (b *Book) Hear(now event.Time, entry event.BoxID, acked uint64, reported []Holding) {
+func (b *Book) Hear(now event.Time, entry event.BoxID, applied uint64, reported []Holding) {
 	h, ok := b.holders[entry]
 	if !ok {
 		return
 	}
 	b.applySpent(now, h, reported)
-	if acked > 0 && h.number > 0 {
+	if applied > 0 && h.number > 0 {
 		b.releaseInherited(now, h)
 	}
-	for len(h.unacked) > 0 && h.unacked[0].number <= acked {
+	for len(h.unacked) > 0 && h.unacked[0].number <= applied {
 		l := h.unacked[0]
 		h.unacked = h.unacked[1:]
 		b.update(l, func() { l.acked = l.offered })
@@ -162,7 +162,7 @@
 	for _, r := range reported {
 		l, known := h.leases[r.Account]
 		if !known {
-			l = h.lease(r.Account)
+			l = h.leaseState(r.Account)
 			if h.number == 0 {
 				b.inheritLease(now, h, l, r)
 				continue
@@ -176,7 +176,7 @@
 		}
 		l.wantedUntil = now.Add(b.bounds.useSpan)
 		if a := b.accounts[r.Account]; a != nil && h.number > 0 {
-			a.settle(now, now, added)
+			a.charge(now, now, added)
 			b.checkRecord(now, a)
 		}
 	}
@@ -196,12 +196,12 @@
 // entries' leases, so no other entry can spend what this one returned. Without it that part
 // of the quota would be withheld until the leases expire.
 func (b *Book) releaseInherited(now event.Time, h *holder) {
-	for name, left := range h.prior {
-		if left == 0 {
+	for name, outstanding := range h.prior {
+		if outstanding == 0 {
 			continue
 		}
 		if a := b.account(now, name); a != nil {
-			a.inherited = max(0, a.inherited-left)
+			a.inherited = max(0, a.inherited-outstanding)
 		}
 	}
 	clear(h.prior)
@@ -230,13 +230,13 @@
 	h.replaceAll = true
 	h.isSettled = true
 	for _, l := range h.leases {
-		left := l.outstanding()
-		if left == 0 {
+		outstanding := l.outstanding()
+		if outstanding == 0 {
 			continue
 		}
 		b.update(l, func() { l.acked, l.offered = l.spent, l.spent })
 		if a := b.accountOf(l); a != nil {
-			a.settle(now, now, left)
+			a.charge(now, now, outstanding)
 			b.checkRecord(now, a)
 		}
 	}
@@ -267,7 +267,7 @@
 		b.revokeAll(h)
 	}
 	bytes := 0
-	for scanned := 0; scanned < b.bounds.maxScan && scanned < len(h.ring); scanned++ {
+	for scans := 0; scans < b.bounds.scans && scans < len(h.ring); scans++ {
 		l := h.nextLease()
 		if l == nil {
 			continue
@@ -277,7 +277,7 @@
 			continue
 		}
 		out.UpTo = append(out.UpTo, lease)
-		if bytes += lease.maxBytes(); bytes >= b.bounds.messageBytes {
+		if bytes += lease.bytes(); bytes >= b.bounds.messageBytes {
 			break
 		}
 	}
@@ -296,13 +296,13 @@
 	}
 	h.limitsVersion = b.limitsVersion
 	for _, name := range slices.Sorted(maps.Keys(b.limits)) {
-		h.lease(name)
+		h.leaseState(name)
 	}
 }
 
 // leasesAll reports whether each entry is leased a share of every account.
 func (b *Book) leasesAll() bool {
-	return len(b.limits) <= b.bounds.maxScan && len(b.limits)*len(b.holders) <= b.bounds.maxLeases
+	return len(b.limits) <= b.bounds.scans && len(b.limits)*len(b.holders) <= b.bounds.maxLeases
 }
 
 // nextLease returns the next lease to check; nil if that one was revoked.
@@ -410,9 +410,9 @@
 // leaseTarget returns how much of an account should be on lease in total: half of what is
 // left, less what may be spent before the next Record, and never less than the reserve.
 func (a *account) leaseTarget(now event.Time) int {
-	limit := float64(a.limit.Most)
-	left := limit - float64(a.spent.Total(now)+a.inherited)
-	return int(min(maxLeaseFraction*limit, max(minLeaseFraction*limit, left/2-headroomFraction*limit)))
+	maxSpend := float64(a.limit.Most)
+	left := maxSpend - float64(a.spent.Total(now)+a.inherited)
+	return int(min(maxLeaseFraction*maxSpend, max(minLeaseFraction*maxSpend, left/2-headroomFraction*maxSpend)))
 }
 
 // leasable returns how much more of an account may be leased.
--- a/budget/property_test.go
+++ b/budget/property_test.go
@@ -24,10 +24,10 @@
 
 // tightBounds make a few accounts split into as many messages and Records as many accounts
 // do: each has one account.
-var tightBounds = bounds{maxScan: 2, useSpan: 700 * event.Millisecond, messageBytes: 1, recordBytes: 1}
+var tightBounds = bounds{scans: 2, useSpan: 700 * event.Millisecond, messageBytes: 1, recordBytes: 1}
 
 // wideBounds are the same with two or three accounts in a message or Record.
-var wideBounds = bounds{maxScan: 2, useSpan: 700 * event.Millisecond, messageBytes: 40, recordBytes: 120}
+var wideBounds = bounds{scans: 2, useSpan: 700 * event.Millisecond, messageBytes: 40, recordBytes: 120}
 
 // tightAccounts are the accounts of a simulation with tight bounds.
 var tightAccounts = []Account{worldAccount, Team("u"), Team("v"), Team("w"), Team("x")}
@@ -42,7 +42,7 @@
 // worldReply is a reply on its way to an entry, with the time when its ping was sent.
 type worldReply struct {
 	sentAt event.Time
-	update Lent
+	leases Lent
 }
 
 // worldEntry is an entry. Its clock is that of the simulation.
@@ -217,11 +217,11 @@
 		if w.now >= e.leaseUntil {
 			e.leases.Drop()
 		}
-		leases := e.leases.Greet()
+		reported := e.leases.Greet()
 		if w.random.IntN(3) == 0 { // it spends on until the owner replies
 			w.spendDegraded(e)
 		}
-		w.book.Greet(w.now, e.name, e.instance, leases)
+		w.book.Greet(w.now, e.name, e.instance, reported)
 		if e.leases.More() {
 			w.book.Await(e.name)
 		}
@@ -236,7 +236,7 @@
 	if !e.leases.More() {
 		w.book.Complete(e.name)
 	}
-	update := w.book.Lend(w.now, e.name, len(w.entries))
+	leases := w.book.Lend(w.now, e.name, len(w.entries))
 	if w.random.IntN(4) == 0 {
 		w.spendDegraded(e)
 	}
@@ -244,7 +244,7 @@
 		e.disconnect()
 		return
 	}
-	e.inFlight = append(e.inFlight, worldReply{sent, update})
+	e.inFlight = append(e.inFlight, worldReply{sent, leases})
 	w.deliver(e)
 }
 
@@ -252,7 +252,7 @@
 // next ping.
 func (w *world) deliver(e *worldEntry) {
 	for len(e.inFlight) > 0 && (!w.isTight || w.random.IntN(3) > 0) {
-		e.leases.Take(e.inFlight[0].update)
+		e.leases.Take(e.inFlight[0].leases)
 		e.leaseUntil = e.inFlight[0].sentAt.Add(worldLeaseTTL)
 		e.isDegraded = false
 		e.inFlight = e.inFlight[1:]
@@ -310,7 +310,7 @@
 
 // maxInWindow returns the largest amount that was spent of an account in any window.
 func (w *world) maxInWindow(name Account) int {
-	most, sum := 0, 0
+	maxInWindow, sum := 0, 0
 	var in []worldSpent
 	for _, s := range w.spent {
 		if s.account != name {
@@ -322,9 +322,9 @@
 			sum -= in[0].amount
 			in = in[1:]
 		}
-		most = max(most, sum)
+		maxInWindow = max(maxInWindow, sum)
 	}
-	return most
+	return maxInWindow
 }
 
 // TestNoWindowExceedsLimit: the sum over all owners and entries must stay within the limit
@@ -354,11 +354,11 @@
 			w.step()
 		}
 		for _, name := range w.accounts {
-			most := w.maxInWindow(name)
-			if most > worldMax {
-				t.Errorf("%d entries, seed %d: %d spent of %s in a window, the limit is %d", entries, seed+1, most, name, worldMax)
+			maxInWindow := w.maxInWindow(name)
+			if maxInWindow > worldMax {
+				t.Errorf("%d entries, seed %d: %d spent of %s in a window, the limit is %d", entries, seed+1, maxInWindow, name, worldMax)
 			}
-			if most > worldMax*9/10 {
+			if maxInWindow > worldMax*9/10 {
 				near++
 			}
 		}
--- a/budget/record.go
+++ b/budget/record.go
@@ -48,8 +48,8 @@
 	Lent int `json:"lent"`
 }
 
-// maxBytes returns the largest size of the line in a Record.
-func (l *Line) maxBytes() int {
+// bytes returns the largest size of the line in a Record.
+func (l *Line) bytes() int {
 	n := lineOverhead + nameBytes(l.Account) + digits(l.Mark) + digits(l.Lent)
 	for _, amount := range l.Spent {
 		n += 2 + digits(amount)
@@ -138,7 +138,7 @@
 	}
 	bytes = 0
 	for i := range r.Lines {
-		bytes += r.Lines[i].maxBytes()
+		bytes += r.Lines[i].bytes()
 	}
 	if bytes > b.bounds.recordBytes {
 		return Record{}, bytes
@@ -174,7 +174,7 @@
 		line.Mark = max(line.Mark, int(partialHeadroom*float64(a.limit.Most-a.total(now))))
 		a.setPending(&line)
 		r.Lines = append(r.Lines, line)
-		bytes += line.maxBytes()
+		bytes += line.bytes()
 	}
 	return r, bytes
 }
@@ -219,7 +219,7 @@
 	case !p.recorded:
 		return 0
 	}
-	need := max(float64(p.spent)/float64(p.headroom), float64(p.settled)/float64(max(1, p.leased)))
+	need := max(float64(p.spent)/float64(p.headroom), float64(p.charged)/float64(max(1, p.leased)))
 	if need < minNeed {
 		return 0
 	}
