--- a/budget/book.go
+++ b/budget/book.go
@@ -27,7 +27,7 @@
 	maxWindow event.Span // longest window of a limit
 	// limitsVersion increases whenever an account gets or loses its limit.
 	limitsVersion uint64
-	// leaseTTL is how long an entry may use a lease after it last heard from an owner, and
+	// leaseTTL is how long an entry may use a lease without hearing from an owner, plus
 	// leaseMargin.
 	leaseTTL event.Span
 	// startedAt is when this owner started, prior the lines of earlier owners. isFirst is
@@ -148,9 +148,9 @@
 	b.checkRecord(now, a)
 	a.usage.add(now, amount)
 	if h := b.holders[entry]; h != nil {
-		c := h.leaseState(name)
-		c.usage.add(now, amount)
-		c.wantedUntil = now.Add(b.bounds.useSpan)
+		l := h.leaseState(name)
+		l.usage.add(now, amount)
+		l.wantedUntil = now.Add(b.bounds.useSpan)
 	}
 	return true
 }
