--- a/backpressure/gate.go
+++ b/backpressure/gate.go
@@ -164,7 +164,7 @@
 	return true
 }
 
-// Report returns the last observed state of an endpoint, for an owner that granted it without knowing that state.
+// LastReport returns the last observed state of an endpoint, for an owner that granted it without knowing that state.
 func (g *Gate) Belief(now event.Time, endpoint event.EndpointID) Heard {
 	g.mu.Lock()
 	defer g.mu.Unlock()
