--- a/consensus/doc.go
+++ b/consensus/doc.go
@@ -1,29 +1,26 @@
 // SPDX-License-Identifier: MIT
 
-// Package consensus keeps a replicated log among a few boxes, after the
-// published Raft algorithm. Node is a pure reducer: it is handed messages,
-// proposals and ticks with the time of each, and puts into a Ready what is to be
-// saved, sent and applied. It never touches a disk, a socket or a clock.
+// Package consensus implements a Raft replicated log for a small group of boxes. Node is a pure
+// state machine: its input is messages, proposals and ticks, each with its time, and its output is
+// a Ready with what to save, send and apply. It does no I/O and reads no clock.
 //
-// What it does beside plain Raft:
+// Additions to basic Raft:
 //
-//   - Pre-vote, and followers that refuse votes while they hear a leader, so a
-//     box that comes back does not disturb a working group.
-//   - A leader's lease: while a quorum answered heartbeats sent less than
-//     ElectionMin ago no other leader can exist, by the leader's own monotonic
-//     clock. Reads and grants rest on it. A leader that was frozen finds its
-//     lease over at its first step.
-//   - Identity by box and incarnation. A box whose disk was lost comes back as
-//     another member: it never votes on promises it has forgotten. It joins as
-//     a learner; once it holds all that is committed, saved, its old self is
-//     removed and it becomes a voter, one change at a time.
+//   - Pre-vote, and followers that refuse votes while they are in contact with a leader, so that a
+//     returning box does not disrupt a working group.
+//   - Leader leases: while a quorum has answered heartbeats sent less than MinElectionTimeout ago,
+//     by the leader's own monotonic clock, no other leader can exist. Reads and grants rely on the
+//     lease. A leader that was suspended finds its lease expired at its first step.
+//   - A member is a box with one incarnation of its disk. A box that lost its disk returns as a new
+//     member, so that it never votes against promises it no longer remembers. It joins as a
+//     learner; once it has saved all that is committed, the old member is removed and the new one
+//     becomes a voter, in single-member changes.
 //   - Leadership transfer on a planned stop, and snapshots.
-//   - Messages of bounded bytes, one with entries or a piece of a snapshot at a
-//     time to a member, with heartbeats behind it. Their replies tell what came;
-//     nothing is sent again before. Members that take snapshots at the same
-//     entries, with equal bytes, go on with each other's transfers.
+//   - Flow control: messages are bounded in bytes, and a member has at most one message with
+//     entries or a snapshot chunk in flight, followed only by heartbeats. Replies say what arrived;
+//     nothing is resent before that. Members that snapshot at the same index, with equal bytes, can
+//     continue each other's snapshot transfers.
 //
-// The order that a carrier must keep: save HardState, Snapshot and Entries,
-// then send Messages. Early may be sent at once. After a save it tells the node
-// Saved.
+// The caller must save HardState, Snapshot and Entries before it sends Messages. Immediate may be
+// sent without saving. After each save the caller calls Saved.
 package consensus
--- a/consensus/log.go
+++ b/consensus/log.go
@@ -8,7 +8,7 @@
 
 // raftLog is the log after the last snapshot, in memory.
 type raftLog struct {
-	base     Index // of the snapshot; entries[0] has base+1
+	base     Index // index before entries[0]
 	baseTerm Term
 	entries  []Entry
 }
@@ -17,7 +17,7 @@
 
 func (l *raftLog) lastTerm() Term { t, _ := l.term(l.last()); return t }
 
-// term returns the term of an entry; false if it is not here.
+// term returns the term of entry i; false if it is not in memory.
 func (l *raftLog) term(i Index) (Term, bool) {
 	switch {
 	case i == l.base:
@@ -29,9 +29,8 @@
 	}
 }
 
-// from returns the entries from i on, up to limit of them. They must not be
-// changed.
-func (l *raftLog) from(i Index, limit int) []Entry {
+// entriesFrom returns up to limit entries from i on. They must not be modified.
+func (l *raftLog) entriesFrom(i Index, limit int) []Entry {
 	if i <= l.base || i > l.last() {
 		return nil
 	}
@@ -39,10 +38,10 @@
 	return part[:min(limit, len(part)):min(limit, len(part))]
 }
 
-// part returns the entries from i on, up to limit of them and so many bytes, but at least one
-// if there is any. They must not be changed.
-func (l *raftLog) part(i Index, limit, size int) []Entry {
-	part := l.from(i, limit)
+// batch returns up to limit entries from i on, of up to size bytes, but at least one if there is
+// any. They must not be modified.
+func (l *raftLog) batch(i Index, limit, size int) []Entry {
+	part := l.entriesFrom(i, limit)
 	for n, e := range part {
 		size -= len(e.Data)
 		if size < 0 && n > 0 {
@@ -52,7 +51,7 @@
 	return part
 }
 
-// tail returns the last entries up to i, up to limit of them and so many bytes.
+// tail returns up to limit last entries up to i, of up to size bytes.
 func (l *raftLog) tail(i Index, limit, size int) []Entry {
 	if i <= l.base || i > l.last() {
 		return nil
@@ -69,8 +68,8 @@
 	return upTo[from:]
 }
 
-// cut drops the entries from i on.
-func (l *raftLog) cut(i Index) {
+// truncate drops the entries from i on.
+func (l *raftLog) truncate(i Index) {
 	if i <= l.last() && i > l.base {
 		l.entries = append([]Entry(nil), l.entries[:i-l.base-1]...)
 	}
@@ -86,7 +85,7 @@
 	l.base, l.baseTerm = i, t
 }
 
-// bytesOf returns the bytes of the entries' data.
+// bytesOf returns the length of the entries' data.
 func bytesOf(entries []Entry) int {
 	sum := 0
 	for _, e := range entries {
@@ -95,17 +94,17 @@
 	return sum
 }
 
-// isNewer reports whether a log that ends with (index, term) holds at least as
-// much as this one.
-func (l *raftLog) isNewer(index Index, term Term) bool {
+// isUpToDate reports whether a log whose last entry is (index, term) is at least as up to date as
+// this one.
+func (l *raftLog) isUpToDate(index Index, term Term) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
 	}
 	return index >= l.last()
 }
 
-// membersIn returns the last membership among entries.
-func membersIn(entries []Entry) (Membership, bool) {
+// lastMembership returns the last membership among entries.
+func lastMembership(entries []Entry) (Membership, bool) {
 	for i := len(entries) - 1; i >= 0; i-- {
 		if entries[i].Kind != EntryMembers {
 			continue
--- a/consensus/lost_disk_test.go
+++ b/consensus/lost_disk_test.go
@@ -11,8 +11,8 @@
 	"lynxramp.org/event"
 )
 
-// shake delivers what is under way, and loses, doubles and delays some of it.
-func (g *group) shake() {
+// deliverLossy delivers the messages in flight, and loses, duplicates and delays some of them.
+func (g *group) deliverLossy() {
 	for _, b := range g.members {
 		g.sync(b)
 	}
@@ -31,8 +31,8 @@
 	}
 }
 
-// change lets the one that leads take a command now and then, or hand over.
-func (g *group) change() {
+// proposeOrTransfer sometimes makes the leader propose a command or transfer its leadership.
+func (g *group) proposeOrTransfer() {
 	l := g.holder()
 	if l == nil {
 		return
@@ -43,14 +43,14 @@
 		g.propose(l)
 	case n < 11:
 		l.node.Transfer(g.now, nil, &out)
-		g.take(l, out)
+		g.enqueue(l, out)
 	}
 }
 
-// TestLostDiskComesBack: a leader was followed by another before a member that lost its disk had the
-// whole snapshot, and the next one began with its first piece, for ever. Here the leader changes
-// about once a second and messages are lost, doubled and reordered, while commands and
-// snapshots go on, and the member crashes once. It must come to hold all there is.
+// A member with a lost disk must become a voter again although the leader changes about once a
+// second, messages are lost, duplicated and reordered, commands and snapshots go on, and the member
+// crashes once. Guards against each new leader restarting the snapshot transfer from its first
+// chunk.
 func TestLostDiskComesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGroup(t, 3)
@@ -73,11 +73,11 @@
 			for _, b := range g.members {
 				var out Ready
 				b.node.Tick(g.now, &out)
-				g.take(b, out)
+				g.enqueue(b, out)
 			}
-			g.shake()
+			g.deliverLossy()
 			g.rejoin()
-			g.change()
+			g.proposeOrTransfer()
 			if step == crash {
 				g.start(lost)
 			}
@@ -85,12 +85,12 @@
 				break
 			}
 			if step > 3000 {
-				t.Fatalf("no voter again after %d steps; it has %d of %d", step, len(lost.applied), len(g.chosen))
+				t.Fatalf("the wiped member is no voter after %d steps; it applied %d of %d commands", step, len(lost.applied), len(g.committed))
 			}
 		}
 		g.settle(4 * event.Second)
-		if len(lost.applied) != len(g.chosen) || g.installed == 0 {
-			t.Fatalf("it has %d of %d and took %d snapshots", len(lost.applied), len(g.chosen), g.installed)
+		if len(lost.applied) != len(g.committed) || g.installed == 0 {
+			t.Fatalf("the wiped member applied %d of %d commands and installed %d snapshots", len(lost.applied), len(g.committed), g.installed)
 		}
 	})
 }
--- a/consensus/members.go
+++ b/consensus/members.go
@@ -8,26 +8,26 @@
 	"lynxramp.org/event"
 )
 
-// Join asks the leader to take a box in as a member, in place of any earlier
-// life of the same box. It reports whether that has been done.
+// Join asks the leader to add a member, in place of an earlier incarnation of the same box. It
+// reports whether the member is a voter and that change is committed.
 func (n *Node) Join(now event.Time, m Member, out *Ready) (bool, error) {
 	defer n.finish(out)
 	if !n.HasLease(now) {
 		return false, ErrNotLeader
 	}
-	if n.members.isVoter(m.ID) && n.commit >= n.membersAt {
+	if n.members.isVoter(m.ID) && n.commit >= n.membersIndex {
 		return true, nil
 	}
-	if !has(n.joins, m.ID) {
-		n.joins = append(n.joins, m)
+	if !has(n.joinRequests, m.ID) {
+		n.joinRequests = append(n.joinRequests, m)
 	}
 	n.changeMembers(now, out)
 	return false, nil
 }
 
-// changeMembers makes the next single change, if the last one is committed.
+// changeMembers makes the next single-member change if the previous one is committed.
 func (n *Node) changeMembers(now event.Time, out *Ready) {
-	if len(n.joins) == 0 || !n.HasLease(now) || n.commit < n.membersAt {
+	if len(n.joinRequests) == 0 || !n.HasLease(now) || n.commit < n.membersIndex {
 		return
 	}
 	next, changed := n.nextMembers(now)
@@ -35,29 +35,28 @@
 		return
 	}
 	n.members = next
-	n.membersAt = n.add(EntryMembers, encodeMembers(next), out)
-	n.trackMembers()
+	n.membersIndex = n.appendEntry(EntryMembers, encodeMembers(next), out)
+	n.updateProgress()
 	n.sendAll(now, out)
 }
 
-// nextMembers returns the members after one change towards what the joining
-// boxes ask for: first a learner, then, once it has saved all that is
-// committed, its old life goes, then it gets its vote. Beyond the limit of voters
-// it gets one only in the place of a voter that is dead.
+// nextMembers returns the membership after one change towards the join requests: a box first
+// becomes a learner; once it has saved all that is committed, its earlier incarnation is removed,
+// and then it becomes a voter. Beyond the limit of voters it can only replace an unreachable one.
 func (n *Node) nextMembers(now event.Time) (Membership, bool) {
 	m := n.members
-	n.joins = slices.DeleteFunc(n.joins, func(j Member) bool { return m.isVoter(j.ID) })
-	for _, j := range n.joins {
+	n.joinRequests = slices.DeleteFunc(n.joinRequests, func(j Member) bool { return m.isVoter(j.ID) })
+	for _, j := range n.joinRequests {
 		if !m.Has(j.ID) {
 			m.Learners = append(withoutBox(m.Learners, j.ID.Box()), j)
 			return m, true
 		}
 	}
-	for _, j := range n.joins {
-		if !n.isReady(now, j.ID) {
+	for _, j := range n.joinRequests {
+		if !n.isCaughtUp(now, j.ID) {
 			continue
 		}
-		if old := lifeOf(m.Voters, j.ID.Box()); old != "" {
+		if old := memberOfBox(m.Voters, j.ID.Box()); old != "" {
 			m.Voters = without(m.Voters, old)
 			return m, true
 		}
@@ -66,7 +65,7 @@
 			m.Learners = without(m.Learners, j.ID)
 			return m, true
 		}
-		if dead := n.deadVoter(now); dead != "" {
+		if dead := n.unreachableVoter(now); dead != "" {
 			m.Voters = without(m.Voters, dead)
 			return m, true
 		}
@@ -74,16 +73,16 @@
 	return m, false
 }
 
-// isReady reports whether a learner is alive and has saved all that is committed.
-func (n *Node) isReady(now event.Time, id ID) bool {
+// isCaughtUp reports whether a learner is reachable and has saved all that is committed.
+func (n *Node) isCaughtUp(now event.Time, id ID) bool {
 	p := n.progress[id]
-	return p != nil && p.match >= n.commit && p.heard && now.Sub(p.answered) < ElectionMin
+	return p != nil && p.match >= n.commit && p.hasAnswered && now.Sub(p.lastAnswered) < ElectionMin
 }
 
-// deadVoter returns a voter that has not answered for the limits' time; empty if
-// all did, or if none has to be replaced.
-func (n *Node) deadVoter(now event.Time) ID {
-	if n.limits.DeadAfter == 0 || now.Sub(n.ledSince) < n.limits.DeadAfter {
+// unreachableVoter returns a voter that has not answered for ReplaceAfter; empty if there is none
+// or replacement is off.
+func (n *Node) unreachableVoter(now event.Time) ID {
+	if n.limits.DeadAfter == 0 || now.Sub(n.leaderSince) < n.limits.DeadAfter {
 		return ""
 	}
 	for _, v := range n.members.Voters {
@@ -91,15 +90,15 @@
 		if v.ID == n.id || p == nil {
 			continue
 		}
-		if now.Sub(max(p.answered, n.ledSince)) > n.limits.DeadAfter {
+		if now.Sub(max(p.lastAnswered, n.leaderSince)) > n.limits.DeadAfter {
 			return v.ID
 		}
 	}
 	return ""
 }
 
-// lifeOf returns the member of a list that is a life of a box; empty if none is.
-func lifeOf(list []Member, box event.BoxID) ID {
+// memberOfBox returns the member of list that is an incarnation of box; empty if there is none.
+func memberOfBox(list []Member, box event.BoxID) ID {
 	for _, m := range list {
 		if m.ID.Box() == box {
 			return m.ID
@@ -108,7 +107,7 @@
 	return ""
 }
 
-// withoutBox returns list less the lives of a box.
+// withoutBox returns a copy of list without any incarnation of box.
 func withoutBox(list []Member, box event.BoxID) []Member {
 	return slices.DeleteFunc(slices.Clone(list), func(m Member) bool { return m.ID.Box() == box })
 }
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -12,45 +12,44 @@
 	"lynxramp.org/event"
 )
 
-// Times of the group. ElectionMin is also the length of a leader's lease, less
-// LeaseMargin for clocks that run at unlike rates.
+// Timeouts of the group. MinElectionTimeout, less LeaseMargin for differences in clock rate, is also
+// the length of a leader's lease.
 const (
 	ElectionMin    = 400 * event.Millisecond
 	ElectionSpread = 250 * event.Millisecond
 	HeartbeatEvery = 120 * event.Millisecond
 	LeaseMargin    = 60 * event.Millisecond
-	// silentAfter is after how long without a reply nothing is taken to be on its way to a
-	// member: twice what ends a lease.
-	silentAfter = 2 * ElectionMin
+	// unreachableAfter is how long a member may go without a reply before its messages no longer
+	// count as in flight: twice the time that ends a lease.
+	unreachableAfter = 2 * ElectionMin
 )
 
-// maxEntries is the most entries in a message.
+// maxEntries is the maximum number of entries in a message.
 const maxEntries = 256
 
-// bounds are of messages and of the log, in bytes where nothing else is said.
+// bounds limits messages and the log, in bytes unless noted.
 type bounds struct {
-	// message bounds the entries, or the piece of a snapshot, in a message; an entry that is
-	// larger goes by itself. flying bounds them in the messages to all members together.
-	message, flying int
-	// unsaved bounds what a member with a slow disk is sent ahead of it.
+	// message bounds the entries or the snapshot chunk in a message; a larger entry goes alone.
+	// inFlight bounds the sum over the messages to all members.
+	message, inFlight int
+	// unsaved bounds what a member is sent beyond what it has saved.
 	unsaved int
-	// keepEntries (a number) and keepBytes bound what stays of the log behind a snapshot.
+	// keepEntries (a count) and keepBytes bound the log that is kept behind a snapshot.
 	keepEntries, keepBytes int
 }
 
-// usualBounds: 128 kB take 105 ms out of a box with 10 Mbit/s, so that heartbeats behind them
-// still come back within the lease.
-var usualBounds = bounds{message: 32 << 10, flying: 128 << 10, unsaved: 1 << 20, keepEntries: 8192, keepBytes: 16 << 20}
+// defaultBounds keeps the data in flight to 128 kB, about 105 ms on a 10 Mbit/s link, so that
+// heartbeats queued behind it return within the lease.
+var defaultBounds = bounds{message: 32 << 10, inFlight: 128 << 10, unsaved: 1 << 20, keepEntries: 8192, keepBytes: 16 << 20}
 
-// Errors of proposals.
 var (
-	// ErrNotLeader says that another member, or none, leads.
-	ErrNotLeader = errors.New("this box does not lead the control group")
-	// ErrBusy says that a change of members is under way.
-	ErrBusy = errors.New("a change of members is under way")
+	// ErrNotLeader says that another member leads, or none.
+	ErrNotLeader = errors.New("this box is not the leader of the control group")
+	// ErrBusy says that a membership change is in progress.
+	ErrBusy = errors.New("a membership change is in progress")
 )
 
-// role is a member's part in its term.
+// role is a member's role in its term.
 type role uint8
 
 const (
@@ -60,7 +59,7 @@
 	leader
 )
 
-// Restored is what a member's disk holds.
+// PersistentState is what a member reads from its disk at the start.
 type Restored struct {
 	HardState HardState
 	Snapshot  Snapshot
@@ -76,70 +75,69 @@
 	savedHS  HardState
 	log      raftLog
 	snapshot Snapshot
-	saved    Index // the last entry that is on disk
+	saved    Index // last entry on disk
 	commit   Index
 	applied  Index
 
 	role    role
 	leader  ID
 	members Membership
-	// membersAt is the index of the entry that brought members.
-	membersAt Index
-
-	heard     event.Time // when a leader was last heard
-	deadline  event.Time // of the next election
-	votes     map[ID]bool
-	progress  map[ID]*progress
-	turn      int   // of the members to be sent something first
-	firstOwn  Index // the leader's first entry of its term
-	ledSince  event.Time
-	transfer  ID
-	transferT event.Time
-	joins     []Member // boxes that ask to become members
-	limits    Limits
-	bounds    bounds
-	// agreed is up to where the log is that of the leader of agreedTerm.
-	agreed     Index
-	agreedTerm Term
-	incoming   *incoming // nil if no snapshot is coming
-	forms      map[event.BoxID]Forms
-	usualForms Forms
+	// membersIndex is the index of the entry that set members.
+	membersIndex Index
+
+	lastContact      event.Time // last message from a leader
+	electionDeadline event.Time
+	votes            map[ID]bool
+	progress         map[ID]*progress
+	rotation         int   // offset of the member that is sent to first
+	termStart        Index // the leader's first entry of its term
+	leaderSince      event.Time
+	transferee       ID
+	transferStart    event.Time
+	joinRequests     []Member // boxes that asked to become members
+	limits           Limits
+	bounds           bounds
+	// The log up to matched equals that of the leader of matchedTerm.
+	matched     Index
+	matchedTerm Term
+	incoming    *incomingSnapshot // nil unless a snapshot is being received
+	peerModes   map[event.BoxID]Forms
+	defaultMode Forms
 }
 
-// Limits bound how the members change by themselves. The zero value lets every
-// box that joins become a voter and replaces none.
+// MembershipLimits restricts automatic membership changes. The zero value makes every joining box a
+// voter and replaces no voter.
 type Limits struct {
-	// Voters is the most voters that joining boxes make; 0 is no limit.
+	// MaxVoters is the number of voters up to which joining boxes become voters; 0 means no limit.
 	Voters int
-	// DeadAfter is how long a voter may be silent before a joined box takes its
-	// place; 0 is for ever.
+	// ReplaceAfter is how long a voter may be unreachable before a joining box replaces it; 0 means
+	// for ever.
 	DeadAfter event.Span
 }
 
-// SetLimits bounds the changes of members from now on.
+// SetLimits sets the limits of later membership changes.
 func (n *Node) SetLimits(l Limits) { n.limits = l }
 
-// HeardLeader returns when a leader was last heard, or the time of the start.
-func (n *Node) HeardLeader() event.Time { return n.heard }
+// LastLeaderContact returns when the last message from a leader arrived, or the time of the start.
+func (n *Node) HeardLeader() event.Time { return n.lastContact }
 
-// IsVoter reports whether this member has a vote, by all it knows.
+// IsVoter reports whether this member has a vote, by the newest membership that it knows.
 func (n *Node) IsVoter() bool { return n.members.isVoter(n.id) }
 
-// New returns a member that starts with what its disk holds. Right after a
-// start it refuses votes for ElectionMin: it may have answered a heartbeat just
-// before, and a lease rests on that.
+// New returns a member that starts from its saved state. It refuses votes for MinElectionTimeout
+// after the start: it may have answered a heartbeat just before, and a lease may rely on that.
 func New(now event.Time, id ID, r Restored, seed uint64) *Node {
 	n := &Node{
-		id:       id,
-		random:   rand.New(rand.NewPCG(seed, 1)),
-		hard:     r.HardState,
-		savedHS:  r.HardState,
-		snapshot: r.Snapshot,
-		log:      raftLog{base: r.Snapshot.Index, baseTerm: r.Snapshot.Term, entries: r.Entries},
-		commit:   r.Snapshot.Index,
-		applied:  r.Snapshot.Index,
-		heard:    now,
-		bounds:   usualBounds,
+		id:          id,
+		random:      rand.New(rand.NewPCG(seed, 1)),
+		hard:        r.HardState,
+		savedHS:     r.HardState,
+		snapshot:    r.Snapshot,
+		log:         raftLog{base: r.Snapshot.Index, baseTerm: r.Snapshot.Term, entries: r.Entries},
+		commit:      r.Snapshot.Index,
+		applied:     r.Snapshot.Index,
+		lastContact: now,
+		bounds:      defaultBounds,
 	}
 	n.saved = n.log.last()
 	n.loadMembers()
@@ -147,66 +145,65 @@
 	return n
 }
 
-// loadMembers takes the newest membership in the log, committed or not.
+// loadMembers sets the newest membership in the log, committed or not.
 func (n *Node) loadMembers() {
 	n.members = n.snapshot.Members
-	n.membersAt = n.snapshot.Index
+	n.membersIndex = n.snapshot.Index
 	for i := len(n.log.entries) - 1; i >= 0; i-- {
 		e := n.log.entries[i]
-		if m, ok := membersIn(n.log.entries[i : i+1]); ok && e.Index > n.snapshot.Index {
+		if m, ok := lastMembership(n.log.entries[i : i+1]); ok && e.Index > n.snapshot.Index {
 			n.members = m
-			n.membersAt = e.Index
+			n.membersIndex = e.Index
 			return
 		}
 	}
 }
 
-// ID returns the member that this is.
+// ID returns the ID of this member.
 func (n *Node) ID() ID { return n.id }
 
-// Term returns the present term.
+// Term returns the current term.
 func (n *Node) Term() Term { return n.hard.Term }
 
-// Leader returns the member that leads, as far as is known; empty if none is.
+// Leader returns the known leader; empty if there is none.
 func (n *Node) Leader() ID { return n.leader }
 
-// Members returns who takes part.
+// Members returns the newest membership, committed or not.
 func (n *Node) Members() Membership { return n.members }
 
-// Applied returns the index of the last entry that was handed out to be applied.
+// Applied returns the index of the last entry that was returned in Ready.Committed.
 func (n *Node) Applied() Index { return n.applied }
 
-// Leads reports whether this member leads and has an entry of its term
-// committed, so that it knows all that was ever committed.
-func (n *Node) Leads() bool { return n.role == leader && n.commit >= n.firstOwn }
+// IsLeader reports whether this member is the leader and has committed an entry of its own term, so
+// that its log holds everything that was ever committed.
+func (n *Node) Leads() bool { return n.role == leader && n.commit >= n.termStart }
 
-// LogBytes returns how many bytes the commands of the log take in memory.
+// LogBytes returns the length of the data of all entries in memory.
 func (n *Node) LogBytes() int { return bytesOf(n.log.entries) }
 
-// HasLease reports whether no other leader can exist at now. While it is true,
-// what this member has applied is the newest.
+// HasLease reports whether no other leader can exist at now. While it is true, this member's
+// applied state is current.
 func (n *Node) HasLease(now event.Time) bool {
-	return n.Leads() && n.transfer == "" && now < n.leaseEnd(now)
+	return n.Leads() && n.transferee == "" && now < n.leaseEnd(now)
 }
 
-// HandsOver reports whether this member is handing its lead to another.
-func (n *Node) HandsOver() bool { return n.transfer != "" }
+// IsTransferring reports whether this member is transferring its leadership.
+func (n *Node) HandsOver() bool { return n.transferee != "" }
 
-// LeaseEnd returns when the lease of a leader is over, as far as is known at now.
+// LeaseEnd returns when the leader's lease ends, as known at now.
 func (n *Node) LeaseEnd(now event.Time) event.Time { return n.leaseEnd(now) }
 
-// leaseEnd returns when the lease is over, by the heartbeats that a quorum
-// answered.
+// leaseEnd returns when the lease ends, based on the heartbeats that a quorum answered.
 func (n *Node) leaseEnd(now event.Time) event.Time {
 	times := make([]event.Time, 0, len(n.members.Voters))
 	for _, m := range n.members.Voters {
 		switch p := n.progress[m.ID]; {
 		case m.ID == n.id:
 			times = append(times, now)
-		case p != nil && p.heard:
-			times = append(times, p.answered)
+		case p != nil && p.hasAnswered:
+			times = append(times, p.lastAnswered)
 		default:
-			times = append(times, n.ledSince-event.Time(ElectionMin))
+			times = append(times, n.leaderSince-event.Time(ElectionMin))
 		}
 	}
 	return quorumOf(times).Add(ElectionMin - LeaseMargin)
@@ -221,19 +218,19 @@
 	return values[(len(values)-1)/2]
 }
 
-// Tick tells the node that time passed.
+// Tick does what is due at now: elections, heartbeats, retries.
 func (n *Node) Tick(now event.Time, out *Ready) {
 	defer n.finish(out)
 	if n.role == leader {
 		n.tickLeader(now, out)
 		return
 	}
-	if now >= n.deadline && n.members.isVoter(n.id) {
+	if now >= n.electionDeadline && n.members.isVoter(n.id) {
 		n.startPreVote(now, out)
 	}
 }
 
-// Step takes one message.
+// Step applies one received message.
 func (n *Node) Step(now event.Time, m Message, out *Ready) {
 	defer n.finish(out)
 	n.checkQuorum(now)
@@ -241,7 +238,7 @@
 		return
 	}
 	if m.Term > n.hard.Term && !n.keepsTerm(now, m) {
-		n.follow(now, m.Term, "")
+		n.becomeFollower(now, m.Term, "")
 	}
 	if m.Kind.isReply() {
 		if m.Term == n.hard.Term || m.Kind == KindPreVoteReply {
@@ -256,9 +253,8 @@
 	n.stepRequest(now, m, out)
 }
 
-// keepsTerm reports whether a message of a later term is to be judged without
-// going to that term: a pre-vote is only a question, and a vote does not count
-// while a leader is heard.
+// keepsTerm reports whether a message of a later term is handled without entering that term: a
+// pre-vote changes no state, and a vote request is refused while there is a leader.
 func (n *Node) keepsTerm(now event.Time, m Message) bool {
 	switch m.Kind {
 	case KindPreVote:
@@ -266,30 +262,29 @@
 	case KindPreVoteReply:
 		return m.Granted
 	case KindVote:
-		return !m.Forced && n.hearsLeader(now)
+		return !m.Forced && n.hasRecentLeader(now)
 	}
 	return false
 }
 
-// hearsLeader reports whether a leader may hold a lease that rests on this
-// member.
-func (n *Node) hearsLeader(now event.Time) bool {
-	return n.role == leader || now.Sub(n.heard) < ElectionMin
+// hasRecentLeader reports whether a leader may hold a lease that relies on this member.
+func (n *Node) hasRecentLeader(now event.Time) bool {
+	return n.role == leader || now.Sub(n.lastContact) < ElectionMin
 }
 
 func (n *Node) stepRequest(now event.Time, m Message, out *Ready) {
 	switch m.Kind {
 	case KindPreVote:
-		ok := m.Term > n.hard.Term && !n.hearsLeader(now) && n.log.isNewer(m.Index, m.LogTerm)
+		ok := m.Term > n.hard.Term && !n.hasRecentLeader(now) && n.log.isUpToDate(m.Index, m.LogTerm)
 		n.reply(m, Message{Granted: ok}, out)
 	case KindVote:
-		n.vote(now, m, out)
+		n.answerVote(now, m, out)
 	case KindAppend:
-		n.follow(now, m.Term, m.From)
-		n.append(m, out)
+		n.becomeFollower(now, m.Term, m.From)
+		n.receiveAppend(m, out)
 	case KindSnapshot:
-		n.follow(now, m.Term, m.From)
-		n.takePiece(m, out)
+		n.becomeFollower(now, m.Term, m.From)
+		n.receiveChunk(m, out)
 	case KindTimeoutNow:
 		n.reply(m, Message{Granted: true}, out)
 		if n.members.isVoter(n.id) {
@@ -304,17 +299,17 @@
 		n.countVote(now, m, out)
 	case KindAppendReply, KindSnapshotReply:
 		if n.role == leader {
-			n.appended(now, m, out)
+			n.receiveAppendReply(now, m, out)
 		}
 	}
 }
 
-// reply answers a request. It is sent after all that is to be saved.
+// reply answers a request after the pending save.
 func (n *Node) reply(to, with Message, out *Ready) {
 	out.Messages = append(out.Messages, n.makeReply(to, with))
 }
 
-// makeReply returns with as the reply to a request.
+// makeReply fills in with as the reply to a request.
 func (n *Node) makeReply(to, with Message) Message {
 	with.Kind = to.Kind.reply()
 	with.From, with.To = n.id, to.From
@@ -327,47 +322,47 @@
 	return with
 }
 
-// Saved tells the node that its log is on disk up to the entry (index, term).
+// Saved says that the log is on disk up to the entry (index, term).
 func (n *Node) Saved(now event.Time, index Index, term Term, out *Ready) {
 	defer n.finish(out)
 	if t, ok := n.log.term(index); ok && t == term {
 		n.saved = max(n.saved, index)
 	}
 	if n.role == leader {
-		n.advance(now, out)
+		n.advanceCommit(now, out)
 	}
 }
 
-// Propose adds a command to the log of the leader and returns its index.
+// Propose appends a command to the leader's log and returns its index.
 func (n *Node) Propose(now event.Time, data []byte, out *Ready) (Index, error) {
 	defer n.finish(out)
 	if !n.HasLease(now) {
 		return 0, ErrNotLeader
 	}
-	i := n.add(EntryCommand, data, out)
+	i := n.appendEntry(EntryCommand, data, out)
 	n.sendAll(now, out)
 	return i, nil
 }
 
-// add appends an entry of the present term.
-func (n *Node) add(kind EntryKind, data []byte, out *Ready) Index {
+// appendEntry appends an entry of the current term.
+func (n *Node) appendEntry(kind EntryKind, data []byte, out *Ready) Index {
 	e := Entry{Index: n.log.last() + 1, Term: n.hard.Term, Kind: kind, Data: data}
 	n.log.entries = append(n.log.entries, e)
 	out.Entries = append(out.Entries, e)
 	return e.Index
 }
 
-// Compact takes a snapshot of the state machine as it was when an entry was applied. The
-// carrier saves it. What the log has since the snapshot before this one stays, within bounds: a
-// member that is being sent that one goes on from there. Members that take snapshots at the same
-// entries go on with each other's transfers.
+// Compact sets a snapshot of the state machine as of entry at, which the caller saves. The entries
+// since the previous snapshot are kept, within bounds, so that a member that is receiving the
+// previous snapshot can continue from there. Members that snapshot at the same index can continue
+// each other's transfers.
 func (n *Node) Compact(at Index, data []byte, out *Ready) {
 	t, ok := n.log.term(at)
 	if !ok || at <= n.snapshot.Index || at > n.applied {
 		return
 	}
 	members := n.snapshot.Members
-	if m, ok := membersIn(n.log.from(n.log.base+1, int(at-n.log.base))); ok {
+	if m, ok := lastMembership(n.log.entriesFrom(n.log.base+1, int(at-n.log.base))); ok {
 		members = m
 	}
 	kept := n.log.tail(at, n.bounds.keepEntries, n.bounds.keepBytes)
@@ -375,10 +370,10 @@
 	n.snapshot = Snapshot{Index: at, Term: t, Members: members, Data: data}
 	s := n.snapshot
 	out.Snapshot = &s
-	out.Entries = append([]Entry(nil), n.log.from(at+1, int(n.log.last()-at))...)
+	out.Entries = append([]Entry(nil), n.log.entriesFrom(at+1, int(n.log.last()-at))...)
 }
 
-// finish hands out what changed in a step.
+// finish adds the changed hard state and the newly committed entries to out.
 func (n *Node) finish(out *Ready) {
 	if n.hard != n.savedHS {
 		hs := n.hard
@@ -386,7 +381,7 @@
 		n.savedHS = hs
 	}
 	for n.applied < n.commit {
-		part := n.log.from(n.applied+1, int(n.commit-n.applied))
+		part := n.log.entriesFrom(n.applied+1, int(n.commit-n.applied))
 		if len(part) == 0 {
 			return
 		}
--- a/consensus/node_test.go
+++ b/consensus/node_test.go
@@ -9,9 +9,8 @@
 	"lynxramp.org/event"
 )
 
-// TestLeaderCountsOnlySaved checks that an entry is not committed on a quorum
-// that includes a leader which has not saved it.
-func TestLeaderCountsOnlySaved(t *testing.T) {
+// A leader must not count its own copy of an entry towards a commit before it has saved it.
+func TestLeaderCommitsOnlySavedEntries(t *testing.T) {
 	voters := []Member{{ID: MakeID("a", 1)}, {ID: MakeID("b", 1)}, {ID: MakeID("c", 1)}}
 	restored := Restored{Snapshot: Snapshot{Index: 1, Members: Membership{Voters: voters}}}
 	a := New(0, voters[0].ID, restored, 1)
@@ -24,7 +23,7 @@
 	last := out.Entries[len(out.Entries)-1]
 	a.Step(now, Message{Kind: KindAppendReply, From: voters[1].ID, To: a.ID(), Term: 1, Granted: true, Index: last.Index, SentAt: now}, &out)
 	if a.HasLease(now) || a.commit >= last.Index {
-		t.Errorf("committed %d on one saved copy of three", a.commit)
+		t.Errorf("committed entry %d with one saved copy of three", a.commit)
 	}
 	a.Saved(now, last.Index, last.Term, &out)
 	if !a.HasLease(now) || a.commit != last.Index {
@@ -32,83 +31,82 @@
 	}
 }
 
-// newFollower returns a node that has heard of no leader yet, and the one that will lead it.
+// newFollower returns a node that has no leader yet, and the ID of the member that will lead it.
 func newFollower() (*Node, ID) {
 	voters := []Member{{ID: MakeID("a", 1)}, {ID: MakeID("b", 1)}, {ID: MakeID("c", 1)}}
 	restored := Restored{Snapshot: Snapshot{Index: 1, Members: Membership{Voters: voters}}}
 	return New(0, voters[1].ID, restored, 1), voters[0].ID
 }
 
-// claims returns the entry up to which the first of some messages says that all is saved.
-func claims(t *testing.T, messages []Message) Index {
+// ackedIndex returns the index up to which the first of messages acknowledges saved entries.
+func ackedIndex(t *testing.T, messages []Message) Index {
 	t.Helper()
 	if len(messages) == 0 || !messages[0].Granted {
-		t.Fatalf("%+v, want a reply that agrees", messages)
+		t.Fatalf("%+v, want an accepting reply", messages)
 	}
 	return messages[0].Index
 }
 
-// TestReceiptClaimsOnlyWhatIsSaved: a receipt goes out before the disk has what it is for, so
-// that a slow disk costs no lease. It must not count towards a commit.
-func TestReceiptClaimsOnlyWhatIsSaved(t *testing.T) {
+// An immediate reply is sent before the save, so that a slow disk does not cost the lease. It must
+// not count towards a commit.
+func TestImmediateReplyAcksOnlySavedEntries(t *testing.T) {
 	b, leader := newFollower()
 	m := Message{Kind: KindAppend, From: leader, To: b.ID(), Term: 1, Seq: 1, Index: 1, Entries: []Entry{{Index: 2, Term: 1}}}
 	var out Ready
 	b.Step(0, m, &out)
-	if got := claims(t, out.Early); got != 1 {
-		t.Errorf("the receipt claims entry %d, want 1", got)
+	if got := ackedIndex(t, out.Early); got != 1 {
+		t.Errorf("the immediate reply acknowledges entry %d, want 1", got)
 	}
-	if got := claims(t, out.Messages); got != 2 {
-		t.Errorf("the reply after the save claims entry %d, want 2", got)
+	if got := ackedIndex(t, out.Messages); got != 2 {
+		t.Errorf("the reply after the save acknowledges entry %d, want 2", got)
 	}
 	heartbeat := Message{Kind: KindAppend, From: leader, To: b.ID(), Term: 1, Seq: 2, Index: 2, LogTerm: 1}
 	for _, want := range []Index{1, 2} {
 		out.Reset()
 		b.Step(0, heartbeat, &out)
-		if got := claims(t, out.Early); got != want {
-			t.Errorf("the receipt of a heartbeat claims entry %d, want %d", got, want)
+		if got := ackedIndex(t, out.Early); got != want {
+			t.Errorf("the reply to a heartbeat acknowledges entry %d, want %d", got, want)
 		}
 		b.Saved(0, 2, 1, &out)
 	}
 }
 
-// TestSnapshotCountsOnceItIsSaved: the last piece of a snapshot is confirmed before the disk has
-// it, the snapshot is not.
-func TestSnapshotCountsOnceItIsSaved(t *testing.T) {
+// The last chunk of a snapshot is acknowledged before the save, but the snapshot must not be.
+func TestSnapshotIsAckedOnlyOnceSaved(t *testing.T) {
 	b, leader := newFollower()
 	data := []byte("state")
-	piece := Message{
+	chunk := Message{
 		Kind: KindSnapshot, From: leader, To: b.ID(), Term: 1, Seq: 1, Size: uint64(len(data)),
 		Sum: crc32.Checksum(data, castagnoli), Snapshot: &Snapshot{Index: 9, Term: 1, Data: data},
 	}
 	var out Ready
-	b.Step(0, piece, &out)
-	if got := claims(t, out.Early); got != 0 || out.Early[0].Offset != piece.Size {
-		t.Errorf("the receipt claims entry %d and %d bytes, want 0 and %d", got, out.Early[0].Offset, piece.Size)
+	b.Step(0, chunk, &out)
+	if got := ackedIndex(t, out.Early); got != 0 || out.Early[0].Offset != chunk.Size {
+		t.Errorf("the immediate reply acknowledges entry %d and %d bytes, want 0 and %d", got, out.Early[0].Offset, chunk.Size)
 	}
-	if got := claims(t, out.Messages); got != 9 {
-		t.Errorf("the reply after the save claims entry %d, want 9", got)
+	if got := ackedIndex(t, out.Messages); got != 9 {
+		t.Errorf("the reply after the save acknowledges entry %d, want 9", got)
 	}
 	for _, want := range []Index{0, 9} {
 		out.Reset()
-		b.Step(0, piece, &out)
-		if got := claims(t, out.Early); got != want {
-			t.Errorf("the receipt of a resent piece claims entry %d, want %d", got, want)
+		b.Step(0, chunk, &out)
+		if got := ackedIndex(t, out.Early); got != want {
+			t.Errorf("the reply to a resent chunk acknowledges entry %d, want %d", got, want)
 		}
 		b.Saved(0, 9, 1, &out)
 	}
 }
 
-// TestDamagedSnapshotBeginsAnew: pieces that don't make up the snapshot are dropped.
-func TestDamagedSnapshotBeginsAnew(t *testing.T) {
+// Chunks that fail the checksum are dropped.
+func TestCorruptSnapshotRestartsFromZero(t *testing.T) {
 	b, leader := newFollower()
-	piece := Message{
+	chunk := Message{
 		Kind: KindSnapshot, From: leader, To: b.ID(), Term: 1, Seq: 1, Size: 5, Sum: 1,
 		Snapshot: &Snapshot{Index: 9, Term: 1, Data: []byte("state")},
 	}
 	var out Ready
-	b.Step(0, piece, &out)
+	b.Step(0, chunk, &out)
 	if out.Snapshot != nil || len(out.Early) != 1 || out.Early[0].Granted || out.Early[0].Offset != 0 {
-		t.Errorf("snapshot %v and reply %+v to pieces with a wrong checksum", out.Snapshot, out.Early)
+		t.Errorf("snapshot %v and reply %+v to a chunk with a wrong checksum", out.Snapshot, out.Early)
 	}
 }
--- a/consensus/property_test.go
+++ b/consensus/property_test.go
@@ -14,62 +14,61 @@
 	"lynxramp.org/event"
 )
 
-// tightBounds let a few commands of some 10 bytes be more than a message, and than what stays
-// behind a snapshot, and a snapshot of the tests be several pieces.
-var tightBounds = bounds{message: 25, flying: 50, unsaved: 60, keepEntries: 4, keepBytes: 30}
+// tightBounds makes a few commands exceed a message and the log kept behind a snapshot, and makes
+// snapshots several chunks long.
+var tightBounds = bounds{message: 25, inFlight: 50, unsaved: 60, keepEntries: 4, keepBytes: 30}
 
-// firstSnapshot is after how many commands the first snapshot is due.
+// firstSnapshot is the number of commands before the first snapshot.
 const firstSnapshot = 40
 
-// pieceBytes is what a command adds to a snapshot of the tests.
-const pieceBytes = 9
+// bytesPerCommand is what each command adds to a snapshot.
+const bytesPerCommand = 9
 
-// snapshotOf is the snapshot of a member that has applied commands.
+// snapshotOf returns the snapshot data after the applied commands.
 func snapshotOf(applied []string) []byte {
 	var data []byte
 	for _, command := range applied {
 		sum := fnv.New128()
-		_, _ = sum.Write([]byte(command)) // a hash takes all
-		data = append(data, sum.Sum(nil)[:pieceBytes]...)
+		_, _ = sum.Write([]byte(command)) // never fails
+		data = append(data, sum.Sum(nil)[:bytesPerCommand]...)
 	}
 	return data
 }
 
-// member is a node with a disk that forgets what was not synced.
+// member is a node with a disk that loses what was not synced.
 type member struct {
 	node    *Node
 	id      ID
 	disk    Restored
 	pending []Ready // not yet synced
 	applied []string
-	life    int
+	starts  int
 	frozen  bool
 }
 
-// group is a few members and the messages between them. Anything may happen to
-// the messages and to the members.
+// group is a set of members and the messages between them, with faults in both.
 type group struct {
-	t        *rapid.T
-	now      event.Time
-	members  []*member
-	network  []Message
-	leaders  map[Term]ID
-	chosen   []string // applied by anybody, in order
-	proposed int
-	// installed counts the snapshots that a leader sent and a member took.
+	t         *rapid.T
+	now       event.Time
+	members   []*member
+	network   []Message
+	leaders   map[Term]ID
+	committed []string // applied by any member, in order
+	proposed  int
+	// installed counts the snapshots that were received from a leader.
 	installed int
 	bounds    bounds
-	// doubling lets all members take a snapshot each time the commands are twice as many.
+	// doubling makes each member take a snapshot whenever the number of commands has doubled.
 	doubling bool
-	// wiped is the member that lost its disk, of which there may be one.
-	wiped  *member
-	random *rand.Rand
-	cuts   map[[2]ID]bool // one-way
+	// wiped is the member that lost its disk; at most one does.
+	wiped      *member
+	random     *rand.Rand
+	partitions map[[2]ID]bool // one-way
 }
 
 func newGroup(t *rapid.T, size int) *group {
 	seed := rapid.Uint64().Draw(t, "seed")
-	g := &group{t: t, bounds: tightBounds, leaders: make(map[Term]ID), cuts: make(map[[2]ID]bool), random: rand.New(rand.NewPCG(seed, 2))}
+	g := &group{t: t, bounds: tightBounds, leaders: make(map[Term]ID), partitions: make(map[[2]ID]bool), random: rand.New(rand.NewPCG(seed, 2))}
 	var m Membership
 	for i := range size {
 		m.Voters = append(m.Voters, Member{ID: MakeID(event.BoxID(fmt.Sprint("box", i)), 1)})
@@ -83,11 +82,11 @@
 }
 
 func (g *group) start(b *member) {
-	b.life++
+	b.starts++
 	b.pending = nil
 	b.applied = nil
 	if len(b.disk.Snapshot.Data) > 0 {
-		b.applied = append(b.applied, g.chosen[:len(b.disk.Snapshot.Data)/pieceBytes]...)
+		b.applied = append(b.applied, g.committed[:len(b.disk.Snapshot.Data)/bytesPerCommand]...)
 	}
 	r := b.disk
 	r.Entries = append([]Entry(nil), r.Entries...)
@@ -95,22 +94,22 @@
 	b.node.bounds = g.bounds
 }
 
-// take queues what a step asks for.
-func (g *group) take(b *member, r Ready) {
-	g.takeIn(b, r)
+// enqueue queues the sends and saves of a step and applies its committed entries.
+func (g *group) enqueue(b *member, r Ready) {
+	g.enqueueUnchecked(b, r)
 	g.checkLease()
 }
 
-// takeIn is take without a look at leases: in the middle of what a member is handed out at once it has not applied
-// all that its node has, and nobody can ask it meanwhile.
-func (g *group) takeIn(b *member, r Ready) {
+// enqueueUnchecked skips the lease check: within one Ready the member has not yet applied all that
+// its node committed, and nothing reads its state meanwhile.
+func (g *group) enqueueUnchecked(b *member, r Ready) {
 	g.network = append(g.network, r.Early...)
 	b.pending = append(b.pending, r)
-	if r.Snapshot != nil && len(r.Snapshot.Data)/pieceBytes > len(b.applied) {
+	if r.Snapshot != nil && len(r.Snapshot.Data)/bytesPerCommand > len(b.applied) {
 		g.installed++
-		b.applied = append([]string(nil), g.chosen[:len(r.Snapshot.Data)/pieceBytes]...)
+		b.applied = append([]string(nil), g.committed[:len(r.Snapshot.Data)/bytesPerCommand]...)
 		if !bytes.Equal(r.Snapshot.Data, snapshotOf(b.applied)) {
-			g.t.Fatalf("%s took a snapshot that nobody made", b.id)
+			g.t.Fatalf("%s installed a snapshot that no member made", b.id)
 		}
 	}
 	for _, e := range r.Committed {
@@ -128,7 +127,7 @@
 	}
 }
 
-// compact lets a member take a snapshot at an entry if one is due.
+// compact takes a snapshot at an entry if one is due.
 func (g *group) compact(b *member, at Index) {
 	n := len(b.applied) / firstSnapshot
 	if !g.doubling || n*firstSnapshot != len(b.applied) || n&(n-1) != 0 {
@@ -136,23 +135,23 @@
 	}
 	var out Ready
 	b.node.Compact(at, snapshotOf(b.applied), &out)
-	g.takeIn(b, out)
+	g.enqueueUnchecked(b, out)
 }
 
-// checkApplied fails unless all members apply the same commands in one order.
+// checkApplied fails unless all members apply the same commands in the same order.
 func (g *group) checkApplied(b *member) {
 	i := len(b.applied) - 1
-	if i == len(g.chosen) {
-		g.chosen = append(g.chosen, b.applied[i])
+	if i == len(g.committed) {
+		g.committed = append(g.committed, b.applied[i])
 		return
 	}
-	if i > len(g.chosen) || g.chosen[i] != b.applied[i] {
-		g.t.Fatalf("%s applied %q at place %d, others %q", b.id, b.applied[i], i, g.chosen)
+	if i > len(g.committed) || g.committed[i] != b.applied[i] {
+		g.t.Fatalf("%s applied %q at position %d, the others %q", b.id, b.applied[i], i, g.committed)
 	}
 }
 
-// checkLease fails if two members hold a lease, or if one that holds it has not
-// applied all that anybody has.
+// checkLease fails if two members hold a lease, or if the holder has not applied all that any
+// member has.
 func (g *group) checkLease() {
 	var holder *member
 	for _, b := range g.members {
@@ -160,17 +159,16 @@
 			continue
 		}
 		if holder != nil {
-			g.t.Fatalf("%s and %s hold a lease", holder.id, b.id)
+			g.t.Fatalf("%s and %s both hold a lease", holder.id, b.id)
 		}
 		holder = b
-		if len(b.applied) < len(g.chosen) {
-			g.t.Fatalf("%s holds the lease and has applied %d of %d", b.id, len(b.applied), len(g.chosen))
+		if len(b.applied) < len(g.committed) {
+			g.t.Fatalf("%s holds the lease but has applied only %d of %d commands", b.id, len(b.applied), len(g.committed))
 		}
 	}
 }
 
-// sync puts the oldest pending saves of a member on its disk and sends what
-// waited for that.
+// sync writes a member's pending saves to its disk and sends the messages that waited for them.
 func (g *group) sync(b *member) {
 	pending := b.pending
 	b.pending = nil
@@ -198,7 +196,7 @@
 func (g *group) saved(b *member, index Index, term Term) {
 	var out Ready
 	b.node.Saved(g.now, index, term, &out)
-	g.take(b, out)
+	g.enqueue(b, out)
 }
 
 func (g *group) deliver(i int, keep bool) {
@@ -210,12 +208,12 @@
 		if b.id == m.To && !b.frozen {
 			var out Ready
 			b.node.Step(g.now, m, &out)
-			g.take(b, out)
+			g.enqueue(b, out)
 		}
 	}
 }
 
-// act makes one thing happen, most often that the group can work.
+// act does one random action; most often all members sync and all messages are delivered.
 func (g *group) act() {
 	b := g.members[g.random.IntN(len(g.members))]
 	switch n := g.random.IntN(100); {
@@ -236,12 +234,12 @@
 	case n < 74 && len(g.network) > 0:
 		g.deliver(g.random.IntN(len(g.network)), true)
 	case n < 78:
-		g.start(b) // a crash: what is pending is lost
+		g.start(b) // a crash: pending saves are lost
 	case n < 80:
 		b.frozen = true
 	case n < 84:
 		to := g.members[g.random.IntN(len(g.members))]
-		g.cuts[[2]ID{b.id, to.id}] = true
+		g.partitions[[2]ID{b.id, to.id}] = true
 	case n < 92:
 		for range 1 + g.random.IntN(4) {
 			g.propose(b)
@@ -249,11 +247,11 @@
 	case n < 94:
 		var out Ready
 		b.node.Compact(b.node.Applied(), snapshotOf(b.applied), &out)
-		g.take(b, out)
+		g.enqueue(b, out)
 	case n < 96:
 		var out Ready
 		b.node.Transfer(g.now, nil, &out)
-		g.take(b, out)
+		g.enqueue(b, out)
 	case n < 97:
 		g.now = g.now.Add(event.Span(g.random.Int64N(int64(ElectionMin))))
 	case n < 98:
@@ -267,12 +265,12 @@
 		if !b.frozen {
 			var out Ready
 			b.node.Tick(g.now, &out)
-			g.take(b, out)
+			g.enqueue(b, out)
 		}
 	}
 }
 
-// wipe takes a member's disk; it comes back under another identity.
+// wipe erases a member's disk; the box returns as another member.
 func (g *group) wipe(b *member) {
 	if g.wiped != nil || len(g.members) < 3 {
 		return
@@ -283,27 +281,27 @@
 	g.start(b)
 }
 
-// rejoin lets the member that lost its disk ask to join now and then.
+// rejoin sometimes makes the wiped member ask to join.
 func (g *group) rejoin() {
 	if g.wiped == nil || g.random.IntN(4) != 0 {
 		return
 	}
 	for _, b := range g.members {
 		var out Ready
-		// Only a leader takes it in.
+		// Members other than the leader refuse.
 		_, _ = b.node.Join(g.now, Member{ID: g.wiped.id}, &out)
-		g.take(b, out)
+		g.enqueue(b, out)
 	}
 }
 
-// deliverAll delivers what is under way, but for what is cut off.
+// deliverAll delivers the messages in flight, except on partitioned links.
 func (g *group) deliverAll() {
 	for n := len(g.network); n > 0; n-- {
-		if late := g.network[0]; g.cuts[[2]ID{late.From, late.To}] {
-			// Now and then such a message is only late.
+		if delayed := g.network[0]; g.partitions[[2]ID{delayed.From, delayed.To}] {
+			// Some of these messages are delayed rather than lost.
 			g.network = g.network[1:]
 			if g.random.IntN(4) == 0 {
-				g.network = append(g.network, late)
+				g.network = append(g.network, delayed)
 			}
 			continue
 		}
@@ -311,13 +309,13 @@
 	}
 }
 
-// recover ends freezes and cuts, each after a while.
+// recover ends each freeze and partition after a while.
 func (g *group) recover() {
 	for _, b := range g.members {
 		b.frozen = b.frozen && g.random.IntN(10) != 0
 		for _, to := range g.members {
 			pair := [2]ID{b.id, to.id}
-			g.cuts[pair] = g.cuts[pair] && g.random.IntN(20) != 0
+			g.partitions[pair] = g.partitions[pair] && g.random.IntN(20) != 0
 		}
 	}
 }
@@ -326,14 +324,14 @@
 	var out Ready
 	g.proposed++
 	if _, err := b.node.Propose(g.now, fmt.Appendf(nil, "command %d", g.proposed), &out); err == nil {
-		g.take(b, out)
+		g.enqueue(b, out)
 	}
 }
 
-// TestGroupIsSafe lets everything happen to a group: messages lost, doubled and
-// reordered, crashes that lose what was not synced, a lost disk, freezes, jumps of time,
-// snapshots in pieces and transfers. One leader a term, one lease, one order of commands.
-func TestGroupIsSafe(t *testing.T) {
+// TestGroupSafetyUnderFaults checks for one leader per term, one lease holder and one order of
+// commands under message loss, duplication and reordering, crashes, a lost disk, freezes, clock
+// jumps, chunked snapshots and transfers.
+func TestGroupSafetyUnderFaults(t *testing.T) {
 	installed, commands := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGroup(t, rapid.SampledFrom([]int{1, 2, 3, 3, 5}).Draw(t, "size"))
@@ -341,12 +339,12 @@
 			g.act()
 		}
 		installed += g.installed
-		commands += len(g.chosen)
+		commands += len(g.committed)
 	})
-	t.Logf("%d commands were applied and %d snapshots taken from leaders", commands, installed)
+	t.Logf("%d commands were applied and %d snapshots received from leaders", commands, installed)
 }
 
-// settle lets a group work without faults for a while.
+// settle runs the group without faults for a while.
 func (g *group) settle(span event.Span) {
 	for end := g.now.Add(span); g.now < end; g.now = g.now.Add(20 * event.Millisecond) {
 		for _, b := range g.members {
@@ -355,7 +353,7 @@
 			}
 			var out Ready
 			b.node.Tick(g.now, &out)
-			g.take(b, out)
+			g.enqueue(b, out)
 		}
 		for len(g.network) > 0 || g.pending() {
 			for _, b := range g.members {
@@ -388,9 +386,9 @@
 	return nil
 }
 
-// TestGroupWorks checks that a group without faults elects, commits, hands over
-// and takes a wiped box back in as a voter, under a new identity.
-func TestGroupWorks(t *testing.T) {
+// A group without faults must elect a leader, commit, transfer the leadership, and take a wiped box
+// back as a voter with a new identity.
+func TestHealthyGroupElectsCommitsAndReplacesMember(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGroup(t, 3)
 		g.settle(4 * event.Second)
@@ -402,24 +400,24 @@
 		if _, err := l.node.Propose(g.now, []byte("one"), &out); err != nil {
 			t.Fatal(err)
 		}
-		g.take(l, out)
+		g.enqueue(l, out)
 		g.settle(event.Second)
-		if len(g.chosen) != 1 {
-			t.Fatalf("applied %q", g.chosen)
+		if len(g.committed) != 1 {
+			t.Fatalf("applied %q", g.committed)
 		}
 		var transfer Ready
 		l.node.Transfer(g.now, nil, &transfer)
-		g.take(l, transfer)
+		g.enqueue(l, transfer)
 		g.settle(100 * event.Millisecond)
 		next := g.holder()
 		if next == nil || next == l {
-			t.Fatal("no handover within 100 ms")
+			t.Fatal("no leadership transfer within 100 ms")
 		}
 		g.replace(l, next)
 	})
 }
 
-// replace wipes a box and lets it join again.
+// replace wipes a box and makes it join again.
 func (g *group) replace(b, via *member) {
 	old := b.id
 	b.id = MakeID(old.Box(), 2)
@@ -429,7 +427,7 @@
 		g.settle(100 * event.Millisecond)
 		var out Ready
 		done, err := via.node.Join(g.now, Member{ID: b.id}, &out)
-		g.take(via, out)
+		g.enqueue(via, out)
 		if err != nil {
 			g.t.Fatal(err)
 		}
@@ -441,10 +439,10 @@
 	if m.Has(old) || !m.isVoter(b.id) || len(m.Voters) != 3 {
 		g.t.Fatalf("members after the repair: %+v", m)
 	}
-	// A second loss right after the repair must lose nothing.
+	// The group must survive the loss of another member right after the repair.
 	via.frozen = true
 	g.settle(5 * event.Second)
-	if l := g.holder(); l == nil || len(l.applied) != len(g.chosen) {
-		g.t.Fatalf("after a second loss: leader %v", l)
+	if l := g.holder(); l == nil || len(l.applied) != len(g.committed) {
+		g.t.Fatalf("after the loss of a second member: leader %v", l)
 	}
 }
--- a/consensus/replicate.go
+++ b/consensus/replicate.go
@@ -6,13 +6,13 @@
 	"lynxramp.org/event"
 )
 
-// trackMembers keeps a progress for each other member.
-func (n *Node) trackMembers() {
+// updateProgress adds a progress for each new other member and drops those of removed members.
+func (n *Node) updateProgress() {
 	for _, list := range [...][]Member{n.members.Voters, n.members.Learners} {
 		for _, m := range list {
 			if m.ID != n.id && n.progress[m.ID] == nil {
 				n.progress[m.ID] = &progress{next: n.log.last() + 1}
-				n.setForms(m.ID)
+				n.setProgressMode(m.ID)
 			}
 		}
 	}
@@ -23,51 +23,51 @@
 	}
 }
 
-// Forms says how a box takes what this member sends it. The zero value is that of boxes that read
-// what this build writes.
+// PeerMode restricts what a box is sent. The zero value is for boxes that read all that this build
+// writes.
 type Forms struct {
-	// Whole: it takes a snapshot in one message and numbers no messages.
+	// WholeSnapshots: it takes a snapshot in one message, and does not echo Seq.
 	Whole bool
-	// Ignored: it does not read what the log has, and is sent nothing.
+	// Excluded: it cannot read the log's encoding, and is sent nothing.
 	Ignored bool
-	// Held: it is not known any more what it reads. It is sent heartbeats alone, whose answers come
-	// with that.
+	// HeartbeatsOnly: it is not known any more what it reads. Its answers to heartbeats will say
+	// that.
 	Held bool
 }
 
-// SetForms takes note of how a box takes what it is sent.
+// SetPeerMode sets the mode of a box.
 func (n *Node) SetForms(box event.BoxID, f Forms) {
-	if n.forms == nil {
-		n.forms = make(map[event.BoxID]Forms)
+	if n.peerModes == nil {
+		n.peerModes = make(map[event.BoxID]Forms)
 	}
-	n.forms[box] = f
-	n.setFormsOf(box)
+	n.peerModes[box] = f
+	n.applyPeerMode(box)
 }
 
-// ForgetForms undoes SetForms: the box takes what it is sent as usual boxes do.
+// ClearPeerMode resets a box to the default mode.
 func (n *Node) ForgetForms(box event.BoxID) {
-	delete(n.forms, box)
-	n.setFormsOf(box)
+	delete(n.peerModes, box)
+	n.applyPeerMode(box)
 }
 
-func (n *Node) setFormsOf(box event.BoxID) {
+func (n *Node) applyPeerMode(box event.BoxID) {
 	for id := range n.progress {
 		if id.Box() == box {
-			n.setForms(id)
+			n.setProgressMode(id)
 		}
 	}
 }
 
-// SetUsualForms takes note of how boxes take what they are sent of which SetForms says nothing.
-func (n *Node) SetUsualForms(f Forms) { n.usualForms = f }
+// SetDefaultPeerMode sets the mode of boxes without one of their own.
+func (n *Node) SetUsualForms(f Forms) { n.defaultMode = f }
 
-func (n *Node) setForms(id ID) {
-	f, ok := n.forms[id.Box()]
+func (n *Node) setProgressMode(id ID) {
+	f, ok := n.peerModes[id.Box()]
 	if !ok {
-		f = n.usualForms
+		f = n.defaultMode
 	}
 	p := n.progress[id]
-	p.isWhole, p.isIgnored, p.isHeld = f.Whole, f.Ignored, f.Held
+	p.takesWholeSnapshots, p.isExcluded, p.heartbeatsOnly = f.Whole, f.Ignored, f.Held
 }
 
 func (n *Node) tickLeader(now event.Time, out *Ready) {
@@ -84,103 +84,104 @@
 }
 
 // sendAll sends each member what it lacks, or a heartbeat when it is due. Voters come before
-// learners, as commits rest on them; among themselves they take turns.
+// learners, as commits depend on them; within each list the first one rotates.
 func (n *Node) sendAll(now event.Time, out *Ready) {
-	n.turn++
+	n.rotation++
 	for _, list := range [...][]Member{n.members.Voters, n.members.Learners} {
 		for i := range list {
-			if m := list[(n.turn+i)%len(list)]; m.ID != n.id {
+			if m := list[(n.rotation+i)%len(list)]; m.ID != n.id {
 				n.send(now, m.ID, out)
 			}
 		}
 	}
 }
 
-// hasRoom reports whether what is on its way to other members leaves room for a message. Each of
-// many members takes its part of the leader's link: heartbeats would wait for all of them.
-// What members were sent that are silent by now is not on the link any more.
-func (n *Node) hasRoom(now event.Time, p *progress) bool {
+// hasCapacity reports whether the limit of bytes in flight allows another message to p. All members
+// share the leader's link, and heartbeats queue behind what is on it. Messages to unreachable
+// members do not count.
+func (n *Node) hasCapacity(now event.Time, p *progress) bool {
 	flying := 0
 	for _, other := range n.progress {
-		if other != p && other.isInFlight() && now.Sub(other.answered) < silentAfter {
-			flying += other.flying
+		if other != p && other.isInFlight() && now.Sub(other.lastAnswered) < unreachableAfter {
+			flying += other.inFlight
 		}
 	}
-	return flying == 0 || flying+n.bounds.message <= n.bounds.flying
+	return flying == 0 || flying+n.bounds.message <= n.bounds.inFlight
 }
 
 // send sends a member the next part of what it lacks, or a heartbeat when it is due.
 func (n *Node) send(now event.Time, to ID, out *Ready) {
 	p := n.progress[to]
-	if p.isIgnored {
+	if p.isExcluded {
 		return
 	}
 	m := Message{From: n.id, To: to, Term: n.hard.Term, SentAt: now, Commit: n.commit}
-	bulk := n.fill(now, p, &m)
-	if !bulk && p.sent != 0 && now.Sub(p.sent) < HeartbeatEvery {
+	hasPayload := n.fillMessage(now, p, &m)
+	if !hasPayload && p.lastSent != 0 && now.Sub(p.lastSent) < HeartbeatEvery {
 		return
 	}
 	p.seq++
 	m.Seq = p.seq
-	if p.isWhole {
+	if p.takesWholeSnapshots {
 		m.Token = p.seq
 	}
-	if bulk {
-		p.bulk = p.seq
-		p.flying = m.bytes()
+	if hasPayload {
+		p.payloadSeq = p.seq
+		p.inFlight = m.payloadBytes()
 	}
-	p.sent = now
+	p.lastSent = now
 	out.Early = append(out.Early, m)
 }
 
-// fill makes m the next message of a member. It reports whether it brings anything, or asks from
-// where on the member's log is another; if not, it is a heartbeat, which asks whether all that
-// was sent has come.
-func (n *Node) fill(now event.Time, p *progress, m *Message) bool {
+// fillMessage makes m the next message to a member. It reports whether m carries a payload or
+// probes for the point where the logs diverge; otherwise m is a heartbeat, whose reply says whether
+// all earlier payloads arrived.
+func (n *Node) fillMessage(now event.Time, p *progress, m *Message) bool {
 	before, ok := n.log.term(p.next - 1)
 	if !ok && p.snapshot == nil {
-		p.begin(n.snapshot)
+		p.startSnapshot(n.snapshot)
 	}
 	switch {
-	case p.snapshot != nil && (!p.heard || p.isHeld):
+	case p.snapshot != nil && (!p.hasAnswered || p.heartbeatsOnly):
 		m.Kind = KindAppend // until it is known how the member takes snapshots
 		return false
-	case p.snapshot != nil && p.isWhole:
-		return p.fillWhole(m)
+	case p.snapshot != nil && p.takesWholeSnapshots:
+		return p.fillWholeSnapshot(m)
 	case p.snapshot != nil:
-		return p.fillPiece(m, n.bounds.message, n.hasRoom(now, p))
+		return p.fillChunk(m, n.bounds.message, n.hasCapacity(now, p))
 	}
 	m.Kind = KindAppend
 	m.Index, m.LogTerm = p.next-1, before
-	if p.isHeld || p.isInFlight() || n.unsaved(p) >= n.bounds.unsaved {
+	if p.heartbeatsOnly || p.isInFlight() || n.unsavedBytes(p) >= n.bounds.unsaved {
 		return false
 	}
 	if p.probing {
-		return true // the question alone
+		return true // a probe without entries
 	}
-	if p.next > n.log.last() || !n.hasRoom(now, p) {
+	if p.next > n.log.last() || !n.hasCapacity(now, p) {
 		return false
 	}
-	m.Entries = n.log.part(p.next, maxEntries, n.bounds.message)
+	m.Entries = n.log.batch(p.next, maxEntries, n.bounds.message)
 	p.next += Index(len(m.Entries))
 	return true
 }
 
-// unsaved returns the bytes that a member was sent and has not told to be on its disk.
-func (n *Node) unsaved(p *progress) int {
-	return bytesOf(n.log.from(p.match+1, int(p.next-p.match-1)))
+// unsavedBytes returns the bytes of the entries that a member was sent and has not acknowledged as
+// saved.
+func (n *Node) unsavedBytes(p *progress) int {
+	return bytesOf(n.log.entriesFrom(p.match+1, int(p.next-p.match-1)))
 }
 
-// append takes a leader's entries.
-func (n *Node) append(m Message, out *Ready) {
+// receiveAppend applies an append from the leader.
+func (n *Node) receiveAppend(m Message, out *Ready) {
 	if m.Index < n.log.base {
-		// What lies before the snapshot is committed and so the same.
+		// Entries before the snapshot are committed and therefore equal.
 		skip := min(int(n.log.base-m.Index), len(m.Entries))
 		m.Entries = m.Entries[skip:]
 		m.Index, m.LogTerm = n.log.base, n.log.baseTerm
 	}
 	if t, ok := n.log.term(m.Index); !ok || t != m.LogTerm {
-		n.receipt(m, Message{Index: n.beforeConflict(m.Index)}, out)
+		n.replyImmediately(m, Message{Index: n.conflictHint(m.Index)}, out)
 		return
 	}
 	last := m.Index + Index(len(m.Entries))
@@ -189,17 +190,17 @@
 		if ok && t == e.Term {
 			continue
 		}
-		n.replace(m.Entries[i:], out)
+		n.truncateAndAppend(m.Entries[i:], out)
 		break
 	}
 	n.commit = max(n.commit, min(m.Commit, last))
-	n.agree(last)
+	n.recordMatch(last)
 	n.acknowledge(m, last, 0, len(m.Entries) > 0, out)
 }
 
-// beforeConflict returns where the log may be the leader's, which is not at index i. All entries of
-// the term at i are passed over: one question a term, not one an entry.
-func (n *Node) beforeConflict(i Index) Index {
+// conflictHint returns the index from which the leader should probe when entry i does not match. It
+// skips all entries of that term, so that a probe is needed per term, not per entry.
+func (n *Node) conflictHint(i Index) Index {
 	if i > n.log.last() {
 		return n.log.last()
 	}
@@ -213,65 +214,65 @@
 	return i
 }
 
-// agree takes note that the log is the leader's up to an entry.
-func (n *Node) agree(last Index) {
-	if n.agreedTerm != n.hard.Term {
-		n.agreed, n.agreedTerm = 0, n.hard.Term
+// recordMatch records that the log matches the leader's up to an entry.
+func (n *Node) recordMatch(last Index) {
+	if n.matchedTerm != n.hard.Term {
+		n.matched, n.matchedTerm = 0, n.hard.Term
 	}
-	n.agreed = max(n.agreed, last, n.commit)
+	n.matched = max(n.matched, last, n.commit)
 }
 
-// acknowledge answers a message that agrees with the log up to an entry. The receipt says what
-// is on disk by now and does not wait for the disk, so that a slow one costs no lease and the
-// leader sends on. What the message brought is acknowledged by itself once it is saved.
-func (n *Node) acknowledge(m Message, last Index, offset uint64, brings bool, out *Ready) {
-	if !m.takesOneReply() {
-		n.receipt(m, Message{Granted: true, Index: min(n.saved, n.agreed), Offset: offset}, out)
-	}
-	if brings || m.takesOneReply() {
+// acknowledge answers a message whose log matches up to last. The immediate reply says what is on
+// disk now; it does not wait for the disk, so that a slow disk neither ends the lease nor stalls
+// the leader. A payload is acknowledged by a second reply once it is saved.
+func (n *Node) acknowledge(m Message, last Index, offset uint64, hasPayload bool, out *Ready) {
+	if !m.expectsSingleReply() {
+		n.replyImmediately(m, Message{Granted: true, Index: min(n.saved, n.matched), Offset: offset}, out)
+	}
+	if hasPayload || m.expectsSingleReply() {
 		n.reply(m, Message{Granted: true, Index: last, Offset: offset}, out)
 	}
 }
 
-// receipt answers a message that has nothing to be saved, or does not wait for that. The one
-// reply that a carrier with tokens takes goes the usual way.
-func (n *Node) receipt(m, with Message, out *Ready) {
-	if m.takesOneReply() {
+// replyImmediately answers a message without waiting for a save. If the sender takes only one
+// reply, it is sent in the usual order.
+func (n *Node) replyImmediately(m, with Message, out *Ready) {
+	if m.expectsSingleReply() {
 		n.reply(m, with, out)
 		return
 	}
 	out.Early = append(out.Early, n.makeReply(m, with))
 }
 
-// replace puts entries in place of all from the first one's index on.
-func (n *Node) replace(entries []Entry, out *Ready) {
+// truncateAndAppend replaces all entries from the first one's index on.
+func (n *Node) truncateAndAppend(entries []Entry, out *Ready) {
 	first := entries[0].Index
 	cut := first <= n.log.last()
-	n.log.cut(first)
+	n.log.truncate(first)
 	n.log.entries = append(n.log.entries, entries...)
 	n.saved = min(n.saved, first-1)
 	out.Entries = append(out.Entries, entries...)
-	if _, ok := membersIn(entries); ok || (cut && first <= n.membersAt) {
+	if _, ok := lastMembership(entries); ok || (cut && first <= n.membersIndex) {
 		n.loadMembers()
 	}
 }
 
-// appended takes the reply to an append or to a snapshot's piece.
-func (n *Node) appended(now event.Time, m Message, out *Ready) {
+// receiveAppendReply applies the reply to an append or to a snapshot chunk.
+func (n *Node) receiveAppendReply(now event.Time, m Message, out *Ready) {
 	p := n.progress[m.From]
 	if p == nil {
 		return
 	}
-	p.heard = true
-	p.answered = max(p.answered, m.SentAt)
-	p.seen = max(p.seen, m.number())
-	// A connection keeps the order: a reply to the last part, or to a heartbeat after it, says
-	// what came of all parts. An earlier one does not.
-	isNews := m.number() >= p.bulk
+	p.hasAnswered = true
+	p.lastAnswered = max(p.lastAnswered, m.SentAt)
+	p.answeredSeq = max(p.answeredSeq, m.replyNumber())
+	// Connections keep the order: a reply to the last payload or to a later heartbeat says what
+	// became of all payloads. An earlier reply does not.
+	isCurrent := m.replyNumber() >= p.payloadSeq
 	switch {
-	case m.Kind == KindSnapshotReply && p.snapshot != nil && p.sum == m.Sum && isNews:
-		p.place(m.Offset, n.snapshot)
-	case m.Kind == KindAppendReply && isNews:
+	case m.Kind == KindSnapshotReply && p.snapshot != nil && p.sum == m.Sum && isCurrent:
+		p.resumeSnapshot(m.Offset, n.snapshot)
+	case m.Kind == KindAppendReply && isCurrent:
 		p.probing = !m.Granted
 		if p.probing {
 			p.next = max(p.match+1, min(p.next-1, m.Index+1))
@@ -285,15 +286,15 @@
 		p.snapshot = nil
 		p.next = p.match + 1
 	}
-	n.advance(now, out)
+	n.advanceCommit(now, out)
 	n.tryTransfer(now, out)
 	if n.role == leader {
 		n.sendAll(now, out)
 	}
 }
 
-// advance commits what a quorum has saved.
-func (n *Node) advance(now event.Time, out *Ready) {
+// advanceCommit commits what a quorum has saved.
+func (n *Node) advanceCommit(now event.Time, out *Ready) {
 	matches := make([]Index, 0, len(n.members.Voters))
 	for _, m := range n.members.Voters {
 		switch p := n.progress[m.ID]; {
@@ -312,9 +313,9 @@
 	}
 }
 
-// stepDownIfRemoved ends the leadership of a member that is no voter any more.
+// stepDownIfRemoved makes a leader step down once its removal as a voter is committed.
 func (n *Node) stepDownIfRemoved(now event.Time) {
-	if n.commit >= n.membersAt && !n.members.isVoter(n.id) {
-		n.follow(now, n.hard.Term, "")
+	if n.commit >= n.membersIndex && !n.members.isVoter(n.id) {
+		n.becomeFollower(now, n.hard.Term, "")
 	}
 }
--- a/consensus/replicate_test.go
+++ b/consensus/replicate_test.go
@@ -8,17 +8,16 @@
 	"lynxramp.org/event"
 )
 
-// pair is a leader and a follower with a perfect connection and disks, and a third member that is
-// gone.
+// pair is a leader and a follower with reliable connections and disks; a third voter is down.
 type pair struct {
 	leader, follower *Node
 	now              event.Time
-	// rounds counts the messages of the leader, entries and refused what they brought in all
-	// and what of it was refused.
+	// rounds counts the leader's messages, entries the entries in them, and refused the entries
+	// that the follower rejected.
 	rounds, entries, refused int
 }
 
-// newPair starts a pair with logs of commands, and lets the first win an election in term 9.
+// newPair starts a pair with the given logs and makes the first member win an election in term 9.
 func newPair(t *testing.T, leaderLog, followerLog []Entry) *pair {
 	t.Helper()
 	voters := []Member{{ID: MakeID("a", 1)}, {ID: MakeID("b", 1)}, {ID: MakeID("c", 1)}}
@@ -35,14 +34,13 @@
 		p.leader.Step(p.now, Message{Kind: kind, From: voters[2].ID, To: p.leader.ID(), Term: 9, Granted: true}, &out)
 	}
 	if p.leader.role != leader {
-		t.Fatal("the first member does not lead")
+		t.Fatal("the first member is not the leader")
 	}
 	p.exchange(out.Early)
 	return p
 }
 
-// exchange delivers what the leader sends to the follower, and its replies, until nothing more
-// comes of it.
+// exchange delivers the leader's messages and the follower's replies until none are left.
 func (p *pair) exchange(messages []Message) {
 	for len(messages) > 0 && p.rounds < 1000 {
 		m := messages[0]
@@ -67,7 +65,7 @@
 	}
 }
 
-// logOf returns count entries from index 2 on, of a term.
+// logOf returns count entries of a term, from index 2 on.
 func logOf(term Term, count int) []Entry {
 	var list []Entry
 	for i := range count {
@@ -76,10 +74,9 @@
 	return list
 }
 
-// TestConflictIsFoundInFewSteps: a member that has parts of a large configuration which were never
-// committed was asked for each of them in turn, with up to a message of entries in vain each
-// time.
-func TestConflictIsFoundInFewSteps(t *testing.T) {
+// The leader must find the point where a follower's uncommitted entries diverge with one probe per
+// term. Probing entry by entry wastes a message of entries each time.
+func TestConflictIsFoundOneTermPerProbe(t *testing.T) {
 	shared := logOf(1, 50)
 	leaderLog := append(shared[:50:50], logOf(4, 300)[50:]...)
 	followerLog := append(shared[:50:50], logOf(3, 200)[50:]...)
@@ -87,11 +84,11 @@
 	if got, want := p.follower.log.last(), p.leader.log.last(); got != want || p.follower.log.lastTerm() != 9 {
 		t.Fatalf("the follower's log ends at %d, want %d", got, want)
 	}
-	if p.refused > 1 { // the leader's first entry goes with its first question
-		t.Errorf("%d entries were sent in vain", p.refused)
+	if p.refused > 1 { // the leader's first entry is sent with its first probe
+		t.Errorf("%d entries were sent and rejected", p.refused)
 	}
 	const messages = 251/32 + 1 // of 32 entries of 1 kB
 	if p.rounds > messages+4 {
-		t.Errorf("%d messages, want %d and 4 questions at the most", p.rounds, messages)
+		t.Errorf("%d messages, want at most %d and 4 probes", p.rounds, messages)
 	}
 }
--- a/consensus/transfer.go
+++ b/consensus/transfer.go
@@ -10,63 +10,63 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// progress is what a leader knows of another member.
+// progress is a leader's replication state of another member.
 type progress struct {
-	match Index // saved by the member and the leader's
-	next  Index // the first entry that was not sent
-	// seq numbers the messages: the last one, the last that brought entries or a piece of a
-	// snapshot, and the newest that was answered.
-	seq, bulk, seen uint64
-	flying          int        // bytes of that last one
-	sent            event.Time // of the last message
-	// answered is the sending time of the newest message that was answered.
-	answered event.Time
-	heard    bool
-	// probing says that it is not known from where on the member's log is another: nothing is
-	// sent that it may refuse.
+	match Index // last entry known to match and be saved
+	next  Index // first entry not sent yet
+	// Sequence numbers: of the last message, of the last one with a payload (entries or a snapshot
+	// chunk), and of the newest one that was answered.
+	seq, payloadSeq, answeredSeq uint64
+	inFlight                     int        // payload bytes of message payloadSeq
+	lastSent                     event.Time // time of the last message
+	// lastAnswered is the send time of the newest message that was answered.
+	lastAnswered event.Time
+	hasAnswered  bool
+	// probing is set while the point where the member's log diverges is unknown; no entries are
+	// sent, as they might be rejected.
 	probing bool
-	// snapshot is what is sent in pieces, with its checksum, up to offset; nil if none is. It
-	// is kept while newer ones are taken, as what was sent of it would be lost.
+	// snapshot is being sent in chunks, with checksum sum, up to offset; nil if none is. A newer
+	// snapshot does not replace it, so that the chunks already sent are not wasted.
 	snapshot *Snapshot
 	sum      uint32
 	offset   int
-	// isWhole says that the member takes a snapshot whole, in one message, and gives Token back
-	// where others give Seq.
-	isWhole bool
-	// isIgnored says that the member does not read what the log has: it is sent nothing. isHeld says
-	// that it is not known whether it does: it is sent heartbeats alone.
-	isIgnored, isHeld bool
+	// takesWholeSnapshots: the member takes a snapshot in one message and echoes Token instead of
+	// Seq.
+	takesWholeSnapshots bool
+	// isExcluded: the member cannot read the log's encoding and is sent nothing. heartbeatsOnly: it
+	// is unknown whether it can.
+	isExcluded, heartbeatsOnly bool
 }
 
-// isInFlight reports whether entries or a piece of a snapshot are on their way. Nothing is sent
-// behind them, as heartbeats would have to wait for all of it, and nothing is sent again.
-func (p *progress) isInFlight() bool { return p.seen < p.bulk }
+// isInFlight reports whether a payload is in flight. No other payload is sent until then, as
+// heartbeats would queue behind all of them, and nothing is resent.
+func (p *progress) isInFlight() bool { return p.answeredSeq < p.payloadSeq }
 
-// begin begins to send a snapshot.
-func (p *progress) begin(s Snapshot) {
+// startSnapshot starts sending snapshot s.
+func (p *progress) startSnapshot(s Snapshot) {
 	p.snapshot = &s
 	p.sum = crc32.Checksum(s.Data, castagnoli)
 	p.offset = 0
 }
 
-// fillPiece makes m the next piece of the snapshot, of so many bytes at the most, if there is
-// room for it, or a heartbeat, as fill does.
-func (p *progress) fillPiece(m *Message, most int, hasRoom bool) bool {
+// fillChunk makes m the next chunk of the snapshot, of up to maxBytes, if there is capacity for it;
+// otherwise a heartbeat. It reports which, as fillMessage does.
+func (p *progress) fillChunk(m *Message, maxBytes int, hasCapacity bool) bool {
 	s := p.snapshot
 	m.Kind = KindSnapshot
 	m.Offset, m.Size, m.Sum = uint64(p.offset), uint64(len(s.Data)), p.sum
 	m.Snapshot = &Snapshot{Index: s.Index, Term: s.Term, Members: s.Members}
-	if p.isInFlight() || p.offset == len(s.Data) || !hasRoom {
+	if p.isInFlight() || p.offset == len(s.Data) || !hasCapacity {
 		return false
 	}
-	m.Snapshot.Data = s.Data[p.offset:min(p.offset+most, len(s.Data))]
+	m.Snapshot.Data = s.Data[p.offset:min(p.offset+maxBytes, len(s.Data))]
 	p.offset += len(m.Snapshot.Data)
 	return true
 }
 
-// fillWhole makes m the whole snapshot, or a heartbeat that any log agrees with: a member that takes
-// snapshots whole would install a piece as if it were all.
-func (p *progress) fillWhole(m *Message) bool {
+// fillWholeSnapshot makes m the whole snapshot, or a heartbeat that matches any log: a member that
+// takes whole snapshots would install a chunk as if it were complete.
+func (p *progress) fillWholeSnapshot(m *Message) bool {
 	if p.isInFlight() {
 		m.Kind = KindAppend
 		return false
@@ -77,17 +77,17 @@
 	return true
 }
 
-// place goes on from what the member holds of the snapshot, which may be from another leader. A
-// member that holds nothing is sent the newest one.
-func (p *progress) place(held uint64, newest Snapshot) {
+// resumeSnapshot continues from the held bytes that the member reports, which may come from another
+// leader. A member that holds nothing is sent the newest snapshot.
+func (p *progress) resumeSnapshot(held uint64, newest Snapshot) {
 	p.offset = int(min(held, uint64(len(p.snapshot.Data))))
 	if held == 0 && newest.Index > p.snapshot.Index {
-		p.begin(newest)
+		p.startSnapshot(newest)
 	}
 }
 
-// incoming is a snapshot of which not all pieces have come.
-type incoming struct {
+// incomingSnapshot is a partly received snapshot.
+type incomingSnapshot struct {
 	index Index
 	term  Term
 	size  uint64
@@ -95,49 +95,49 @@
 	data  []byte
 }
 
-// takePiece takes a piece of a leader's snapshot, and the snapshot once it is whole. Pieces of
-// the same snapshot count whoever sends them.
-func (n *Node) takePiece(m Message, out *Ready) {
+// receiveChunk stores a chunk of a leader's snapshot and installs the snapshot once it is complete.
+// Chunks of the same snapshot may come from different leaders.
+func (n *Node) receiveChunk(m Message, out *Ready) {
 	s := m.Snapshot
 	if s == nil {
 		return
 	}
-	if m.isWhole() {
+	if m.isWholeSnapshot() {
 		m.Size, m.Sum = uint64(len(s.Data)), crc32.Checksum(s.Data, castagnoli)
 	}
 	if s.Index <= n.commit {
 		n.incoming = nil
-		n.agree(n.commit)
+		n.recordMatch(n.commit)
 		n.acknowledge(m, n.commit, m.Size, false, out)
 		return
 	}
 	in := n.incoming
 	if in == nil || in.index != s.Index || in.term != s.Term || in.size != m.Size || in.sum != m.Sum {
-		in = &incoming{index: s.Index, term: s.Term, size: m.Size, sum: m.Sum}
+		in = &incomingSnapshot{index: s.Index, term: s.Term, size: m.Size, sum: m.Sum}
 		n.incoming = in
 	}
 	if m.Offset == uint64(len(in.data)) {
 		in.data = append(in.data, s.Data...)
 	}
 	if uint64(len(in.data)) < in.size {
-		n.receipt(m, Message{Granted: true, Offset: uint64(len(in.data))}, out)
+		n.replyImmediately(m, Message{Granted: true, Offset: uint64(len(in.data))}, out)
 		return
 	}
 	n.incoming = nil
 	if crc32.Checksum(in.data, castagnoli) != in.sum {
-		n.receipt(m, Message{}, out)
+		n.replyImmediately(m, Message{}, out)
 		return
 	}
-	n.install(Snapshot{Index: s.Index, Term: s.Term, Members: s.Members, Data: in.data}, out)
-	n.agree(s.Index)
+	n.installSnapshot(Snapshot{Index: s.Index, Term: s.Term, Members: s.Members, Data: in.data}, out)
+	n.recordMatch(s.Index)
 	n.acknowledge(m, s.Index, m.Size, true, out)
 }
 
-// install takes a leader's snapshot in place of log and state machine.
-func (n *Node) install(s Snapshot, out *Ready) {
+// installSnapshot replaces the log and the state machine by a leader's snapshot.
+func (n *Node) installSnapshot(s Snapshot, out *Ready) {
 	n.snapshot = s
 	n.log = raftLog{base: s.Index, baseTerm: s.Term}
-	n.saved = 0 // until the disk has it
+	n.saved = 0 // until the snapshot is on disk
 	n.commit, n.applied = s.Index, s.Index
 	n.loadMembers()
 	out.Snapshot = &s
--- a/consensus/types.go
+++ b/consensus/types.go
@@ -9,15 +9,15 @@
 	"lynxramp.org/event"
 )
 
-// ID names a member: a box in one life of its disk.
+// ID identifies a member: a box and the incarnation of its disk.
 type ID string
 
-// MakeID returns the member that a box is while its disk lives.
+// MakeID returns the member ID of a box with this incarnation of its disk.
 func MakeID(box event.BoxID, disk event.Incarnation) ID {
 	return ID(string(box) + "@" + hex(uint64(disk)))
 }
 
-// Box returns the box that a member is or was.
+// Box returns the box of a member.
 func (id ID) Box() event.BoxID {
 	box, _, _ := strings.Cut(string(id), "@")
 	return event.BoxID(box)
@@ -32,26 +32,24 @@
 	return string(b[:])
 }
 
-// Term numbers the times between elections.
+// Term is a Raft term.
 type Term uint64
 
-// Index numbers the log's entries, from 1.
+// Index is the position of an entry in the log, from 1.
 type Index uint64
 
-// EntryKind says what an entry's data is.
+// EntryKind is the type of an entry's data.
 type EntryKind uint8
 
-// The kinds of entries.
 const (
-	// EntryNone is a new leader's first entry, without data.
+	// EntryNone is the empty entry that a new leader appends first.
 	EntryNone EntryKind = iota
-	// EntryCommand is for the state machine.
+	// EntryCommand is a command for the state machine.
 	EntryCommand
-	// EntryMembers has a Membership as JSON.
+	// EntryMembers holds a Membership as JSON.
 	EntryMembers
 )
 
-// Entry is one entry of the log.
 type Entry struct {
 	Index Index
 	Term  Term
@@ -59,13 +57,13 @@
 	Data  []byte
 }
 
-// Member is a box of the group and where it is reached.
+// Member is a box of the group and its network address.
 type Member struct {
 	ID      ID     `json:"id"`
 	Address string `json:"address"`
 }
 
-// Membership is who takes part. Learners get the log and have no vote.
+// Membership lists the members. Learners receive the log and have no vote.
 type Membership struct {
 	Voters   []Member `json:"voters"`
 	Learners []Member `json:"learners,omitempty"`
@@ -81,7 +79,7 @@
 	return slices.ContainsFunc(list, func(m Member) bool { return m.ID == id })
 }
 
-// without returns list less the member id.
+// without returns a copy of list without member id.
 func without(list []Member, id ID) []Member {
 	kept := make([]Member, 0, len(list))
 	for _, m := range list {
@@ -92,13 +90,13 @@
 	return kept
 }
 
-// HardState is what a member must never forget.
+// HardState must survive restarts: Raft's current term and vote.
 type HardState struct {
 	Term Term
 	Vote ID
 }
 
-// Snapshot is the state machine and the members at an index.
+// Snapshot holds the state machine and the membership as of Index.
 type Snapshot struct {
 	Index   Index
 	Term    Term
@@ -106,10 +104,10 @@
 	Data    []byte
 }
 
-// Kind says what a message is.
+// Kind is the type of a message.
 type Kind uint8
 
-// The kinds of messages. Each request has a reply, which follows it here.
+// Each request is followed by its reply; replies are even.
 const (
 	KindPreVote Kind = iota + 1
 	KindPreVoteReply
@@ -123,58 +121,56 @@
 	KindTimeoutNowReply
 )
 
-// Message is what members tell each other.
+// Message is a message between members.
 type Message struct {
 	Kind     Kind
 	From, To ID
 	Term     Term
-	// Token ties a reply to its request, for carriers that take one reply to each.
+	// Token ties a reply to its request, for transports that take one reply to each request.
 	Token uint64
-	// Seq numbers a leader's messages to a member; replies give it back.
+	// Seq numbers the messages of a leader to one member; replies echo it.
 	Seq uint64
-	// Index and LogTerm are of the sender's last entry (votes), or of the entry
-	// before Entries (append). In an append's reply Index is the last entry that
-	// is the leader's, or a hint where to try.
+	// Index and LogTerm belong to the sender's last entry (votes) or to the entry before Entries
+	// (append). In the reply to an append, Index is the last entry that matches the leader's log
+	// or, after a rejection, a hint where to probe.
 	Index   Index
 	LogTerm Term
 	Entries []Entry
 	Commit  Index
-	// SentAt is the leader's time of sending, given back in the reply.
+	// SentAt is when the leader sent the request, by its clock; replies echo it.
 	SentAt  event.Time
-	Granted bool // of a reply: yes
-	Forced  bool // of a vote: the leader asked for this election
-	// Snapshot has a piece of a snapshot's data, which begins at Offset; all of it has Size
-	// bytes and the checksum Sum (CRC-32C). A reply gives Sum back, and in Offset how many bytes
-	// the member holds.
+	Granted bool // in a reply: accepted
+	Forced  bool // in a vote request: the leader requested this election
+	// Snapshot carries one chunk of a snapshot's data, starting at Offset. Size is the length of
+	// the whole data in bytes, and Sum its CRC-32C. A reply echoes Sum and has in Offset how many
+	// bytes the member holds.
 	Snapshot *Snapshot
 	Offset   uint64
 	Size     uint64
 	Sum      uint32
 }
 
-// bytes returns the bytes of the entries, or of the piece of a snapshot.
-func (m *Message) bytes() int {
+// payloadBytes returns the length of the entries or of the snapshot chunk.
+func (m *Message) payloadBytes() int {
 	if m.Snapshot != nil {
 		return len(m.Snapshot.Data)
 	}
 	return bytesOf(m.Entries)
 }
 
-// reply returns the kind of a request's reply.
+// reply returns the kind of the reply to k.
 func (k Kind) reply() Kind { return k + 1 }
 
-// isReply reports whether the kind is a reply.
 func (k Kind) isReply() bool { return k%2 == 0 }
 
-// Ready is what is to be done after steps, in this order: send Early, save,
-// send Messages, apply. When entries or a snapshot are saved, the node is told (Saved).
+// Ready is the output of the steps since the last Reset. The caller sends Immediate, saves, sends
+// Messages, and applies, in this order. Once entries or a snapshot are saved, it calls Node.Saved.
 type Ready struct {
 	Early     []Message
 	HardState *HardState
 	// Snapshot replaces the log and the state machine.
 	Snapshot *Snapshot
-	// Entries are to be saved; they replace all that is saved from the first
-	// one's index on.
+	// Entries are to be saved; they replace all saved entries from the first one's index on.
 	Entries  []Entry
 	Messages []Message
 	// Committed are to be applied in order.
@@ -191,13 +187,12 @@
 	r.Committed = r.Committed[:0]
 }
 
-// MustSave reports whether anything is to be saved.
 func (r *Ready) MustSave() bool {
 	return r.HardState != nil || r.Snapshot != nil || len(r.Entries) > 0
 }
 
-// Valid reports whether a message can be what it says: entries that follow each
-// other and a piece of a snapshot where one belongs.
+// Valid reports whether the message is well-formed: its entries are consecutive, and a snapshot
+// message has a chunk within the size.
 func (m Message) Valid() bool {
 	if m.Kind < KindPreVote || m.Kind > KindTimeoutNowReply || m.From == "" || m.To == "" {
 		return false
@@ -213,22 +208,23 @@
 	if m.Snapshot == nil {
 		return false
 	}
-	return m.isWhole() || m.Offset <= m.Size && uint64(len(m.Snapshot.Data)) <= m.Size-m.Offset
+	return m.isWholeSnapshot() || m.Offset <= m.Size && uint64(len(m.Snapshot.Data)) <= m.Size-m.Offset
 }
 
-// isEarlier reports whether a leader's message is of a build that numbers no messages: it takes one
-// reply to each, once what it brought is saved.
-func (m *Message) isEarlier() bool { return m.Seq == 0 }
+// isUnnumbered reports whether a leader's message is from an older build, which sets no Seq: it
+// takes one reply to each message, sent once the payload is saved.
+func (m *Message) isUnnumbered() bool { return m.Seq == 0 }
 
-// isWhole reports whether a message with a snapshot brings all of it, as those builds send it.
-func (m *Message) isWhole() bool { return m.isEarlier() && m.Size == 0 }
+// isWholeSnapshot reports whether a snapshot message has the whole snapshot, as older builds send
+// it.
+func (m *Message) isWholeSnapshot() bool { return m.isUnnumbered() && m.Size == 0 }
 
-// takesOneReply reports whether the sender takes a single reply to the message.
-func (m *Message) takesOneReply() bool { return m.Token != 0 || m.isEarlier() }
+// expectsSingleReply reports whether the sender takes only one reply to the message.
+func (m *Message) expectsSingleReply() bool { return m.Token != 0 || m.isUnnumbered() }
 
-// number returns the number of the message that a reply answers: members that know no Seq give back
-// the Token alone.
-func (m *Message) number() uint64 {
+// replyNumber returns the number of the message that a reply answers. Members that do not know Seq
+// echo only Token.
+func (m *Message) replyNumber() uint64 {
 	if m.Seq > 0 {
 		return m.Seq
 	}
