--- a/consensus/members.go
+++ b/consensus/members.go
@@ -65,8 +65,8 @@
 			m.Learners = without(m.Learners, j.ID)
 			return m, true
 		}
-		if dead := n.unreachableVoter(now); dead != "" {
-			m.Voters = without(m.Voters, dead)
+		if unreachable := n.unreachableVoter(now); unreachable != "" {
+			m.Voters = without(m.Voters, unreachable)
 			return m, true
 		}
 	}
--- a/consensus/replicate.go
+++ b/consensus/replicate.go
@@ -36,11 +36,11 @@
 }
 
 // SetPeerMode sets the mode of a box.
-func (n *Node) SetForms(box event.BoxID, f Forms) {
+func (n *Node) SetForms(box event.BoxID, mode Forms) {
 	if n.peerModes == nil {
 		n.peerModes = make(map[event.BoxID]Forms)
 	}
-	n.peerModes[box] = f
+	n.peerModes[box] = mode
 	n.applyPeerMode(box)
 }
 
@@ -59,15 +59,15 @@
 }
 
 // SetDefaultPeerMode sets the mode of boxes without one of their own.
-func (n *Node) SetUsualForms(f Forms) { n.defaultMode = f }
+func (n *Node) SetUsualForms(mode Forms) { n.defaultMode = mode }
 
 func (n *Node) setProgressMode(id ID) {
-	f, ok := n.peerModes[id.Box()]
+	mode, ok := n.peerModes[id.Box()]
 	if !ok {
-		f = n.defaultMode
+		mode = n.defaultMode
 	}
 	p := n.progress[id]
-	p.takesWholeSnapshots, p.isExcluded, p.heartbeatsOnly = f.Whole, f.Ignored, f.Held
+	p.takesWholeSnapshots, p.isExcluded, p.heartbeatsOnly = mode.Whole, mode.Ignored, mode.Held
 }
 
 func (n *Node) tickLeader(now event.Time, out *Ready) {
@@ -100,13 +100,13 @@
 // share the leader's link, and heartbeats queue behind what is on it. Messages to unreachable
 // members do not count.
 func (n *Node) hasCapacity(now event.Time, p *progress) bool {
-	flying := 0
+	total := 0
 	for _, other := range n.progress {
 		if other != p && other.isInFlight() && now.Sub(other.lastAnswered) < unreachableAfter {
-			flying += other.inFlight
+			total += other.inFlight
 		}
 	}
-	return flying == 0 || flying+n.bounds.message <= n.bounds.inFlight
+	return total == 0 || total+n.bounds.message <= n.bounds.inFlight
 }
 
 // send sends a member the next part of what it lacks, or a heartbeat when it is due.
--- a/consensus/types.go
+++ b/consensus/types.go
@@ -131,8 +131,8 @@
 	// Seq numbers the messages of a leader to one member; replies echo it.
 	Seq uint64
 	// Index and LogTerm belong to the sender's last entry (votes) or to the entry before Entries
-	// (append). In the reply to an append, Index is the last entry that matches the leader's log
-	// or, after a rejection, a hint where to probe.
+	// (append). In the reply to an append, Index is the last saved entry that matches the leader's
+	// log or, after a rejection, a hint where to probe.
 	Index   Index
 	LogTerm Term
 	Entries []Entry
