--- a/level/build.go
+++ b/level/build.go
@@ -7,11 +7,11 @@
 	"sync"
 )
 
-// buildLength is how much of a commit's name tells a build: as much as is sent with each connection.
-const buildLength = 12
+// revisionLength is how much of the commit hash identifies a build; it is sent with each
+// connection.
+const revisionLength = 12
 
-// Build returns the name of this build: its commit, or "unknown" where it was built outside a
-// repository.
+// Build returns the revision of this build, or "unknown" if it was built outside a repository.
 var Build = sync.OnceValue(func() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -19,7 +19,7 @@
 	}
 	for _, s := range info.Settings {
 		if s.Key == "vcs.revision" {
-			return s.Value[:min(buildLength, len(s.Value))]
+			return s.Value[:min(revisionLength, len(s.Value))]
 		}
 	}
 	return "unknown"
--- a/level/doc.go
+++ b/level/doc.go
@@ -1,20 +1,21 @@
 // SPDX-License-Identifier: MIT
 
-// Package level says which forms of what is stored and sent each build reads and writes, so that
-// builds can run side by side while boxes are replaced one after the other.
+// Package level numbers the format versions of stored and sent data, so that different builds can
+// run side by side during a rolling upgrade.
 //
-// A Level stands for all forms up to it. Each box tells the level that it reads at the beginning of
-// a connection, with its build; what builds that tell none read is known by the types that they
-// send (package message). A form is written only when all who must read it do:
+// A Level stands for all encodings up to it. Each box announces the highest level that it reads,
+// with its build, when a connection opens. The level of older builds, which announce none, is
+// inferred from the messages that they send (package message). An encoding is written only when
+// every box that must read it can:
 //
-//   - To one peer, what that peer reads.
-//   - Into the log and its snapshots, what the group has: the level that the log itself holds, from
-//     Told on. The owner raises it through the log when all members tell that they read more, and
-//     nobody ever lowers it. Before that it is what all members read that are connected.
+//   - To one peer: what that peer reads.
+//   - Into the log and its snapshots: the group's level, which the log itself records from
+//     Negotiated on. The owner raises it through the log once all members announce a higher one; it
+//     never decreases. Before Negotiated it is what all connected members read.
 //
-// A box that meets a form above its own stops and says so (Above): it never takes half of it. What
-// it has on disk stays as it is.
+// A box that meets an encoding above its own level stops with an UnsupportedError, before it has
+// applied any part of it. The data on its disk stays as it is.
 //
-// The table Forms is the one place that lists what each level added. Whoever adds a form adds a
-// level with it, and reads the forms of all levels before.
+// The table Encodings lists what each level added. A new encoding needs a new level, and every
+// build reads the encodings of all earlier levels.
 package level
--- a/level/level.go
+++ b/level/level.go
@@ -8,91 +8,90 @@
 	"github.com/pkg/errors"
 )
 
-// Level numbers the forms that a build reads: all up to that of its number. The zero Level is that
-// of a box of which nothing is known.
+// Level is a format version: a build of level n reads all encodings up to n. The zero Level means
+// unknown.
 type Level uint8
 
-// The levels.
 const (
-	// Listed: entries are told of endpoints one by one, and of configurations whole.
+	// Listed: entries receive endpoints one by one, and whole configurations.
 	Listed Level = iota + 1
-	// Packed: lists of endpoints are compressed, with revisions.
+	// Compressed: lists of endpoints are compressed and have revisions.
 	Packed
-	// Parts: configurations and snapshots go in parts, and records of budgets may be of some
-	// accounts.
+	// Chunked: configurations and snapshots are sent in chunks, and budget records may cover only
+	// some accounts.
 	Parts
-	// Suspects: the log has records of requests that end endpoints.
+	// Suspects: the log has records of requests that crash endpoints.
 	Suspects
-	// Told: boxes tell their levels, and the log has that of the group.
+	// Negotiated: boxes announce their levels, and the log records the group's.
 	Told
-	// Starts: ids of endpoints tell their starts apart.
+	// Instances: endpoint IDs distinguish the instances of an endpoint.
 	Starts
-	// Asked: entries tell what endpoints ask for in their answers, and owners tell all entries.
+	// Feedback: entries send the feedback of endpoints to the owner, which sends it to all entries
+	// that read it.
 	Asked
 )
 
-// Newest is the level that this build reads.
+// Newest is the highest level that this build reads.
 const Newest = Asked
 
-// Readers says who must read a form.
+// Readers says who must be able to read an encoding.
 type Readers uint8
 
-// The readers. A form may have both.
+// An encoding may have both kinds of readers.
 const (
-	Members Readers = 1 << iota // of the control group, learners too
+	Members Readers = 1 << iota // of the control group, including learners
 	Entries
 )
 
-// Form is what a level added.
-type Form struct {
-	Level   Level
-	Readers Readers
-	What    string
-	// Since is the first commit with it; empty for that of this table's last change.
+// Encoding describes what a level added.
+type Encoding struct {
+	Level       Level
+	Readers     Readers
+	Description string
+	// Since is the first commit with it; empty for the newest level.
 	Since string
 }
 
-// Forms has all levels, in order.
-var Forms = []Form{
+// Encodings lists all levels in order.
+var Encodings = []Encoding{
 	{Listed, Members | Entries, "snapshots as one record of JSON, configurations whole, endpoints as a list", "5dc54d6"},
-	{Packed, Members | Entries, "endpoints compressed, with revisions and signs of life", "8300e31"},
-	{Parts, Members | Entries, "configurations, snapshots and messages of the log in parts; records of some budgets; configurations as a tree", "d279456"},
-	{Suspects, Members, "records of requests that end endpoints", "585ddf2"},
-	{Told, Members, "levels: at the beginning of a connection, in the log and in snapshots", "cf9622c"},
-	{Starts, Members | Entries, "words of endpoints that tell when they started; ids with that, of which requests carry the name alone; endpoints listed by column", "4538dad"},
-	{Asked, Members, "what endpoints ask for in their answers: told to the owner, and by it to each entry that reads it", ""},
+	{Packed, Members | Entries, "endpoints compressed, with revisions and heartbeats", "8300e31"},
+	{Parts, Members | Entries, "configurations, snapshots and log messages in chunks; records of some budgets; configurations as a tree", "d279456"},
+	{Suspects, Members, "records of requests that crash endpoints", "585ddf2"},
+	{Told, Members, "levels, announced when a connection opens, and recorded in the log and in snapshots", "cf9622c"},
+	{Starts, Members | Entries, "feedback of endpoints with their start time; IDs with that, of which requests carry the name alone; endpoints listed by column", "4538dad"},
+	{Asked, Members, "feedback in the responses of endpoints, sent to the owner, and by it to each entry that reads it", ""},
 }
 
-// ReadBy reports whether some readers must read a form above a level and up to another: then the group may
-// have that one only when they do.
+// Affects reports whether any of the readers r must read an encoding above one level and up to
+// another. If so, the group may use the higher level only once they read it.
 func ReadBy(r Readers, above, upTo Level) bool {
-	for _, f := range Forms {
-		if f.Level > above && f.Level <= upTo && f.Readers&r != 0 {
+	for _, e := range Encodings {
+		if e.Level > above && e.Level <= upTo && e.Readers&r != 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Above says that something has a form that no level up to this build's has.
+// UnsupportedError says that data has an encoding above the highest level of this build.
 type Above struct {
-	What  string // such as the name of a file
-	Found string // the form
+	What  string // where it was found, such as a file name
+	Found string // the encoding
 	Reads string // what this build reads
 }
 
-// Error implements error.
 func (e *Above) Error() string {
 	return fmt.Sprintf("%s: found %s, this build reads %s: a later build is needed", e.What, e.Found, e.Reads)
 }
 
-// TooNew returns that something has a level above what a box reads.
-func TooNew(what string, found, reads Level) error {
-	return &Above{What: what, Found: fmt.Sprintf("level %d", found), Reads: fmt.Sprintf("levels up to %d", reads)}
+// Unsupported returns an UnsupportedError for data of a level above what a box reads.
+func TooNew(source string, found, supported Level) error {
+	return &Above{What: source, Found: fmt.Sprintf("level %d", found), Reads: fmt.Sprintf("levels up to %d", supported)}
 }
 
-// IsAbove reports whether an error says that something needs a later build.
+// IsUnsupported reports whether err is or wraps an UnsupportedError.
 func IsAbove(err error) bool {
-	var above *Above
-	return errors.As(err, &above)
+	var unsupported *Above
+	return errors.As(err, &unsupported)
 }
--- a/level/level_test.go
+++ b/level/level_test.go
@@ -7,28 +7,27 @@
 	"testing"
 )
 
-// TestFormsAreInOrder: the table lists each level once, and ends with the newest.
-func TestFormsAreInOrder(t *testing.T) {
-	for i, f := range Forms {
-		if f.Level != Level(i+1) || f.What == "" || f.Readers == 0 {
-			t.Errorf("row %d: %+v", i, f)
+// The table must list each level once, in order, and end with the newest.
+func TestEncodingsListEachLevelOnce(t *testing.T) {
+	for i, e := range Encodings {
+		if e.Level != Level(i+1) || e.Description == "" || e.Readers == 0 {
+			t.Errorf("row %d: %+v", i, e)
 		}
 	}
-	if last := Forms[len(Forms)-1].Level; last != Newest {
+	if last := Encodings[len(Encodings)-1].Level; last != Newest {
 		t.Errorf("the table ends with level %d, the newest is %d", last, Newest)
 	}
 }
 
-// TestEntriesHoldBackOnlyTheirForms: an entry that never upgrades must not keep the group from forms that
-// it is not sent.
-func TestEntriesHoldBackOnlyTheirForms(t *testing.T) {
+// An entry of an older build must not keep the group from encodings that entries are never sent.
+func TestAffectsOnlyReadersOfNewEncodings(t *testing.T) {
 	if ReadBy(Entries, Parts, Told) || !ReadBy(Entries, Packed, Told) || !ReadBy(Members, Parts, Suspects) || ReadBy(Members, Told, Told) {
-		t.Error("who must read the forms between two levels is another than in the table")
+		t.Error("the affected readers differ from the table")
 	}
 }
 
-// TestAboveNamesBoth: the error says what was found and what is read, and is found behind others.
-func TestAboveNamesBoth(t *testing.T) {
+// The error must say what was found and what is supported, also when it is wrapped.
+func TestUnsupportedErrorNamesFoundAndSupported(t *testing.T) {
 	err := TooNew("a snapshot", 7, 5)
 	if text := err.Error(); !IsAbove(err) || !strings.Contains(text, "level 7") || !strings.Contains(text, "up to 5") {
 		t.Error(text)
