--- a/member/doc.go
+++ b/member/doc.go
@@ -1,11 +1,10 @@
 // SPDX-License-Identifier: MIT
 
-// Package member reads the platform's list of boxes: which are live and which
-// are leaving. The list lags, so it is never taken as word that a box is alive
-// or dead; heartbeats and reports say that sooner. That a box is leaving is taken
-// from it at once and for as long as it stands there: such a box gets no new
-// work, and if it owns the pools it hands them over.
+// Package member reads the platform's list of boxes with their states, live or leaving. The list
+// lags, so it never decides whether a box is reachable; heartbeats and reports do that. A box that
+// is listed as leaving is draining as long as it is listed so: it gets no new work, and if it owns
+// the pools it transfers leadership.
 //
-// The list is fetched by HTTP and is JSON: [{"address": "IP", "state": "live"}],
-// with "leaving" as the other state that is known.
+// The list is fetched by HTTP as JSON: [{"address": "IP", "state": "live"}], where "leaving" is the
+// only other known state.
 package member
--- a/member/list.go
+++ b/member/list.go
@@ -12,55 +12,53 @@
 	"github.com/pkg/errors"
 )
 
-// stateLeaving is the state of a box that is to get no new work.
-const stateLeaving = "leaving"
+// stateDraining is the state of a box that gets no new work.
+const stateDraining = "leaving"
 
-// maxList bounds the list, in bytes.
-const maxList = 4 << 20
+const maxListBytes = 4 << 20
 
-// entry is one box of the list.
-type entry struct {
+// listedBox is one box of the list.
+type listedBox struct {
 	Address string `json:"address"`
 	State   string `json:"state"`
 }
 
-// Leaving is the set of the IP numbers of the boxes that are leaving. It does
-// not change once made.
+// Draining is the set of IP addresses of the draining boxes. It is immutable.
 type Leaving map[string]bool
 
 // Fetch reads the platform's list.
 func Fetch(ctx context.Context, c *http.Client, url string) (Leaving, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "platform list")
+		return nil, errors.Wrap(err, "platform list of boxes")
 	}
 	response, err := c.Do(r)
 	if err != nil {
-		return nil, errors.Wrap(err, "platform list")
+		return nil, errors.Wrap(err, "platform list of boxes")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return nil, errors.Errorf("platform list: status %d", response.StatusCode)
+		return nil, errors.Errorf("platform list of boxes: HTTP status %d", response.StatusCode)
 	}
-	return parse(io.LimitReader(response.Body, maxList))
+	return parse(io.LimitReader(response.Body, maxListBytes))
 }
 
-// parse reads a list. One bad address spoils the whole: half a list would let
-// work go to boxes that are leaving.
+// parse reads a list. One invalid address rejects the whole list: a partial one would let work go
+// to draining boxes.
 func parse(r io.Reader) (Leaving, error) {
-	var list []entry
+	var list []listedBox
 	if err := json.NewDecoder(r).Decode(&list); err != nil {
-		return nil, errors.Wrap(err, "platform list")
+		return nil, errors.Wrap(err, "platform list of boxes")
 	}
-	leaving := make(Leaving)
+	draining := make(Leaving)
 	for _, e := range list {
 		address, err := netip.ParseAddr(e.Address)
 		if err != nil {
-			return nil, errors.Wrap(err, "platform list")
+			return nil, errors.Wrap(err, "platform list of boxes")
 		}
-		if e.State == stateLeaving {
-			leaving[address.String()] = true
+		if e.State == stateDraining {
+			draining[address.String()] = true
 		}
 	}
-	return leaving, nil
+	return draining, nil
 }
--- a/member/list_test.go
+++ b/member/list_test.go
@@ -14,7 +14,7 @@
 	}
 	for _, bad := range []string{"", "{}", `[{"address":"host"}]`} {
 		if _, err := parse(strings.NewReader(bad)); err == nil {
-			t.Errorf("%q was read", bad)
+			t.Errorf("invalid list %q was accepted", bad)
 		}
 	}
 }
