--- a/store/doc.go
+++ b/store/doc.go
@@ -2,15 +2,14 @@
 
 // Package store keeps a member's part of the replicated log in one folder.
 //
-//	identity     the box, its disk's incarnation and the group it belongs to
-//	snapshot-N   the state machine up to entry N, as records of a head and of pieces; as one record
-//	             while boxes below level.Parts may have to read it
+//	identity     the box, the incarnation of its disk, and its group
+//	snapshot-N   the state machine up to entry N: a header record and chunk records, or a single
+//	             record while boxes below level.Chunked may have to read it
 //	log-N        records after snapshot N: hard states and entries
 //
-// Each record and each snapshot carries a checksum. Nothing counts as written
-// before it is synced; Save returns after that. A torn record at the log's very
-// end was never relied on and is cut off. Damage anywhere else is reported and
-// nothing is started on it: to skip it would be to forget what others were
-// promised. A sound record of a kind that this build does not know is no damage: a later build wrote
-// it (level.Above), and nothing is changed.
+// Each record has a checksum. Save returns once the data is synced; nothing counts as written
+// before. A torn record at the end of the log was never acknowledged and is cut off. Damage
+// anywhere else is an error and the box does not start: skipping it would forget what other members
+// were promised. An intact record of an unknown kind was written by a newer build: that is a
+// level.UnsupportedError, and the files stay as they are.
 package store
--- a/store/keeper.go
+++ b/store/keeper.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// keepDepth is how many saves may wait for the disk.
-	keepDepth = 1024
-	// gatherBytes is about how much is saved together: a slow disk of 4 MB/s takes a quarter of a
-	// second for it, after which what it holds counts.
-	gatherBytes = 1 << 20
+	// queueLength is how many saves may wait for the disk.
+	queueLength = 1024
+	// batchBytes is about how much one sync saves: a quarter of a second on a disk of 4 MB/s, after
+	// which all of it counts as saved.
+	batchBytes = 1 << 20
 )
 
 // Saved says that the log is on disk up to an entry.
@@ -24,100 +24,100 @@
 	Term  consensus.Term
 }
 
-// Disk saves what a member must not forget. Save returns when it is synced.
+// Disk makes state durable. Save returns once it is synced.
 type Disk interface {
 	Save(r *consensus.Ready) error
 }
 
-// Sender sends messages of the replicated log. It must not wait for the loop.
+// Sender sends messages of the replicated log. It must not wait for the event loop.
 type Sender interface {
 	Send(m consensus.Message)
 }
 
-// Keeper is the goroutine that writes to the disk. What is to be sent after a
-// save waits for it; what is not, does not.
+// Writer writes to the disk on a goroutine of its own. Messages that depend on a save are sent
+// after it; others are sent at once.
 type Keeper struct {
 	disk   Disk
 	sender Sender
 	queue  chan consensus.Ready
-	// saved has the newest Saved that the loop has not taken.
+	// saved holds the newest Saved that the event loop has not received.
 	saved chan Saved
 }
 
-// NewKeeper returns a keeper; Run starts it.
+// NewWriter returns a writer; Run starts it.
 func NewKeeper(disk Disk, sender Sender) *Keeper {
-	return &Keeper{disk: disk, sender: sender, queue: make(chan consensus.Ready, keepDepth), saved: make(chan Saved, 1)}
+	return &Keeper{disk: disk, sender: sender, queue: make(chan consensus.Ready, queueLength), saved: make(chan Saved, 1)}
 }
 
-// Keep takes what is to be saved and sent.
-func (k *Keeper) Keep(r consensus.Ready) {
+// Enqueue sends r.Immediate and queues the rest for saving and sending.
+func (w *Keeper) Keep(r consensus.Ready) {
 	for _, m := range r.Early {
-		k.sender.Send(m)
+		w.sender.Send(m)
 	}
 	if r.MustSave() || len(r.Messages) > 0 {
-		k.queue <- r
+		w.queue <- r
 	}
 }
 
-// Run saves and sends until ctx ends. A disk that fails ends it with an error:
-// nothing may be promised any more.
-func (k *Keeper) Run(ctx context.Context) error {
+// Run saves and sends until ctx is done. It returns an error if the disk fails, as nothing may be
+// acknowledged then.
+func (w *Keeper) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case r := <-k.queue:
-			if err := k.keep(r); err != nil {
+		case r := <-w.queue:
+			if err := w.write(r); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-func (k *Keeper) keep(r consensus.Ready) error {
-	r = k.gather(r)
+func (w *Keeper) write(r consensus.Ready) error {
+	r = w.batch(r)
 	if r.MustSave() {
-		if err := k.disk.Save(&r); err != nil {
-			return errors.Wrap(err, "the disk failed")
+		if err := w.disk.Save(&r); err != nil {
+			return errors.Wrap(err, "saving to disk")
 		}
 	}
 	for _, m := range r.Messages {
-		k.sender.Send(m)
+		w.sender.Send(m)
 	}
 	if n := len(r.Entries); n > 0 {
 		last := r.Entries[n-1]
-		k.tell(Saved{Index: last.Index, Term: last.Term})
+		w.notify(Saved{Index: last.Index, Term: last.Term})
 	} else if s := r.Snapshot; s != nil {
-		k.tell(Saved{Index: s.Index, Term: s.Term})
+		w.notify(Saved{Index: s.Index, Term: s.Term})
 	}
 	return nil
 }
 
-// Saved is where the loop hears what was saved.
-func (k *Keeper) Saved() <-chan Saved { return k.saved }
+// Saved returns the channel on which the event loop learns what was saved.
+func (w *Keeper) Saved() <-chan Saved { return w.saved }
 
-// tell leaves news for the loop in place of older ones, and never waits: the
-// loop may itself be waiting for the keeper.
-func (k *Keeper) tell(e Saved) {
+// notify replaces an older Saved that was not received. It never blocks: the event loop may itself
+// be waiting for the writer.
+func (w *Keeper) notify(e Saved) {
 	select {
-	case <-k.saved:
+	case <-w.saved:
 	default:
 	}
-	k.saved <- e
+	w.saved <- e
 }
 
-// gather adds what else waits to r, so that one sync serves all of it, up to a size. A
-// snapshot is saved by itself.
-func (k *Keeper) gather(r consensus.Ready) consensus.Ready {
+// batch adds the queued saves to r, up to batchBytes, so that one sync serves them all. Nothing is
+// added to a snapshot.
+func (w *Keeper) batch(r consensus.Ready) consensus.Ready {
 	size := bytesOf(r.Entries)
-	for r.Snapshot == nil && size < gatherBytes {
+	for r.Snapshot == nil && size < batchBytes {
 		select {
-		case next := <-k.queue:
+		case next := <-w.queue:
 			if next.HardState != nil {
 				r.HardState = next.HardState
 			}
 			if next.Snapshot != nil {
-				// Its entries replace those that it does not cover.
+				// A snapshot comes with all entries that follow it.
 				r.Snapshot, r.Entries = next.Snapshot, next.Entries
 			} else {
 				r.Entries = append(r.Entries, next.Entries...)
@@ -131,11 +131,11 @@
 	return r
 }
 
-// bytesOf returns the bytes of the entries' data.
+// bytesOf returns the length of the entries' data.
 func bytesOf(entries []consensus.Entry) int {
-	sum := 0
+	total := 0
 	for _, e := range entries {
-		sum += len(e.Data)
+		total += len(e.Data)
 	}
-	return sum
+	return total
 }
--- a/store/keeper_test.go
+++ b/store/keeper_test.go
@@ -10,55 +10,54 @@
 	"lynxramp.org/consensus"
 )
 
-// saves is a Disk that notes how many bytes it was given at a time.
-type saves struct{ sizes []int }
+// recordingDisk records the bytes of each save.
+type recordingDisk struct{ sizes []int }
 
-func (d *saves) Save(r *consensus.Ready) error {
+func (d *recordingDisk) Save(r *consensus.Ready) error {
 	d.sizes = append(d.sizes, bytesOf(r.Entries))
 	return nil
 }
 
-// nobody is a Sender that sends nothing.
-type nobody struct{}
+// discardSender is a Sender that drops all messages.
+type discardSender struct{}
 
-func (nobody) Send(consensus.Message) {}
+func (discardSender) Send(consensus.Message) {}
 
 func largeEntries(index consensus.Index, size int) consensus.Ready {
 	return consensus.Ready{Entries: []consensus.Entry{{Index: index, Term: 1, Data: make([]byte, size)}}}
 }
 
-// TestSavesTogetherAreBounded: all that waited was gathered into one save, however large, and
-// nothing of it counted until all was on disk.
-func TestSavesTogetherAreBounded(t *testing.T) {
-	disk := &saves{}
-	k := NewKeeper(disk, nobody{})
+// Without a bound, one save would hold all that is queued, and none of it would count until all was
+// on disk.
+func TestBatchSizeIsBounded(t *testing.T) {
+	disk := &recordingDisk{}
+	w := NewKeeper(disk, discardSender{})
 	for i := range consensus.Index(6) {
-		k.Keep(largeEntries(i+1, gatherBytes/2))
+		w.Keep(largeEntries(i+1, batchBytes/2))
 	}
-	for len(k.queue) > 0 {
-		if err := k.keep(<-k.queue); err != nil {
+	for len(w.queue) > 0 {
+		if err := w.write(<-w.queue); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want := []int{gatherBytes, gatherBytes, gatherBytes}
+	want := []int{batchBytes, batchBytes, batchBytes}
 	if diff := cmp.Diff(want, disk.sizes); diff != "" {
 		t.Errorf("bytes saved at a time (-want +got):\n%s", diff)
 	}
 }
 
-// TestSavedSnapshotIsTold: the loop hears of a snapshot that is on disk, also of one without
-// entries behind it.
-func TestSavedSnapshotIsTold(t *testing.T) {
-	k := NewKeeper(&saves{}, nobody{})
-	if err := k.keep(consensus.Ready{Snapshot: &consensus.Snapshot{Index: 7, Term: 3}}); err != nil {
+// A saved snapshot must be reported to the event loop, also without entries after it.
+func TestSavedSnapshotIsReported(t *testing.T) {
+	w := NewKeeper(&recordingDisk{}, discardSender{})
+	if err := w.write(consensus.Ready{Snapshot: &consensus.Snapshot{Index: 7, Term: 3}}); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case got := <-k.Saved():
+	case got := <-w.Saved():
 		if diff := cmp.Diff(Saved{Index: 7, Term: 3}, got); diff != "" {
-			t.Errorf("told (-want +got):\n%s", diff)
+			t.Errorf("reported (-want +got):\n%s", diff)
 		}
 	default:
-		t.Error("nothing was told")
+		t.Error("the saved snapshot was not reported")
 	}
 }
--- a/store/load.go
+++ b/store/load.go
@@ -11,14 +11,14 @@
 	"lynxramp.org/consensus"
 )
 
-// load reads what the folder holds and opens the log for writing.
+// load reads the folder and opens the log for writing.
 func (s *Store) load() (consensus.Restored, error) {
 	var r consensus.Restored
-	snapshots, err := s.numbers(snapshotPrefix)
+	snapshots, err := s.listIndexes(snapshotPrefix)
 	if err != nil {
 		return r, err
 	}
-	logs, err := s.numbers(logPrefix)
+	logs, err := s.listIndexes(logPrefix)
 	if err != nil {
 		return r, err
 	}
@@ -27,7 +27,7 @@
 			return r, err
 		}
 	}
-	name := numbered(logPrefix, r.Snapshot.Index)
+	name := fileName(logPrefix, r.Snapshot.Index)
 	if !containsIndex(logs, r.Snapshot.Index) {
 		if len(logs) > 0 || len(snapshots) > 0 {
 			return r, errors.Wrapf(ErrDamaged, "%s is missing", name)
@@ -64,20 +64,20 @@
 	return false
 }
 
-// parseLog reads a log's records into r, whose snapshot is set, and returns the
-// length of its sound part. What follows that is a torn end: damage with a
-// sound record behind it is an error.
+// parseLog reads a log's records into r, whose snapshot is set, and returns the length of the
+// intact part. A bad record is a torn end unless an intact record follows it; then it is
+// ErrDamaged.
 func parseLog(data []byte, r *consensus.Restored) (int, error) {
 	offset := 0
 	for offset < len(data) {
 		content, length, err := readRecord(data[offset:])
 		if err != nil {
-			if holdsRecord(data[offset+1:]) {
-				return 0, errors.Wrapf(ErrDamaged, "at byte %d, with records behind it", offset)
+			if containsRecord(data[offset+1:]) {
+				return 0, errors.Wrapf(ErrDamaged, "at byte %d, followed by intact records", offset)
 			}
 			return offset, nil
 		}
-		if err := takeRecord(content, r); err != nil {
+		if err := applyRecord(content, r); err != nil {
 			return 0, errors.Wrapf(err, "at byte %d", offset)
 		}
 		offset += length
@@ -85,7 +85,7 @@
 	return offset, nil
 }
 
-func takeRecord(content []byte, r *consensus.Restored) error {
+func applyRecord(content []byte, r *consensus.Restored) error {
 	if len(content) == 0 {
 		return errors.Wrap(ErrDamaged, "empty record")
 	}
@@ -96,7 +96,7 @@
 			return err
 		}
 		if h.Term < r.HardState.Term {
-			return errors.Wrap(ErrDamaged, "a term goes back")
+			return errors.Wrap(ErrDamaged, "term decreases")
 		}
 		r.HardState = h
 		return nil
@@ -107,15 +107,15 @@
 		}
 		return placeEntry(e, r)
 	default:
-		return unknownRecord(content[0])
+		return unexpectedRecord(content[0])
 	}
 }
 
-// placeEntry puts an entry at its index; what was from there on is replaced.
+// placeEntry puts an entry at its index and drops all entries from there on.
 func placeEntry(e consensus.Entry, r *consensus.Restored) error {
 	next := r.Snapshot.Index + consensus.Index(len(r.Entries)) + 1
 	if e.Index <= r.Snapshot.Index || e.Index > next {
-		return errors.Wrapf(ErrDamaged, "entry %d where %d follows", e.Index, next)
+		return errors.Wrapf(ErrDamaged, "entry %d out of order, next is %d", e.Index, next)
 	}
 	r.Entries = append(r.Entries[:e.Index-r.Snapshot.Index-1], e)
 	return nil
--- a/store/patient.go
+++ b/store/patient.go
@@ -12,15 +12,13 @@
 	"lynxramp.org/internal/logx"
 )
 
-// Times of a disk that refuses writes.
 const (
-	retryEvery = 100 * time.Millisecond
-	sayEvery   = 2 * time.Second
+	retryInterval = 100 * time.Millisecond
+	logInterval   = 2 * time.Second
 )
 
-// Patient is a Disk that asks again and again when the one beneath it refuses a
-// write, as a full one does: what has not been saved is not promised, and the
-// process goes on. Save returns an error only when the context ends.
+// RetryingDisk retries failed saves, as on a full disk, so that the process goes on; nothing counts
+// as saved meanwhile. Save returns an error only when the context is done.
 type Patient struct {
 	Disk    Disk
 	Context context.Context
@@ -28,25 +26,25 @@
 }
 
 // Save implements Disk.
-func (p *Patient) Save(r *consensus.Ready) error {
-	said := time.Time{}
+func (d *Patient) Save(r *consensus.Ready) error {
+	lastLogged := time.Time{}
 	began := time.Now()
 	for {
-		err := p.Disk.Save(r)
+		err := d.Disk.Save(r)
 		if err == nil {
-			if !said.IsZero() {
-				p.Log.Info("disk takes writes again", zap.Duration("after", time.Since(began)))
+			if !lastLogged.IsZero() {
+				d.Log.Info("disk accepts writes again", zap.Duration("after", time.Since(began)))
 			}
 			return nil
 		}
-		if time.Since(said) > sayEvery {
-			said = time.Now()
-			p.Log.Warn("disk refuses writes", logx.Err(err))
+		if time.Since(lastLogged) > logInterval {
+			lastLogged = time.Now()
+			d.Log.Warn("disk refuses writes", logx.Err(err))
 		}
 		select {
-		case <-p.Context.Done():
+		case <-d.Context.Done():
 			return err
-		case <-time.After(retryEvery):
+		case <-time.After(retryInterval):
 		}
 	}
 }
--- a/store/patient_test.go
+++ b/store/patient_test.go
@@ -12,7 +12,7 @@
 	"lynxramp.org/consensus"
 )
 
-// fullDisk refuses some writes.
+// fullDisk fails a number of saves.
 type fullDisk struct{ refusals, saves int }
 
 func (d *fullDisk) Save(*consensus.Ready) error {
@@ -24,26 +24,25 @@
 	return nil
 }
 
-func TestFullDiskIsAskedAgain(t *testing.T) {
+func TestFullDiskIsRetried(t *testing.T) {
 	disk := &fullDisk{refusals: 3}
-	p := &Patient{Disk: disk, Context: context.Background(), Log: zap.NewNop()}
-	if err := p.Save(&consensus.Ready{}); err != nil || disk.saves != 1 {
+	d := &Patient{Disk: disk, Context: context.Background(), Log: zap.NewNop()}
+	if err := d.Save(&consensus.Ready{}); err != nil || disk.saves != 1 {
 		t.Errorf("error %v, %d saves; want none and 1", err, disk.saves)
 	}
 }
 
-func TestPatienceEndsWithItsContext(t *testing.T) {
+func TestRetryEndsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	p := &Patient{Disk: &fullDisk{refusals: 1 << 30}, Context: ctx, Log: zap.NewNop()}
-	if err := p.Save(&consensus.Ready{}); err == nil {
-		t.Error("a save that was not done looks done")
+	d := &Patient{Disk: &fullDisk{refusals: 1 << 30}, Context: ctx, Log: zap.NewNop()}
+	if err := d.Save(&consensus.Ready{}); err == nil {
+		t.Error("Save returned no error though nothing was saved")
 	}
 }
 
-// TestFailedWriteLeavesNoTrace makes a write fail half way and repeats it: what
-// the folder holds afterwards is whole.
-func TestFailedWriteLeavesNoTrace(t *testing.T) {
+// A write that fails half-way and is retried must leave the folder intact.
+func TestFailedWriteIsRepaired(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _, err := Open(dir, "box", 7)
 	if err != nil {
@@ -55,11 +54,11 @@
 	if err := s.Save(entry(1, "first")); err != nil {
 		t.Fatal(err)
 	}
-	// What a full disk leaves: a part of the record.
+	// a partial record, as a full disk leaves it
 	if _, err := s.log.Write([]byte("\xb1lyx half of a record")); err != nil {
 		t.Fatal(err)
 	}
-	s.spoiled = true
+	s.needsRepair = true
 	if err := s.Save(entry(2, "second")); err != nil {
 		t.Fatal(err)
 	}
--- a/store/record.go
+++ b/store/record.go
@@ -14,8 +14,8 @@
 	"lynxramp.org/level"
 )
 
-// A record is: magic (4 bytes), length (4), checksum of the content (4),
-// content. All numbers are big-endian.
+// A record has magic (4 bytes), content length (4), CRC-32C of the content (4) and the content.
+// Numbers are big-endian.
 const (
 	headerBytes = 12
 	maxRecord   = 64 << 20
@@ -26,20 +26,20 @@
 	checksum = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// The first byte of a record's content says what it is.
+// The kinds of records: the first byte of the content.
 const (
 	recordHardState byte = iota + 1
 	recordEntry
 	recordSnapshot
-	recordPiece // of a snapshot
+	recordChunk
 )
 
-// lastRecord is the last kind of record that this build reads.
-const lastRecord = recordPiece
+// lastRecord is the highest kind that this build reads.
+const lastRecord = recordChunk
 
-// unknownRecord returns that a sound record is of a kind that does not belong there: a later build
-// wrote it, or, if the kind is known, the file is damaged.
-func unknownRecord(kind byte) error {
+// unexpectedRecord returns the error for an intact record of a wrong kind: the file is damaged if
+// the kind is known; otherwise a newer build wrote it.
+func unexpectedRecord(kind byte) error {
 	if kind <= lastRecord {
 		return errors.Wrapf(ErrDamaged, "record of kind %d", kind)
 	}
@@ -49,13 +49,13 @@
 	}
 }
 
-// ErrDamaged says that a file does not hold what was written to it.
+// ErrDamaged says that a file's content is not what was written.
 var ErrDamaged = errors.New("the data folder is damaged")
 
-// errTorn says that a record was not written to its end.
+// errTorn says that a record is incomplete or damaged.
 var errTorn = errors.New("torn record")
 
-// appendRecord adds a record with the content to buf.
+// appendRecord appends a record with the content to buf.
 func appendRecord(buf, content []byte) []byte {
 	buf = append(buf, magic...)
 	buf = binary.BigEndian.AppendUint32(buf, uint32(len(content)))
@@ -63,8 +63,8 @@
 	return append(buf, content...)
 }
 
-// readRecord returns the content of the record at data's beginning and its
-// whole length. It fails with errTorn if there is no whole and sound one.
+// readRecord returns the content of the record at the start of data, and the length of the record.
+// It fails with errTorn if the record is incomplete or damaged.
 func readRecord(data []byte) (content []byte, length int, err error) {
 	if len(data) < headerBytes || !bytes.Equal(data[:4], magic) {
 		return nil, 0, errTorn
@@ -80,8 +80,8 @@
 	return content, headerBytes + int(size), nil
 }
 
-// holdsRecord reports whether a sound record begins anywhere in data.
-func holdsRecord(data []byte) bool {
+// containsRecord reports whether an intact record begins anywhere in data.
+func containsRecord(data []byte) bool {
 	for {
 		i := bytes.Index(data, magic)
 		if i < 0 {
@@ -111,11 +111,11 @@
 	}, nil
 }
 
-// entryHeader is the length of an entry's index, term and kind.
-const entryHeader = 17
+// entryHeaderBytes is the length of an entry's index, term and kind.
+const entryHeaderBytes = 17
 
 func appendEntry(buf []byte, e consensus.Entry) []byte {
-	content := make([]byte, 0, 1+entryHeader+len(e.Data))
+	content := make([]byte, 0, 1+entryHeaderBytes+len(e.Data))
 	content = append(content, recordEntry)
 	content = binary.BigEndian.AppendUint64(content, uint64(e.Index))
 	content = binary.BigEndian.AppendUint64(content, uint64(e.Term))
@@ -125,13 +125,13 @@
 }
 
 func parseEntry(content []byte) (consensus.Entry, error) {
-	if len(content) < entryHeader {
+	if len(content) < entryHeaderBytes {
 		return consensus.Entry{}, errors.Wrap(ErrDamaged, "entry")
 	}
 	return consensus.Entry{
 		Index: consensus.Index(binary.BigEndian.Uint64(content)),
 		Term:  consensus.Term(binary.BigEndian.Uint64(content[8:])),
 		Kind:  consensus.EntryKind(content[16]),
-		Data:  bytes.Clone(content[entryHeader:]),
+		Data:  bytes.Clone(content[entryHeaderBytes:]),
 	}, nil
 }
--- a/store/recover.go
+++ b/store/recover.go
@@ -12,10 +12,9 @@
 	"lynxramp.org/event"
 )
 
-// Recover makes the box of a folder the only voter of its group, after most
-// disks of the group were lost for good. What only the lost boxes had saved is
-// lost. It must be done on one box alone, while none of the group runs. The
-// other boxes join again from empty folders.
+// Recover makes the box of a folder the only voter of its group, after a majority of the group's
+// disks was lost for good. Entries that only the lost boxes had saved are lost. Run it on one box
+// only, while no box of the group runs; the others join again with empty folders.
 func Recover(dir string, box event.BoxID, address string) error {
 	s, id, r, err := Open(dir, box, 0)
 	if err != nil {
@@ -23,14 +22,14 @@
 	}
 	defer s.Close()
 	if id.Group == "" {
-		return errors.New("the folder belongs to no group: there is nothing to recover")
+		return errors.New("the data folder belongs to no group: there is nothing to recover")
 	}
 	self := consensus.Member{ID: id.Member(), Address: address}
 	data, err := json.Marshal(consensus.Membership{Voters: []consensus.Member{self}})
 	if err != nil {
 		return errors.Wrap(err, "members")
 	}
-	// A term that no lost box can have seen under another leader's entries.
+	// A term under which no lost box can have seen entries of another leader.
 	hard := consensus.HardState{Term: r.HardState.Term + 1, Vote: self.ID}
 	last := r.Snapshot.Index + consensus.Index(len(r.Entries))
 	entry := consensus.Entry{Index: last + 1, Term: hard.Term, Kind: consensus.EntryMembers, Data: data}
--- a/store/store.go
+++ b/store/store.go
@@ -20,7 +20,7 @@
 	"lynxramp.org/event"
 )
 
-// Names of the files.
+// File names.
 const (
 	identityFile   = "identity"
 	lockFile       = "lock"
@@ -29,40 +29,40 @@
 	tempSuffix     = ".tmp"
 )
 
-// Identity says whose disk this is.
+// Identity says which box, disk and group a folder belongs to.
 type Identity struct {
 	Box event.BoxID `json:"box"`
-	// Disk tells this disk's life from earlier ones of the box.
+	// Disk distinguishes this disk from earlier ones of the same box.
 	Disk event.Incarnation `json:"disk"`
-	// Group is the control group's name; empty until the box belongs to one.
+	// Group is the name of the control group; empty until the box belongs to one.
 	Group string `json:"group"`
-	// Founders are the first members of the group, where the box is one.
+	// Founders are the initial members of the group, if the box is one of them.
 	Founders []consensus.Member `json:"founders,omitempty"`
 }
 
-// Member returns the member that the box is while this disk lives.
+// Member returns the member ID of the box with this disk.
 func (i Identity) Member() consensus.ID { return consensus.MakeID(i.Box, i.Disk) }
 
-// Store is an open data folder. Its methods are for one goroutine.
+// Store is an open data folder. Its methods must be called from one goroutine.
 type Store struct {
-	dir      string
-	lock     *os.File
-	log      *os.File
-	hard     consensus.HardState
-	logBytes int64
-	spoiled  bool // a write failed: what is behind logBytes does not count
-	buf      []byte
+	dir         string
+	lock        *os.File
+	log         *os.File
+	hard        consensus.HardState
+	logBytes    int64
+	needsRepair bool // a write failed: ignore what follows logBytes
+	buf         []byte
 }
 
-// Open opens the folder of a box, which is made if it is not there, and returns
-// what it holds. A new folder gets an identity with the given incarnation.
+// Open opens the data folder of a box, creating it if needed, and returns its content. A new folder
+// gets an identity with incarnation disk.
 func Open(dir string, box event.BoxID, disk event.Incarnation) (*Store, Identity, consensus.Restored, error) {
 	var r consensus.Restored
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, Identity{}, r, errors.Wrap(err, "data folder")
 	}
 	s := &Store{dir: dir}
-	if err := s.takeLock(); err != nil {
+	if err := s.acquireLock(); err != nil {
 		return nil, Identity{}, r, err
 	}
 	id, err := s.openIdentity(box, disk)
@@ -70,31 +70,31 @@
 		r, err = s.load()
 	}
 	if err != nil {
-		_ = s.lock.Close() // the first error says it
+		_ = s.lock.Close() // the first error is returned
 		return nil, Identity{}, r, err
 	}
 	return s, id, r, nil
 }
 
-// takeLock keeps a second process off the folder.
-func (s *Store) takeLock() error {
+// acquireLock keeps other processes out of the folder.
+func (s *Store) acquireLock() error {
 	f, err := os.OpenFile(filepath.Join(s.dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return errors.Wrap(err, "lock")
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = f.Close() // the lock's error says it
+		_ = f.Close() // the lock error is returned
 		return errors.Errorf("data folder %s is in use by another process", s.dir)
 	}
 	s.lock = f
 	return nil
 }
 
-// Close gives the folder up.
+// Close closes the files and releases the lock.
 func (s *Store) Close() error {
 	err := s.log.Close()
-	if other := s.lock.Close(); err == nil {
-		err = other
+	if closeErr := s.lock.Close(); err == nil {
+		err = closeErr
 	}
 	return errors.Wrap(err, "close")
 }
@@ -113,12 +113,12 @@
 		return id, errors.Wrap(ErrDamaged, "identity")
 	}
 	if id.Box != box {
-		return id, errors.Errorf("data folder %s is of box %q, not of %q", s.dir, id.Box, box)
+		return id, errors.Errorf("data folder %s belongs to box %q, not to %q", s.dir, id.Box, box)
 	}
 	return id, nil
 }
 
-// SetIdentity writes whose disk this is.
+// SetIdentity saves the identity of the folder.
 func (s *Store) SetIdentity(id Identity) error {
 	data, err := json.Marshal(id)
 	if err != nil {
@@ -127,8 +127,8 @@
 	return s.replaceFile(identityFile, slices.Values([][]byte{data}))
 }
 
-// replaceFile puts a file in place, whole and synced, or leaves the old one. The file has all
-// pieces, one after the other.
+// replaceFile replaces a file atomically: the concatenated pieces are written and synced, then
+// renamed over the old file.
 func (s *Store) replaceFile(name string, pieces iter.Seq[[]byte]) error {
 	path := filepath.Join(s.dir, name)
 	f, err := os.OpenFile(path+tempSuffix, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
@@ -139,8 +139,8 @@
 	if err == nil {
 		err = f.Sync()
 	}
-	if other := f.Close(); err == nil {
-		err = other
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = os.Rename(path+tempSuffix, path)
@@ -166,13 +166,13 @@
 		return errors.Wrap(err, "data folder")
 	}
 	err = d.Sync()
-	if other := d.Close(); err == nil {
-		err = other
+	if closeErr := d.Close(); err == nil {
+		err = closeErr
 	}
 	return errors.Wrap(err, "data folder")
 }
 
-// Save writes and syncs what a Ready asks for.
+// Save writes and syncs what r asks for.
 func (s *Store) Save(r *consensus.Ready) error {
 	if r.HardState != nil {
 		s.hard = *r.HardState
@@ -190,8 +190,8 @@
 	return s.writeLog(s.buf)
 }
 
-// writeLog adds data to the log and syncs it. After an error the log is as it was
-// before, so that the same can be written again.
+// writeLog appends data to the log and syncs it. After an error the log's content is as before, so
+// that the same data can be written again.
 func (s *Store) writeLog(data []byte) error {
 	if err := s.repair(); err != nil {
 		return err
@@ -201,16 +201,16 @@
 		err = s.log.Sync()
 	}
 	if err != nil {
-		s.spoiled = true
+		s.needsRepair = true
 		return errors.Wrap(err, "log")
 	}
 	s.logBytes += int64(len(data))
 	return nil
 }
 
-// repair cuts off what a failed write may have left at the log's end.
+// repair truncates what a failed write may have left at the end of the log.
 func (s *Store) repair() error {
-	if !s.spoiled {
+	if !s.needsRepair {
 		return nil
 	}
 	if err := s.log.Truncate(s.logBytes); err != nil {
@@ -219,44 +219,44 @@
 	if _, err := s.log.Seek(s.logBytes, 0); err != nil {
 		return errors.Wrap(err, "log")
 	}
-	s.spoiled = false
+	s.needsRepair = false
 	return nil
 }
 
-// LogBytes returns the length of the log since the last snapshot.
+// LogBytes returns the length of the log file, which starts after the last snapshot.
 func (s *Store) LogBytes() int64 { return s.logBytes }
 
-// saveSnapshot starts a new log behind a new snapshot and drops the old ones.
+// saveSnapshot starts a new log after a new snapshot and removes the old files.
 func (s *Store) saveSnapshot(snap *consensus.Snapshot, entries []consensus.Entry) error {
 	records, err := snapshotRecords(snap)
 	if err != nil {
 		return err
 	}
-	// The log comes first: a snapshot without its log would look like one whose
-	// entries were lost.
+	// The log must be written first: a snapshot without its log would look as if the log had been
+	// lost.
 	if err := s.startLog(snap.Index, entries); err != nil {
 		return err
 	}
-	if err := s.replaceFile(numbered(snapshotPrefix, snap.Index), records); err != nil {
+	if err := s.replaceFile(fileName(snapshotPrefix, snap.Index), records); err != nil {
 		return err
 	}
-	return s.dropBefore(snap.Index)
+	return s.removeBefore(snap.Index)
 }
 
-// startLog opens the log behind a snapshot, with the hard state and entries.
+// startLog creates the log after a snapshot, with the hard state and entries, and opens it.
 func (s *Store) startLog(after consensus.Index, entries []consensus.Entry) error {
 	buf := appendHardState(nil, s.hard)
 	for _, e := range entries {
 		buf = appendEntry(buf, e)
 	}
-	name := numbered(logPrefix, after)
+	name := fileName(logPrefix, after)
 	if err := s.replaceFile(name, slices.Values([][]byte{buf})); err != nil {
 		return err
 	}
 	return s.openLog(name, int64(len(buf)))
 }
 
-// openLog makes a file the one that is written to, from a length on.
+// openLog makes a file the current log, written to from offset length on.
 func (s *Store) openLog(name string, length int64) error {
 	f, err := os.OpenFile(filepath.Join(s.dir, name), os.O_RDWR, 0o600)
 	if err != nil {
@@ -266,17 +266,17 @@
 		return errors.Wrap(err, "log")
 	}
 	if s.log != nil {
-		_ = s.log.Close() // all in it was synced
+		_ = s.log.Close() // all its data is synced
 	}
 	s.log = f
 	s.logBytes = length
 	return nil
 }
 
-// dropBefore removes snapshots and logs of earlier numbers.
-func (s *Store) dropBefore(keep consensus.Index) error {
+// removeBefore removes the snapshots and logs before an index.
+func (s *Store) removeBefore(keep consensus.Index) error {
 	for _, prefix := range [...]string{snapshotPrefix, logPrefix} {
-		numbers, err := s.numbers(prefix)
+		numbers, err := s.listIndexes(prefix)
 		if err != nil {
 			return err
 		}
@@ -284,7 +284,7 @@
 			if n >= keep {
 				continue
 			}
-			if err := os.Remove(filepath.Join(s.dir, numbered(prefix, n))); err != nil {
+			if err := os.Remove(filepath.Join(s.dir, fileName(prefix, n))); err != nil {
 				return errors.Wrap(err, "old file")
 			}
 		}
@@ -292,11 +292,11 @@
 	return s.syncDir()
 }
 
-// numbered returns a file's name by what it holds and its number.
-func numbered(prefix string, n consensus.Index) string { return fmt.Sprintf("%s%020d", prefix, n) }
+// fileName returns the name of the file with a prefix and an index.
+func fileName(prefix string, n consensus.Index) string { return fmt.Sprintf("%s%020d", prefix, n) }
 
-// numbers returns the numbers of the files with a prefix, in order.
-func (s *Store) numbers(prefix string) ([]consensus.Index, error) {
+// listIndexes returns the sorted indexes of the files with a prefix.
+func (s *Store) listIndexes(prefix string) ([]consensus.Index, error) {
 	files, err := os.ReadDir(s.dir)
 	if err != nil {
 		return nil, errors.Wrap(err, "data folder")
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// filled returns a folder with a snapshot, a hard state and ten entries, of
-// which the last five were replaced.
+// filled returns a folder with a snapshot, a hard state and ten entries, the last five of which
+// were replaced.
 func filled(t *testing.T) (string, consensus.Restored) {
 	t.Helper()
 	dir := t.TempDir()
@@ -63,10 +63,10 @@
 
 func logFile(t *testing.T, dir string) string {
 	t.Helper()
-	return filepath.Join(dir, numbered(logPrefix, 4))
+	return filepath.Join(dir, fileName(logPrefix, 4))
 }
 
-func TestReopen(t *testing.T) {
+func TestReopenRestoresState(t *testing.T) {
 	dir, want := filled(t)
 	_, got := open(t, dir)
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestTornEnd cuts the log anywhere in its last record: what was synced before
-// is all there, and the store can be written again.
-func TestTornEnd(t *testing.T) {
+// Cuts the log at each byte of its last record: all earlier records must be read, and the log must
+// be writable again.
+func TestTornRecordIsCutOff(t *testing.T) {
 	dir, want := filled(t)
 	whole, err := os.ReadFile(logFile(t, dir))
 	if err != nil {
@@ -90,7 +90,7 @@
 		}
 		s, got := open(t, dir)
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Fatalf("%d bytes torn off (-want +got):\n%s", cut, diff)
+			t.Fatalf("%d bytes cut off (-want +got):\n%s", cut, diff)
 		}
 		save(t, s, consensus.Ready{Entries: entries(12, 12, 4)})
 		if err := s.Close(); err != nil {
@@ -99,9 +99,8 @@
 	}
 }
 
-// TestDamage flips each byte but those of the last record: the store must not
-// open.
-func TestDamage(t *testing.T) {
+// Flips one bit in each byte of all records but the last: the folder must not open.
+func TestDamagedLogIsRejected(t *testing.T) {
 	dir, want := filled(t)
 	whole, err := os.ReadFile(logFile(t, dir))
 	if err != nil {
@@ -120,9 +119,9 @@
 	}
 }
 
-func TestDamagedSnapshot(t *testing.T) {
+func TestDamagedSnapshotIsRejected(t *testing.T) {
 	dir, _ := filled(t)
-	file := filepath.Join(dir, numbered(snapshotPrefix, 4))
+	file := filepath.Join(dir, fileName(snapshotPrefix, 4))
 	data, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
@@ -136,11 +135,11 @@
 	}
 }
 
-func TestSecondProcess(t *testing.T) {
+func TestSecondOpenIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	open(t, dir)
 	if _, _, _, err := Open(dir, "box", 7); err == nil {
-		t.Error("the folder was opened twice")
+		t.Error("the folder was opened by two stores at once")
 	}
 }
 
@@ -159,7 +158,7 @@
 		}
 		var again consensus.Restored
 		if n, err := parseLog(data[:length], &again); err != nil || n != length {
-			t.Errorf("the sound part of %d bytes is read as %d, %v", length, n, err)
+			t.Errorf("the intact %d bytes are read as %d, %v", length, n, err)
 		}
 		if diff := cmp.Diff(r, again); diff != "" {
 			t.Errorf("read twice:\n%s", diff)
@@ -167,8 +166,7 @@
 	})
 }
 
-// TestLargeSnapshotIsReadBack: a snapshot of more than a record holds was written and could not
-// be read, so that its box did not start any more.
+// A snapshot larger than the maximum record must be readable.
 func TestLargeSnapshotIsReadBack(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := open(t, dir)
@@ -183,30 +181,29 @@
 	}
 }
 
-// TestTornSnapshot: a snapshot file that ends early or has a piece too many or damaged is not
-// taken for a whole one.
-func TestTornSnapshot(t *testing.T) {
+// A snapshot file that is truncated, damaged or has an extra chunk must be rejected.
+func TestTornSnapshotIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := open(t, dir)
-	snap := consensus.Snapshot{Index: 4, Term: 1, Data: bytes.Repeat([]byte("s"), 3*snapshotPiece+5)}
+	snap := consensus.Snapshot{Index: 4, Term: 1, Data: bytes.Repeat([]byte("s"), 3*snapshotChunkBytes+5)}
 	save(t, s, consensus.Ready{Snapshot: &snap})
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	file := filepath.Join(dir, numbered(snapshotPrefix, 4))
+	file := filepath.Join(dir, fileName(snapshotPrefix, 4))
 	whole, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	piece := appendRecord(nil, append([]byte{recordPiece}, 's'))
-	lastPiece := len(whole) - headerBytes - 1 - 5
+	chunk := appendRecord(nil, append([]byte{recordChunk}, 's'))
+	lastChunk := len(whole) - headerBytes - 1 - 5
 	for name, bad := range map[string][]byte{
 		"empty":           {},
 		"header only":     whole[:bytes.Index(whole[4:], magic)+4],
 		"a byte short":    whole[:len(whole)-1],
-		"a piece short":   whole[:lastPiece],
-		"a piece more":    append(bytes.Clone(whole), piece...),
-		"a damaged piece": append(append(bytes.Clone(whole[:lastPiece-9]), 'x'), whole[lastPiece-8:]...),
+		"a chunk short":   whole[:lastChunk],
+		"an extra chunk":  append(bytes.Clone(whole), chunk...),
+		"a damaged chunk": append(append(bytes.Clone(whole[:lastChunk-9]), 'x'), whole[lastChunk-8:]...),
 	} {
 		if err := os.WriteFile(file, bad, 0o600); err != nil {
 			t.Fatal(err)
@@ -219,16 +216,15 @@
 		t.Fatal(err)
 	}
 	if _, r := open(t, dir); !bytes.Equal(r.Snapshot.Data, snap.Data) {
-		t.Error("the whole file was not read")
+		t.Error("the intact file was not read")
 	}
 }
 
-// TestCrashWhileSnapshotIsSaved stops anywhere between the files that a snapshot is saved in: what
-// was promised before is there.
-func TestCrashWhileSnapshotIsSaved(t *testing.T) {
+// Stops between the file operations of a snapshot save: everything saved before must be read.
+func TestCrashDuringSnapshotSaveLosesNothing(t *testing.T) {
 	dir, want := filled(t)
 	s, _ := open(t, dir)
-	old, err := os.ReadFile(filepath.Join(dir, numbered(snapshotPrefix, 4)))
+	old, err := os.ReadFile(filepath.Join(dir, fileName(snapshotPrefix, 4)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -241,7 +237,7 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	snapFile := filepath.Join(dir, numbered(snapshotPrefix, 10))
+	snapFile := filepath.Join(dir, fileName(snapshotPrefix, 10))
 	whole, err := os.ReadFile(snapFile)
 	if err != nil {
 		t.Fatal(err)
@@ -263,21 +259,21 @@
 		}
 	}
 	check("all saved", after)
-	write(filepath.Join(dir, numbered(snapshotPrefix, 4)), old)
+	write(filepath.Join(dir, fileName(snapshotPrefix, 4)), old)
 	write(logFile(t, dir), oldLog)
-	check("old files not dropped", after)
+	check("old files not removed", after)
 	if err := os.Remove(snapFile); err != nil {
 		t.Fatal(err)
 	}
 	for cut := range whole {
 		write(snapFile+tempSuffix, whole[:cut])
 	}
-	check("the new log there, the new snapshot not in place", want)
+	check("new log written, new snapshot not renamed", want)
 }
 
-// TestSnapshotOfEarlierBuilds: a snapshot of a group with boxes of earlier builds is one record, which
-// those must read again if they come back, and no piece of theirs was ever read by a later build.
-func TestSnapshotOfEarlierBuilds(t *testing.T) {
+// While the group has boxes of older builds, a snapshot must be a single record that those can
+// read.
+func TestSnapshotIsReadableByOlderBuilds(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := open(t, dir)
 	snap := consensus.Snapshot{Index: 4, Term: 2, Data: []byte(`{"version":1}`), Members: consensus.Membership{Voters: []consensus.Member{{ID: "box@1", Address: "a"}}}}
@@ -285,30 +281,30 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	file, err := os.ReadFile(filepath.Join(dir, numbered(snapshotPrefix, 4)))
+	file, err := os.ReadFile(filepath.Join(dir, fileName(snapshotPrefix, 4)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	content, length, err := readRecord(file)
-	var asTheyRead consensus.Snapshot
-	if err != nil || length != len(file) || content[0] != recordSnapshot || json.Unmarshal(content[1:], &asTheyRead) != nil {
+	var asOldBuildsRead consensus.Snapshot
+	if err != nil || length != len(file) || content[0] != recordSnapshot || json.Unmarshal(content[1:], &asOldBuildsRead) != nil {
 		t.Fatalf("%v, a record of %d of %d bytes", err, length, len(file))
 	}
-	if diff := cmp.Diff(snap, asTheyRead); diff != "" {
-		t.Errorf("as earlier builds read it (-want +got):\n%s", diff)
+	if diff := cmp.Diff(snap, asOldBuildsRead); diff != "" {
+		t.Errorf("as older builds read it (-want +got):\n%s", diff)
 	}
 	_, r := open(t, dir)
 	if diff := cmp.Diff(snap, r.Snapshot); diff != "" || len(r.Entries) != 2 {
 		t.Errorf("%d entries, the snapshot (-want +got):\n%s", len(r.Entries), diff)
 	}
 	if _, err := parseSnapshot(append(file, 0)); !errors.Is(err, ErrDamaged) {
-		t.Errorf("with a byte more: %v", err)
+		t.Errorf("with an extra byte: %v", err)
 	}
 }
 
-// TestRecordsOfLaterBuilds: a sound record of a kind that isn't known is not damage. An operator would
-// take the disk for lost.
-func TestRecordsOfLaterBuilds(t *testing.T) {
+// An intact record of an unknown kind must not be reported as damage: an operator would take the
+// disk for lost.
+func TestRecordOfNewerBuildIsNotDamage(t *testing.T) {
 	later := appendRecord(nil, []byte{lastRecord + 1, 1, 2, 3})
 	var r consensus.Restored
 	if _, err := parseLog(later, &r); !level.IsAbove(err) {
@@ -318,6 +314,6 @@
 		t.Errorf("snapshot: %v", err)
 	}
 	if _, err := parseLog(appendRecord(nil, []byte{recordSnapshot, 1}), &r); !errors.Is(err, ErrDamaged) {
-		t.Errorf("a record that does not belong there: %v", err)
+		t.Errorf("a known record in the wrong file: %v", err)
 	}
 }
