--- a/hashtree/build.go
+++ b/hashtree/build.go
@@ -9,47 +9,46 @@
 	"lynxramp.org/routing"
 )
 
-// Lengths of runs. A leaf of 64 routes takes 3 kB on a link, 2 ms on one of 10 Mbit/s, and 2 ms to
-// read on 0.144 of a core; a tree of 14,000 routes has 220 of them.
+// Lengths of runs. A leaf of 64 routes has about 3 kB, about 2 ms on a 10 Mbit/s link.
 const (
-	// runItems is the mean number of items of a run, runMost the most.
-	runItems = 64
-	runMost  = 4 * runItems
-	// runBytes ends a run whose items are long.
-	runBytes = 32 << 10
-	// fanOut is the mean number of nodes under one, fanMost the most.
-	fanOut  = 32
-	fanMost = 4 * fanOut
+	// meanRunItems is the mean number of items in a run, maxRunItems the maximum.
+	meanRunItems = 64
+	maxRunItems  = 4 * meanRunItems
+	// maxRunBytes ends a run whose items are long.
+	maxRunBytes = 32 << 10
+	// meanFanout is the mean number of children of a node, maxFanout the maximum.
+	meanFanout = 32
+	maxFanout  = 4 * meanFanout
 )
 
-// Tree is a configuration as nodes. It is never changed once it is built.
+// Tree is a configuration as a tree of nodes. It is immutable once built.
 type Tree struct {
 	root  Sum
 	nodes map[Sum]Packed
 	bytes int
 }
 
-// Root names the whole configuration but its version.
+// Root identifies the content of the configuration, without its version.
 func (t *Tree) Root() Sum { return t.root }
 
 // Len returns the number of nodes.
 func (t *Tree) Len() int { return len(t.nodes) }
 
-// Bytes returns the length of all nodes on a link.
+// Bytes returns the total encoded length of the nodes.
 func (t *Tree) Bytes() int { return t.bytes }
 
-// Node returns a node; false if it is not of this tree.
+// Node returns a node; false if it is not in the tree.
 func (t *Tree) Node(s Sum) (Packed, bool) {
 	p, ok := t.nodes[s]
 	return p, ok
 }
 
-// Build makes the tree of a table. Nodes that an older tree has are taken from it; old may be nil.
+// Build returns the tree of a table. Nodes that old also has are taken from it; old may be nil.
 func Build(table *routing.Table, old *Tree) *Tree {
 	b := &builder{tree: &Tree{nodes: make(map[Sum]Packed)}, old: old, packer: newPacker()}
 	leaves := b.leaves(table)
 	for len(leaves) > 1 {
-		leaves = b.level(leaves)
+		leaves = b.parents(leaves)
 	}
 	b.tree.root = leaves[0].Sum
 	return b.tree
@@ -61,7 +60,7 @@
 	packer *packer
 }
 
-// add puts a node into the tree.
+// add adds a node to the tree.
 func (b *builder) add(n *node) Child {
 	plain := encode(n)
 	sum := sumOf(plain)
@@ -82,26 +81,26 @@
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // texts and numbers always encode
+		panic(err) // strings and numbers always encode
 	}
 	return data
 }
 
-// leaves cuts the table into runs.
+// leaves returns the leaves of the table.
 func (b *builder) leaves(t *routing.Table) []Child {
 	leaves := []Child{b.add(&node{Limits: &t.Limits})}
-	for _, run := range runs(t.Services) {
+	for _, run := range splitRuns(t.Services) {
 		leaves = append(leaves, b.add(&node{Services: run}))
 	}
 	teams, keys := splitTeams(t.Teams)
-	for _, run := range runs(teams) {
+	for _, run := range splitRuns(teams) {
 		leaves = append(leaves, b.add(&node{Teams: run}))
 	}
-	for _, run := range runs(keys) {
+	for _, run := range splitRuns(keys) {
 		leaves = append(leaves, b.add(&node{Keys: run}))
 	}
-	for _, run := range runs(t.Routes) {
-		leaves = append(leaves, b.add(&node{Routes: shapeRoutes(run)}))
+	for _, run := range splitRuns(t.Routes) {
+		leaves = append(leaves, b.add(&node{Routes: encodeRoutes(run)}))
 	}
 	return leaves
 }
@@ -120,15 +119,15 @@
 	return bare, keys
 }
 
-// runs cuts a list behind each item that its own content marks as the last of a run, so that a
-// change moves no other end than those next to it.
-func runs[T any](list []T) [][]T {
+// splitRuns cuts a list after each item whose own hash marks the end of a run, so that a change
+// moves no run boundaries but those next to it.
+func splitRuns[T any](list []T) [][]T {
 	var all [][]T
 	begin, length := 0, 0
 	for i := range list {
 		plain := encode(&list[i])
 		length += len(plain)
-		if ends(plain) || i-begin+1 >= runMost || length >= runBytes {
+		if endsRun(plain) || i-begin+1 >= maxRunItems || length >= maxRunBytes {
 			all = append(all, list[begin:i+1])
 			begin, length = i+1, 0
 		}
@@ -139,19 +138,19 @@
 	return all
 }
 
-func ends(item []byte) bool {
+func endsRun(item []byte) bool {
 	h := fnv.New32a()
-	_, _ = h.Write(item) // it takes all
-	return h.Sum32()%runItems == 0
+	_, _ = h.Write(item) // never fails
+	return h.Sum32()%meanRunItems == 0
 }
 
-// level puts nodes above others.
-func (b *builder) level(below []Child) []Child {
+// parents groups nodes under parent nodes.
+func (b *builder) parents(below []Child) []Child {
 	var above []Child
 	begin := 0
 	for i, c := range below {
 		last := i == len(below)-1
-		if last || i-begin+1 >= fanMost || (i > begin && c.Sum[0]%fanOut == 0) {
+		if last || i-begin+1 >= maxFanout || (i > begin && c.Sum[0]%meanFanout == 0) {
 			above = append(above, b.add(&node{Children: below[begin : i+1]}))
 			begin = i + 1
 		}
--- a/hashtree/fetch.go
+++ b/hashtree/fetch.go
@@ -11,85 +11,85 @@
 	"lynxramp.org/routing"
 )
 
-// Bounds of what is held of versions that did not become whole.
+// Limits of the nodes held of incomplete versions.
 const (
-	// heldTimes is how many times the length of the longest tree that was known since the last whole
-	// one may be held, and heldLeast what may be held at any rate, in bytes on a link. What is
-	// beyond is dropped down to keptTimes.
-	heldTimes = 2
-	keptTimes = 1.5
-	heldLeast = 64 << 10
+	// Nodes of incomplete versions are evicted once they exceed maxHeldFactor times the largest
+	// tree known since the last complete one, down to evictToFactor times that. minHeldBytes, in
+	// encoded bytes, may be held in any case.
+	maxHeldFactor = 2
+	evictToFactor = 1.5
+	minHeldBytes  = 64 << 10
 )
 
-// Fetch gathers the nodes of a configuration. The zero value holds none and is ready. It is not safe
+// Fetcher collects the nodes of a configuration. The zero value is ready for use. It is not safe
 // for concurrent use.
 type Fetch struct {
 	version uint64
 	root    Sum
-	held    map[Sum]*holding
-	// heldBytes is the length of what is held beside the last whole version, treeBytes that of the
-	// present tree as far as it is known, peakBytes the most that it was since the last whole
-	// version, and turn counts the versions.
+	held    map[Sum]*heldNode
+	// heldBytes is the length of the held nodes beyond the last complete version; treeBytes that of
+	// the current tree as far as known, and peakBytes its maximum since the last complete version.
+	// generation counts the versions.
 	heldBytes, treeBytes, peakBytes int
-	turn                            int
-	// missing are to be asked for, the last one first; asked were asked for on the present
-	// connection, with their lengths, of whatever version.
-	missing []Child
-	needed  map[Sum]bool // of the present tree, in missing or in asked
-	asked   map[Sum]int
-	waiting int // bytes that were asked for and have not come
+	generation                      int
+	// missing has the nodes to request, last first. requested has the lengths of those in flight on
+	// the current connection, of any version.
+	missing   []Child
+	needed    map[Sum]bool // of the current tree, in missing or requested
+	requested map[Sum]int
+	inFlight  int // bytes requested and not received
 
-	nodes, bytes int // that came for the present version
-	// last is the last whole table, runs are those of its routes, and holders the nodes of its
-	// teams and keys.
-	last     *routing.Table
-	runs     []*routes
-	holders  []*node
-	unpacker unpacker
+	receivedNodes, receivedBytes int // for the current version
+	// lastTable is the last complete table; runs and teamNodes are the nodes of its routes, and of
+	// its teams and keys.
+	lastTable *routing.Table
+	runs      []*routes
+	teamNodes []*node
+	unpacker  unpacker
 }
 
-// holding is a node that came.
-type holding struct {
+// heldNode is a received node.
+type heldNode struct {
 	*node
-	bytes int
-	whole bool // it is of the last whole version
-	// turn is that of the last version that was known to need it.
-	turn int
+	bytes       int
+	inLastTable bool // part of the last complete version
+	// generation is that of the last version known to need the node.
+	generation int
 }
 
-// Aim sets the version that is to be gathered and the root of its tree, which is not zero. What was
-// asked for stays on its way, and counts as such.
+// SetTarget sets the version to fetch and the root of its tree, which must not be zero. Nodes in
+// flight still count as requested.
 func (f *Fetch) Aim(version uint64, root Sum) {
 	if root == (Sum{}) || (version == f.version && root == f.root) {
 		return
 	}
 	f.version, f.root = version, root
-	f.nodes, f.bytes = 0, 0
-	f.turn++
-	f.begin()
+	f.receivedNodes, f.receivedBytes = 0, 0
+	f.generation++
+	f.scanTree()
 }
 
-// begin looks what is missing of the tree.
-func (f *Fetch) begin() {
+// scanTree determines the missing nodes of the current tree.
+func (f *Fetch) scanTree() {
 	if f.held == nil {
-		f.held = make(map[Sum]*holding)
-		f.asked = make(map[Sum]int)
+		f.held = make(map[Sum]*heldNode)
+		f.requested = make(map[Sum]int)
 	}
 	f.missing = nil
 	f.needed = make(map[Sum]bool)
 	f.treeBytes = 0
-	f.look(Child{Sum: f.root})
+	f.scan(Child{Sum: f.root})
 }
 
-// look takes note of what is missing of a node and of those below it.
-func (f *Fetch) look(c Child) {
+// scan adds the missing nodes at and below c.
+func (f *Fetch) scan(c Child) {
 	f.treeBytes += c.Bytes
 	f.peakBytes = max(f.peakBytes, f.treeBytes)
 	if h, ok := f.held[c.Sum]; ok {
-		h.turn = f.turn
-		// The last one is asked for first: those at the front are to come first.
+		h.generation = f.generation
+		// missing is used from its end, so that the front of the tree comes first.
 		for i := len(h.Children) - 1; i >= 0; i-- {
-			f.look(h.Children[i])
+			f.scan(h.Children[i])
 		}
 		return
 	}
@@ -97,85 +97,84 @@
 		return
 	}
 	f.needed[c.Sum] = true
-	if _, ok := f.asked[c.Sum]; !ok {
+	if _, ok := f.requested[c.Sum]; !ok {
 		f.missing = append(f.missing, c)
 	}
 }
 
-// dropUnneeded drops nodes that no late version was known to need, once much is held: large changes
-// that follow each other faster than they come would else fill an entry's memory. Of the last whole
-// version all stay.
-func (f *Fetch) dropUnneeded() {
-	peak := max(heldLeast, f.peakBytes)
-	if f.heldBytes <= heldTimes*peak {
+// evict drops the nodes of the oldest incomplete versions if too much is held; otherwise large
+// changes that follow each other faster than they arrive would exhaust the entry's memory. Nodes of
+// the last complete version stay.
+func (f *Fetch) evict() {
+	peak := max(minHeldBytes, f.peakBytes)
+	if f.heldBytes <= maxHeldFactor*peak {
 		return
 	}
 	sums := slices.SortedFunc(maps.Keys(f.held), func(v, w Sum) int {
-		return cmp.Or(cmp.Compare(f.held[v].turn, f.held[w].turn), bytes.Compare(v[:], w[:]))
+		return cmp.Or(cmp.Compare(f.held[v].generation, f.held[w].generation), bytes.Compare(v[:], w[:]))
 	})
 	for _, sum := range sums {
 		h := f.held[sum]
-		if float64(f.heldBytes) <= keptTimes*float64(peak) || h.turn >= f.turn {
+		if float64(f.heldBytes) <= evictToFactor*float64(peak) || h.generation >= f.generation {
 			return
 		}
-		if !h.whole {
+		if !h.inLastTable {
 			f.heldBytes -= h.bytes
 			delete(f.held, sum)
 		}
 	}
 }
 
-// Restart takes note that nothing that was asked for will come any more: its connection has ended.
-// What came is kept.
+// ConnectionLost forgets all requests in flight. Received nodes are kept.
 func (f *Fetch) Restart() {
-	clear(f.asked)
-	f.waiting = 0
+	clear(f.requested)
+	f.inFlight = 0
 	if f.Busy() {
-		f.begin()
+		f.scanTree()
 	}
 }
 
-// Busy reports whether nodes of the present version are missing.
+// IsIncomplete reports whether nodes of the current version are missing.
 func (f *Fetch) Busy() bool { return len(f.needed) > 0 }
 
-// Version returns the version that is gathered.
+// Version returns the version being fetched.
 func (f *Fetch) Version() uint64 { return f.version }
 
-// Lost takes note that the owner does not have a node that it was asked for. It reports whether the
-// present version needs it.
+// NodeUnavailable records that the owner does not have a requested node. It reports whether the
+// current version needs it.
 func (f *Fetch) Lost(sum Sum) bool {
-	f.waiting -= f.asked[sum]
-	delete(f.asked, sum)
+	f.inFlight -= f.requested[sum]
+	delete(f.requested, sum)
 	return f.needed[sum]
 }
 
-// Waiting returns how many bytes were asked for and have not come.
-func (f *Fetch) Waiting() int { return f.waiting }
+// InFlightBytes returns the number of bytes requested and not received.
+func (f *Fetch) Waiting() int { return f.inFlight }
 
-// Came returns how many nodes and bytes have come for the present version.
-func (f *Fetch) Came() (nodes, bytes int) { return f.nodes, f.bytes }
+// Received returns the number of nodes and bytes received for the current version.
+func (f *Fetch) Came() (nodes, bytes int) { return f.receivedNodes, f.receivedBytes }
 
-// Next returns which nodes to ask for, so that no more than window bytes are on their way, and at
-// least one node is while any is missing.
+// Next returns the nodes to request so that at most window bytes are in flight, but at least one
+// node if any is missing and none is in flight.
 func (f *Fetch) Next(window int) []Sum {
 	var next []Sum
 	for len(f.missing) > 0 {
 		c := f.missing[len(f.missing)-1]
-		if len(f.asked) > 0 && f.waiting+c.Bytes > window {
+		if len(f.requested) > 0 && f.inFlight+c.Bytes > window {
 			break
 		}
 		f.missing = f.missing[:len(f.missing)-1]
-		f.asked[c.Sum] = c.Bytes
-		f.waiting += c.Bytes
+		f.requested[c.Sum] = c.Bytes
+		f.inFlight += c.Bytes
 		next = append(next, c.Sum)
 	}
 	return next
 }
 
-// Take takes a node that came. One that was not asked for, or is not what its sum names, changes
-// nothing.
+// Receive adds a received node. A node that was not requested is ignored; one that does not match
+// its sum is an error and changes nothing.
 func (f *Fetch) Take(sum Sum, packed Packed) error {
-	length, ok := f.asked[sum]
+	length, ok := f.requested[sum]
 	if !ok {
 		return nil
 	}
@@ -183,57 +182,57 @@
 	if err != nil {
 		return err
 	}
-	delete(f.asked, sum)
-	f.waiting -= length
-	f.nodes++
-	f.bytes += len(packed)
-	f.held[sum] = &holding{node: n, bytes: len(packed), turn: f.turn - 1}
+	delete(f.requested, sum)
+	f.inFlight -= length
+	f.receivedNodes++
+	f.receivedBytes += len(packed)
+	f.held[sum] = &heldNode{node: n, bytes: len(packed), generation: f.generation - 1}
 	f.heldBytes += len(packed)
 	if f.needed[sum] {
 		delete(f.needed, sum)
-		f.look(Child{Sum: sum})
+		f.scan(Child{Sum: sum})
 	}
-	f.dropUnneeded()
+	f.evict()
 	return nil
 }
 
-// Table returns the configuration once all of it is here; nil before. Nodes of other versions are
-// dropped then.
+// Table returns the configuration if it is complete, else nil. It drops the nodes of other
+// versions.
 func (f *Fetch) Table() *routing.Table {
 	if f.held == nil || f.Busy() {
 		return nil
 	}
-	a := &assembly{held: f.held, kept: make(map[Sum]*holding, len(f.held)), table: &routing.Table{Version: f.version}}
+	a := &assembly{held: f.held, used: make(map[Sum]*heldNode, len(f.held)), table: &routing.Table{Version: f.version}}
 	a.add(f.root)
-	if f.last != nil && slices.Equal(a.holders, f.holders) {
-		a.table.Teams = f.last.Teams
+	if f.lastTable != nil && slices.Equal(a.teamNodes, f.teamNodes) {
+		a.table.Teams = f.lastTable.Teams
 	} else {
-		a.giveKeys()
+		a.joinTeams()
 	}
-	if f.last != nil && slices.Equal(a.runs, f.runs) {
-		a.table.Routes = f.last.Routes
+	if f.lastTable != nil && slices.Equal(a.runs, f.runs) {
+		a.table.Routes = f.lastTable.Routes
 	} else {
 		a.joinRoutes()
 	}
-	a.table.IndexLike(f.last)
-	f.held, f.runs, f.holders, f.last = a.kept, a.runs, a.holders, a.table
+	a.table.IndexLike(f.lastTable)
+	f.held, f.runs, f.teamNodes, f.lastTable = a.used, a.runs, a.teamNodes, a.table
 	f.heldBytes, f.peakBytes = 0, f.treeBytes
 	return a.table
 }
 
-// assembly makes a table of nodes.
+// assembly builds a table from nodes.
 type assembly struct {
-	held, kept map[Sum]*holding
+	held, used map[Sum]*heldNode
 	table      *routing.Table
 	runs       []*routes
-	holders    []*node // with teams or keys
+	teamNodes  []*node // nodes with teams or keys
 }
 
-// add adds what is under a node to the table, but for routes, teams and keys, which it gathers.
+// add collects the content of a node and its children. Routes, teams and keys are only gathered.
 func (a *assembly) add(sum Sum) {
 	n := a.held[sum]
-	n.whole = true
-	a.kept[sum] = n
+	n.inLastTable = true
+	a.used[sum] = n
 	for _, c := range n.Children {
 		a.add(c.Sum)
 	}
@@ -242,15 +241,14 @@
 	}
 	a.table.Services = append(a.table.Services, n.Services...)
 	if len(n.Teams)+len(n.Keys) > 0 {
-		a.holders = append(a.holders, n.node)
+		a.teamNodes = append(a.teamNodes, n.node)
 	}
 	if n.Limits != nil {
 		a.table.Limits = *n.Limits
 	}
 }
 
-// joinRoutes copies the runs into one list. The runs are parts of that list from then on: they need
-// no memory of their own.
+// joinRoutes concatenates the runs. They become slices of the common list, to save memory.
 func (a *assembly) joinRoutes() {
 	count := 0
 	for _, run := range a.runs {
@@ -264,16 +262,16 @@
 	}
 }
 
-// giveKeys joins the teams, and gives them their keys.
-func (a *assembly) giveKeys() {
-	for _, n := range a.holders {
+// joinTeams concatenates the teams and assigns their keys.
+func (a *assembly) joinTeams() {
+	for _, n := range a.teamNodes {
 		a.table.Teams = append(a.table.Teams, n.Teams...)
 	}
 	byName := make(map[string]*routing.Team, len(a.table.Teams))
 	for i := range a.table.Teams {
 		byName[a.table.Teams[i].Name] = &a.table.Teams[i]
 	}
-	for _, n := range a.holders {
+	for _, n := range a.teamNodes {
 		for _, k := range n.Keys {
 			if team := byName[k.Team]; team != nil {
 				team.Keys = append(team.Keys, k.Key)
--- a/hashtree/hashtree_test.go
+++ b/hashtree/hashtree_test.go
@@ -15,7 +15,7 @@
 	"lynxramp.org/routing"
 )
 
-// tableOf returns a table of unlike routes, teams and keys.
+// tableOf returns a table of distinct routes, teams and keys.
 func tableOf(seed uint64, routes, teams, keys int) *routing.Table {
 	r := rand.New(rand.NewPCG(seed, 1))
 	t := &routing.Table{
@@ -49,19 +49,19 @@
 	}
 }
 
-// fetchAll fetches a tree, at most window bytes at a time, and returns what came.
+// fetchAll fetches a tree with at most window bytes in flight, and returns how much was received.
 func fetchAll(t testing.TB, f *Fetch, tree *Tree, version uint64, window int) (nodes, bytes int) {
 	t.Helper()
 	f.Aim(version, tree.Root())
 	for f.Busy() {
 		next := f.Next(window)
 		if len(next) == 0 {
-			t.Fatal("nothing is asked for while nodes are missing")
+			t.Fatal("nothing is requested while nodes are missing")
 		}
 		for _, sum := range next {
 			packed, ok := tree.Node(sum)
 			if !ok {
-				t.Fatalf("node %x is not of the tree", sum)
+				t.Fatalf("node %x is not in the tree", sum)
 			}
 			if err := f.Take(sum, packed); err != nil {
 				t.Fatal(err)
@@ -73,14 +73,14 @@
 
 var ignoreIndex = cmpopts.IgnoreUnexported(routing.Table{})
 
-func TestTableComesBack(t *testing.T) {
+func TestTableRoundTrip(t *testing.T) {
 	for _, size := range [][3]int{{0, 0, 0}, {1, 1, 1}, {20, 5, 2}, {4200, 16, 3}, {300, 2000, 1}, {3, 2, 5000}} {
 		table := tableOf(7, size[0], size[1], size[2])
 		var f Fetch
 		fetchAll(t, &f, Build(table, nil), 1, 32<<10)
 		got := f.Table()
 		if got == nil {
-			t.Fatalf("%v: nothing came", size)
+			t.Fatalf("%v: no table", size)
 		}
 		if diff := cmp.Diff(table, got, ignoreIndex, cmpopts.EquateEmpty()); diff != "" {
 			t.Errorf("%v: %s", size, diff)
@@ -100,14 +100,14 @@
 	}
 }
 
-// TestChangesCostWhatTheyChange: what an entry fetches goes by the change, not by the configuration.
-func TestChangesCostWhatTheyChange(t *testing.T) {
+// What an entry fetches must depend on the size of the change, not of the configuration.
+func TestFetchedBytesScaleWithChange(t *testing.T) {
 	table := tableOf(3, 14000, 16, 2)
 	first := Build(table, nil)
 	var f Fetch
 	nodes, all := fetchAll(t, &f, first, 1, 32<<10)
 	if f.Table() == nil {
-		t.Fatal("nothing came")
+		t.Fatal("no table")
 	}
 	t.Logf("14,000 routes: %d nodes, %d bytes", nodes, all)
 	same := *table
@@ -125,7 +125,7 @@
 		t.Errorf("timeout %v", got)
 	}
 	if len(f.held) != second.Len() {
-		t.Errorf("%d nodes are held of a tree of %d", len(f.held), second.Len())
+		t.Errorf("%d nodes are held, the tree has %d", len(f.held), second.Len())
 	}
 	more := changed
 	more.Routes = append([]routing.Route(nil), changed.Routes...)
@@ -135,9 +135,9 @@
 	}
 }
 
-// TestSameRoutesAreNotIndexedAnew: a change beside the routes shares their memory, and look-ups in both
-// tables go by their own teams.
-func TestSameRoutesAreNotIndexedAnew(t *testing.T) {
+// If only teams change, both tables share the memory of the routes, and each looks up its own
+// teams.
+func TestUnchangedRoutesAreShared(t *testing.T) {
 	table := tableOf(3, 500, 4, 2)
 	first := Build(table, nil)
 	var f Fetch
@@ -157,29 +157,28 @@
 		t.Errorf("route %s is not found", r.Name)
 	}
 	if before.Holder(taken) == nil || after.Holder(taken) != nil {
-		t.Error("a key that was taken away is held, or was lost before")
+		t.Error("a removed key is still found, or was missing before")
 	}
 	changed.Routes = append([]routing.Route(nil), table.Routes...)
 	changed.Routes[77].Prefix = "/moved/"
 	fetchAll(t, &f, Build(&changed, first), 3, 32<<10)
 	if got := f.Table().Match(r.Host, "/moved/x"); got == nil || got.Name != r.Name {
-		t.Error("a moved route is not found")
+		t.Error("a route with a new prefix is not found")
 	}
 	if after.Match(r.Host, "/moved/x") != nil {
-		t.Error("the table before changed")
+		t.Error("the earlier table changed")
 	}
 }
 
-// TestNothingIsFetchedTwice: connections that end, and newer versions that come meanwhile, lose
-// nothing that came.
-func TestNothingIsFetchedTwice(t *testing.T) {
+// Reconnects and newer versions must not lose received nodes.
+func TestNoNodeIsFetchedTwice(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 5))
 	for range 30 {
 		table := tableOf(r.Uint64(), 2000, 5, 2)
 		tree := Build(table, nil)
 		var f Fetch
 		f.Aim(1, tree.Root())
-		came := make(map[Sum]bool)
+		received := make(map[Sum]bool)
 		version := uint64(1)
 		for f.Busy() {
 			switch r.IntN(20) {
@@ -197,18 +196,18 @@
 			for _, sum := range f.Next(window) {
 				packed, ok := tree.Node(sum)
 				if !ok || r.IntN(10) == 0 {
-					continue // it is lost
+					continue // lost
 				}
-				if came[sum] {
-					t.Fatal("a node was fetched twice")
+				if received[sum] {
+					t.Fatal("a node was requested again after it was received")
 				}
-				came[sum] = true
+				received[sum] = true
 				if err := f.Take(sum, packed); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if len(f.missing) == 0 && len(f.asked) > 0 {
-				f.Restart() // nothing more comes
+			if len(f.missing) == 0 && len(f.requested) > 0 {
+				f.Restart() // nothing is in flight any more
 			}
 		}
 		if got := f.Table(); got.Version != version || len(got.Routes) != len(table.Routes) {
@@ -217,15 +216,15 @@
 	}
 }
 
-// TestWindowBoundsWhatIsOnItsWay: no more is asked for than the window, but for one node.
-func TestWindowBoundsWhatIsOnItsWay(t *testing.T) {
+// At most the window is in flight, except for a single node.
+func TestWindowBoundsBytesInFlight(t *testing.T) {
 	tree := Build(tableOf(3, 5000, 16, 2), nil)
 	var f Fetch
 	f.Aim(1, tree.Root())
 	for f.Busy() {
 		next := f.Next(16 << 10)
 		if f.Waiting() > 16<<10 && len(next) > 1 {
-			t.Fatalf("%d bytes are on their way", f.Waiting())
+			t.Fatalf("%d bytes are in flight", f.Waiting())
 		}
 		for _, sum := range next {
 			packed, _ := tree.Node(sum)
@@ -236,24 +235,24 @@
 	}
 }
 
-// TestOddTextsComeBack: texts with blanks, and none at all.
-func TestOddTextsComeBack(t *testing.T) {
-	odd := [][3]string{{"", "", "/"}, {"a b", "h", "/x/"}, {"n", "h h", "/y/"}, {"n", "h", "/with blank/"}, {"ü\n", "\x00", "/\"'<>/"}}
-	for n := range len(odd) + 1 {
+// Strings that contain the separator or need escapes, and empty ones.
+func TestUnusualStringsRoundTrip(t *testing.T) {
+	unusual := [][3]string{{"", "", "/"}, {"a b", "h", "/x/"}, {"n", "h h", "/y/"}, {"n", "h", "/with blank/"}, {"ü\n", "\x00", "/\"'<>/"}}
+	for n := range len(unusual) + 1 {
 		table := tableOf(3, 200, 2, 1)
-		for i, text := range odd[:n] {
+		for i, text := range unusual[:n] {
 			r := &table.Routes[i*37]
 			r.Name, r.Host, r.Prefix = text[0], text[1], text[2]
 		}
 		var f Fetch
 		fetchAll(t, &f, Build(table, nil), 1, 32<<10)
 		if diff := cmp.Diff(table, f.Table(), ignoreIndex, cmpopts.EquateEmpty()); diff != "" {
-			t.Errorf("%d odd routes: %s", n, diff)
+			t.Errorf("%d unusual routes: %s", n, diff)
 		}
 	}
 }
 
-func TestDamagedNodeIsNotTaken(t *testing.T) {
+func TestDamagedNodeIsRejected(t *testing.T) {
 	tree := Build(tableOf(3, 500, 16, 2), nil)
 	var f Fetch
 	f.Aim(1, tree.Root())
@@ -261,18 +260,18 @@
 	packed, _ := tree.Node(sum)
 	for _, bad := range []Packed{nil, {1, 2, 3}, packed[:len(packed)/2], newPacker().pack([]byte(`{"c":[]}`))} {
 		if err := f.Take(sum, bad); !errors.Is(err, ErrDamaged) {
-			t.Errorf("%d bytes were taken: %v", len(bad), err)
+			t.Errorf("%d damaged bytes were accepted: %v", len(bad), err)
 		}
 	}
 	if err := f.Take(sum, packed); err != nil {
 		t.Error(err)
 	}
 	if err := f.Take(Sum{1}, packed); err != nil || len(f.held) != 1 {
-		t.Errorf("a node that nobody asked for: %v, %d held", err, len(f.held))
+		t.Errorf("a node that was not requested: %v, %d held", err, len(f.held))
 	}
 }
 
-// BenchmarkTree measures what 14,000 routes cost the owner and an entry.
+// BenchmarkTree measures the cost of 14,000 routes for the owner and an entry.
 func BenchmarkTree(b *testing.B) {
 	table := tableOf(3, 14000, 16, 2)
 	tree := Build(table, nil)
@@ -298,7 +297,7 @@
 		var f Fetch
 		fetchAll(b, &f, tree, 1, 32<<10)
 		for range b.N {
-			f.last = nil
+			f.lastTable = nil
 			f.Table()
 		}
 	})
--- a/hashtree/node.go
+++ b/hashtree/node.go
@@ -15,20 +15,19 @@
 	"lynxramp.org/routing"
 )
 
-// sumBytes is the length of a Sum: two contents with the same 128 bits are not met.
+// sumBytes is the length of a Sum; collisions of 128 bits are not expected.
 const sumBytes = 16
 
-// plainMost bounds the length of a node before it is packed, in bytes. Runs end at runBytes; only an
-// item that is longer by itself makes a longer node.
-const plainMost = 64 << 20
+// maxNodeBytes bounds the uncompressed length of a node. Runs end at maxRunBytes; only a single
+// long item makes a longer node.
+const maxNodeBytes = 64 << 20
 
-// Errors of nodes that come over a link.
 var (
-	// ErrDamaged says that a node is not the one that its Sum names.
-	ErrDamaged = errors.New("a node of the configuration is damaged")
+	// ErrDamaged says that a node does not match its Sum, or can't be decoded.
+	ErrDamaged = errors.New("configuration node is damaged")
 )
 
-// Sum names a node by its content. The zero Sum names none.
+// Sum identifies a node by its content: the first 128 bits of its SHA-256. The zero Sum means none.
 type Sum [sumBytes]byte
 
 // MarshalText implements encoding.TextMarshaler.
@@ -37,7 +36,7 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (s *Sum) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != sumBytes {
-		return errors.Errorf("a sum of %d signs", len(text))
+		return errors.Errorf("sum has %d hex digits", len(text))
 	}
 	_, err := hex.Decode(s[:], text)
 	return errors.Wrap(err, "sum")
@@ -49,29 +48,29 @@
 // UnmarshalBinary implements encoding.BinaryUnmarshaler.
 func (s *Sum) UnmarshalBinary(data []byte) error {
 	if len(data) != sumBytes {
-		return errors.Errorf("a sum of %d bytes", len(data))
+		return errors.Errorf("sum has %d bytes", len(data))
 	}
 	copy(s[:], data)
 	return nil
 }
 
-// Packed is a node, encoded and compressed.
+// Packed is an encoded and compressed node.
 type Packed []byte
 
-// Child is a node as the one above it names it.
+// Child is a reference to a node in its parent.
 type Child struct {
 	Sum Sum `json:"s"`
-	// Bytes is how long it is on a link.
+	// Bytes is its encoded length.
 	Bytes int `json:"b"`
 }
 
-// key is a key of a team. Keys have items of their own: one team may have very many.
+// key is a key of a team. Keys are separate items because one team may have very many.
 type key struct {
 	Team string `json:"t"`
 	Key  string `json:"k"`
 }
 
-// node is one node: exactly one of its fields is set.
+// node is one node: exactly one field is set.
 type node struct {
 	Children []Child           `json:"c,omitempty"`
 	Routes   *routes           `json:"r,omitempty"`
@@ -81,77 +80,77 @@
 	Limits   *routing.Limits   `json:"l,omitempty"`
 }
 
-// routes are a run of routes. What many of them have alike is there once, and what each has for itself in
-// long texts: 14,000 whole routes as JSON took 97 ms to read, with what they have alike once 37 ms, and
-// this way two thirds of that (BenchmarkTree, in turn, beside load). The processor is what entries have
-// least of.
+// routes is a run of routes. Everything but name, host and prefix is stored once per distinct
+// value, as a template, and each of those three as one long string, which takes far less processor
+// time to read than whole routes in JSON.
 type routes struct {
-	// Names, Hosts and Prefixes are of all routes in order, with a separator between two.
+	// Names, Hosts and Prefixes have those of all routes in order, joined by the separator.
 	Names    string `json:"n,omitempty"`
 	Hosts    string `json:"h,omitempty"`
 	Prefixes string `json:"p,omitempty"`
-	// Numbers are those of the routes' shapes; none where there is one shape.
-	Numbers []int           `json:"i,omitempty"`
-	Shapes  []routing.Route `json:"s,omitempty"` // without name, host and prefix
-	// Plain are the routes of a run in which a text has the separator; nothing else is set then.
-	Plain []routing.Route `json:"l,omitempty"`
-
-	list []routing.Route // as it was read
+	// TemplateIndexes has the template of each route; empty if there is only one template.
+	TemplateIndexes []int           `json:"i,omitempty"`
+	Templates       []routing.Route `json:"s,omitempty"` // without name, host and prefix
+	// Verbatim has the routes of a run in which a string contains the separator; no other field is
+	// set then.
+	Verbatim []routing.Route `json:"l,omitempty"`
+
+	list []routing.Route // the decoded run
 }
 
-// separator stands between texts. A path that is asked for has none.
+// separator joins strings. Request paths do not contain it.
 const separator = " "
 
-// shapeRoutes returns a run as it is sent.
-func shapeRoutes(list []routing.Route) *routes {
-	run := &routes{Numbers: make([]int, len(list))}
-	numbers := make(map[string]int)
+// encodeRoutes returns a run in its encoded form.
+func encodeRoutes(list []routing.Route) *routes {
+	run := &routes{TemplateIndexes: make([]int, len(list))}
+	indexes := make(map[string]int)
 	var names, hosts, prefixes []string
 	for i, r := range list {
 		if strings.Contains(r.Name+r.Host+r.Prefix, separator) {
-			return &routes{Plain: list}
+			return &routes{Verbatim: list}
 		}
-		shape := r
-		shape.Name, shape.Host, shape.Prefix = "", "", ""
-		plain := string(encode(&shape))
-		number, ok := numbers[plain]
+		template := r
+		template.Name, template.Host, template.Prefix = "", "", ""
+		plain := string(encode(&template))
+		index, ok := indexes[plain]
 		if !ok {
-			number = len(run.Shapes)
-			numbers[plain] = number
-			run.Shapes = append(run.Shapes, shape)
+			index = len(run.Templates)
+			indexes[plain] = index
+			run.Templates = append(run.Templates, template)
 		}
-		run.Numbers[i] = number
+		run.TemplateIndexes[i] = index
 		names, hosts, prefixes = append(names, r.Name), append(hosts, r.Host), append(prefixes, r.Prefix)
 	}
-	if len(run.Shapes) == 1 {
-		run.Numbers = nil
+	if len(run.Templates) == 1 {
+		run.TemplateIndexes = nil
 	}
 	run.Names, run.Hosts = strings.Join(names, separator), strings.Join(hosts, separator)
 	run.Prefixes = strings.Join(prefixes, separator)
 	return run
 }
 
-// read makes the list of a run that came.
-func (r *routes) read() error {
-	if len(r.Plain) > 0 {
-		r.list, r.Plain = r.Plain, nil
+// decode fills the list from the encoded form, which it drops.
+func (r *routes) decode() error {
+	if len(r.Verbatim) > 0 {
+		r.list, r.Verbatim = r.Verbatim, nil
 		return nil
 	}
 	r.list = make([]routing.Route, strings.Count(r.Names, separator)+1)
 	names, hosts, prefixes := r.Names, r.Hosts, r.Prefixes
 	for i := range r.list {
-		number := 0
-		if i < len(r.Numbers) {
-			number = r.Numbers[i]
+		index := 0
+		if i < len(r.TemplateIndexes) {
+			index = r.TemplateIndexes[i]
 		}
-		if number < 0 || number >= len(r.Shapes) {
-			return errors.Wrapf(ErrDamaged, "shape %d of %d", number, len(r.Shapes))
+		if index < 0 || index >= len(r.Templates) {
+			return errors.Wrapf(ErrDamaged, "template %d of %d", index, len(r.Templates))
 		}
-		one := &r.list[i]
-		*one = r.Shapes[number]
-		one.Name, names, _ = strings.Cut(names, separator)
-		one.Host, hosts, _ = strings.Cut(hosts, separator)
-		one.Prefix, prefixes, _ = strings.Cut(prefixes, separator)
+		route := &r.list[i]
+		*route = r.Templates[index]
+		route.Name, names, _ = strings.Cut(names, separator)
+		route.Host, hosts, _ = strings.Cut(hosts, separator)
+		route.Prefix, prefixes, _ = strings.Cut(prefixes, separator)
 	}
 	*r = routes{list: r.list}
 	return nil
@@ -162,7 +161,7 @@
 	return Sum(whole[:sumBytes])
 }
 
-// packer compresses nodes one after another.
+// packer compresses nodes and reuses its buffers.
 type packer struct {
 	out    bytes.Buffer
 	writer *flate.Writer
@@ -171,7 +170,7 @@
 func newPacker() *packer {
 	w, err := flate.NewWriter(nil, flate.DefaultCompression)
 	if err != nil {
-		panic(err) // the level is one that there is
+		panic(err) // the compression level is valid
 	}
 	return &packer{writer: w}
 }
@@ -180,7 +179,7 @@
 	p.out.Reset()
 	p.writer.Reset(&p.out)
 	if _, err := p.writer.Write(plain); err != nil {
-		panic(err) // a buffer takes all
+		panic(err) // a buffer never fails
 	}
 	if err := p.writer.Close(); err != nil {
 		panic(err)
@@ -188,15 +187,15 @@
 	return bytes.Clone(p.out.Bytes())
 }
 
-// unpacker reads nodes one after another.
+// unpacker decodes nodes and reuses its buffers.
 type unpacker struct {
-	in     bytes.Reader
-	reader io.ReadCloser
-	plain  bytes.Buffer
-	shapes shapes
+	in        bytes.Reader
+	reader    io.ReadCloser
+	plain     bytes.Buffer
+	templates templateCache
 }
 
-// unpack reads a node and checks that it is the one that sum names.
+// unpack decodes a node and checks it against its sum.
 func (u *unpacker) unpack(sum Sum, packed Packed) (*node, error) {
 	u.in.Reset(packed)
 	if u.reader == nil {
@@ -205,21 +204,21 @@
 		return nil, errors.Wrap(err, "node")
 	}
 	u.plain.Reset()
-	if _, err := u.plain.ReadFrom(io.LimitReader(u.reader, plainMost)); err != nil {
+	if _, err := u.plain.ReadFrom(io.LimitReader(u.reader, maxNodeBytes)); err != nil {
 		return nil, errors.Wrap(ErrDamaged, err.Error())
 	}
 	if sumOf(u.plain.Bytes()) != sum {
 		return nil, ErrDamaged
 	}
-	if u.shapes == nil {
-		u.shapes = make(shapes)
+	if u.templates == nil {
+		u.templates = make(templateCache)
 	}
-	n, err := u.shapes.readNode(u.plain.Bytes())
+	n, err := u.templates.readNode(u.plain.Bytes())
 	if err != nil {
 		return nil, errors.Wrap(ErrDamaged, err.Error())
 	}
 	if n.Routes != nil {
-		return n, n.Routes.read()
+		return n, n.Routes.decode()
 	}
 	return n, nil
 }
--- a/hashtree/read.go
+++ b/hashtree/read.go
@@ -9,35 +9,35 @@
 	"lynxramp.org/routing"
 )
 
-// This file reads the nodes that a large configuration has most of without encoding/json, which looks at
-// each byte twice, and shapes that many runs have only once. A change of 14,000 routes takes 81 ms of an
-// entry's processor time, and took 153 (mean of six and of three entries' processes on loopback).
+// This file parses runs of routes, most of the nodes of a large configuration, without
+// encoding/json, to save processor time: encoding/json scans each byte twice, and templates that
+// many runs share are parsed only once.
 
-// shapesMost bounds the shapes that are remembered.
-const shapesMost = 1024
+// maxTemplates bounds the cached templates.
+const maxTemplates = 1024
 
-// shapes remembers what was read of routes' shapes, by their text: routes of many runs have the same ones.
-type shapes map[string]routing.Route
+// templateCache holds parsed route templates by their JSON text.
+type templateCache map[string]routing.Route
 
-// read returns the shape of a text.
-func (s shapes) read(text []byte) (routing.Route, bool) {
-	shape, ok := s[string(text)]
+// read returns the template with a JSON text, from the cache if it is there.
+func (t templateCache) read(text []byte) (routing.Route, bool) {
+	template, ok := t[string(text)]
 	if ok {
-		return shape, true
+		return template, true
 	}
-	if json.Unmarshal(text, &shape) != nil {
-		return shape, false
+	if json.Unmarshal(text, &template) != nil {
+		return template, false
 	}
-	if len(s) >= shapesMost {
-		clear(s)
+	if len(t) >= maxTemplates {
+		clear(t)
 	}
-	s[string(text)] = shape
-	return shape, true
+	t[string(text)] = template
+	return template, true
 }
 
-// readNode reads a node.
-func (s shapes) readNode(plain []byte) (*node, error) {
-	if run, ok := s.readRun(plain); ok {
+// readNode decodes a node.
+func (t templateCache) readNode(plain []byte) (*node, error) {
+	if run, ok := t.readRun(plain); ok {
 		return &node{Routes: run}, nil
 	}
 	n := &node{}
@@ -45,9 +45,9 @@
 	return n, err
 }
 
-// readRun reads a node that is a run of routes, as encode writes it. It is false for all others, for texts
-// with signs beyond ASCII or escapes, and for what is damaged: encoding/json reads these.
-func (s shapes) readRun(plain []byte) (*routes, bool) {
+// readRun parses a run of routes as encode writes it. It returns false for all other nodes, for
+// non-ASCII characters and escapes, and for damaged input; encoding/json decodes these.
+func (t templateCache) readRun(plain []byte) (*routes, bool) {
 	run := &routes{}
 	c := &cursor{rest: plain}
 	c.expect(`{"r":{`)
@@ -61,16 +61,16 @@
 		}
 	}
 	if c.skip(`"i":[`) {
-		run.Numbers = c.numbers()
+		run.TemplateIndexes = c.ints()
 		c.expect(",")
 	}
 	c.expect(`"s":[`)
 	for {
-		shape, ok := s.read(c.object())
+		template, ok := t.read(c.object())
 		if !ok {
 			return nil, false
 		}
-		run.Shapes = append(run.Shapes, shape)
+		run.Templates = append(run.Templates, template)
 		if !c.skip(",") {
 			break
 		}
@@ -79,14 +79,13 @@
 	return run, !c.failed && len(c.rest) == 0
 }
 
-// cursor reads a text of JSON from its beginning. Once something else comes than what is asked for it has
-// failed, and reads nothing more.
+// cursor parses JSON text from its start. After a mismatch it has failed and consumes nothing more.
 type cursor struct {
 	rest   []byte
 	failed bool
 }
 
-// skip takes a text if it comes next, and reports whether it did.
+// skip consumes text if it comes next, and reports whether it did.
 func (c *cursor) skip(text string) bool {
 	rest, ok := bytes.CutPrefix(c.rest, []byte(text))
 	if c.failed || !ok {
@@ -96,14 +95,14 @@
 	return true
 }
 
-// expect takes a text that must come next.
+// expect consumes text, which must come next.
 func (c *cursor) expect(text string) {
 	if !c.skip(text) {
 		c.failed = true
 	}
 }
 
-// text takes a string up to its closing quote, which is taken too.
+// text consumes a string up to and including its closing quote.
 func (c *cursor) text() string {
 	for i, b := range c.rest {
 		switch {
@@ -120,16 +119,16 @@
 	return ""
 }
 
-// mostDigits is how many digits a number may have, so that it fits into an int of 32 bits.
-const mostDigits = 9
+// maxDigits bounds the digits of a number, so that it fits a 32-bit int.
+const maxDigits = 9
 
-// numbers takes the numbers of a list, which are none below zero, and its closing bracket.
-func (c *cursor) numbers() []int {
-	list := make([]int, 0, runMost)
+// ints consumes a list of non-negative numbers and its closing bracket.
+func (c *cursor) ints() []int {
+	list := make([]int, 0, maxRunItems)
 	number, digits := 0, 0
 	for i, b := range c.rest {
 		switch {
-		case b >= '0' && b <= '9' && digits < mostDigits && (digits == 0 || number > 0):
+		case b >= '0' && b <= '9' && digits < maxDigits && (digits == 0 || number > 0):
 			number, digits = 10*number+int(b-'0'), digits+1
 		case (b == ',' || b == ']') && digits > 0:
 			list = append(list, number)
@@ -147,7 +146,7 @@
 	return nil
 }
 
-// object takes an object, which need not be sound: it only ends where its braces do.
+// object consumes an object, which may be invalid JSON: only its braces are matched.
 func (c *cursor) object() []byte {
 	depth, inText := 0, false
 	for i := 0; i < len(c.rest); i++ {
--- a/hashtree/read_test.go
+++ b/hashtree/read_test.go
@@ -11,43 +11,44 @@
 	"lynxramp.org/routing"
 )
 
-// usual reads a node by encoding/json alone.
-func usual(plain []byte) (*node, error) {
+// decodeJSON decodes a node by encoding/json alone.
+func decodeJSON(plain []byte) (*node, error) {
 	n := &node{}
 	err := json.Unmarshal(plain, n)
 	return n, err
 }
 
-var inNodes = cmp.AllowUnexported(routes{})
+var compareRoutes = cmp.AllowUnexported(routes{})
 
-// TestRunsAreReadWithoutJSON: each run of a large table must take the short way, and read the same.
-func TestRunsAreReadWithoutJSON(t *testing.T) {
+// The fast parser must accept every run of a large table and decode it as encoding/json does.
+func TestRoutesAreParsedWithoutEncodingJSON(t *testing.T) {
 	table := tableOf(3, 2000, 16, 2)
-	for _, list := range runs(table.Routes) {
-		plain := encode(&node{Routes: shapeRoutes(list)})
-		run, ok := make(shapes).readRun(plain)
+	for _, list := range splitRuns(table.Routes) {
+		plain := encode(&node{Routes: encodeRoutes(list)})
+		run, ok := make(templateCache).readRun(plain)
 		if !ok {
-			t.Fatalf("not read: %.200s", plain)
+			t.Fatalf("not parsed: %.200s", plain)
 		}
-		want, err := usual(plain)
+		want, err := decodeJSON(plain)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(want.Routes, run, inNodes); diff != "" {
+		if diff := cmp.Diff(want.Routes, run, compareRoutes); diff != "" {
 			t.Error(diff)
 		}
 	}
 }
 
-// FuzzReadNode: whatever bytes a node has, the short way reads it as encoding/json does or leaves it to that.
+// For any input, the fast parser must decode as encoding/json does, or reject it and leave it to
+// encoding/json.
 func FuzzReadNode(f *testing.F) {
 	table := tableOf(5, 300, 3, 2)
-	for _, list := range runs(table.Routes) {
-		f.Add(encode(&node{Routes: shapeRoutes(list)}))
+	for _, list := range splitRuns(table.Routes) {
+		f.Add(encode(&node{Routes: encodeRoutes(list)}))
 	}
-	odd := []routing.Route{{Name: "ü", Host: "\\", Prefix: "/<\n>/"}, {Name: "a b"}, {}}
-	for i := range odd {
-		f.Add(encode(&node{Routes: shapeRoutes(odd[i : i+1])}))
+	unusual := []routing.Route{{Name: "ü", Host: "\\", Prefix: "/<\n>/"}, {Name: "a b"}, {}}
+	for i := range unusual {
+		f.Add(encode(&node{Routes: encodeRoutes(unusual[i : i+1])}))
 	}
 	for _, text := range []string{
 		`{"r":{"s":[]}}`, `{"r":{"n":"a","i":[0,01],"s":[{}]}}`, `{"r":{"n":"a","i":[-1],"s":[{}]}}`, `{"r":{"i":[],"s":[{}]}}`,
@@ -57,15 +58,15 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, plain []byte) {
-		run, ok := make(shapes).readRun(plain)
+		run, ok := make(templateCache).readRun(plain)
 		if !ok {
 			return
 		}
-		want, err := usual(plain)
+		want, err := decodeJSON(plain)
 		if err != nil {
-			t.Fatalf("read though encoding/json does not: %v: %q", err, plain)
+			t.Fatalf("parsed though encoding/json rejects it: %v: %q", err, plain)
 		}
-		if diff := cmp.Diff(want, &node{Routes: run}, inNodes); diff != "" {
+		if diff := cmp.Diff(want, &node{Routes: run}, compareRoutes); diff != "" {
 			t.Fatalf("%q: %s", plain, diff)
 		}
 	})
