--- a/consensus/log.go
+++ b/consensus/log.go
@@ -41,14 +41,14 @@
 // batch returns up to limit entries from i on, of up to size bytes, but at least one if there is
 // any. They must not be modified.
 func (l *raftLog) batch(i Index, limit, size int) []Entry {
-	part := l.entriesFrom(i, limit)
-	for n, e := range part {
+	batch := l.entriesFrom(i, limit)
+	for n, e := range batch {
 		size -= len(e.Data)
 		if size < 0 && n > 0 {
-			return part[:n:n]
+			return batch[:n:n]
 		}
 	}
-	return part
+	return batch
 }
 
 // tail returns up to limit last entries up to i, of up to size bytes.
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -29,18 +29,18 @@
 
 // bounds limits messages and the log, in bytes unless noted.
 type bounds struct {
-	// message bounds the entries or the snapshot chunk in a message; a larger entry goes alone.
-	// inFlight bounds the sum over the messages to all members.
-	message, inFlight int
-	// unsaved bounds what a member is sent beyond what it has saved.
-	unsaved int
+	// messageBytes bounds the entries or the snapshot chunk in a message; a larger entry goes
+	// alone. inFlightBytes bounds the sum over the messages to all members.
+	messageBytes, inFlightBytes int
+	// unsavedBytes bounds what a member is sent beyond what it has saved.
+	unsavedBytes int
 	// keepEntries (a count) and keepBytes bound the log that is kept behind a snapshot.
 	keepEntries, keepBytes int
 }
 
 // defaultBounds keeps the data in flight to 128 kB, about 105 ms on a 10 Mbit/s link, so that
 // heartbeats queued behind it return within the lease.
-var defaultBounds = bounds{message: 32 << 10, inFlight: 128 << 10, unsaved: 1 << 20, keepEntries: 8192, keepBytes: 16 << 20}
+var defaultBounds = bounds{messageBytes: 32 << 10, inFlightBytes: 128 << 10, unsavedBytes: 1 << 20, keepEntries: 8192, keepBytes: 16 << 20}
 
 var (
 	// ErrNotLeader says that another member leads, or none.
@@ -98,11 +98,11 @@
 	limits           Limits
 	bounds           bounds
 	// The log up to matched equals that of the leader of matchedTerm.
-	matched     Index
-	matchedTerm Term
-	incoming    *incomingSnapshot // nil unless a snapshot is being received
-	peerModes   map[event.BoxID]Forms
-	defaultMode Forms
+	matched          Index
+	matchedTerm      Term
+	incomingSnapshot *incomingSnapshot // nil unless a snapshot is being received
+	peerModes        map[event.BoxID]Forms
+	defaultMode      Forms
 }
 
 // MembershipLimits restricts automatic membership changes. The zero value makes every joining box a
@@ -281,7 +281,7 @@
 		n.answerVote(now, m, out)
 	case KindAppend:
 		n.becomeFollower(now, m.Term, m.From)
-		n.receiveAppend(m, out)
+		n.append(m, out)
 	case KindSnapshot:
 		n.becomeFollower(now, m.Term, m.From)
 		n.receiveChunk(m, out)
--- a/consensus/property_test.go
+++ b/consensus/property_test.go
@@ -16,7 +16,7 @@
 
 // tightBounds makes a few commands exceed a message and the log kept behind a snapshot, and makes
 // snapshots several chunks long.
-var tightBounds = bounds{message: 25, inFlight: 50, unsaved: 60, keepEntries: 4, keepBytes: 30}
+var tightBounds = bounds{messageBytes: 25, inFlightBytes: 50, unsavedBytes: 60, keepEntries: 4, keepBytes: 30}
 
 // firstSnapshot is the number of commands before the first snapshot.
 const firstSnapshot = 40
--- a/consensus/replicate.go
+++ b/consensus/replicate.go
@@ -100,13 +100,13 @@
 // share the leader's link, and heartbeats queue behind what is on it. Messages to unreachable
 // members do not count.
 func (n *Node) hasCapacity(now event.Time, p *progress) bool {
-	total := 0
+	inFlightBytes := 0
 	for _, other := range n.progress {
 		if other != p && other.isInFlight() && now.Sub(other.lastAnswered) < unreachableAfter {
-			total += other.inFlight
+			inFlightBytes += other.inFlightBytes
 		}
 	}
-	return total == 0 || total+n.bounds.message <= n.bounds.inFlight
+	return inFlightBytes == 0 || inFlightBytes+n.bounds.messageBytes <= n.bounds.inFlightBytes
 }
 
 // send sends a member the next part of what it lacks, or a heartbeat when it is due.
@@ -127,7 +127,7 @@
 	}
 	if hasPayload {
 		p.payloadSeq = p.seq
-		p.inFlight = m.payloadBytes()
+		p.inFlightBytes = m.payloadBytes()
 	}
 	p.lastSent = now
 	out.Early = append(out.Early, m)
@@ -148,11 +148,11 @@
 	case p.snapshot != nil && p.takesWholeSnapshots:
 		return p.fillWholeSnapshot(m)
 	case p.snapshot != nil:
-		return p.fillChunk(m, n.bounds.message, n.hasCapacity(now, p))
+		return p.fillChunk(m, n.bounds.messageBytes, n.hasCapacity(now, p))
 	}
 	m.Kind = KindAppend
 	m.Index, m.LogTerm = p.next-1, before
-	if p.heartbeatsOnly || p.isInFlight() || n.unsavedBytes(p) >= n.bounds.unsaved {
+	if p.heartbeatsOnly || p.isInFlight() || n.unsavedBytes(p) >= n.bounds.unsavedBytes {
 		return false
 	}
 	if p.probing {
@@ -161,7 +161,7 @@
 	if p.next > n.log.last() || !n.hasCapacity(now, p) {
 		return false
 	}
-	m.Entries = n.log.batch(p.next, maxEntries, n.bounds.message)
+	m.Entries = n.log.batch(p.next, maxEntries, n.bounds.messageBytes)
 	p.next += Index(len(m.Entries))
 	return true
 }
@@ -172,8 +172,8 @@
 	return bytesOf(n.log.entriesFrom(p.match+1, int(p.next-p.match-1)))
 }
 
-// receiveAppend applies an append from the leader.
-func (n *Node) receiveAppend(m Message, out *Ready) {
+// append applies an append from the leader.
+func (n *Node) append(m Message, out *Ready) {
 	if m.Index < n.log.base {
 		// Entries before the snapshot are committed and therefore equal.
 		skip := min(int(n.log.base-m.Index), len(m.Entries))
@@ -247,12 +247,12 @@
 // truncateAndAppend replaces all entries from the first one's index on.
 func (n *Node) truncateAndAppend(entries []Entry, out *Ready) {
 	first := entries[0].Index
-	cut := first <= n.log.last()
+	truncate := first <= n.log.last()
 	n.log.truncate(first)
 	n.log.entries = append(n.log.entries, entries...)
 	n.saved = min(n.saved, first-1)
 	out.Entries = append(out.Entries, entries...)
-	if _, ok := lastMembership(entries); ok || (cut && first <= n.membersIndex) {
+	if _, ok := lastMembership(entries); ok || (truncate && first <= n.membersIndex) {
 		n.loadMembers()
 	}
 }
--- a/consensus/transfer.go
+++ b/consensus/transfer.go
@@ -17,7 +17,7 @@
 	// Sequence numbers: of the last message, of the last one with a payload (entries or a snapshot
 	// chunk), and of the newest one that was answered.
 	seq, payloadSeq, answeredSeq uint64
-	inFlight                     int        // payload bytes of message payloadSeq
+	inFlightBytes                int        // payload bytes of message payloadSeq
 	lastSent                     event.Time // time of the last message
 	// lastAnswered is the send time of the newest message that was answered.
 	lastAnswered event.Time
@@ -106,15 +106,15 @@
 		m.Size, m.Sum = uint64(len(s.Data)), crc32.Checksum(s.Data, castagnoli)
 	}
 	if s.Index <= n.commit {
-		n.incoming = nil
+		n.incomingSnapshot = nil
 		n.recordMatch(n.commit)
 		n.acknowledge(m, n.commit, m.Size, false, out)
 		return
 	}
-	in := n.incoming
+	in := n.incomingSnapshot
 	if in == nil || in.index != s.Index || in.term != s.Term || in.size != m.Size || in.sum != m.Sum {
 		in = &incomingSnapshot{index: s.Index, term: s.Term, size: m.Size, sum: m.Sum}
-		n.incoming = in
+		n.incomingSnapshot = in
 	}
 	if m.Offset == uint64(len(in.data)) {
 		in.data = append(in.data, s.Data...)
@@ -123,7 +123,7 @@
 		n.replyImmediately(m, Message{Granted: true, Offset: uint64(len(in.data))}, out)
 		return
 	}
-	n.incoming = nil
+	n.incomingSnapshot = nil
 	if crc32.Checksum(in.data, castagnoli) != in.sum {
 		n.replyImmediately(m, Message{}, out)
 		return
--- a/hashtree/fetch.go
+++ b/hashtree/fetch.go
@@ -39,7 +39,7 @@
 	requested map[Sum]int
 	inFlight  int // bytes requested and not received
 
-	receivedNodes, receivedBytes int // for the current version
+	nodes, bytes int // for the current version
 	// lastTable is the last complete table; runs and teamNodes are the nodes of its routes, and of
 	// its teams and keys.
 	lastTable *routing.Table
@@ -64,7 +64,7 @@
 		return
 	}
 	f.version, f.root = version, root
-	f.receivedNodes, f.receivedBytes = 0, 0
+	f.nodes, f.bytes = 0, 0
 	f.generation++
 	f.scanTree()
 }
@@ -152,7 +152,7 @@
 func (f *Fetch) Waiting() int { return f.inFlight }
 
 // Received returns the number of nodes and bytes received for the current version.
-func (f *Fetch) Came() (nodes, bytes int) { return f.receivedNodes, f.receivedBytes }
+func (f *Fetch) Came() (nodes, bytes int) { return f.nodes, f.bytes }
 
 // Next returns the nodes to request so that at most window bytes are in flight, but at least one
 // node if any is missing and none is in flight.
@@ -184,8 +184,8 @@
 	}
 	delete(f.requested, sum)
 	f.inFlight -= length
-	f.receivedNodes++
-	f.receivedBytes += len(packed)
+	f.nodes++
+	f.bytes += len(packed)
 	f.held[sum] = &heldNode{node: n, bytes: len(packed), generation: f.generation - 1}
 	f.heldBytes += len(packed)
 	if f.needed[sum] {
--- a/hashtree/node.go
+++ b/hashtree/node.go
@@ -189,10 +189,10 @@
 
 // unpacker decodes nodes and reuses its buffers.
 type unpacker struct {
-	in        bytes.Reader
-	reader    io.ReadCloser
-	plain     bytes.Buffer
-	templates templateCache
+	in            bytes.Reader
+	reader        io.ReadCloser
+	plain         bytes.Buffer
+	templateCache templateCache
 }
 
 // unpack decodes a node and checks it against its sum.
@@ -210,10 +210,10 @@
 	if sumOf(u.plain.Bytes()) != sum {
 		return nil, ErrDamaged
 	}
-	if u.templates == nil {
-		u.templates = make(templateCache)
+	if u.templateCache == nil {
+		u.templateCache = make(templateCache)
 	}
-	n, err := u.templates.readNode(u.plain.Bytes())
+	n, err := u.templateCache.readNode(u.plain.Bytes())
 	if err != nil {
 		return nil, errors.Wrap(ErrDamaged, err.Error())
 	}
--- a/store/load.go
+++ b/store/load.go
@@ -14,11 +14,11 @@
 // load reads the folder and opens the log for writing.
 func (s *Store) load() (consensus.Restored, error) {
 	var r consensus.Restored
-	snapshots, err := s.listIndexes(snapshotPrefix)
+	snapshots, err := s.indexes(snapshotPrefix)
 	if err != nil {
 		return r, err
 	}
-	logs, err := s.listIndexes(logPrefix)
+	logs, err := s.indexes(logPrefix)
 	if err != nil {
 		return r, err
 	}
--- a/store/store.go
+++ b/store/store.go
@@ -276,11 +276,11 @@
 // removeBefore removes the snapshots and logs before an index.
 func (s *Store) removeBefore(keep consensus.Index) error {
 	for _, prefix := range [...]string{snapshotPrefix, logPrefix} {
-		numbers, err := s.listIndexes(prefix)
+		indexes, err := s.indexes(prefix)
 		if err != nil {
 			return err
 		}
-		for _, n := range numbers {
+		for _, n := range indexes {
 			if n >= keep {
 				continue
 			}
@@ -295,8 +295,8 @@
 // fileName returns the name of the file with a prefix and an index.
 func fileName(prefix string, n consensus.Index) string { return fmt.Sprintf("%s%020d", prefix, n) }
 
-// listIndexes returns the sorted indexes of the files with a prefix.
-func (s *Store) listIndexes(prefix string) ([]consensus.Index, error) {
+// indexes returns the sorted indexes of the files with a prefix.
+func (s *Store) indexes(prefix string) ([]consensus.Index, error) {
 	files, err := os.ReadDir(s.dir)
 	if err != nil {
 		return nil, errors.Wrap(err, "data folder")
