--- a/consensus/election.go
+++ b/consensus/election.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// TransferLeadership transfers the leadership to a reachable voter: the one with the highest rank,
-// then the one with the longest matching log. The lease ends immediately. A nil rank treats all
+// TransferLeadership transfers the leadership to another voter, preferring reachable ones, then the
+// highest rank, then the longest matching log. The lease ends immediately. A nil rank treats all
 // alike.
 func (n *Node) Transfer(now event.Time, rank func(ID) int, out *Ready) {
 	defer n.finish(out)
