--- a/sched/class.go
+++ b/sched/class.go
@@ -12,41 +12,41 @@
 // divided by it, rounded down, are equal are of one tier of teams.
 const RanksOfTeam = 1000
 
-// classMemory is the time over which the shares of classes are averaged.
-const classMemory = 10 * event.Second
+// classDecayTime is the time over which the shares of classes are averaged.
+const classDecayTime = 10 * event.Second
 
-// cheapPart is the most work, as a part of that of the class above, with which a
+// cheapWorkRatio is the most work, as a part of that of the class above, with which a
 // class may be served beside it.
-const cheapPart = 0.25
+const cheapWorkRatio = 0.25
 
-// fading is a count whose older parts fade. The zero value is ready.
-type fading struct {
+// decayingCounter is a count whose older parts fade. The zero value is ready.
+type decayingCounter struct {
 	value float64
-	at    event.Time
+	updated    event.Time
 }
 
-func (f *fading) get(now event.Time) float64 {
-	return f.value * math.Exp(-now.Sub(f.at).Seconds()/classMemory.Seconds())
+func (f *decayingCounter) get(now event.Time) float64 {
+	return f.value * math.Exp(-now.Sub(f.updated).Seconds()/classDecayTime.Seconds())
 }
 
-func (f *fading) add(now event.Time, amount float64) {
+func (f *decayingCounter) add(now event.Time, amount float64) {
 	f.value = f.get(now) + amount
-	f.at = now
+	f.updated = now
 }
 
 // class is what is known of the requests of one rank.
 type class struct {
 	rank    int
-	asked   fading
-	refused fading
-	work    float64 // mean seconds at speed 1
-	held    holding // of places
+	submitted   decayingCounter
+	refused decayingCounter
+	meanWork    float64 // mean seconds at speed 1
+	runTime    meanRunTime // of places
 }
 
 // classes are by rank.
 type classes map[int]*class
 
-func (c classes) at(rank int) *class {
+func (c classes) forRank(rank int) *class {
 	one, ok := c[rank]
 	if !ok {
 		one = &class{rank: rank}
@@ -55,20 +55,20 @@
 	return one
 }
 
-// served returns which part of the class was lately not refused.
-func (c *class) served(now event.Time) float64 {
-	asked := c.asked.get(now)
+// servedFraction returns which part of the class was lately not refused.
+func (c *class) servedFraction(now event.Time) float64 {
+	asked := c.submitted.get(now)
 	if asked < 1 {
 		return 1
 	}
 	return 1 - min(1, c.refused.get(now)/asked)
 }
 
-// above returns the next higher rank of the same tier of teams that asked lately.
-func (c classes) above(now event.Time, rank int) (int, bool) {
+// nextHigher returns the next higher rank of the same tier of teams that asked lately.
+func (c classes) nextHigher(now event.Time, rank int) (int, bool) {
 	found, ok := 0, false
 	for other, one := range c {
-		if other <= rank || teamTier(other) != teamTier(rank) || one.asked.get(now) < 1 {
+		if other <= rank || teamTier(other) != teamTier(rank) || one.submitted.get(now) < 1 {
 			continue
 		}
 		if !ok || other < found {
@@ -85,26 +85,26 @@
 // served less.
 func (s *State) promote(now event.Time, k *ticket) int {
 	own := k.class
-	own.asked.add(now, 1)
-	work := s.seconds(k)
-	own.work += (work - own.work) * workWeight
-	s.meanWork += (work - s.meanWork) * workWeight
-	rank, ok := s.classes.above(now, k.Rank)
+	own.submitted.add(now, 1)
+	work := s.profileWork(k)
+	own.meanWork += (work - own.meanWork) * meanWorkWeight
+	s.meanWork += (work - s.meanWork) * meanWorkWeight
+	rank, ok := s.classes.nextHigher(now, k.Rank)
 	if !ok {
 		return k.Rank
 	}
 	higher := s.classes[rank]
-	if own.work < cheapPart*higher.work && own.served(now) < higher.served(now) {
+	if own.meanWork < cheapWorkRatio*higher.meanWork && own.servedFraction(now) < higher.servedFraction(now) {
 		return rank
 	}
 	return k.Rank
 }
 
-// workWeight is the weight of a request in its class's mean work.
-const workWeight = 0.05
+// meanWorkWeight is the weight of a request in its class's mean work.
+const meanWorkWeight = 0.05
 
-// seconds is the work of a request at speed 1 by the pool's profile.
-func (s *State) seconds(k *ticket) float64 {
+// profileWork is the work of a request at speed 1 by the pool's profile.
+func (s *State) profileWork(k *ticket) float64 {
 	profile := s.profile()
-	return float64(k.PromptTokens)/profile.PrefillRate + profile.TokenGap.Seconds()*float64(k.expected)
+	return float64(k.PromptTokens)/profile.PrefillRate + profile.TokenGap.Seconds()*float64(k.expectedTokens)
 }
--- a/sched/discover.go
+++ b/sched/discover.go
@@ -8,23 +8,23 @@
 	"lynxramp.org/event"
 )
 
-// always is a time that does not come: an endpoint that is heard then never
+// farFuture is a time that does not come: an endpoint that is heard then never
 // falls silent by itself.
-const always = event.Time(math.MaxInt64 / 2)
+const farFuture = event.Time(math.MaxInt64 / 2)
 
-// seeEndpoint takes in an endpoint that tells of itself, or news of one.
-func (s *State) seeEndpoint(now event.Time, seen *event.EndpointSeen) {
-	e := s.endpoint(seen.Endpoint.ID)
+// updateEndpoint takes in an endpoint that tells of itself, or news of one.
+func (s *State) updateEndpoint(now event.Time, seen *event.EndpointSeen) {
+	e := s.ensureEndpoint(seen.Endpoint.ID)
 	e.Endpoint = seen.Endpoint
 	e.report.Address = seen.Address
 	e.report.Down = seen.Down
-	e.unsure = seen.Unsure
-	e.reported = true
-	e.heard = always
+	e.halfOpen = seen.Unsure
+	e.hasReport = true
+	e.lastReport = farFuture
 	s.setLimit(now, e, seen)
-	s.refresh(now, e)
-	if e.Concurrency > 0 && e.serves(now) {
-		s.fastest = max(s.fastest, e.speed())
+	s.refreshView(now, e)
+	if e.Concurrency > 0 && e.isAvailable(now) {
+		s.maxSpeed = max(s.maxSpeed, e.speed())
 	}
 }
 
@@ -37,14 +37,14 @@
 	for request := range e.grants {
 		s.release(now, request)
 	}
-	for mark := range e.memory.young {
-		s.prefix.forget(mark, e)
+	for mark := range e.cachedMarks.young {
+		s.prefix.remove(mark, e)
 	}
-	for mark := range e.memory.old {
-		s.prefix.forget(mark, e)
+	for mark := range e.cachedMarks.old {
+		s.prefix.remove(mark, e)
 	}
 	s.dropEndpoint(e)
-	s.findFastest(now)
+	s.updateMaxSpeed(now)
 }
 
 // adopt books a request that runs already.
@@ -53,25 +53,25 @@
 	if !ok || s.grants[a.Ticket.ID] != nil {
 		return
 	}
-	s.book(a.Ticket.ID, &grant{
+	s.addGrant(a.Ticket.ID, &grant{
 		endpoint: e,
 		entry:    a.Entry,
 		at:       now,
 		team:     a.Ticket.Team,
 		rank:     a.Ticket.Rank,
-		asked:    a.Ticket.Rank,
+		originalRank:    a.Ticket.Rank,
 		service:  a.Ticket.Service,
-		output:   a.Ticket.OutputTokens,
-		call:     a.Ticket.OutputTokens == 0,
+		maxOutput:   a.Ticket.OutputTokens,
+		tokenless:     a.Ticket.OutputTokens == 0,
 		adopted:  true,
 	})
-	s.refresh(now, e)
+	s.refreshView(now, e)
 }
 
-// dropEntry forgets what an entry that has ended had here.
-func (s *State) dropEntry(now event.Time, entry event.BoxID) {
+// removeEntry forgets what an entry that has ended had here.
+func (s *State) removeEntry(now event.Time, entry event.BoxID) {
 	delete(s.entries, entry)
-	s.dropRests(now, entry)
+	s.dropCooldowns(now, entry)
 	for _, k := range s.queue.byID {
 		if k.entry == entry {
 			s.queue.remove(k)
@@ -84,53 +84,53 @@
 	}
 }
 
-// measure learns an endpoint's speed from a request that has ended there.
-func (s *State) measure(now event.Time, g *grant, f *event.Finished) {
+// observeSpeed learns an endpoint's speed from a request that has ended there.
+func (s *State) observeSpeed(now event.Time, g *grant, f *event.Finished) {
 	if !s.pool.Discovered || f.Void {
 		return
 	}
 	profile := s.profile()
 	switch {
 	case f.TokenGap > 0:
-		g.endpoint.learn(now, f.TokenGap.Seconds()/profile.TokenGap.Seconds())
-	case g.call && f.FirstAfter > 0 && !f.Failed:
-		g.endpoint.learn(now, f.FirstAfter.Seconds()/profile.CallTime.Seconds())
+		g.endpoint.observeSlowness(now, f.TokenGap.Seconds()/profile.TokenGap.Seconds())
+	case g.tokenless && f.FirstAfter > 0 && !f.Failed:
+		g.endpoint.observeSlowness(now, f.FirstAfter.Seconds()/profile.CallTime.Seconds())
 	}
 }
 
-// begin takes note that an answer has begun: its prompt is read.
-func (s *State) begin(now event.Time, b *event.Begun) {
+// recordBegun takes note that an answer has begun: its prompt is read.
+func (s *State) recordBegun(now event.Time, b *event.Begun) {
 	g, ok := s.grants[b.ID]
 	if !ok {
 		return
 	}
 	e := g.endpoint
 	if s.pool.Discovered {
-		s.learnReading(now, e, g, b.After)
+		s.observePrefill(now, e, g, b.After)
 	}
-	e.reading.remove(now, g)
-	s.refresh(now, e)
+	e.prefills.remove(now, g)
+	s.refreshView(now, e)
 }
 
-// learnReading learns from an answer that has begun how fast prompts are read, in
+// observePrefill learns from an answer that has begun how fast prompts are read, in
 // general and at its endpoint now.
-func (s *State) learnReading(now event.Time, e *endpoint, g *grant, after event.Span) {
-	if g.alone && after > 0 {
-		s.prefill.learn(float64(g.prompt)/e.speed(), after.Seconds())
+func (s *State) observePrefill(now event.Time, e *endpoint, g *grant, after event.Span) {
+	if g.firstPrefill && after > 0 {
+		s.prefill.observe(float64(g.prefillTokens)/e.speed(), after.Seconds())
 	}
-	if g.fill < paceWork || s.prefill.rate() == 0 || e.reading.head() != g {
+	if g.prefillWork < minPrefillSample || s.prefill.rate() == 0 || e.prefills.head() != g {
 		return
 	}
-	read := now.Sub(e.reading.since).Seconds() - s.prefill.fixed()
-	e.pace.learn(now, read*e.speed()/g.fill)
+	read := now.Sub(e.prefills.headSince).Seconds() - s.prefill.overhead()
+	e.prefillSlowness.observe(now, read*e.speed()/g.prefillWork)
 }
 
 // isWorthWaiting reports whether a request would be late at the best endpoint that
 // has room, by the prompts to be read there first, but in time at another that comes
 // free soon.
 func (s *State) isWorthWaiting(k *ticket, c *choice) bool {
-	if !s.pool.Discovered || k.Target == 0 || c.est.work == 0 || s.pool.LeastOutstanding {
+	if !s.pool.Discovered || k.Target == 0 || c.est.prefillWork == 0 || s.pool.LeastOutstanding {
 		return false
 	}
-	return c.est.needed > c.left && c.est.work/s.fastest < c.left
+	return c.est.latency > c.timeLeft && c.est.prefillWork/s.maxSpeed < c.timeLeft
 }
--- a/sched/discover_test.go
+++ b/sched/discover_test.go
@@ -176,8 +176,8 @@
 	for i := range 20 {
 		s.Step(0, call(10+i, func(k *event.Ticket) { k.Patience = 0 }), &out)
 	}
-	if first.position != 0 || s.queue.tier(first.Rank, first.standing).ahead(first) != 0 {
-		t.Errorf("%.2f s of work are counted before the request that came first", s.queue.tier(first.Rank, first.standing).ahead(first))
+	if first.workBefore != 0 || s.queue.tier(first.Rank, first.precedence).workAhead(first) != 0 {
+		t.Errorf("%.2f s of work are counted before the request that came first", s.queue.tier(first.Rank, first.precedence).workAhead(first))
 	}
 }
 
@@ -227,23 +227,23 @@
 	s := discovered(1, 1)
 	dear := func(k *event.Ticket) { k.Rank = 0; k.PromptTokens = 8000 }
 	cheap := func(k *event.Ticket) { k.Rank = -1; k.PromptTokens = 10; k.OutputTokens = 1 }
-	own := &ticket{Ticket: call(1, cheap).Ticket, class: s.classes.at(-1), expected: 1}
+	own := &ticket{Ticket: call(1, cheap).Ticket, class: s.classes.forRank(-1), expectedTokens: 1}
 	for range 100 {
-		s.promote(0, &ticket{Ticket: call(0, dear).Ticket, class: s.classes.at(0), expected: 50})
+		s.promote(0, &ticket{Ticket: call(0, dear).Ticket, class: s.classes.forRank(0), expectedTokens: 50})
 		s.promote(0, own)
 	}
 	if got := s.promote(0, own); got != -1 {
 		t.Errorf("rank %d while it is served as often, want its own", got)
 	}
-	s.classes.at(-1).refused.add(0, 20)
+	s.classes.forRank(-1).refused.add(0, 20)
 	if got := s.promote(0, own); got != 0 {
 		t.Errorf("rank %d while it is refused more often, want that above", got)
 	}
-	costly := &ticket{Ticket: call(2, func(k *event.Ticket) { k.Rank = -2; k.PromptTokens = 9000 }).Ticket, class: s.classes.at(-2), expected: 50}
+	costly := &ticket{Ticket: call(2, func(k *event.Ticket) { k.Rank = -2; k.PromptTokens = 9000 }).Ticket, class: s.classes.forRank(-2), expectedTokens: 50}
 	for range 50 {
 		s.promote(0, costly)
 	}
-	s.classes.at(-2).refused.add(0, 40)
+	s.classes.forRank(-2).refused.add(0, 40)
 	if got := s.promote(0, costly); got != -2 {
 		t.Errorf("rank %d of a class that is not cheap, want its own", got)
 	}
@@ -293,7 +293,7 @@
 func TestQuietPoolTakesABurst(t *testing.T) {
 	s := discovered(2, 5)
 	now := event.Time(0)
-	for i := range holdingSamples + 1 {
+	for i := range runTimeSamples + 1 {
 		var out event.Effects
 		s.Step(now, call(i, nil), &out)
 		now = now.Add(500 * event.Millisecond)
--- a/sched/forecast.go
+++ b/sched/forecast.go
@@ -10,75 +10,75 @@
 	"lynxramp.org/event"
 )
 
-// promptPart is the part of its patience, as a divisor, that the reading of a long prompt
+// minTimeoutDivisor is the part of its patience, as a divisor, that the reading of a long prompt
 // leaves a request at the least.
-const promptPart = 4
+const minTimeoutDivisor = 4
 
-// forecast refuses what would wait longer than it may, by the work that waits before it and
+// refuseOverdue refuses what would wait longer than it may, by the work that waits before it and
 // the places that serve, at its arrival and as long as it waits. The load that it answers is
 // a burst in which more urgent requests keep coming: who was promised a place at its arrival
 // has none, and would be held to its deadline without a word: 262 callers in four replays of a
 // burst of twice the usual, none with it.
-func (s *State) forecast(now event.Time, e event.Event, out *event.Effects) {
+func (s *State) refuseOverdue(now event.Time, e event.Event, out *event.Effects) {
 	switch e := e.(type) {
 	case *event.Submitted:
 		k, ok := s.queue.byID[e.Ticket.ID]
-		if !ok || s.resting > 0 && s.refuseRested(now, k, out) {
+		if !ok || s.cooldownEndpoints > 0 && s.refuseInCooldown(now, k, out) {
 			return
 		}
-		if s.isHopeless(now, k) {
+		if s.willTimeOut(now, k) {
 			s.refuse(now, k, event.ReasonShed, out)
 		}
 	case *event.Tick:
 		s.demoteLate(now)
-		s.refuseAllRested(now, out)
+		s.refuseAllInCooldown(now, out)
 		var late []*ticket
 		for _, k := range s.queue.byID {
-			if s.isHopeless(now, k) {
+			if s.willTimeOut(now, k) {
 				late = append(late, k)
 			}
 		}
-		sortByNumber(late)
+		sortByArrival(late)
 		for _, k := range late {
 			s.refuse(now, k, event.ReasonShed, out)
 		}
 	}
 }
 
-func sortByNumber(list []*ticket) {
-	slices.SortFunc(list, func(a, b *ticket) int { return cmp.Compare(a.number, b.number) })
+func sortByArrival(list []*ticket) {
+	slices.SortFunc(list, func(a, b *ticket) int { return cmp.Compare(a.seq, b.seq) })
 }
 
-// inOrder returns what waits, in the order of arrival.
-func (s *State) inOrder() []*ticket {
+// waitingByArrival returns what waits, in the order of arrival.
+func (s *State) waitingByArrival() []*ticket {
 	list := slices.Collect(maps.Values(s.queue.byID))
-	sortByNumber(list)
+	sortByArrival(list)
 	return list
 }
 
 // demoteLate puts requests behind the others of their rank that can't be in time any
 // more, even at the fastest endpoint.
 func (s *State) demoteLate(now event.Time) {
-	if !s.pool.Discovered || s.pool.LeastOutstanding || s.fastest == 0 {
+	if !s.pool.Discovered || s.pool.LeastOutstanding || s.maxSpeed == 0 {
 		return
 	}
 	var late []*ticket
-	fastest := s.profile().PrefillRate * s.fastest
+	fastest := s.profile().PrefillRate * s.maxSpeed
 	for _, k := range s.queue.byID {
 		fill := float64(k.PromptTokens) / fastest
-		if k.standing == standingWhole && k.Target > 0 && (k.Target-now.Sub(k.arrived)).Seconds() < fill {
+		if k.precedence == precedenceOnTime && k.Target > 0 && (k.Target-now.Sub(k.arrived)).Seconds() < fill {
 			late = append(late, k)
 		}
 	}
 	for _, k := range late {
 		s.queue.remove(k)
-		k.standing = standingLess
+		k.precedence = precedenceLate
 		s.queue.add(k)
 	}
 }
 
-// isHopeless reports whether a request is to be refused for its wait.
-func (s *State) isHopeless(now event.Time, k *ticket) bool {
+// willTimeOut reports whether a request is to be refused for its wait.
+func (s *State) willTimeOut(now event.Time, k *ticket) bool {
 	if k.Patience == 0 || s.pool.LeastOutstanding {
 		return false
 	}
@@ -87,7 +87,7 @@
 	if k.Target > 0 && k.OutputTokens > 0 {
 		// Its own prompt has to be read in the time, too.
 		fill := event.Span(float64(k.PromptTokens) / s.profile().PrefillRate * float64(event.Second))
-		patience = max(patience-fill, patience/promptPart)
+		patience = max(patience-fill, patience/minTimeoutDivisor)
 	}
 	return waited+s.expectedWait(now, k) > patience
 }
@@ -96,57 +96,57 @@
 // that its requests will hold places, over the places. What ranks above it leave over is what
 // its own rank and those below got lately.
 func (s *State) expectedWait(now event.Time, k *ticket) event.Span {
-	if s.places == 0 {
+	if s.capacity == 0 {
 		return 0
 	}
 	above, beside := 0.0, 0.0
 	lower, all := 0.0, 0.0
 	for _, t := range s.queue.tiers {
-		drained := t.drain.perSecond(now)
+		drained := t.grantedWork.perSecond(now)
 		all += drained
 		switch {
-		case t.before(k.Rank, k.standing):
+		case t.before(k.Rank, k.precedence):
 			above += t.work
 			continue
-		case t.rank == k.Rank && t.standing == k.standing:
-			beside = t.ahead(k)
+		case t.rank == k.Rank && t.precedence == k.precedence:
+			beside = t.workAhead(k)
 		}
 		lower += drained
 	}
-	places := float64(s.places) / thousandths
+	places := float64(s.capacity) / capacityScale
 	left := places
 	if all > 0 {
-		left = places * max(lower/all, leastLeft)
+		left = places * max(lower/all, minCapacityShare)
 	}
 	return event.Span((above/places + beside/left) * float64(event.Second))
 }
 
-// leastLeft is the least part of the places that is taken as left for a rank.
-const leastLeft = 0.02
+// minCapacityShare is the least part of the places that is taken as left for a rank.
+const minCapacityShare = 0.02
 
-// hold returns how long a request will hold its place, in seconds: as long as others
+// estimateRunTime returns how long a request will estimateRunTime its place, in seconds: as long as others
 // of its class lately, or, until some have ended, its own work.
-func (s *State) hold(k *ticket) float64 {
-	if k.class.held.samples < holdingSamples {
-		return s.seconds(k)
+func (s *State) estimateRunTime(k *ticket) float64 {
+	if k.class.runTime.samples < runTimeSamples {
+		return s.profileWork(k)
 	}
-	return k.class.held.mean
+	return k.class.runTime.mean
 }
 
-// holdingWeight is the weight of a request in the mean time that requests run, and
-// holdingSamples how many are needed: the first to end are the short ones.
+// runTimeWeight is the weight of a request in the mean time that requests run, and
+// runTimeSamples how many are needed: the first to end are the short ones.
 const (
-	holdingWeight  = 0.02
-	holdingSamples = 50
+	runTimeWeight  = 0.02
+	runTimeSamples = 50
 )
 
-// holding is the mean time that requests run, in seconds. The zero value is ready.
-type holding struct {
+// meanRunTime is the mean time that requests run, in seconds. The zero value is ready.
+type meanRunTime struct {
 	mean    float64
 	samples int
 }
 
-func (h *holding) learn(ran event.Span) {
+func (h *meanRunTime) observe(ran event.Span) {
 	h.samples++
-	h.mean += max(holdingWeight, 1/float64(h.samples)) * (ran.Seconds() - h.mean)
+	h.mean += max(runTimeWeight, 1/float64(h.samples)) * (ran.Seconds() - h.mean)
 }
--- a/sched/limit.go
+++ b/sched/limit.go
@@ -11,53 +11,53 @@
 // how many run at once. The load that it answers is an endpoint in need: what it can't take waits here or goes
 // to others, and the forecast counts the endpoint as the places that its limit keeps busy.
 
-// limit is what an endpoint takes of requests. The zero limit is none.
-type limit struct {
+// rateLimit is what an endpoint takes of requests. The zero rateLimit is none.
+type rateLimit struct {
 	isSet bool
-	// wasSet says that a limit was in force since the endpoint is known: what was decided since then, was
+	// everSet says that a limit was in force since the endpoint is known: what was decided since then, was
 	// decided by one who knows of it.
-	wasSet bool
+	everSet bool
 	rate   float64 // a second, from all boxes
 	pacer  backpressure.Pacer
 }
 
 // setLimit takes the limit that an endpoint names, of which this pool spends its part.
 func (s *State) setLimit(now event.Time, e *endpoint, seen *event.EndpointSeen) {
-	l := &e.limit
+	l := &e.rateLimit
 	if seen.Limited && !l.isSet {
 		l.pacer = backpressure.Pacer{} // what is not known to be unspent is taken for spent
 	}
 	l.isSet, l.rate = seen.Limited, seen.Limit
 	if l.isSet {
-		l.wasSet = true
-		l.pacer.Set(now, l.rate, s.part)
+		l.everSet = true
+		l.pacer.Set(now, l.rate, s.limitShare)
 	}
 }
 
 // SetPart takes which part of endpoints' limits the pool spends.
 func (s *State) SetPart(now event.Time, part float64) {
-	if part == s.part {
+	if part == s.limitShare {
 		return
 	}
-	s.part = part
+	s.limitShare = part
 	for _, e := range s.endpoints {
-		if e.limit.isSet {
-			e.limit.pacer.Set(now, e.limit.rate, part)
-			s.refresh(now, e)
+		if e.rateLimit.isSet {
+			e.rateLimit.pacer.Set(now, e.rateLimit.rate, part)
+			s.refreshView(now, e)
 		}
 	}
 }
 
-// spend spends a request of an endpoint's limit.
-func (l *limit) spend(now event.Time) {
+// take spends a request of an endpoint's limit.
+func (l *rateLimit) take(now event.Time) {
 	if l.isSet {
 		l.pacer.Take(now)
 	}
 }
 
-// giveBack takes back what a grant spent that was not used.
-func (g *grant) giveBack() {
-	if l := &g.endpoint.limit; l.isSet && g.paced {
+// refundRateLimit takes back what a grant spent that was not used.
+func (g *grant) refundRateLimit() {
+	if l := &g.endpoint.rateLimit; l.isSet && g.paced {
 		l.pacer.GiveBack()
 	}
 }
@@ -70,40 +70,40 @@
 	return 0
 }
 
-// thousandths is in how many parts the places of a pool are counted.
-const thousandths = 1000
+// capacityScale is in how many parts the places of a pool are counted.
+const capacityScale = 1000
 
-// usualHold is how long a request is taken to hold its place until some have ended, in seconds.
-const usualHold = 1.0
+// defaultRunTime is how long a request is taken to hold its place until some have ended, in seconds.
+const defaultRunTime = 1.0
 
-// maxLimitedPlaces is far above what an endpoint has: a limit may be any number.
-const maxLimitedPlaces = 1e5
+// maxLimitedCapacity is far above what an endpoint has: a limit may be any number.
+const maxLimitedCapacity = 1e5
 
-// limitedPlaces returns how many places, in thousandths, a limit keeps busy. A pool that has just begun counts the
+// limitedCapacity returns how many places, in thousandths, a limit keeps busy. A pool that has just begun counts the
 // whole limit: its part grows as entries find their owner.
-func (s *State) limitedPlaces(now event.Time, l *limit) int {
-	hold := usualHold
-	if s.held.samples >= holdingSamples {
-		hold = s.held.mean
+func (s *State) limitedCapacity(now event.Time, l *rateLimit) int {
+	hold := defaultRunTime
+	if s.runTime.samples >= runTimeSamples {
+		hold = s.runTime.mean
 	}
 	rate := l.pacer.Rate()
 	if now.Sub(s.started) < SettleTime {
-		rate = max(rate, min(l.rate, maxLimitedPlaces))
+		rate = max(rate, min(l.rate, maxLimitedCapacity))
 	}
-	return max(1, int(min(rate*hold, maxLimitedPlaces)*thousandths))
+	return max(1, int(min(rate*hold, maxLimitedCapacity)*capacityScale))
 }
 
-// limitedCost is what an endpoint that names a limit costs a request of no work more, in seconds of waiting; one of
+// rateLimitCost is what an endpoint that names a limit costs a request of no work more, in seconds of waiting; one of
 // twice the mean work costs it as much less, which is the most. A limit counts requests, whatever they take, so that
 // long ones use the endpoint best: of 18 endpoints of which 7 took 2.5 requests a second the worth of a replayed
 // load (sched/load_test.go) went from 0.961 to 0.980, of 9 from 0.936 to 0.971; with 1.1 a second from 0.946 to 0.953 and
 // from 0.921 to 0.915.
-const limitedCost = 0.6
+const rateLimitCost = 0.6
 
-// limitedPrice returns what an endpoint that names a limit costs a request of some work more.
-func (s *State) limitedPrice(work float64) float64 {
+// rateLimitCostOf returns what an endpoint that names a limit costs a request of some work more.
+func (s *State) rateLimitCostOf(work float64) float64 {
 	if s.meanWork == 0 {
 		return 0
 	}
-	return limitedCost * max(-1, 1-work/s.meanWork)
+	return rateLimitCost * max(-1, 1-work/s.meanWork)
 }
--- a/sched/place.go
+++ b/sched/place.go
@@ -4,48 +4,48 @@
 
 import "lynxramp.org/event"
 
-// expire gives up what has run out of time.
-func (s *State) expire(now event.Time, out *event.Effects) {
+// refuseExpired gives up what has run out of time.
+func (s *State) refuseExpired(now event.Time, out *event.Effects) {
 	for k := s.queue.nextExpired(now); k != nil; k = s.queue.nextExpired(now) {
 		s.refuse(now, k, event.ReasonDeadline, out)
 	}
 }
 
-// place grants from the queue's head while an endpoint has room. A request for
+// schedule grants from the queue's head while an endpoint has room. A request for
 // which only endpoints have room that would be late with it is passed over, up
 // to a few at once: another endpoint may come free.
-func (s *State) place(now event.Time, out *event.Effects) {
-	s.passed = s.passed[:0]
-	if s.fastest == 0 {
+func (s *State) schedule(now event.Time, out *event.Effects) {
+	s.skipped = s.skipped[:0]
+	if s.maxSpeed == 0 {
 		return // no endpoint serves
 	}
-	passes := min(maxPassed, max(1, passedLooks/len(s.views)))
-	for k := s.queue.first(); k != nil && len(s.passed) < passes; k = s.queue.first() {
-		c := s.choose(now, k)
+	passes := min(maxSkipped, max(1, skipScanBudget/len(s.views)))
+	for k := s.queue.first(); k != nil && len(s.skipped) < passes; k = s.queue.first() {
+		c := s.chooseEndpoint(now, k)
 		switch {
-		case c.room == nil && (len(k.Avoid) > 0 || c.rests):
-			s.queue.setAside(k)
-			s.passed = append(s.passed, k)
-		case c.room == nil:
-			s.unpass()
+		case c.endpoint == nil && (len(k.Avoid) > 0 || c.inCooldown):
+			s.queue.detach(k)
+			s.skipped = append(s.skipped, k)
+		case c.endpoint == nil:
+			s.requeueSkipped()
 			return
-		case k.Target == 0 && c.fastest > c.left && s.length(k.Service).known():
+		case k.Target == 0 && c.minTime > c.timeLeft && s.outputLength(k.Service).hasEnoughSamples():
 			// No endpoint can answer in time, whatever else waits.
 			s.refuse(now, k, event.ReasonDeadline, out)
-		case c.hold, s.isWorthWaiting(k, &c), k.Target == 0 && c.est.total*startMargin > c.left && s.length(k.Service).known():
-			s.queue.setAside(k)
-			s.passed = append(s.passed, k)
+		case c.waitForHolder, s.isWorthWaiting(k, &c), k.Target == 0 && c.est.total*startMargin > c.timeLeft && s.outputLength(k.Service).hasEnoughSamples():
+			s.queue.detach(k)
+			s.skipped = append(s.skipped, k)
 		default:
-			s.grant(now, k, c.room, c.est, out)
+			s.grant(now, k, c.endpoint, c.est, out)
 		}
 	}
-	s.unpass()
+	s.requeueSkipped()
 }
 
-// unpass puts back what was passed over.
-func (s *State) unpass() {
-	for _, k := range s.passed {
-		s.queue.putBack(k)
+// requeueSkipped puts back what was passed over.
+func (s *State) requeueSkipped() {
+	for _, k := range s.skipped {
+		s.queue.insert(k)
 	}
 }
 
@@ -56,33 +56,33 @@
 		endpoint: e,
 		entry:    k.entry,
 		at:       now,
-		life:     e.report.Incarnation,
+		incarnation:     e.report.Incarnation,
 		attempt:  k.Attempt,
 		team:     k.Team,
 		rank:     k.Rank,
-		asked:    k.class.rank,
+		originalRank:    k.class.rank,
 		service:  k.Service,
-		output:   k.OutputTokens,
-		call:     k.OutputTokens == 0,
-		prompt:   k.PromptTokens - est.cached,
-		fill:     est.work,
-		paced:    e.limit.wasSet,
+		maxOutput:   k.OutputTokens,
+		tokenless:     k.OutputTokens == 0,
+		prefillTokens:   k.PromptTokens - est.cached,
+		prefillWork:     est.prefillWork,
+		paced:    e.rateLimit.everSet,
 	}
-	e.limit.spend(now)
+	e.rateLimit.take(now)
 	s.prefix.add(e, k.Prefix)
 	switch {
 	case !s.pool.Discovered:
-		e.reading.plan(now, event.Span(est.fill*float64(event.Second)))
-	case !g.call:
-		g.alone = len(e.reading.pending) == 0
-		e.reading.add(now, g)
+		e.prefills.reserve(now, event.Span(est.prefill*float64(event.Second)))
+	case !g.tokenless:
+		g.firstPrefill = len(e.prefills.pending) == 0
+		e.prefills.add(now, g)
 	}
-	s.book(k.ID, g)
-	s.refresh(now, e)
-	s.drain.add(now, 1)
-	s.queue.tier(k.Rank, k.standing).drain.add(now, k.hold)
+	s.addGrant(k.ID, g)
+	s.refreshView(now, e)
+	s.grantRate.add(now, 1)
+	s.queue.tier(k.Rank, k.precedence).grantedWork.add(now, k.runTime)
 	granted := g.effect(k.ID)
-	granted.Inputs = event.Inputs{Running: e.inflight, Wait: event.Span(est.needed * float64(event.Second))}
+	granted.Inputs = event.Inputs{Running: e.inflight, Wait: event.Span(est.latency * float64(event.Second))}
 	out.Grants = append(out.Grants, granted)
 }
 
@@ -92,15 +92,15 @@
 		ID:          id,
 		Endpoint:    g.endpoint.ID,
 		Address:     g.endpoint.report.Address,
-		Incarnation: g.life,
+		Incarnation: g.incarnation,
 		Attempt:     g.attempt,
-		Fresh:       g.endpoint.unsure,
+		Fresh:       g.endpoint.halfOpen,
 		Paced:       g.paced,
 	}
 }
 
-// shed gives up the queue's end while it is too long.
-func (s *State) shed(now event.Time, out *event.Effects) {
+// shedOverflow gives up the queue's end while it is too long.
+func (s *State) shedOverflow(now event.Time, out *event.Effects) {
 	if now.Sub(s.started) < SettleTime {
 		return
 	}
@@ -111,11 +111,11 @@
 }
 
 func (s *State) refuse(now event.Time, k *ticket, why event.Reason, out *event.Effects) {
-	s.refuseFor(now, k, why, s.retryAfter(now), out)
+	s.refuseWithRetry(now, k, why, s.retryAfter(now), out)
 }
 
-// refuseFor refuses a request with when to come back.
-func (s *State) refuseFor(now event.Time, k *ticket, why event.Reason, after event.Span, out *event.Effects) {
+// refuseWithRetry refuses a request with when to come back.
+func (s *State) refuseWithRetry(now event.Time, k *ticket, why event.Reason, after event.Span, out *event.Effects) {
 	s.queue.remove(k)
 	k.class.refused.add(now, 1)
 	s.refused[Group{Team: k.Team, Rank: k.Rank, Reason: why}]++
@@ -132,13 +132,13 @@
 // so that those refused together do not come back together.
 func (s *State) retryAfter(now event.Time) event.Span {
 	wait := MinRetryAfter
-	if rate := s.drain.perSecond(now); rate > 0 {
+	if rate := s.grantRate.perSecond(now); rate > 0 {
 		wait = event.Span(float64(s.queue.len()) / rate * float64(event.Second))
 	}
-	return min(max(s.spread(wait), MinRetryAfter), MaxRetryAfter)
+	return min(max(s.addJitter(wait), MinRetryAfter), MaxRetryAfter)
 }
 
-// spread makes a wait longer by up to a quarter.
-func (s *State) spread(wait event.Span) event.Span {
+// addJitter makes a wait longer by up to a quarter.
+func (s *State) addJitter(wait event.Span) event.Span {
 	return wait + event.Span(s.random.Float64()/4*float64(wait))
 }
--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -10,8 +10,8 @@
 
 // Bounds of the prefix index.
 const (
-	// prefixMarks is how many marks are remembered of an endpoint.
-	prefixMarks = 384
+	// maxEndpointMarks is how many marks are remembered of an endpoint.
+	maxEndpointMarks = 384
 	// maxHolders is how many holders of a prompt are weighed.
 	maxHolders = 16
 	// commonHolders is from how many holders on a mark counts as held by all:
@@ -25,7 +25,7 @@
 // number of endpoints.
 type prefixIndex struct {
 	holders map[uint64][]*endpoint
-	found   []holder // of the last search
+	results   []holder // of the last search
 }
 
 // holder is an endpoint that is thought to hold a part of a prompt.
@@ -34,22 +34,22 @@
 	cached   int // tokens
 }
 
-// memory is what one endpoint is thought to hold. Two generations of a set
+// markSet is what one endpoint is thought to hold. Two generations of a set
 // stand in for an exact order of use: when the young one is full it becomes the
 // old one, and the old one is forgotten.
-type memory struct {
+type markSet struct {
 	young, old map[uint64]struct{}
 }
 
 // add notes that e was granted a request with these marks.
 func (p *prefixIndex) add(e *endpoint, marks []uint64) {
-	m := &e.memory
+	m := &e.cachedMarks
 	for _, mark := range marks {
 		if _, ok := m.young[mark]; ok {
 			continue
 		}
-		if m.young == nil || len(m.young) >= prefixMarks/2 {
-			p.turn(e)
+		if m.young == nil || len(m.young) >= maxEndpointMarks/2 {
+			p.rotate(e)
 		}
 		if _, ok := m.old[mark]; !ok {
 			p.holders[mark] = append(p.holders[mark], e)
@@ -58,23 +58,23 @@
 	}
 }
 
-// turn forgets the endpoint's old generation and begins a young one.
-func (p *prefixIndex) turn(e *endpoint) {
-	m := &e.memory
+// rotate forgets the endpoint's old generation and begins a young one.
+func (p *prefixIndex) rotate(e *endpoint) {
+	m := &e.cachedMarks
 	for mark := range m.old {
 		if _, ok := m.young[mark]; !ok {
-			p.forget(mark, e)
+			p.remove(mark, e)
 		}
 	}
 	forgotten := m.old
 	if forgotten == nil {
-		forgotten = make(map[uint64]struct{}, prefixMarks/2)
+		forgotten = make(map[uint64]struct{}, maxEndpointMarks/2)
 	}
 	clear(forgotten)
 	m.young, m.old = forgotten, m.young
 }
 
-func (p *prefixIndex) forget(mark uint64, e *endpoint) {
+func (p *prefixIndex) remove(mark uint64, e *endpoint) {
 	list := p.holders[mark]
 	i := slices.Index(list, e)
 	if i < 0 {
@@ -92,7 +92,7 @@
 // search returns the endpoints that hold most of a prompt, the longest part
 // first. The list is good until the next search.
 func (p *prefixIndex) search(marks []uint64, promptTokens int) []holder {
-	p.found = p.found[:0]
+	p.results = p.results[:0]
 	for i := len(marks) - 1; i >= 0; i-- {
 		list := p.holders[marks[i]]
 		if len(list) >= commonHolders {
@@ -101,19 +101,19 @@
 		// The prefix ends somewhere before the next mark.
 		cached := min(promptTokens, (i+1)*engine.MarkTokens+engine.MarkTokens/2)
 		for _, e := range list {
-			if len(p.found) == maxHolders {
-				return p.found
+			if len(p.results) == maxHolders {
+				return p.results
 			}
 			if !p.isFound(e) {
-				p.found = append(p.found, holder{endpoint: e, cached: cached})
+				p.results = append(p.results, holder{endpoint: e, cached: cached})
 			}
 		}
 	}
-	return p.found
+	return p.results
 }
 
 func (p *prefixIndex) isFound(e *endpoint) bool {
-	for _, h := range p.found {
+	for _, h := range p.results {
 		if h.endpoint == e {
 			return true
 		}
--- a/sched/queue.go
+++ b/sched/queue.go
@@ -19,13 +19,13 @@
 	entry    event.BoxID
 	arrived  event.Time
 	deadline event.Time
-	place    event.Time // arrival plus the charge for size
-	number   uint64     // order of arrival; breaks ties
-	expected int        // output tokens, by what the service's answers had
+	orderTime    event.Time // arrival plus the charge for size
+	seq   uint64     // order of arrival; breaks ties
+	expectedTokens int        // output tokens, by what the service's answers had
 	class    *class     // of the rank that it came with
-	hold     float64    // seconds that it is expected to hold its place
-	position float64    // seconds of work that had entered its team's queue when it did
-	standing standing
+	runTime     float64    // seconds that it is expected to hold its place
+	workBefore float64    // seconds of work that had entered its team's queue when it did
+	precedence precedence
 }
 
 // avoids reports whether the ticket must not go to an endpoint.
@@ -34,76 +34,76 @@
 }
 
 func ticketLess(a, b *ticket) bool {
-	if a.place != b.place {
-		return a.place < b.place
+	if a.orderTime != b.orderTime {
+		return a.orderTime < b.orderTime
 	}
-	return a.number < b.number
+	return a.seq < b.seq
 }
 
 func expiryLess(a, b *ticket) bool {
 	if a.deadline != b.deadline {
 		return a.deadline < b.deadline
 	}
-	return a.number < b.number
+	return a.seq < b.seq
 }
 
 // team is the part of a tier's queue that belongs to one team.
 type team struct {
 	name    string
-	service float64 // tokens served, divided by the team's share
+	served float64 // tokens served, divided by the team's share
 	waiting *btree.BTreeG[*ticket]
-	// entered and left are the seconds of work that ever came into its queue and went.
-	entered, left float64
+	// enqueuedWork and dequeuedWork are the seconds of work that ever came into its queue and went.
+	enqueuedWork, dequeuedWork float64
 }
 
-// leave takes a ticket's work out. One that goes as it came had nobody behind it.
-func (m *team) leave(k *ticket) {
-	if k.position+k.hold == m.entered {
-		m.entered = k.position
+// dequeue takes a ticket's work out. One that goes as it came had nobody behind it.
+func (m *team) dequeue(k *ticket) {
+	if k.workBefore+k.runTime == m.enqueuedWork {
+		m.enqueuedWork = k.workBefore
 		return
 	}
-	m.left += k.hold
+	m.dequeuedWork += k.runTime
 }
 
-// ahead returns the seconds of work that will run before a ticket of the tier: teams take
+// workAhead returns the seconds of work that will run before a ticket of the tier: teams take
 // turns, so that it is its own team's work before it, once for each team that waits.
-func (t *tier) ahead(k *ticket) float64 {
-	before := max(0, k.position-t.team(k.Team).left)
+func (t *tier) workAhead(k *ticket) float64 {
+	before := max(0, k.workBefore-t.team(k.Team).dequeuedWork)
 	return min(t.work, before*float64(t.active.Len()))
 }
 
 func teamLess(a, b *team) bool {
-	if a.service != b.service {
-		return a.service < b.service
+	if a.served != b.served {
+		return a.served < b.served
 	}
 	return a.name < b.name
 }
 
-// standing orders the requests of one rank; the smaller goes first.
-type standing uint8
+// precedence orders the requests of one rank; the smaller goes first.
+type precedence uint8
 
 const (
-	// standingPlaced: it had a place before.
-	standingPlaced standing = iota
-	// standingWhole: it can still be in time, at its first try.
-	standingWhole
-	// standingLess: it is late, or its caller was refused before.
-	standingLess
+	// precedenceResumed: it had a place before.
+	precedenceResumed precedence = iota
+	// precedenceOnTime: it can still be in time, at its first try.
+	precedenceOnTime
+	// precedenceLate: it is late, or its caller was refused before.
+	precedenceLate
 )
 
 // tier is the part of the queue that belongs to one rank and standing.
 type tier struct {
 	rank     int
-	standing standing
+	precedence precedence
 	teams    map[string]*team
 	// active has the teams with a waiting request, least served first.
 	active *btree.BTreeG[*team]
-	// floor is the service of the team last chosen. A team that was idle
+	// virtualTime is the service of the team last chosen. A team that was idle
 	// starts there: it has no credit for the time it did not ask.
-	floor float64
+	virtualTime float64
 	size  int
 	work  float64   // seconds that its requests will hold places
-	drain drainRate // of that work
+	grantedWork throughput // of that work
 }
 
 // queue has all that waits in a pool, in one order.
@@ -123,20 +123,20 @@
 func (q *queue) len() int { return len(q.byID) }
 
 // before reports whether a tier goes before the one of a rank and standing.
-func (t *tier) before(rank int, standing standing) bool {
+func (t *tier) before(rank int, standing precedence) bool {
 	if t.rank != rank {
 		return t.rank > rank
 	}
-	return t.standing < standing
+	return t.precedence < standing
 }
 
-func (q *queue) tier(rank int, standing standing) *tier {
+func (q *queue) tier(rank int, standing precedence) *tier {
 	i := slices.IndexFunc(q.tiers, func(t *tier) bool { return !t.before(rank, standing) })
 	if i < 0 {
 		i = len(q.tiers)
 	}
-	if i == len(q.tiers) || q.tiers[i].rank != rank || q.tiers[i].standing != standing {
-		t := &tier{rank: rank, standing: standing, teams: make(map[string]*team), active: btree.NewG(treeDegree, teamLess)}
+	if i == len(q.tiers) || q.tiers[i].rank != rank || q.tiers[i].precedence != standing {
+		t := &tier{rank: rank, precedence: standing, teams: make(map[string]*team), active: btree.NewG(treeDegree, teamLess)}
 		q.tiers = slices.Insert(q.tiers, i, t)
 	}
 	return q.tiers[i]
@@ -153,44 +153,44 @@
 
 // add takes a ticket in, behind the work of its team that came before it.
 func (q *queue) add(k *ticket) {
-	m := q.tier(k.Rank, k.standing).team(k.Team)
-	k.position = m.entered
-	m.entered += k.hold
-	q.putBack(k)
+	m := q.tier(k.Rank, k.precedence).team(k.Team)
+	k.workBefore = m.enqueuedWork
+	m.enqueuedWork += k.runTime
+	q.insert(k)
 }
 
 // remove takes a ticket out for good.
 func (q *queue) remove(k *ticket) {
-	q.tier(k.Rank, k.standing).team(k.Team).leave(k)
-	q.setAside(k)
+	q.tier(k.Rank, k.precedence).team(k.Team).dequeue(k)
+	q.detach(k)
 }
 
-// putBack takes a ticket in again where it was before it was set aside.
-func (q *queue) putBack(k *ticket) {
-	t := q.tier(k.Rank, k.standing)
+// insert takes a ticket in again where it was before it was set aside.
+func (q *queue) insert(k *ticket) {
+	t := q.tier(k.Rank, k.precedence)
 	m := t.team(k.Team)
 	if m.waiting.Len() == 0 {
-		m.service = max(m.service, t.floor)
+		m.served = max(m.served, t.virtualTime)
 		t.active.ReplaceOrInsert(m)
 	}
 	m.waiting.ReplaceOrInsert(k)
 	t.size++
-	t.work += k.hold
+	t.work += k.runTime
 	q.byID[k.ID] = k
 	q.expiry.ReplaceOrInsert(k)
 }
 
-// setAside takes a ticket out that will be put back: it keeps its place before those that came
+// detach takes a ticket out that will be put back: it keeps its place before those that came
 // after it.
-func (q *queue) setAside(k *ticket) {
-	t := q.tier(k.Rank, k.standing)
+func (q *queue) detach(k *ticket) {
+	t := q.tier(k.Rank, k.precedence)
 	m := t.team(k.Team)
 	m.waiting.Delete(k)
 	if m.waiting.Len() == 0 {
 		t.active.Delete(m)
 	}
 	t.size--
-	t.work -= k.hold
+	t.work -= k.runTime
 	if t.size == 0 {
 		t.work = 0 // without what rounding left
 	}
@@ -227,14 +227,14 @@
 // charge adds tokens to what the ticket's team was served. The ticket must be
 // out of the queue.
 func (q *queue) charge(k *ticket, tokens float64) {
-	t := q.tier(k.Rank, k.standing)
+	t := q.tier(k.Rank, k.precedence)
 	m := t.team(k.Team)
-	t.floor = max(t.floor, m.service)
+	t.virtualTime = max(t.virtualTime, m.served)
 	waits := m.waiting.Len() > 0
 	if waits {
 		t.active.Delete(m)
 	}
-	m.service += tokens
+	m.served += tokens
 	if waits {
 		t.active.ReplaceOrInsert(m)
 	}
--- a/sched/reading.go
+++ b/sched/reading.go
@@ -8,102 +8,102 @@
 	"lynxramp.org/event"
 )
 
-// reading is what an endpoint still has to read of the prompts that it was granted.
+// prefillQueue is what an endpoint still has to read of the prompts that it was granted.
 // An endpoint reads one prompt after the other, in the order of the grants. The zero
 // value has nothing to read.
-type reading struct {
+type prefillQueue struct {
 	pending []*grant   // whose answers have not begun, oldest first
 	work    float64    // of all pending, seconds at speed 1
-	since   event.Time // when the first pending one came first
-	until   event.Time // when all should be read, by plan
+	headSince   event.Time // when the first pending one came first
+	plannedUntil   event.Time // when all should be read, by plan
 }
 
 // add takes in a grant whose prompt is to be read.
-func (r *reading) add(now event.Time, g *grant) {
+func (r *prefillQueue) add(now event.Time, g *grant) {
 	if len(r.pending) == 0 {
-		r.since = now
+		r.headSince = now
 	}
 	r.pending = append(r.pending, g)
-	r.work += g.fill
+	r.work += g.prefillWork
 }
 
 // remove takes note that a grant's prompt is not to be read any more: its answer has
 // begun, or it has ended.
-func (r *reading) remove(now event.Time, g *grant) {
+func (r *prefillQueue) remove(now event.Time, g *grant) {
 	i := slices.Index(r.pending, g)
 	if i < 0 {
 		return
 	}
 	if i == 0 {
-		r.since = now
+		r.headSince = now
 	}
 	r.pending = slices.Delete(r.pending, i, i+1)
-	r.work -= g.fill
+	r.work -= g.prefillWork
 	if len(r.pending) == 0 {
 		r.work = 0 // without what rounding left
 	}
 }
 
-// plan takes in a prompt that takes so long, where nobody tells when it is read.
-func (r *reading) plan(now event.Time, fill event.Span) {
-	r.until = max(r.until, now).Add(fill)
+// reserve takes in a prompt that takes so long, where nobody tells when it is read.
+func (r *prefillQueue) reserve(now event.Time, fill event.Span) {
+	r.plannedUntil = max(r.plannedUntil, now).Add(fill)
 }
 
 // head returns the grant whose prompt is being read; nil if there is none.
-func (r *reading) head() *grant {
+func (r *prefillQueue) head() *grant {
 	if len(r.pending) == 0 {
 		return nil
 	}
 	return r.pending[0]
 }
 
-// first returns the work of the prompt that is being read, in seconds at speed 1.
-func (r *reading) first() float64 {
+// headWork returns the work of the prompt that is being read, in seconds at speed 1.
+func (r *prefillQueue) headWork() float64 {
 	if len(r.pending) == 0 {
 		return 0
 	}
-	return r.pending[0].fill
+	return r.pending[0].prefillWork
 }
 
 // Weights and bounds of an endpoint's pace.
 const (
-	paceWeight = 0.2
-	paceMin    = 0.4
-	paceMax    = 4.0
-	// paceWork is the least work of a sample, in seconds at speed 1: of a short prompt
+	prefillSlownessWeight = 0.2
+	prefillSlownessMin    = 0.4
+	prefillSlownessMax    = 4.0
+	// minPrefillSample is the least work of a sample, in seconds at speed 1: of a short prompt
 	// other times are the larger part.
-	paceWork = 0.02
-	// paceStale is how long a sample counts.
-	paceStale = 4 * event.Second
+	minPrefillSample = 0.02
+	// prefillSlownessMaxAge is how long a sample counts.
+	prefillSlownessMaxAge = 4 * event.Second
 )
 
-// pace is how much slower an endpoint reads prompts now than by its speed alone: its
+// prefillSlowness is how much slower an endpoint reads prompts now than by its speed alone: its
 // other requests take their part. The zero value is as fast as by its speed.
-type pace struct {
+type prefillSlowness struct {
 	value float64
 	at    event.Time
 }
 
 // get returns the pace at now.
-func (p *pace) get(now event.Time) float64 {
-	if p.value == 0 || now.Sub(p.at) > paceStale {
+func (p *prefillSlowness) get(now event.Time) float64 {
+	if p.value == 0 || now.Sub(p.at) > prefillSlownessMaxAge {
 		return 1
 	}
 	return p.value
 }
 
-// learn takes a sample.
-func (p *pace) learn(now event.Time, sample float64) {
-	sample = min(max(sample, paceMin), paceMax)
+// observe takes a sample.
+func (p *prefillSlowness) observe(now event.Time, sample float64) {
+	sample = min(max(sample, prefillSlownessMin), prefillSlownessMax)
 	before := p.get(now)
-	p.value = before + paceWeight*(sample-before)
+	p.value = before + prefillSlownessWeight*(sample-before)
 	p.at = now
 }
 
 // How the rate of reading prompts is learned.
 const (
-	prefillSamples = 20   // needed before the rate is used
-	prefillKeep    = 0.99 // of the older samples' weight, at each new one
+	minPrefillSamples = 20   // needed before the rate is used
+	prefillDecay    = 0.99 // of the older samples' weight, at each new one
 	// minPrefillRate bounds the rate from below, in tokens a second.
 	minPrefillRate = 500.0
 )
@@ -118,20 +118,20 @@
 	x, y, xx, xy float64
 }
 
-// learn takes a sample: a prompt's tokens, over the endpoint's speed, and the seconds
+// observe takes a sample: a prompt's tokens, over the endpoint's speed, and the seconds
 // to the answer's beginning.
-func (f *prefillFit) learn(tokens, seconds float64) {
+func (f *prefillFit) observe(tokens, seconds float64) {
 	f.samples++
-	f.weight = f.weight*prefillKeep + 1
-	f.x = f.x*prefillKeep + tokens
-	f.y = f.y*prefillKeep + seconds
-	f.xx = f.xx*prefillKeep + tokens*tokens
-	f.xy = f.xy*prefillKeep + tokens*seconds
+	f.weight = f.weight*prefillDecay + 1
+	f.x = f.x*prefillDecay + tokens
+	f.y = f.y*prefillDecay + seconds
+	f.xx = f.xx*prefillDecay + tokens*tokens
+	f.xy = f.xy*prefillDecay + tokens*seconds
 }
 
-// fixed returns the seconds that an answer takes beside its prompt; 0 while they are
+// overhead returns the seconds that an answer takes beside its prompt; 0 while they are
 // not known.
-func (f *prefillFit) fixed() float64 {
+func (f *prefillFit) overhead() float64 {
 	rate := f.rate()
 	if rate == 0 {
 		return 0
@@ -141,7 +141,7 @@
 
 // rate returns the prompt tokens a second at speed 1; 0 while it is not known.
 func (f *prefillFit) rate() float64 {
-	if f.samples < prefillSamples {
+	if f.samples < minPrefillSamples {
 		return 0
 	}
 	spread := f.weight*f.xx - f.x*f.x
--- a/sched/reading_test.go
+++ b/sched/reading_test.go
@@ -10,21 +10,21 @@
 )
 
 func TestReadingGoesOnePromptAfterTheOther(t *testing.T) {
-	var r reading
-	a, b := &grant{fill: 1}, &grant{fill: 2}
+	var r prefillQueue
+	a, b := &grant{prefillWork: 1}, &grant{prefillWork: 2}
 	r.add(0, a)
 	r.add(event.Time(event.Second/2), b)
-	if r.work != 3 || r.first() != 1 || r.since != 0 {
-		t.Errorf("work %v, first %v, since %v", r.work, r.first(), r.since)
+	if r.work != 3 || r.headWork() != 1 || r.headSince != 0 {
+		t.Errorf("work %v, first %v, since %v", r.work, r.headWork(), r.headSince)
 	}
 	r.remove(event.Time(event.Second), a)
-	if r.work != 2 || r.first() != 2 || r.since != event.Time(event.Second) {
-		t.Errorf("with one read: work %v, first %v, since %v", r.work, r.first(), r.since)
+	if r.work != 2 || r.headWork() != 2 || r.headSince != event.Time(event.Second) {
+		t.Errorf("with one read: work %v, first %v, since %v", r.work, r.headWork(), r.headSince)
 	}
 	r.remove(event.Time(2*event.Second), a) // it is not there any more
 	r.remove(event.Time(2*event.Second), b)
-	if r.work != 0 || r.first() != 0 {
-		t.Errorf("with all read: work %v, first %v", r.work, r.first())
+	if r.work != 0 || r.headWork() != 0 {
+		t.Errorf("with all read: work %v, first %v", r.work, r.headWork())
 	}
 }
 
@@ -35,14 +35,14 @@
 	}
 	for i := range 200 {
 		tokens := float64(500 + i%37*1000)
-		f.learn(tokens, 0.05+tokens/20000)
+		f.observe(tokens, 0.05+tokens/20000)
 	}
 	if got := f.rate(); math.Abs(got-20000) > 1 {
 		t.Errorf("rate %v, want 20000", got)
 	}
 	for i := range 1000 {
 		tokens := float64(500 + i%37*1000)
-		f.learn(tokens, 0.05+tokens/40000)
+		f.observe(tokens, 0.05+tokens/40000)
 	}
 	if got := f.rate(); math.Abs(got-40000) > 100 {
 		t.Errorf("rate %v, want 40000 after it changed", got)
@@ -103,19 +103,19 @@
 // TestPaceOfReadingIsLearned: an endpoint that reads slower than its speed says is
 // expected to do so with the next prompts, for a while.
 func TestPaceOfReadingIsLearned(t *testing.T) {
-	var p pace
+	var p prefillSlowness
 	if p.get(0) != 1 {
 		t.Errorf("pace %v without a sample", p.get(0))
 	}
 	now := event.Time(0)
 	for range 30 {
 		now = now.Add(100 * event.Millisecond)
-		p.learn(now, 2)
+		p.observe(now, 2)
 	}
 	if got := p.get(now); got < 1.9 || got > 2 {
 		t.Errorf("pace %v after samples of 2", got)
 	}
-	if got := p.get(now.Add(paceStale + event.Second)); got != 1 {
+	if got := p.get(now.Add(prefillSlownessMaxAge + event.Second)); got != 1 {
 		t.Errorf("pace %v, the samples are too old", got)
 	}
 }
--- a/sched/rest_test.go
+++ b/sched/rest_test.go
@@ -87,7 +87,7 @@
 	var out event.Effects
 	s.Step(0, &event.EntryGone{Entry: "a"}, &out)
 	s.Step(0, callOf(1, "a", 500*event.Millisecond), &out)
-	if len(out.Grants) != 1 || s.resting != 0 {
-		t.Errorf("grants %+v, %d resting", out.Grants, s.resting)
+	if len(out.Grants) != 1 || s.cooldownEndpoints != 0 {
+		t.Errorf("grants %+v, %d resting", out.Grants, s.cooldownEndpoints)
 	}
 }
--- a/sched/state.go
+++ b/sched/state.go
@@ -12,27 +12,27 @@
 
 // Bounds of the scheduler's patience.
 const (
-	// ReportBound is how long an endpoint is granted work after its slot was
+	// ReportTimeout is how long an endpoint is granted work after its slot was
 	// last heard.
-	ReportBound = 2500 * event.Millisecond
-	// EntryBound is how long an entry may be silent before its waiting requests
+	ReportTimeout = 2500 * event.Millisecond
+	// EntryTimeout is how long an entry may be silent before its waiting requests
 	// are dropped.
-	EntryBound = 5 * event.Second
+	EntryTimeout = 5 * event.Second
 	// SettleTime is how long a new owner sheds nothing.
 	SettleTime = 2 * event.Second
-	// LostGrace is how long a grant may be missing from its slot's reports
+	// MissingGrantGrace is how long a grant may be missing from its slot's reports
 	// before it is taken as ended.
-	LostGrace = 2 * event.Second
-	// HoldOff is how long an endpoint that did not take a request gets no other.
-	HoldOff = 300 * event.Millisecond
+	MissingGrantGrace = 2 * event.Second
+	// EndpointBackoff is how long an endpoint that did not take a request gets no other.
+	EndpointBackoff = 300 * event.Millisecond
 	// MinRetryAfter and MaxRetryAfter bound what a refused caller is told.
 	MinRetryAfter = event.Second
 	MaxRetryAfter = 60 * event.Second
 )
 
-// sizeCharge is the place a request loses in its team's queue for each second
+// sizePenalty is the place a request loses in its team's queue for each second
 // of its estimated work.
-const sizeCharge = 8.0
+const sizePenalty = 8.0
 
 // What a placement costs: its time counts little while it ends well before the
 // deadline, and much beyond that.
@@ -40,26 +40,26 @@
 	timeWeight  = 0.05
 	latePenalty = 10.0
 	startMargin = 1.3 // to be started, a request must have so much more time than estimated
-	margin      = 1.3 // an estimate may be so much too short
+	estimateMargin      = 1.3 // an estimate may be so much too short
 )
 
-// maxPassed bounds how many requests are passed over in one step, and passedLooks
+// maxSkipped bounds how many requests are passed over in one step, and skipScanBudget
 // how many endpoints are looked at for them: in a large pool some endpoint comes
 // free all the time, and there is less to gain.
 const (
-	maxPassed   = 16
-	passedLooks = 512
+	maxSkipped   = 16
+	skipScanBudget = 512
 )
 
-// holdTime is how long a request is passed over for the sake of a full endpoint
-// that holds its prompt, and holdCost what that must save, in seconds.
+// holderWaitTime is how long a request is passed over for the sake of a full endpoint
+// that holds its prompt, and holderMinSaving what that must save, in seconds.
 const (
-	holdTime = 2 * event.Second
-	holdCost = 0.1
+	holderWaitTime = 2 * event.Second
+	holderMinSaving = 0.1
 )
 
-// topMemory is how long room is kept for a tier after its last request.
-const topMemory = 5 * event.Second
+// reserveTime is how long room is kept for a tier after its last request.
+const reserveTime = 5 * event.Second
 
 // rateWindow is the time over which the drain rate is averaged.
 const rateWindow = 5 * event.Second
@@ -72,14 +72,14 @@
 	attempt  int
 	team     string
 	rank     int
-	asked    int // the rank that it came with
+	originalRank    int // the rank that it came with
 	service  string
-	output   int // tokens asked for
-	life     event.Incarnation
-	call     bool    // without tokens
-	prompt   int     // tokens to be read
-	fill     float64 // work of reading them, seconds at speed 1
-	alone    bool    // no other prompt was to be read before it
+	maxOutput   int // tokens asked for
+	incarnation     event.Incarnation
+	tokenless     bool    // without tokens
+	prefillTokens   int     // tokens to be read
+	prefillWork     float64 // work of reading them, seconds at speed 1
+	firstPrefill    bool    // no other prompt was to be read before it
 	adopted  bool    // by an entry's word: it may have begun earlier
 	paced    bool    // by one who knows of the endpoint's limits
 }
@@ -95,23 +95,23 @@
 	grants    map[event.RequestID]*grant
 	entries   map[event.BoxID]event.Time
 	arrivals  uint64
-	drain     drainRate
-	passed    []*ticket // of the step under way
+	grantRate     throughput
+	skipped    []*ticket // of the step under way
 	views     []view    // of the endpoints, in their order
 	prefill   prefillFit
-	fastest   float64 // speed of the fastest that serves, 0 if none does
-	places    int     // of all that serve, in thousandths
-	resting   int     // endpoints that want nothing of some entries
-	part      float64 // of endpoints' limits that this pool spends
-	held      holding // of places, by all requests
+	maxSpeed   float64 // speed of the fastest that serves, 0 if none does
+	capacity    int     // of all that serve, in thousandths
+	cooldownEndpoints   int     // endpoints that want nothing of some entries
+	limitShare      float64 // of endpoints' limits that this pool spends
+	runTime      meanRunTime // of places, by all requests
 	meanWork  float64 // of requests, in seconds at speed 1; 0 until one came
 	prefix    prefixIndex
-	lengths   map[string]*answerLength // by service
+	outputLengths   map[string]*outputLength // by service
 	refused   map[Group]int            // since this owner began
 	classes   classes
-	leaving   map[string]bool // IP numbers, by the platform's list
-	top       int             // the highest rank that came lately
-	topSeen   event.Time      // when it came
+	drainingHosts   map[string]bool // IP numbers, by the platform's list
+	topRank       int             // the highest rank that came lately
+	topRankAt   event.Time      // when it came
 }
 
 // New returns the scheduler of pool, which owns it from now on.
@@ -124,10 +124,10 @@
 		grants:  make(map[event.RequestID]*grant),
 		entries: make(map[event.BoxID]event.Time),
 		prefix:  prefixIndex{holders: make(map[uint64][]*endpoint)},
-		lengths: make(map[string]*answerLength),
+		outputLengths: make(map[string]*outputLength),
 		refused: make(map[Group]int),
 		classes: make(classes),
-		part:    1,
+		limitShare:    1,
 	}
 	s.setPool(now, pool)
 	return s
@@ -142,41 +142,41 @@
 	case *event.Withdrawn:
 		s.withdraw(now, e)
 	case *event.Begun:
-		s.begin(now, e)
+		s.recordBegun(now, e)
 	case *event.Finished:
 		s.finish(now, e)
 	case *event.EntrySeen:
 		s.entries[e.Entry] = now
 		return
 	case *event.SlotReported:
-		s.report(now, e.Report)
+		s.applyReport(now, e.Report)
 	case *event.PoolChanged:
 		s.setPool(now, e.Pool)
 	case *event.Adopted:
 		s.entries[e.Entry] = now
 		s.adopt(now, e)
 	case *event.EntryGone:
-		s.dropEntry(now, e.Entry)
+		s.removeEntry(now, e.Entry)
 	case *event.EndpointSeen:
-		s.seeEndpoint(now, e)
+		s.updateEndpoint(now, e)
 	case *event.Rested:
-		s.rest(now, e)
+		s.startCooldown(now, e)
 	case *event.PartChanged:
 		s.SetPart(now, e.Part)
 	case *event.EndpointGone:
 		s.removeEndpoint(now, e.ID)
 	case *event.PlatformListed:
-		s.leaving = e.Leaving
-		s.markLeaving()
-		s.refreshAll(now)
+		s.drainingHosts = e.Leaving
+		s.updatePlatformDraining()
+		s.refreshViews(now)
 	case *event.Tick:
-		s.refreshAll(now)
-		s.dropSilentEntries(now, out)
+		s.refreshViews(now)
+		s.dropStaleEntries(now, out)
 	}
-	s.expire(now, out)
-	s.place(now, out)
-	s.shed(now, out)
-	s.forecast(now, e, out)
+	s.refuseExpired(now, out)
+	s.schedule(now, out)
+	s.shedOverflow(now, out)
+	s.refuseOverdue(now, e, out)
 }
 
 // Waiting returns how many requests wait.
@@ -196,15 +196,15 @@
 		}
 	}
 	for _, c := range p.Endpoints {
-		s.endpoint(c.ID).Endpoint = c
+		s.ensureEndpoint(c.ID).Endpoint = c
 	}
-	s.orderEndpoints(now)
+	s.sortEndpoints(now)
 }
 
-// endpoint returns an endpoint by its name. One that was not known gets the last view, in
+// ensureEndpoint returns an ensureEndpoint by its name. One that was not known gets the last view, in
 // constant time: an owner that begins must take up thousands within its lease. 3,000 take
 // 2 ms this way and 240 ms where each is sorted into its place (best of five, one core).
-func (s *State) endpoint(id event.EndpointID) *endpoint {
+func (s *State) ensureEndpoint(id event.EndpointID) *endpoint {
 	e, ok := s.byID[id]
 	if !ok {
 		e = &endpoint{grants: make(map[event.RequestID]*grant), index: len(s.endpoints)}
@@ -217,7 +217,7 @@
 
 // dropEndpoint takes an endpoint away; the last one takes its place among the views.
 func (s *State) dropEndpoint(e *endpoint) {
-	s.takeOut(&s.views[e.index])
+	s.subtractView(&s.views[e.index])
 	last := len(s.endpoints) - 1
 	s.endpoints[e.index] = s.endpoints[last]
 	s.endpoints[e.index].index = e.index
@@ -227,17 +227,17 @@
 	delete(s.byID, e.ID)
 }
 
-// orderEndpoints puts the views in the order of the endpoints' names.
-func (s *State) orderEndpoints(now event.Time) {
+// sortEndpoints puts the views in the order of the endpoints' names.
+func (s *State) sortEndpoints(now event.Time) {
 	slices.SortFunc(s.endpoints, func(a, b *endpoint) int {
 		return strings.Compare(string(a.ID), string(b.ID))
 	})
 	clear(s.views)
-	s.places, s.resting = 0, 0
+	s.capacity, s.cooldownEndpoints = 0, 0
 	for i, e := range s.endpoints {
 		e.index = i
 	}
-	s.refreshAll(now)
+	s.refreshViews(now)
 }
 
 func (s *State) submit(now event.Time, e *event.Submitted, out *event.Effects) {
@@ -251,56 +251,56 @@
 		return
 	}
 	s.arrivals++
-	s.seeRank(now, e.Ticket.Rank)
+	s.observeRank(now, e.Ticket.Rank)
 	k := &ticket{
 		Ticket:   e.Ticket,
 		entry:    e.Entry,
 		arrived:  now,
 		deadline: now.Add(e.Ticket.Deadline),
-		number:   s.arrivals,
+		seq:   s.arrivals,
 	}
-	k.expected = s.length(k.Service).expect(k.OutputTokens)
-	k.class = s.classes.at(k.Rank)
-	k.hold = s.hold(k)
-	k.standing = s.standing(k)
+	k.expectedTokens = s.outputLength(k.Service).estimate(k.OutputTokens)
+	k.class = s.classes.forRank(k.Rank)
+	k.runTime = s.estimateRunTime(k)
+	k.precedence = s.precedence(k)
 	if s.pool.Discovered {
 		k.Rank = s.promote(now, k)
 	}
-	k.place = now.Add(-e.Ticket.Waited)
+	k.orderTime = now.Add(-e.Ticket.Waited)
 	if k.Target == 0 {
-		k.place = k.place.Add(event.Span(sizeCharge * work(k) * float64(event.Second)))
+		k.orderTime = k.orderTime.Add(event.Span(sizePenalty * referenceWork(k) * float64(event.Second)))
 	}
 	s.queue.add(k)
 }
 
-// standing returns where among its rank a request waits.
-func (s *State) standing(k *ticket) standing {
+// precedence returns where among its rank a request waits.
+func (s *State) precedence(k *ticket) precedence {
 	switch {
 	case s.pool.LeastOutstanding:
-		return standingWhole
+		return precedenceOnTime
 	case k.Placed:
-		return standingPlaced
+		return precedenceResumed
 	case k.Returned:
-		return standingLess
+		return precedenceLate
 	default:
-		return standingWhole
+		return precedenceOnTime
 	}
 }
 
-// seeRank takes note of the highest tier that came lately.
-func (s *State) seeRank(now event.Time, rank int) {
-	if rank >= s.top || now.Sub(s.topSeen) >= topMemory {
-		s.top = rank
-		s.topSeen = now
+// observeRank takes note of the highest tier that came lately.
+func (s *State) observeRank(now event.Time, rank int) {
+	if rank >= s.topRank || now.Sub(s.topRankAt) >= reserveTime {
+		s.topRank = rank
+		s.topRankAt = now
 	}
 }
 
-// work is the estimated length of k in seconds on the reference engine.
-func work(k *ticket) float64 {
+// referenceWork is the estimated length of k in seconds on the reference engine.
+func referenceWork(k *ticket) float64 {
 	if k.OutputTokens == 0 {
 		return callWork
 	}
-	return float64(k.PromptTokens)/referencePrefill + float64(k.expected)*referenceTokenGap.Seconds()
+	return float64(k.PromptTokens)/referencePrefill + float64(k.expectedTokens)*referenceTokenGap.Seconds()
 }
 
 // withdraw forgets a request. If it was granted, the entry withdrew it before
@@ -310,13 +310,13 @@
 		s.queue.remove(k)
 	}
 	if g, ok := s.grants[e.ID]; ok {
-		g.giveBack()
+		g.refundRateLimit()
 	}
 	s.release(now, e.ID)
 }
 
-// book enters a grant in the books.
-func (s *State) book(id event.RequestID, g *grant) {
+// addGrant enters a grant in the books.
+func (s *State) addGrant(id event.RequestID, g *grant) {
 	s.grants[id] = g
 	g.endpoint.grants[id] = g
 	g.endpoint.inflight++
@@ -327,17 +327,17 @@
 func (s *State) finish(now event.Time, e *event.Finished) {
 	if g, ok := s.grants[e.ID]; ok {
 		if e.Unused {
-			g.giveBack()
+			g.refundRateLimit()
 		} else if e.Void {
-			g.endpoint.leftUntil = now.Add(HoldOff)
+			g.endpoint.backoffUntil = now.Add(EndpointBackoff)
 		}
 		if !e.Failed && !e.Void {
-			s.length(g.service).learn(e.Tokens, g.output)
+			s.outputLength(g.service).observe(e.Tokens, g.maxOutput)
 		}
-		s.measure(now, g, e)
+		s.observeSpeed(now, g, e)
 		if !e.Void {
-			s.classes.at(g.asked).held.learn(now.Sub(g.at))
-			s.held.learn(now.Sub(g.at))
+			s.classes.forRank(g.originalRank).runTime.observe(now.Sub(g.at))
+			s.runTime.observe(now.Sub(g.at))
 		}
 	}
 	s.release(now, e.ID)
@@ -350,54 +350,54 @@
 		return
 	}
 	g.endpoint.inflight--
-	g.endpoint.reading.remove(now, g)
+	g.endpoint.prefills.remove(now, g)
 	delete(g.endpoint.grants, id)
 	delete(s.grants, id)
-	s.refresh(now, g.endpoint)
+	s.refreshView(now, g.endpoint)
 }
 
-// report takes a slot's word on its endpoint and corrects the grants by it.
-func (s *State) report(now event.Time, r event.Report) {
+// applyReport takes a slot's word on its endpoint and corrects the grants by it.
+func (s *State) applyReport(now event.Time, r event.Report) {
 	e, ok := s.byID[r.Endpoint]
 	if !ok {
 		return
 	}
-	restarted := e.reported && e.report.Incarnation != r.Incarnation
+	restarted := e.hasReport && e.report.Incarnation != r.Incarnation
 	e.report = r
-	e.listed = s.leaving[event.Host(r.Address)]
-	e.heard = now
-	e.reported = true
+	e.platformDraining = s.drainingHosts[event.Host(r.Address)]
+	e.lastReport = now
+	e.hasReport = true
 	running := make(map[event.RequestID]struct{}, len(r.Running))
 	for _, d := range r.Running {
 		id := d.Request()
 		running[id] = struct{}{}
 		if _, ok := s.grants[id]; !ok {
-			s.book(id, &grant{endpoint: e, at: now, life: r.Incarnation, attempt: d.Attempt()})
+			s.addGrant(id, &grant{endpoint: e, at: now, incarnation: r.Incarnation, attempt: d.Attempt()})
 		}
 	}
 	for id, g := range e.grants {
 		_, runs := running[id]
-		old := restarted && g.life != r.Incarnation
-		if old || (!runs && now.Sub(g.at) > LostGrace) {
+		old := restarted && g.incarnation != r.Incarnation
+		if old || (!runs && now.Sub(g.at) > MissingGrantGrace) {
 			s.release(now, id)
 		}
 	}
-	s.refresh(now, e)
-	if e.serves(now) {
-		s.fastest = max(s.fastest, e.speed())
+	s.refreshView(now, e)
+	if e.isAvailable(now) {
+		s.maxSpeed = max(s.maxSpeed, e.speed())
 	}
 }
 
-// markLeaving notes which endpoints stand on boxes that are leaving.
-func (s *State) markLeaving() {
+// updatePlatformDraining notes which endpoints stand on boxes that are leaving.
+func (s *State) updatePlatformDraining() {
 	for _, e := range s.endpoints {
-		e.listed = s.leaving[event.Host(e.report.Address)]
+		e.platformDraining = s.drainingHosts[event.Host(e.report.Address)]
 	}
 }
 
-func (s *State) dropSilentEntries(now event.Time, out *event.Effects) {
+func (s *State) dropStaleEntries(now event.Time, out *event.Effects) {
 	for id, heard := range s.entries {
-		if now.Sub(heard) <= EntryBound {
+		if now.Sub(heard) <= EntryTimeout {
 			continue
 		}
 		delete(s.entries, id)
@@ -412,21 +412,21 @@
 	}
 }
 
-// drainRate averages how much of something goes in a second. The zero value is
+// throughput averages how much of something goes in a second. The zero value is
 // ready.
-type drainRate struct {
+type throughput struct {
 	last event.Time
 	rate float64 // a second
 }
 
-func (d *drainRate) add(now event.Time, amount float64) {
+func (d *throughput) add(now event.Time, amount float64) {
 	gap := now.Sub(d.last).Seconds()
 	d.last = now
 	keep := max(0, 1-gap/rateWindow.Seconds())
 	d.rate = d.rate*keep + amount/rateWindow.Seconds()
 }
 
-func (d *drainRate) perSecond(now event.Time) float64 {
+func (d *throughput) perSecond(now event.Time) float64 {
 	return d.rate * max(0, 1-now.Sub(d.last).Seconds()/rateWindow.Seconds())
 }
 
@@ -442,7 +442,7 @@
 func (s *State) Endpoints(now event.Time) []EndpointStatus {
 	list := make([]EndpointStatus, 0, len(s.endpoints))
 	for _, e := range s.endpoints {
-		list = append(list, EndpointStatus{ID: e.ID, Running: e.inflight, Serves: e.serves(now) && e.Concurrency > 0})
+		list = append(list, EndpointStatus{ID: e.ID, Running: e.inflight, Serves: e.isAvailable(now) && e.Concurrency > 0})
 	}
 	slices.SortFunc(list, func(a, b EndpointStatus) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	return list
--- a/sched/view.go
+++ b/sched/view.go
@@ -13,120 +13,120 @@
 type view struct {
 	endpoint *endpoint
 	slowness float64 // 1 / speed
-	reading  float64 // slowness at reading prompts
-	// The prompts that it has to read first: firstWork seconds of the one that it
-	// reads since readSince, and moreWork of those behind it, both at speed 1.
-	firstWork, moreWork float64
-	readSince           event.Time
-	readUntil           event.Time // by plan, where beginnings are not told
+	prefillSlowness  float64 // slowness at reading prompts
+	// The prompts that it has to read first: headWork seconds of the one that it
+	// reads since readSince, and queuedWork of those behind it, both at speed 1.
+	headWork, queuedWork float64
+	headSince           event.Time
+	plannedUntil           event.Time // by plan, where beginnings are not told
 	dataCentre          string
 	free                int32 // places for the highest tier; 0 if it does not serve
-	reserve             int32 // of these, not for lower tiers
-	places              int32 // in all, in thousandths; 0 if it does not serve
-	isResting           bool  // it wants nothing of some entries
-	isLimited           bool  // by requests a second
+	reserved             int32 // of these, not for lower tiers
+	capacity              int32 // in all, in thousandths; 0 if it does not serve
+	hasCooldowns           bool  // it wants nothing of some entries
+	isRateLimited           bool  // by requests a second
 }
 
-// refresh makes an endpoint's view fit what is known of it at now.
-func (s *State) refresh(now event.Time, e *endpoint) {
+// refreshView makes an endpoint's view fit what is known of it at now.
+func (s *State) refreshView(now event.Time, e *endpoint) {
 	v := &s.views[e.index]
-	s.takeOut(v)
-	first := e.reading.first()
+	s.subtractView(v)
+	first := e.prefills.headWork()
 	*v = view{
-		endpoint: e, slowness: 1 / e.speed(), reading: e.pace.get(now) / e.speed(), dataCentre: e.DataCentre,
-		firstWork: first, moreWork: e.reading.work - first, readSince: e.reading.since, readUntil: e.reading.until,
+		endpoint: e, slowness: 1 / e.speed(), prefillSlowness: e.prefillSlowness.get(now) / e.speed(), dataCentre: e.DataCentre,
+		headWork: first, queuedWork: e.prefills.work - first, headSince: e.prefills.headSince, plannedUntil: e.prefills.plannedUntil,
 	}
-	if e.Concurrency > 0 && e.serves(now) {
-		free, places := max(0, e.room()-e.inflight), e.room()*thousandths
-		if e.limit.isSet {
-			v.isLimited = true
-			free = min(free, e.limit.pacer.Room(now))
-			places = min(places, s.limitedPlaces(now, &e.limit))
+	if e.Concurrency > 0 && e.isAvailable(now) {
+		free, places := max(0, e.capacity()-e.inflight), e.capacity()*capacityScale
+		if e.rateLimit.isSet {
+			v.isRateLimited = true
+			free = min(free, e.rateLimit.pacer.Room(now))
+			places = min(places, s.limitedCapacity(now, &e.rateLimit))
 		}
-		if len(e.rests) > 0 {
-			e.endRests(now)
-			v.isResting = len(e.rests) > 0
+		if len(e.cooldowns) > 0 {
+			e.expireCooldowns(now)
+			v.hasCooldowns = len(e.cooldowns) > 0
 		}
-		if v.isResting {
-			s.resting++
-			places = s.restedPlaces(e, places)
+		if v.hasCooldowns {
+			s.cooldownEndpoints++
+			places = s.capacityInCooldown(e, places)
 		}
-		v.free, v.places = narrow(free), narrow(places)
-		s.places += int(v.places)
+		v.free, v.capacity = clampInt32(free), clampInt32(places)
+		s.capacity += int(v.capacity)
 		if !s.pool.Discovered {
-			v.reserve = narrow(e.Concurrency / reservePart)
+			v.reserved = clampInt32(e.Concurrency / reserveDivisor)
 		}
 	}
 }
 
-// narrow makes a count fit a view, which is small so that many are looked at fast.
-func narrow(n int) int32 { return int32(min(n, math.MaxInt32)) }
+// clampInt32 makes a count fit a view, which is small so that many are looked at fast.
+func clampInt32(n int) int32 { return int32(min(n, math.MaxInt32)) }
 
-// takeOut takes a view out of the pool's sums.
-func (s *State) takeOut(v *view) {
-	s.places -= int(v.places)
-	if v.isResting {
-		s.resting--
+// subtractView takes a view out of the pool's sums.
+func (s *State) subtractView(v *view) {
+	s.capacity -= int(v.capacity)
+	if v.hasCooldowns {
+		s.cooldownEndpoints--
 	}
 }
 
-// refreshAll makes all views fit. Time alone can change whether an endpoint
+// refreshViews makes all views fit. Time alone can change whether an endpoint
 // serves, so it is done at each tick.
-func (s *State) refreshAll(now event.Time) {
+func (s *State) refreshViews(now event.Time) {
 	for _, e := range s.endpoints {
-		s.refresh(now, e)
+		s.refreshView(now, e)
 	}
-	s.findFastest(now)
+	s.updateMaxSpeed(now)
 }
 
-// findFastest finds the speed of the fastest endpoint that serves.
-func (s *State) findFastest(now event.Time) {
-	s.fastest = 0
+// updateMaxSpeed finds the speed of the fastest endpoint that serves.
+func (s *State) updateMaxSpeed(now event.Time) {
+	s.maxSpeed = 0
 	for _, e := range s.endpoints {
-		if e.Concurrency > 0 && e.serves(now) {
-			s.fastest = max(s.fastest, e.speed())
+		if e.Concurrency > 0 && e.isAvailable(now) {
+			s.maxSpeed = max(s.maxSpeed, e.speed())
 		}
 	}
 }
 
-// price is what a request costs at endpoints that differ in speed and in what
+// costModel is what a request costs at endpoints that differ in speed and in what
 // they have to fill first. Times are in seconds at speed 1.
-type price struct {
+type costModel struct {
 	now    event.Time
-	left   float64 // until the deadline
-	weight float64 // of prefill
-	fill   float64
+	timeLeft   float64 // until the deadline
+	prefillWeight float64 // of prefill
+	prefill   float64
 	decode float64
-	// first says that left counts to the answer's beginning, not to its end.
-	first      bool
-	rate       float64 // prompt tokens a second
-	end        float64 // until the answer's end is of no use
+	// toFirstToken says that left counts to the answer's beginning, not to its end.
+	toFirstToken      bool
+	prefillRate       float64 // prompt tokens a second
+	deadline        float64 // until the answer's end is of no use
 	dataCentre string
-	limited    float64 // what an endpoint that names a limit costs more
+	rateLimitCost    float64 // what an endpoint that names a limit costs more
 }
 
-// farCost is what an endpoint in another data centre costs: as much as so many seconds of
+// crossDataCentreCost is what an endpoint in another data centre costs: as much as so many seconds of
 // waiting. It decides between endpoints that are about as good.
-const farCost = 0.12
+const crossDataCentreCost = 0.12
 
-func (s *State) price(now event.Time, k *ticket) price {
+func (s *State) costModel(now event.Time, k *ticket) costModel {
 	profile := s.profile()
 	left := k.deadline.Sub(now).Seconds()
-	p := price{now: now, left: left, end: left, weight: s.pool.PrefillWeight, rate: profile.PrefillRate, dataCentre: k.DataCentre}
+	p := costModel{now: now, timeLeft: left, deadline: left, prefillWeight: s.pool.PrefillWeight, prefillRate: profile.PrefillRate, dataCentre: k.DataCentre}
 	if k.Target > 0 {
-		p.left = (k.Target - now.Sub(k.arrived)).Seconds()
-		p.first = true
+		p.timeLeft = (k.Target - now.Sub(k.arrived)).Seconds()
+		p.toFirstToken = true
 	}
-	if p.weight == 0 {
-		p.weight = 1
+	if p.prefillWeight == 0 {
+		p.prefillWeight = 1
 	}
 	if k.OutputTokens == 0 {
 		p.decode = profile.CallTime.Seconds()
 		return p
 	}
-	p.fill = float64(k.PromptTokens) / p.rate
-	p.decode = profile.TokenGap.Seconds() * float64(k.expected)
-	p.limited = s.limitedPrice(p.fill + p.decode)
+	p.prefill = float64(k.PromptTokens) / p.prefillRate
+	p.decode = profile.TokenGap.Seconds() * float64(k.expectedTokens)
+	p.rateLimitCost = s.rateLimitCostOf(p.prefill + p.decode)
 	return p
 }
 
@@ -148,130 +148,130 @@
 	return p
 }
 
-// at returns what the request costs at an endpoint that holds so many tokens of
+// cost returns what the request costs cost an endpoint that holds so many tokens of
 // its prompt, and how long it takes there.
-func (p *price) at(v *view, cached int) (cost float64, est estimate) {
-	work := p.fill - float64(cached)/p.rate
-	fill := work * v.reading
+func (p *costModel) cost(v *view, cached int) (cost float64, est estimate) {
+	work := p.prefill - float64(cached)/p.prefillRate
+	fill := work * v.prefillSlowness
 	total := fill + p.decode*v.slowness
 	begin := fill
-	if p.fill == 0 {
+	if p.prefill == 0 {
 		begin = total
 	}
-	ahead := v.ahead(p.now)
+	ahead := v.prefillAhead(p.now)
 	total += ahead
 	begin += ahead
 	cost = total * timeWeight
 	if p.dataCentre != "" && v.dataCentre != "" && p.dataCentre != v.dataCentre {
-		cost += farCost
+		cost += crossDataCentreCost
 	}
-	if p.first {
+	if p.toFirstToken {
 		// What is before the answer's beginning counts in full: it also holds up
 		// the streams beside it.
 		cost += begin
 	} else {
-		cost += p.weight * fill
+		cost += p.prefillWeight * fill
 	}
-	if v.isLimited {
-		cost += p.limited
+	if v.isRateLimited {
+		cost += p.rateLimitCost
 	}
 	needed := total
-	if p.first {
+	if p.toFirstToken {
 		needed = begin
 	}
-	if late := needed*margin - p.left; late > 0 {
+	if late := needed*estimateMargin - p.timeLeft; late > 0 {
 		cost += latePenalty * late
 	}
-	if late := total*margin - p.end; p.first && late > 0 {
+	if late := total*estimateMargin - p.deadline; p.toFirstToken && late > 0 {
 		cost += latePenalty * late
 	}
-	return cost, estimate{fill: fill, work: work, total: total, needed: needed, cached: cached}
+	return cost, estimate{prefill: fill, prefillWork: work, total: total, latency: needed, cached: cached}
 }
 
-// ahead returns how many seconds the endpoint reads other prompts first.
-func (v *view) ahead(now event.Time) float64 {
-	first := v.firstWork*v.reading - now.Sub(v.readSince).Seconds()
-	planned := v.readUntil.Sub(now).Seconds()
-	return max(0, first) + v.moreWork*v.reading + max(0, planned)
+// prefillAhead returns how many seconds the endpoint reads other prompts first.
+func (v *view) prefillAhead(now event.Time) float64 {
+	first := v.headWork*v.prefillSlowness - now.Sub(v.headSince).Seconds()
+	planned := v.plannedUntil.Sub(now).Seconds()
+	return max(0, first) + v.queuedWork*v.prefillSlowness + max(0, planned)
 }
 
 // choice is what choose finds for a request. Times are in seconds.
 type choice struct {
-	room    *endpoint // with room, where it costs least; nil if none has room
+	endpoint    *endpoint // with room, where it costs least; nil if none has room
 	est     estimate  // there
 	cost    float64   // there
-	left    float64   // until the deadline
-	fastest float64   // what the fastest endpoint needs at the least
-	hold    bool      // it is better to wait for a full endpoint
-	rests   bool      // one with room wants nothing of its entry
+	timeLeft    float64   // until the deadline
+	minTime float64   // what the fastest endpoint needs at the least
+	waitForHolder    bool      // it is better to wait for a full endpoint
+	inCooldown   bool      // one with room wants nothing of its entry
 }
 
-// choose finds the endpoint with room where k costs least: a little for its
+// chooseEndpoint finds the endpoint with room where k costs least: a little for its
 // time, more for prompt work by the pool's weight, much for being late. Those
 // with room are weighed as if they held nothing of the prompt, and its holders
 // once more.
-func (s *State) choose(now event.Time, k *ticket) choice {
-	p := s.price(now, k)
-	c := choice{left: p.left, cost: math.Inf(1), fastest: p.decode / s.fastest}
-	higher := k.Rank < s.top && now.Sub(s.topSeen) < topMemory
+func (s *State) chooseEndpoint(now event.Time, k *ticket) choice {
+	p := s.costModel(now, k)
+	c := choice{timeLeft: p.timeLeft, cost: math.Inf(1), minTime: p.decode / s.maxSpeed}
+	higher := k.Rank < s.topRank && now.Sub(s.topRankAt) < reserveTime
 	if s.pool.LeastOutstanding {
-		s.chooseLeast(now, k, &c)
+		s.chooseLeastOutstanding(now, k, &c)
 		return c
 	}
 	for i := range s.views {
 		v := &s.views[i]
-		if v.free == 0 || higher && v.free <= v.reserve || k.avoids(v.endpoint) {
+		if v.free == 0 || higher && v.free <= v.reserved || k.avoids(v.endpoint) {
 			continue
 		}
-		if v.isResting && v.restsFrom(now, k.entry) {
-			c.rests = true
+		if v.hasCooldowns && v.inCooldownFor(now, k.entry) {
+			c.inCooldown = true
 			continue
 		}
-		c.take(&p, v, 0)
+		c.consider(&p, v, 0)
 	}
-	s.weighHolders(&p, k, higher, &c, now)
+	s.considerHolders(&p, k, higher, &c, now)
 	return c
 }
 
-// chooseLeast finds the endpoint with room that has the fewest requests.
-func (s *State) chooseLeast(now event.Time, k *ticket, c *choice) {
+// chooseLeastOutstanding finds the endpoint with room that has the fewest requests.
+func (s *State) chooseLeastOutstanding(now event.Time, k *ticket, c *choice) {
 	for i := range s.views {
 		v := &s.views[i]
 		if v.free == 0 || k.avoids(v.endpoint) {
 			continue
 		}
-		if v.isResting && v.restsFrom(now, k.entry) {
-			c.rests = true
+		if v.hasCooldowns && v.inCooldownFor(now, k.entry) {
+			c.inCooldown = true
 			continue
 		}
-		if c.room == nil || v.endpoint.inflight < c.room.inflight {
-			c.room = v.endpoint
+		if c.endpoint == nil || v.endpoint.inflight < c.endpoint.inflight {
+			c.endpoint = v.endpoint
 		}
 	}
 }
 
-// take takes an endpoint with room if it costs less than what c has.
-func (c *choice) take(p *price, v *view, cached int) {
-	if cost, est := p.at(v, cached); cost < c.cost {
-		c.room, c.est, c.cost = v.endpoint, est, cost
+// consider takes an endpoint with room if it costs less than what c has.
+func (c *choice) consider(p *costModel, v *view, cached int) {
+	if cost, est := p.cost(v, cached); cost < c.cost {
+		c.endpoint, c.est, c.cost = v.endpoint, est, cost
 	}
 }
 
-// weighHolders weighs the endpoints that hold a part of the prompt. A full one
+// considerHolders weighs the endpoints that hold a part of the prompt. A full one
 // may be worth a short wait.
-func (s *State) weighHolders(p *price, k *ticket, higher bool, c *choice, now event.Time) {
+func (s *State) considerHolders(p *costModel, k *ticket, higher bool, c *choice, now event.Time) {
 	leastFull := math.Inf(1)
 	for _, h := range s.prefix.search(k.Prefix, k.PromptTokens) {
 		v := &s.views[h.endpoint.index]
 		switch {
-		case v.isResting && v.restsFrom(now, k.entry):
-		case v.free > 0 && !(higher && v.free <= v.reserve):
-			c.take(p, v, h.cached)
-		case h.endpoint.serves(now):
-			cost, _ := p.at(v, h.cached)
+		case v.hasCooldowns && v.inCooldownFor(now, k.entry):
+		case v.free > 0 && !(higher && v.free <= v.reserved):
+			c.consider(p, v, h.cached)
+		case h.endpoint.isAvailable(now):
+			cost, _ := p.cost(v, h.cached)
 			leastFull = min(leastFull, cost)
 		}
 	}
-	mayHold := now.Sub(k.arrived) < holdTime && c.est.total*margin+holdTime.Seconds() < c.left
-	c.hold = mayHold && leastFull+holdCost < c.cost
+	mayHold := now.Sub(k.arrived) < holderWaitTime && c.est.total*estimateMargin+holderWaitTime.Seconds() < c.timeLeft
+	c.waitForHolder = mayHold && leastFull+holderMinSaving < c.cost
 }
