--- a/sched/class.go
+++ b/sched/class.go
@@ -8,67 +8,70 @@
 	"lynxramp.org/event"
 )
 
-// RanksOfTeam is how many ranks lie within one of a team: ranks whose numbers
-// divided by it, rounded down, are equal are of one tier of teams.
+// TeamRankStride is the distance between adjacent team ranks. Ranks that give
+// the same team rank when divided by it and rounded belong to one team tier.
 const RanksOfTeam = 1000
 
-// classDecayTime is the time over which the shares of classes are averaged.
+// classDecayTime is the time constant of the class counters.
 const classDecayTime = 10 * event.Second
 
-// cheapWorkRatio is the most work, as a part of that of the class above, with which a
-// class may be served beside it.
+// cheapWorkRatio is the largest ratio of a class's mean work to that of the
+// next higher class at which it may be promoted.
 const cheapWorkRatio = 0.25
 
-// decayingCounter is a count whose older parts fade. The zero value is ready.
+// decayingCounter is an exponentially decaying count. The zero value is ready
+// to use.
 type decayingCounter struct {
-	value float64
-	updated    event.Time
+	value   float64
+	updated event.Time
 }
 
-func (f *decayingCounter) get(now event.Time) float64 {
-	return f.value * math.Exp(-now.Sub(f.updated).Seconds()/classDecayTime.Seconds())
+func (c *decayingCounter) get(now event.Time) float64 {
+	return c.value * math.Exp(-now.Sub(c.updated).Seconds()/classDecayTime.Seconds())
 }
 
-func (f *decayingCounter) add(now event.Time, amount float64) {
-	f.value = f.get(now) + amount
-	f.updated = now
+func (c *decayingCounter) add(now event.Time, amount float64) {
+	c.value = c.get(now) + amount
+	c.updated = now
 }
 
-// class is what is known of the requests of one rank.
+// class has the statistics of requests submitted with one rank.
 type class struct {
-	rank    int
-	submitted   decayingCounter
-	refused decayingCounter
-	meanWork    float64 // mean seconds at speed 1
-	runTime    meanRunTime // of places
+	rank      int
+	submitted decayingCounter
+	refused   decayingCounter
+	meanWork  float64     // in seconds at speed 1
+	runTime   meanRunTime // how long its requests run
 }
 
-// classes are by rank.
+// classes maps a rank to its class.
 type classes map[int]*class
 
 func (c classes) forRank(rank int) *class {
-	one, ok := c[rank]
+	cl, ok := c[rank]
 	if !ok {
-		one = &class{rank: rank}
-		c[rank] = one
+		cl = &class{rank: rank}
+		c[rank] = cl
 	}
-	return one
+	return cl
 }
 
-// servedFraction returns which part of the class was lately not refused.
+// servedFraction returns the recent fraction of the class's requests that were
+// not refused.
 func (c *class) servedFraction(now event.Time) float64 {
-	asked := c.submitted.get(now)
-	if asked < 1 {
+	submitted := c.submitted.get(now)
+	if submitted < 1 {
 		return 1
 	}
-	return 1 - min(1, c.refused.get(now)/asked)
+	return 1 - min(1, c.refused.get(now)/submitted)
 }
 
-// nextHigher returns the next higher rank of the same tier of teams that asked lately.
+// nextHigher returns the next higher rank in the same team tier with recent
+// requests.
 func (c classes) nextHigher(now event.Time, rank int) (int, bool) {
 	found, ok := 0, false
-	for other, one := range c {
-		if other <= rank || teamTier(other) != teamTier(rank) || one.submitted.get(now) < 1 {
+	for other, cl := range c {
+		if other <= rank || teamTier(other) != teamTier(rank) || cl.submitted.get(now) < 1 {
 			continue
 		}
 		if !ok || other < found {
@@ -80,9 +83,9 @@
 
 func teamTier(rank int) int { return int(math.Floor(float64(rank)/RanksOfTeam + 0.5)) }
 
-// promote returns the rank at which a request waits: its own, or the one above
-// while its class is so cheap that it takes next to nothing from that one and is
-// served less.
+// promote updates the class statistics of k and returns the rank at which k is
+// queued. That is its own rank, or the next higher one while k's class is much
+// cheaper than that one and a smaller fraction of it is served.
 func (s *State) promote(now event.Time, k *ticket) int {
 	own := k.class
 	own.submitted.add(now, 1)
@@ -100,10 +103,11 @@
 	return k.Rank
 }
 
-// meanWorkWeight is the weight of a request in its class's mean work.
+// meanWorkWeight is the weight of a new request in a moving average of work.
 const meanWorkWeight = 0.05
 
-// profileWork is the work of a request at speed 1 by the pool's profile.
+// profileWork returns the estimated work of k in seconds at speed 1, by the
+// pool's profile.
 func (s *State) profileWork(k *ticket) float64 {
 	profile := s.profile()
 	return float64(k.PromptTokens)/profile.PrefillRate + profile.TokenGap.Seconds()*float64(k.expectedTokens)
--- a/sched/counts.go
+++ b/sched/counts.go
@@ -4,8 +4,8 @@
 
 import "lynxramp.org/event"
 
-// Group is a set of requests that are alike. Endpoint is set for those that run,
-// Reason for those that were refused.
+// Group identifies a set of requests. Endpoint is set only for running requests
+// and Reason only for refused ones.
 type Group struct {
 	Team     string
 	Rank     int
@@ -13,7 +13,7 @@
 	Reason   event.Reason
 }
 
-// WaitingGroups returns how many requests wait, by team and rank.
+// WaitingGroups returns the number of waiting requests by team and rank.
 func (s *State) WaitingGroups() map[Group]int {
 	groups := make(map[Group]int)
 	for _, k := range s.queue.byID {
@@ -22,8 +22,9 @@
 	return groups
 }
 
-// RunningGroups returns how many requests run, by team, rank and endpoint. Of a
-// request that runs since before this owner only the endpoint is known.
+// RunningGroups returns the number of running requests by team, rank and
+// endpoint. For a request granted by an earlier owner only the endpoint may be
+// known.
 func (s *State) RunningGroups() map[Group]int {
 	groups := make(map[Group]int)
 	for _, g := range s.grants {
@@ -32,6 +33,6 @@
 	return groups
 }
 
-// RefusedGroups returns how many requests this owner refused, by team, rank and
-// reason. The caller must not change it.
+// RefusedGroups returns the number of requests this owner refused, by team,
+// rank and reason. The caller must not modify the map.
 func (s *State) RefusedGroups() map[Group]int { return s.refused }
--- a/sched/discover.go
+++ b/sched/discover.go
@@ -8,11 +8,11 @@
 	"lynxramp.org/event"
 )
 
-// farFuture is a time that does not come: an endpoint that is heard then never
-// falls silent by itself.
+// farFuture is never reached. As the last report time it keeps a discovered
+// endpoint from becoming stale.
 const farFuture = event.Time(math.MaxInt64 / 2)
 
-// updateEndpoint takes in an endpoint that tells of itself, or news of one.
+// updateEndpoint adds a discovered endpoint or applies its new state.
 func (s *State) updateEndpoint(now event.Time, seen *event.EndpointSeen) {
 	e := s.ensureEndpoint(seen.Endpoint.ID)
 	e.Endpoint = seen.Endpoint
@@ -28,7 +28,7 @@
 	}
 }
 
-// removeEndpoint forgets an endpoint and what was granted to it.
+// removeEndpoint removes an endpoint and releases its grants.
 func (s *State) removeEndpoint(now event.Time, id event.EndpointID) {
 	e, ok := s.byID[id]
 	if !ok {
@@ -47,28 +47,29 @@
 	s.updateMaxSpeed(now)
 }
 
-// adopt books a request that runs already.
+// adopt records a grant for a request that already runs.
 func (s *State) adopt(now event.Time, a *event.Adopted) {
 	e, ok := s.byID[a.Endpoint]
 	if !ok || s.grants[a.Ticket.ID] != nil {
 		return
 	}
 	s.addGrant(a.Ticket.ID, &grant{
-		endpoint: e,
-		entry:    a.Entry,
-		at:       now,
-		team:     a.Ticket.Team,
-		rank:     a.Ticket.Rank,
+		endpoint:        e,
+		entry:           a.Entry,
+		at:              now,
+		team:            a.Ticket.Team,
+		rank:            a.Ticket.Rank,
 		originalRank:    a.Ticket.Rank,
-		service:  a.Ticket.Service,
-		maxOutput:   a.Ticket.OutputTokens,
-		tokenless:     a.Ticket.OutputTokens == 0,
-		adopted:  true,
+		service:         a.Ticket.Service,
+		requestedOutput: a.Ticket.OutputTokens,
+		tokenless:       a.Ticket.OutputTokens == 0,
+		adopted:         true,
 	})
 	s.refreshView(now, e)
 }
 
-// removeEntry forgets what an entry that has ended had here.
+// removeEntry drops the waiting requests, grants and cooldowns of a terminated
+// entry.
 func (s *State) removeEntry(now event.Time, entry event.BoxID) {
 	delete(s.entries, entry)
 	s.dropCooldowns(now, entry)
@@ -84,7 +85,7 @@
 	}
 }
 
-// observeSpeed learns an endpoint's speed from a request that has ended there.
+// observeSpeed updates an endpoint's measured speed from a finished request.
 func (s *State) observeSpeed(now event.Time, g *grant, f *event.Finished) {
 	if !s.pool.Discovered || f.Void {
 		return
@@ -98,7 +99,8 @@
 	}
 }
 
-// recordBegun takes note that an answer has begun: its prompt is read.
+// recordBegun removes a request from its endpoint's prefill queue: its answer
+// has begun, so its prompt has been processed.
 func (s *State) recordBegun(now event.Time, b *event.Begun) {
 	g, ok := s.grants[b.ID]
 	if !ok {
@@ -112,22 +114,22 @@
 	s.refreshView(now, e)
 }
 
-// observePrefill learns from an answer that has begun how fast prompts are read, in
-// general and at its endpoint now.
-func (s *State) observePrefill(now event.Time, e *endpoint, g *grant, after event.Span) {
-	if g.firstPrefill && after > 0 {
-		s.prefill.observe(float64(g.prefillTokens)/e.speed(), after.Seconds())
+// observePrefill updates the pool's prefill rate and the endpoint's prefill
+// slowness from an answer that has begun.
+func (s *State) observePrefill(now event.Time, e *endpoint, g *grant, firstToken event.Span) {
+	if g.firstPrefill && firstToken > 0 {
+		s.prefill.observe(float64(g.prefillTokens)/e.speed(), firstToken.Seconds())
 	}
 	if g.prefillWork < minPrefillSample || s.prefill.rate() == 0 || e.prefills.head() != g {
 		return
 	}
-	read := now.Sub(e.prefills.headSince).Seconds() - s.prefill.overhead()
-	e.prefillSlowness.observe(now, read*e.speed()/g.prefillWork)
+	prefill := now.Sub(e.prefills.headSince).Seconds() - s.prefill.overhead()
+	e.prefillSlowness.observe(now, prefill*e.speed()/g.prefillWork)
 }
 
-// isWorthWaiting reports whether a request would be late at the best endpoint that
-// has room, by the prompts to be read there first, but in time at another that comes
-// free soon.
+// isWorthWaiting reports whether k would miss its target at the best endpoint
+// with free capacity because of prompts queued there, but could meet it at an
+// endpoint that is freed soon.
 func (s *State) isWorthWaiting(k *ticket, c *choice) bool {
 	if !s.pool.Discovered || k.Target == 0 || c.est.prefillWork == 0 || s.pool.LeastOutstanding {
 		return false
--- a/sched/doc.go
+++ b/sched/doc.go
@@ -1,46 +1,46 @@
 // SPDX-License-Identifier: MIT
 
-// Package sched decides for one pool which endpoint runs each request, when,
-// and what is refused.
+// Package sched implements the scheduler of one pool: it decides which endpoint
+// runs each request, when, and which requests are refused.
 //
-// One State owns the whole queue of its pool, so the order is exact: tiers
-// strictly by rank; inside a tier the team with the least service for its share
-// comes first; inside a team a request's place is its arrival plus a charge
-// for its size, so a long dossier does not hold up a tag and is not starved
-// either.
+// One State owns the whole queue of its pool, so the order is exact. Tiers are
+// served strictly by rank. Within a tier the team with the fewest tokens served
+// goes first. Within a team, requests are ordered by arrival time plus a penalty
+// for size, so that long requests neither block short ones nor starve.
 //
-// Binding is late. An endpoint is granted no more than it can run at once and
-// the rest waits here, where it can still be reordered, withdrawn or refused.
-// When the queue overflows, the worst place in it is given up: the lowest tier,
-// there the team with the most service, there its last request. No request is
-// shed while one of a lower tier waits, because the queue's two ends are the
-// ends of one order.
+// Binding is late. An endpoint is granted no more requests than it can run at
+// once; the others wait here, where they can still be reordered, withdrawn or
+// refused. When the queue overflows, its last request is shed: in the lowest tier,
+// of the team with the most tokens served, the last in order. No request is shed
+// while one of a lower tier waits, because both ends of the queue belong to the
+// same order.
 //
-// Endpoints that tell of themselves (Pool.Discovered) have no slot beside them, and
-// their requests have a target for the answer's beginning. There, within a rank, go
-// first requests that had a place before, then those that can still be in time at
-// their first try, then the rest (standing). What would wait too long by the work
-// before it is refused, at its arrival and as long as it waits (forecast). The owner
-// keeps books of the prompts that each endpoint has yet to read (reading), which Begun
-// events correct, and learns how fast endpoints read and answer.
+// Discovered endpoints (Pool.Discovered) have no slot, and their requests have a
+// target for the time to first token. Within a rank, requests that were granted
+// before go first, then those that can still meet their target on the first
+// attempt, then the others (precedence). Requests whose expected wait exceeds their
+// queue timeout are refused on arrival and while they wait (refuseOverdue). The
+// scheduler tracks the prefill work pending at each endpoint (prefillQueue), updates
+// it by Begun events, and measures how fast endpoints process prompts and generate
+// tokens.
 //
-// Each decision answers a load:
+// The parts of a decision:
 //
-//   - who goes first (queue, standing, class): more asked for than there are places, by kinds and
-//     teams of unlike weight; by rank, then by whether it can be in time, then teams in turn.
-//     A cheap kind is let beside the one above while it is served less.
-//   - who is refused, and when (forecast): a burst with more urgent requests behind it; by the
-//     work ahead and the places, against the patience that the request came with, whatever its
-//     age. Its limit is that work is a mean by kind: one answer may be a hundred times another.
-//   - when to come back (retryAfter): those refused together returning together; by the time
-//     that the queue takes to drain, spread by a quarter, from one second on.
-//   - which endpoint (price, isWorthWaiting): endpoints of unlike speed that read long prompts;
-//     by when the answer begins and ends there, against the target and the deadline.
+//   - order (queue, precedence, class): by rank, then by whether the target can be
+//     met, then fairly between teams. Requests of a cheap class may be promoted to
+//     the next higher rank while a smaller fraction of them is served.
+//   - refusal (refuseOverdue): by the work queued before a request and the capacity,
+//     against its queue timeout. Run times are means by class, so the error is large
+//     where answers differ much in length.
+//   - Retry-After (retryAfter): the time the queue takes to drain, with jitter of up
+//     to a quarter, and at least one second.
+//   - placement (costModel, isWorthWaiting): by the expected time to first token and to
+//     the end of the answer at each endpoint, against the target and the deadline.
 //
-// What waits for a quota is in package admission. An entry without an owner decides by the
-// same code; which places it takes is in package gateway.
+// Quotas are enforced by package admission. An entry without an owner runs the same
+// scheduler; package gateway decides which part of the capacity it uses.
 //
-// The state is soft. A new owner starts empty: entries register again what they
-// hold, slots report what they run. Until that had time to happen (SettleTime)
-// it grants but sheds nothing.
+// The state is soft. A new owner starts empty: entries register their requests
+// again and slots report what they run. Until SettleTime has passed, the owner
+// grants requests but sheds none.
 package sched
--- a/sched/endpoint.go
+++ b/sched/endpoint.go
@@ -4,53 +4,54 @@
 
 import "lynxramp.org/event"
 
-// The reference engine, of speed 1.
+// Parameters of the reference engine, which has speed 1.
 const (
-	referencePrefill  = 8000.0 // prompt tokens a second
+	referencePrefill  = 8000.0 // prompt tokens per second
 	referenceTokenGap = 20 * event.Millisecond
-	// callWork is the work, in seconds at speed 1, of a call without tokens.
+	// callWork is the work of a request without tokens, in seconds at speed 1.
 	callWork = 0.01
-	// reserveDivisor is the part of an endpoint's concurrency, as a divisor, that is
-	// kept for the highest tier of the moment.
+	// reserveDivisor sets the reserve for the highest recent rank: the
+	// endpoint's concurrency divided by it.
 	reserveDivisor = 4
 )
 
-// endpoint is what the scheduler knows of one endpoint.
+// endpoint is the scheduler's state of one endpoint.
 type endpoint struct {
 	event.Endpoint
-	index    int // of its view
-	report   event.Report
-	lastReport    event.Time
-	platformDraining   bool // as leaving, by the platform
-	hasReport bool
-	halfOpen   bool // it failed lately
-	rateLimit    rateLimit
-	// cooldowns has until when it wants nothing of an entry.
-	cooldowns    map[event.BoxID]event.Time
-	inflight int
-	// backoffUntil is when it may be granted work again.
-	backoffUntil event.Time
-	prefills   prefillQueue
-	prefillSlowness      prefillSlowness // of reading
-	grants    map[event.RequestID]*grant
-	cachedMarks    markSet
-	// slowness is how much slower than the pool's profile the endpoint was lately;
-	// 0 is unknown.
+	index            int // in State.endpoints and State.views
+	report           event.Report
+	lastReport       event.Time
+	platformDraining bool // the platform's list says that its box is draining
+	hasReport        bool
+	halfOpen         bool // failed and not yet proven healthy: limited to one request at a time
+	rateLimit        rateLimit
+	// cooldowns has the end of each cooldown, by entry.
+	cooldowns map[event.BoxID]event.Time
+	inflight  int
+	// backoffUntil is when the endpoint may be granted requests again after it
+	// did not take one.
+	backoffUntil    event.Time
+	prefills        prefillQueue
+	prefillSlowness prefillSlowness // relative to slowness
+	grants          map[event.RequestID]*grant
+	cachedMarks     markSet
+	// slowness is the measured time per unit of work relative to the pool's
+	// profile; 0 if unknown.
 	slowness   float64
 	slownessAt event.Time
 }
 
-// Weights and bounds of the measured slowness.
+// Smoothing weight and bounds of the measured slowness.
 const (
 	slownessWeight = 0.15
 	slownessMin    = 0.2
 	slownessMax    = 20.0
-	// slownessMaxAge is how long a measurement counts. Then the endpoint is tried
-	// again by its nameplate.
+	// slownessMaxAge is how long a measurement is valid. After that the
+	// configured speed applies again.
 	slownessMaxAge = 8 * event.Second
 )
 
-// observeSlowness takes note of how much slower than the profile the endpoint was.
+// observeSlowness adds a sample of the endpoint's slowness.
 func (e *endpoint) observeSlowness(now event.Time, slowness float64) {
 	slowness = min(max(slowness, slownessMin), slownessMax)
 	if e.slowness == 0 || now.Sub(e.slownessAt) > slownessMaxAge {
@@ -61,13 +62,13 @@
 	e.slownessAt = now
 }
 
-// isAvailable reports whether the endpoint may be granted new work.
+// isAvailable reports whether the endpoint may be granted new requests.
 func (e *endpoint) isAvailable(now event.Time) bool {
 	return e.hasReport && !e.Leaving && !e.platformDraining && now >= e.backoffUntil && !e.report.Leaving && !e.report.Down && now.Sub(e.lastReport) <= ReportTimeout
 }
 
-// capacity returns how many requests the endpoint may have at once: one while it is not
-// known to serve again after a failure.
+// capacity returns how many requests the endpoint may run at once: at most one
+// while it is half-open.
 func (e *endpoint) capacity() int {
 	if e.halfOpen {
 		return min(1, e.Concurrency)
@@ -75,7 +76,8 @@
 	return e.Concurrency
 }
 
-// speed is relative to the reference engine: measured, or else the nameplate's.
+// speed returns the endpoint's speed relative to the reference engine: measured
+// if possible, else as configured.
 func (e *endpoint) speed() float64 {
 	if e.slowness > 0 {
 		return 1 / e.slowness
@@ -86,13 +88,13 @@
 	return e.Speed
 }
 
-// estimate is how long a request would take at an endpoint, in seconds.
+// estimate is the expected time of a request at an endpoint, in seconds.
 type estimate struct {
-	prefill   float64 // its own prompt, less what is cached
-	prefillWork   float64 // the same at speed 1
-	total  float64 // until its last token
-	cached int     // prompt tokens
-	// latency is until what the request's time left counts to: its beginning or
-	// its end.
+	prefill     float64 // of the uncached part of its prompt
+	prefillWork float64 // prefill at speed 1
+	total       float64 // to its last token
+	cached      int     // prompt tokens in the endpoint's cache
+	// latency is the time to the first token if the request has a target, else
+	// the total.
 	latency float64
 }
--- a/sched/forecast.go
+++ b/sched/forecast.go
@@ -10,15 +10,13 @@
 	"lynxramp.org/event"
 )
 
-// minTimeoutDivisor is the part of its patience, as a divisor, that the reading of a long prompt
-// leaves a request at the least.
+// minTimeoutDivisor bounds how much of a request's queue timeout its own prefill may use
+// up: at least timeout/minTimeoutDivisor is left for waiting.
 const minTimeoutDivisor = 4
 
-// refuseOverdue refuses what would wait longer than it may, by the work that waits before it and
-// the places that serve, at its arrival and as long as it waits. The load that it answers is
-// a burst in which more urgent requests keep coming: who was promised a place at its arrival
-// has none, and would be held to its deadline without a word: 262 callers in four replays of a
-// burst of twice the usual, none with it.
+// refuseOverdue refuses requests whose expected wait exceeds their queue timeout, on
+// arrival and again at each tick: under a burst of requests of higher rank, a request
+// that was accepted would otherwise wait until its deadline.
 func (s *State) refuseOverdue(now event.Time, e event.Event, out *event.Effects) {
 	switch e := e.(type) {
 	case *event.Submitted:
@@ -49,24 +47,24 @@
 	slices.SortFunc(list, func(a, b *ticket) int { return cmp.Compare(a.seq, b.seq) })
 }
 
-// waitingByArrival returns what waits, in the order of arrival.
+// waitingByArrival returns the waiting tickets in the order of arrival.
 func (s *State) waitingByArrival() []*ticket {
 	list := slices.Collect(maps.Values(s.queue.byID))
 	sortByArrival(list)
 	return list
 }
 
-// demoteLate puts requests behind the others of their rank that can't be in time any
-// more, even at the fastest endpoint.
+// demoteLate lowers the precedence of requests that can't meet their target any more,
+// even at the fastest endpoint.
 func (s *State) demoteLate(now event.Time) {
 	if !s.pool.Discovered || s.pool.LeastOutstanding || s.maxSpeed == 0 {
 		return
 	}
 	var late []*ticket
-	fastest := s.profile().PrefillRate * s.maxSpeed
+	maxRate := s.profile().PrefillRate * s.maxSpeed
 	for _, k := range s.queue.byID {
-		fill := float64(k.PromptTokens) / fastest
-		if k.precedence == precedenceOnTime && k.Target > 0 && (k.Target-now.Sub(k.arrived)).Seconds() < fill {
+		prefill := float64(k.PromptTokens) / maxRate
+		if k.precedence == precedenceOnTime && k.Target > 0 && (k.Target-now.Sub(k.arrived)).Seconds() < prefill {
 			late = append(late, k)
 		}
 	}
@@ -77,55 +75,55 @@
 	}
 }
 
-// willTimeOut reports whether a request is to be refused for its wait.
+// willTimeOut reports whether a request's expected wait exceeds its queue timeout.
 func (s *State) willTimeOut(now event.Time, k *ticket) bool {
 	if k.Patience == 0 || s.pool.LeastOutstanding {
 		return false
 	}
 	waited := now.Sub(k.arrived) + k.Waited
-	patience := k.Patience
+	timeout := k.Patience
 	if k.Target > 0 && k.OutputTokens > 0 {
-		// Its own prompt has to be read in the time, too.
-		fill := event.Span(float64(k.PromptTokens) / s.profile().PrefillRate * float64(event.Second))
-		patience = max(patience-fill, patience/minTimeoutDivisor)
+		// Prefill of its own prompt has to fit in the timeout, too.
+		prefill := event.Span(float64(k.PromptTokens) / s.profile().PrefillRate * float64(event.Second))
+		timeout = max(timeout-prefill, timeout/minTimeoutDivisor)
 	}
-	return waited+s.expectedWait(now, k) > patience
+	return waited+s.expectedWait(now, k) > timeout
 }
 
-// expectedWait returns how long the queue before a waiting ticket takes to drain: the time
-// that its requests will hold places, over the places. What ranks above it leave over is what
-// its own rank and those below got lately.
+// expectedWait returns how long the work queued before a ticket takes: the expected run
+// time of those requests, divided by the capacity. Capacity left by higher ranks is
+// estimated as the share of work that was recently granted to this rank and below.
 func (s *State) expectedWait(now event.Time, k *ticket) event.Span {
 	if s.capacity == 0 {
 		return 0
 	}
-	above, beside := 0.0, 0.0
-	lower, all := 0.0, 0.0
+	above, own := 0.0, 0.0
+	availableRate, totalRate := 0.0, 0.0
 	for _, t := range s.queue.tiers {
-		drained := t.grantedWork.perSecond(now)
-		all += drained
+		rate := t.grantedWork.perSecond(now)
+		totalRate += rate
 		switch {
 		case t.before(k.Rank, k.precedence):
 			above += t.work
 			continue
 		case t.rank == k.Rank && t.precedence == k.precedence:
-			beside = t.workAhead(k)
+			own = t.workAhead(k)
 		}
-		lower += drained
+		availableRate += rate
 	}
-	places := float64(s.capacity) / capacityScale
-	left := places
-	if all > 0 {
-		left = places * max(lower/all, minCapacityShare)
+	capacity := float64(s.capacity) / capacityScale
+	available := capacity
+	if totalRate > 0 {
+		available = capacity * max(availableRate/totalRate, minCapacityShare)
 	}
-	return event.Span((above/places + beside/left) * float64(event.Second))
+	return event.Span((above/capacity + own/available) * float64(event.Second))
 }
 
-// minCapacityShare is the least part of the places that is taken as left for a rank.
+// minCapacityShare is the least share of the capacity assumed to be left for a rank.
 const minCapacityShare = 0.02
 
-// estimateRunTime returns how long a request will estimateRunTime its place, in seconds: as long as others
-// of its class lately, or, until some have ended, its own work.
+// estimateRunTime returns how long a request is expected to run, in seconds: the recent
+// mean of its class, or its estimated work while there are too few samples.
 func (s *State) estimateRunTime(k *ticket) float64 {
 	if k.class.runTime.samples < runTimeSamples {
 		return s.profileWork(k)
@@ -133,20 +131,21 @@
 	return k.class.runTime.mean
 }
 
-// runTimeWeight is the weight of a request in the mean time that requests run, and
-// runTimeSamples how many are needed: the first to end are the short ones.
+// runTimeWeight is the weight of a new sample in the mean run time. runTimeSamples is how
+// many samples are needed, because the shortest requests finish first.
 const (
 	runTimeWeight  = 0.02
 	runTimeSamples = 50
 )
 
-// meanRunTime is the mean time that requests run, in seconds. The zero value is ready.
+// meanRunTime is the moving average of run times, in seconds. The zero value is ready to
+// use.
 type meanRunTime struct {
 	mean    float64
 	samples int
 }
 
-func (h *meanRunTime) observe(ran event.Span) {
-	h.samples++
-	h.mean += max(runTimeWeight, 1/float64(h.samples)) * (ran.Seconds() - h.mean)
+func (m *meanRunTime) observe(ran event.Span) {
+	m.samples++
+	m.mean += max(runTimeWeight, 1/float64(m.samples)) * (ran.Seconds() - m.mean)
 }
--- a/sched/length.go
+++ b/sched/length.go
@@ -2,23 +2,23 @@
 
 package sched
 
-// How the lengths of answers are learned.
+// Parameters of the output length estimate.
 const (
-	lengthWeight  = 0.05
+	lengthWeight     = 0.05
 	minLengthSamples = 20
-	// maxLengthRatio bounds what one answer teaches: where callers only guess, some
-	// answers are much longer.
+	// maxLengthRatio caps a sample: where callers only guess, some answers are
+	// much longer than expected.
 	maxLengthRatio = 3.0
 )
 
-// outputLength learns which part of the tokens that callers allow a service's
-// answers really have. The zero value knows nothing and expects all of them.
+// outputLength estimates the ratio of a service's output tokens to those its
+// callers announce. The zero value expects a ratio of 1.
 type outputLength struct {
 	ratio   float64
 	samples int
 }
 
-// outputLength returns what is known of a service's answers.
+// outputLength returns the output length estimate of a service.
 func (s *State) outputLength(service string) *outputLength {
 	l, ok := s.outputLengths[service]
 	if !ok {
@@ -28,26 +28,26 @@
 	return l
 }
 
-// observe takes note of an answer's tokens, of those allowed. An answer whose
-// tokens are not known teaches nothing.
+// observe adds an answer with its tokens and the announced number. It ignores
+// answers for which either is unknown.
 func (l *outputLength) observe(tokens, allowed int) {
 	if tokens == 0 || allowed == 0 {
 		return
 	}
-	share := min(maxLengthRatio, float64(tokens)/float64(allowed))
+	ratio := min(maxLengthRatio, float64(tokens)/float64(allowed))
 	l.samples++
 	if l.samples == 1 {
-		l.ratio = share
+		l.ratio = ratio
 		return
 	}
-	l.ratio += lengthWeight * (share - l.ratio)
+	l.ratio += lengthWeight * (ratio - l.ratio)
 }
 
-// hasEnoughSamples reports whether enough answers were seen to give up a request on what
-// they had.
+// hasEnoughSamples reports whether the estimate is good enough to refuse
+// requests by it.
 func (l *outputLength) hasEnoughSamples() bool { return l.samples >= minLengthSamples }
 
-// estimate returns the tokens that an answer will have.
+// estimate returns the expected output tokens of an answer.
 func (l *outputLength) estimate(allowed int) int {
 	if !l.hasEnoughSamples() || allowed == 0 {
 		return allowed
--- a/sched/place.go
+++ b/sched/place.go
@@ -4,23 +4,23 @@
 
 import "lynxramp.org/event"
 
-// refuseExpired gives up what has run out of time.
+// refuseExpired refuses requests whose deadline has passed.
 func (s *State) refuseExpired(now event.Time, out *event.Effects) {
 	for k := s.queue.nextExpired(now); k != nil; k = s.queue.nextExpired(now) {
 		s.refuse(now, k, event.ReasonDeadline, out)
 	}
 }
 
-// schedule grants from the queue's head while an endpoint has room. A request for
-// which only endpoints have room that would be late with it is passed over, up
-// to a few at once: another endpoint may come free.
+// schedule grants requests from the head of the queue while endpoints have free
+// capacity. A request is skipped, up to a limit, if it would miss its deadline
+// or target at the endpoints that are free now: another endpoint may be freed.
 func (s *State) schedule(now event.Time, out *event.Effects) {
 	s.skipped = s.skipped[:0]
 	if s.maxSpeed == 0 {
-		return // no endpoint serves
+		return // no endpoint is available
 	}
-	passes := min(maxSkipped, max(1, skipScanBudget/len(s.views)))
-	for k := s.queue.first(); k != nil && len(s.skipped) < passes; k = s.queue.first() {
+	skipLimit := min(maxSkipped, max(1, skipScanBudget/len(s.views)))
+	for k := s.queue.first(); k != nil && len(s.skipped) < skipLimit; k = s.queue.first() {
 		c := s.chooseEndpoint(now, k)
 		switch {
 		case c.endpoint == nil && (len(k.Avoid) > 0 || c.inCooldown):
@@ -30,7 +30,7 @@
 			s.requeueSkipped()
 			return
 		case k.Target == 0 && c.minTime > c.timeLeft && s.outputLength(k.Service).hasEnoughSamples():
-			// No endpoint can answer in time, whatever else waits.
+			// Not even the fastest endpoint can meet the deadline.
 			s.refuse(now, k, event.ReasonDeadline, out)
 		case c.waitForHolder, s.isWorthWaiting(k, &c), k.Target == 0 && c.est.total*startMargin > c.timeLeft && s.outputLength(k.Service).hasEnoughSamples():
 			s.queue.detach(k)
@@ -42,7 +42,7 @@
 	s.requeueSkipped()
 }
 
-// requeueSkipped puts back what was passed over.
+// requeueSkipped returns skipped requests to the queue.
 func (s *State) requeueSkipped() {
 	for _, k := range s.skipped {
 		s.queue.insert(k)
@@ -53,20 +53,20 @@
 	s.queue.remove(k)
 	s.queue.charge(k, float64(k.PromptTokens-est.cached+k.OutputTokens))
 	g := &grant{
-		endpoint: e,
-		entry:    k.entry,
-		at:       now,
+		endpoint:        e,
+		entry:           k.entry,
+		at:              now,
 		incarnation:     e.report.Incarnation,
-		attempt:  k.Attempt,
-		team:     k.Team,
-		rank:     k.Rank,
+		attempt:         k.Attempt,
+		team:            k.Team,
+		rank:            k.Rank,
 		originalRank:    k.class.rank,
-		service:  k.Service,
-		maxOutput:   k.OutputTokens,
-		tokenless:     k.OutputTokens == 0,
+		service:         k.Service,
+		requestedOutput: k.OutputTokens,
+		tokenless:       k.OutputTokens == 0,
 		prefillTokens:   k.PromptTokens - est.cached,
 		prefillWork:     est.prefillWork,
-		paced:    e.rateLimit.everSet,
+		paced:           e.rateLimit.everSet,
 	}
 	e.rateLimit.take(now)
 	s.prefix.add(e, k.Prefix)
@@ -99,7 +99,8 @@
 	}
 }
 
-// shedOverflow gives up the queue's end while it is too long.
+// shedOverflow refuses requests from the end of the queue while it exceeds
+// MaxWaiting.
 func (s *State) shedOverflow(now event.Time, out *event.Effects) {
 	if now.Sub(s.started) < SettleTime {
 		return
@@ -110,26 +111,26 @@
 	}
 }
 
-func (s *State) refuse(now event.Time, k *ticket, why event.Reason, out *event.Effects) {
-	s.refuseWithRetry(now, k, why, s.retryAfter(now), out)
+func (s *State) refuse(now event.Time, k *ticket, reason event.Reason, out *event.Effects) {
+	s.refuseWithRetry(now, k, reason, s.retryAfter(now), out)
 }
 
-// refuseWithRetry refuses a request with when to come back.
-func (s *State) refuseWithRetry(now event.Time, k *ticket, why event.Reason, after event.Span, out *event.Effects) {
+// refuseWithRetry refuses a request with the given time to retry after.
+func (s *State) refuseWithRetry(now event.Time, k *ticket, reason event.Reason, retryAfter event.Span, out *event.Effects) {
 	s.queue.remove(k)
 	k.class.refused.add(now, 1)
-	s.refused[Group{Team: k.Team, Rank: k.Rank, Reason: why}]++
+	s.refused[Group{Team: k.Team, Rank: k.Rank, Reason: reason}]++
 	out.Refusals = append(out.Refusals, event.Refused{
 		Entry:      k.entry,
 		ID:         k.ID,
-		Reason:     why,
-		RetryAfter: after,
+		Reason:     reason,
+		RetryAfter: retryAfter,
 		Inputs:     event.Inputs{Ahead: s.queue.len(), Wait: s.expectedWait(now, k)},
 	})
 }
 
-// retryAfter is the time the queue needs to drain, spread by up to a quarter
-// so that those refused together do not come back together.
+// retryAfter returns the time the queue takes to drain, with jitter so that
+// requests refused together are not retried together.
 func (s *State) retryAfter(now event.Time) event.Span {
 	wait := MinRetryAfter
 	if rate := s.grantRate.perSecond(now); rate > 0 {
@@ -138,7 +139,7 @@
 	return min(max(s.addJitter(wait), MinRetryAfter), MaxRetryAfter)
 }
 
-// addJitter makes a wait longer by up to a quarter.
+// addJitter lengthens a wait by a random fraction of up to a quarter.
 func (s *State) addJitter(wait event.Span) event.Span {
 	return wait + event.Span(s.random.Float64()/4*float64(wait))
 }
--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -10,38 +10,38 @@
 
 // Bounds of the prefix index.
 const (
-	// maxEndpointMarks is how many marks are remembered of an endpoint.
+	// maxEndpointMarks is how many marks are kept per endpoint.
 	maxEndpointMarks = 384
-	// maxHolders is how many holders of a prompt are weighed.
+	// maxHolders is how many holders of a prompt a search returns.
 	maxHolders = 16
-	// commonHolders is from how many holders on a mark counts as held by all:
-	// to look at them would cost more than it saves.
+	// commonHolders is the number of holders from which a mark is treated as
+	// held by every endpoint: considering each would cost more than it saves.
 	commonHolders = 64
 )
 
-// prefixIndex guesses which endpoints hold which prompt marks: those of the
-// requests that they were granted lately. It is kept from the mark to its
-// holders, so that the search for a prompt's holders does not grow with the
-// number of endpoints.
+// prefixIndex estimates which prompt prefixes endpoints have in their cache, from
+// the requests recently granted to them. It maps marks, hashes of prefixes at
+// each engine.MarkTokens, to endpoints, so the cost of a search does not grow
+// with the number of endpoints.
 type prefixIndex struct {
 	holders map[uint64][]*endpoint
-	results   []holder // of the last search
+	results []holder // result buffer of search
 }
 
-// holder is an endpoint that is thought to hold a part of a prompt.
+// holder is an endpoint that probably has part of a prompt in its cache.
 type holder struct {
 	endpoint *endpoint
 	cached   int // tokens
 }
 
-// markSet is what one endpoint is thought to hold. Two generations of a set
-// stand in for an exact order of use: when the young one is full it becomes the
-// old one, and the old one is forgotten.
+// markSet has the marks that one endpoint probably has in its cache. Two
+// generations approximate an LRU order: when the young one is full it becomes
+// the old one, and the previous old one is discarded.
 type markSet struct {
 	young, old map[uint64]struct{}
 }
 
-// add notes that e was granted a request with these marks.
+// add records that e was granted a request with these marks.
 func (p *prefixIndex) add(e *endpoint, marks []uint64) {
 	m := &e.cachedMarks
 	for _, mark := range marks {
@@ -58,7 +58,7 @@
 	}
 }
 
-// rotate forgets the endpoint's old generation and begins a young one.
+// rotate discards the endpoint's old generation and starts a new young one.
 func (p *prefixIndex) rotate(e *endpoint) {
 	m := &e.cachedMarks
 	for mark := range m.old {
@@ -66,12 +66,12 @@
 			p.remove(mark, e)
 		}
 	}
-	forgotten := m.old
-	if forgotten == nil {
-		forgotten = make(map[uint64]struct{}, maxEndpointMarks/2)
+	recycled := m.old
+	if recycled == nil {
+		recycled = make(map[uint64]struct{}, maxEndpointMarks/2)
 	}
-	clear(forgotten)
-	m.young, m.old = forgotten, m.young
+	clear(recycled)
+	m.young, m.old = recycled, m.young
 }
 
 func (p *prefixIndex) remove(mark uint64, e *endpoint) {
@@ -89,8 +89,8 @@
 	p.holders[mark] = list
 }
 
-// search returns the endpoints that hold most of a prompt, the longest part
-// first. The list is good until the next search.
+// search returns endpoints that have part of a prompt cached, longest prefix
+// first. The result is valid until the next search.
 func (p *prefixIndex) search(marks []uint64, promptTokens int) []holder {
 	p.results = p.results[:0]
 	for i := len(marks) - 1; i >= 0; i-- {
@@ -98,7 +98,7 @@
 		if len(list) >= commonHolders {
 			break
 		}
-		// The prefix ends somewhere before the next mark.
+		// The cached prefix ends somewhere before the next mark.
 		cached := min(promptTokens, (i+1)*engine.MarkTokens+engine.MarkTokens/2)
 		for _, e := range list {
 			if len(p.results) == maxHolders {
--- a/sched/queue.go
+++ b/sched/queue.go
@@ -10,25 +10,25 @@
 	"lynxramp.org/event"
 )
 
-// treeDegree is the fan-out of the ordered sets.
+// treeDegree is the degree of the B-trees.
 const treeDegree = 16
 
-// ticket is a request that waits.
+// ticket is a waiting request.
 type ticket struct {
 	event.Ticket
-	entry    event.BoxID
-	arrived  event.Time
-	deadline event.Time
-	orderTime    event.Time // arrival plus the charge for size
-	seq   uint64     // order of arrival; breaks ties
-	expectedTokens int        // output tokens, by what the service's answers had
-	class    *class     // of the rank that it came with
-	runTime     float64    // seconds that it is expected to hold its place
-	workBefore float64    // seconds of work that had entered its team's queue when it did
-	precedence precedence
-}
-
-// avoids reports whether the ticket must not go to an endpoint.
+	entry          event.BoxID
+	arrived        event.Time
+	deadline       event.Time
+	orderTime      event.Time // order within the team: arrival plus a penalty for size
+	seq            uint64     // in order of arrival; breaks ties
+	expectedTokens int        // estimated output tokens
+	class          *class     // of the rank it was submitted with
+	runTime        float64    // expected, in seconds
+	workBefore     float64    // team.enqueuedWork when it was added
+	precedence     precedence
+}
+
+// avoids reports whether the ticket must not be granted to an endpoint.
 func (k *ticket) avoids(e *endpoint) bool {
 	return len(k.Avoid) > 0 && slices.Contains(k.Avoid, e.ID)
 }
@@ -47,16 +47,18 @@
 	return a.seq < b.seq
 }
 
-// team is the part of a tier's queue that belongs to one team.
+// team is one team's queue within a tier.
 type team struct {
 	name    string
-	served float64 // tokens served, divided by the team's share
+	served  float64 // tokens granted; teams with the fewest go first
 	waiting *btree.BTreeG[*ticket]
-	// enqueuedWork and dequeuedWork are the seconds of work that ever came into its queue and went.
+	// enqueuedWork and dequeuedWork are the total seconds of work ever added
+	// and removed.
 	enqueuedWork, dequeuedWork float64
 }
 
-// dequeue takes a ticket's work out. One that goes as it came had nobody behind it.
+// dequeue removes a ticket's work. If the ticket was the last one added, its
+// add is undone instead.
 func (m *team) dequeue(k *ticket) {
 	if k.workBefore+k.runTime == m.enqueuedWork {
 		m.enqueuedWork = k.workBefore
@@ -65,8 +67,9 @@
 	m.dequeuedWork += k.runTime
 }
 
-// workAhead returns the seconds of work that will run before a ticket of the tier: teams take
-// turns, so that it is its own team's work before it, once for each team that waits.
+// workAhead returns the seconds of work that will run before a ticket of the
+// tier. Teams take turns, so it is the work before the ticket in its own team,
+// times the number of waiting teams.
 func (t *tier) workAhead(k *ticket) float64 {
 	before := max(0, k.workBefore-t.team(k.Team).dequeuedWork)
 	return min(t.work, before*float64(t.active.Len()))
@@ -79,34 +82,35 @@
 	return a.name < b.name
 }
 
-// precedence orders the requests of one rank; the smaller goes first.
+// precedence orders the requests of one rank; smaller goes first.
 type precedence uint8
 
 const (
-	// precedenceResumed: it had a place before.
+	// precedenceResumed: granted before, and resumed or retried.
 	precedenceResumed precedence = iota
-	// precedenceOnTime: it can still be in time, at its first try.
+	// precedenceOnTime: can still meet its target, on the caller's first
+	// attempt.
 	precedenceOnTime
-	// precedenceLate: it is late, or its caller was refused before.
+	// precedenceLate: can't meet its target, or its caller was refused before.
 	precedenceLate
 )
 
-// tier is the part of the queue that belongs to one rank and standing.
+// tier is the part of the queue with one rank and precedence.
 type tier struct {
-	rank     int
+	rank       int
 	precedence precedence
-	teams    map[string]*team
-	// active has the teams with a waiting request, least served first.
+	teams      map[string]*team
+	// active has the teams with waiting requests, least served first.
 	active *btree.BTreeG[*team]
-	// virtualTime is the service of the team last chosen. A team that was idle
-	// starts there: it has no credit for the time it did not ask.
+	// virtualTime is the served count of the team last granted. A team that was
+	// idle resumes from it, so that it gets no credit for its idle time.
 	virtualTime float64
-	size  int
-	work  float64   // seconds that its requests will hold places
-	grantedWork throughput // of that work
+	size        int
+	work        float64    // expected run time of its requests, in seconds
+	grantedWork throughput // rate at which that work is granted
 }
 
-// queue has all that waits in a pool, in one order.
+// queue has all waiting requests of a pool in one order.
 type queue struct {
 	tiers  []*tier // highest rank first
 	byID   map[event.RequestID]*ticket
@@ -122,21 +126,21 @@
 
 func (q *queue) len() int { return len(q.byID) }
 
-// before reports whether a tier goes before the one of a rank and standing.
-func (t *tier) before(rank int, standing precedence) bool {
+// before reports whether t precedes the tier of a rank and precedence.
+func (t *tier) before(rank int, p precedence) bool {
 	if t.rank != rank {
 		return t.rank > rank
 	}
-	return t.precedence < standing
+	return t.precedence < p
 }
 
-func (q *queue) tier(rank int, standing precedence) *tier {
-	i := slices.IndexFunc(q.tiers, func(t *tier) bool { return !t.before(rank, standing) })
+func (q *queue) tier(rank int, p precedence) *tier {
+	i := slices.IndexFunc(q.tiers, func(t *tier) bool { return !t.before(rank, p) })
 	if i < 0 {
 		i = len(q.tiers)
 	}
-	if i == len(q.tiers) || q.tiers[i].rank != rank || q.tiers[i].precedence != standing {
-		t := &tier{rank: rank, precedence: standing, teams: make(map[string]*team), active: btree.NewG(treeDegree, teamLess)}
+	if i == len(q.tiers) || q.tiers[i].rank != rank || q.tiers[i].precedence != p {
+		t := &tier{rank: rank, precedence: p, teams: make(map[string]*team), active: btree.NewG(treeDegree, teamLess)}
 		q.tiers = slices.Insert(q.tiers, i, t)
 	}
 	return q.tiers[i]
@@ -151,7 +155,7 @@
 	return m
 }
 
-// add takes a ticket in, behind the work of its team that came before it.
+// add enqueues a ticket behind the earlier work of its team.
 func (q *queue) add(k *ticket) {
 	m := q.tier(k.Rank, k.precedence).team(k.Team)
 	k.workBefore = m.enqueuedWork
@@ -159,13 +163,13 @@
 	q.insert(k)
 }
 
-// remove takes a ticket out for good.
+// remove deletes a ticket from the queue permanently.
 func (q *queue) remove(k *ticket) {
 	q.tier(k.Rank, k.precedence).team(k.Team).dequeue(k)
 	q.detach(k)
 }
 
-// insert takes a ticket in again where it was before it was set aside.
+// insert adds a ticket without changing its position in the team's work.
 func (q *queue) insert(k *ticket) {
 	t := q.tier(k.Rank, k.precedence)
 	m := t.team(k.Team)
@@ -180,8 +184,8 @@
 	q.expiry.ReplaceOrInsert(k)
 }
 
-// detach takes a ticket out that will be put back: it keeps its place before those that came
-// after it.
+// detach removes a ticket that will be inserted again: it keeps its position in
+// the team's work.
 func (q *queue) detach(k *ticket) {
 	t := q.tier(k.Rank, k.precedence)
 	m := t.team(k.Team)
@@ -192,13 +196,13 @@
 	t.size--
 	t.work -= k.runTime
 	if t.size == 0 {
-		t.work = 0 // without what rounding left
+		t.work = 0 // clear the rounding error
 	}
 	delete(q.byID, k.ID)
 	q.expiry.Delete(k)
 }
 
-// first returns the ticket that runs next, nil if none waits.
+// first returns the ticket to run next; nil if none waits.
 func (q *queue) first() *ticket {
 	for _, t := range q.tiers {
 		if t.size == 0 {
@@ -211,7 +215,7 @@
 	return nil
 }
 
-// last returns the ticket that is given up next, nil if none waits.
+// last returns the ticket to shed next; nil if none waits.
 func (q *queue) last() *ticket {
 	for _, t := range slices.Backward(q.tiers) {
 		if t.size == 0 {
@@ -224,8 +228,8 @@
 	return nil
 }
 
-// charge adds tokens to what the ticket's team was served. The ticket must be
-// out of the queue.
+// charge adds tokens to the served count of the ticket's team. The ticket must
+// be out of the queue.
 func (q *queue) charge(k *ticket, tokens float64) {
 	t := q.tier(k.Rank, k.precedence)
 	m := t.team(k.Team)
@@ -240,7 +244,7 @@
 	}
 }
 
-// nextExpired returns a ticket whose deadline has passed, nil if there is none.
+// nextExpired returns a ticket whose deadline has passed; nil if there is none.
 func (q *queue) nextExpired(now event.Time) *ticket {
 	k, ok := q.expiry.Min()
 	if !ok || k.deadline > now {
--- a/sched/reading.go
+++ b/sched/reading.go
@@ -8,83 +8,82 @@
 	"lynxramp.org/event"
 )
 
-// prefillQueue is what an endpoint still has to read of the prompts that it was granted.
-// An endpoint reads one prompt after the other, in the order of the grants. The zero
-// value has nothing to read.
+// prefillQueue is the prefill work pending at an endpoint. An endpoint processes prompts
+// one at a time, in the order of the grants. The zero value is empty.
 type prefillQueue struct {
-	pending []*grant   // whose answers have not begun, oldest first
-	work    float64    // of all pending, seconds at speed 1
-	headSince   event.Time // when the first pending one came first
-	plannedUntil   event.Time // when all should be read, by plan
+	pending      []*grant   // grants whose answers have not begun, oldest first
+	work         float64    // of all pending grants, in seconds at speed 1
+	headSince    event.Time // when the first pending grant became the head
+	plannedUntil event.Time // planned end of all prefills, for pools without Begun events
 }
 
-// add takes in a grant whose prompt is to be read.
-func (r *prefillQueue) add(now event.Time, g *grant) {
-	if len(r.pending) == 0 {
-		r.headSince = now
+// add appends a grant.
+func (q *prefillQueue) add(now event.Time, g *grant) {
+	if len(q.pending) == 0 {
+		q.headSince = now
 	}
-	r.pending = append(r.pending, g)
-	r.work += g.prefillWork
+	q.pending = append(q.pending, g)
+	q.work += g.prefillWork
 }
 
-// remove takes note that a grant's prompt is not to be read any more: its answer has
-// begun, or it has ended.
-func (r *prefillQueue) remove(now event.Time, g *grant) {
-	i := slices.Index(r.pending, g)
+// remove deletes a grant whose answer has begun or which has ended.
+func (q *prefillQueue) remove(now event.Time, g *grant) {
+	i := slices.Index(q.pending, g)
 	if i < 0 {
 		return
 	}
 	if i == 0 {
-		r.headSince = now
+		q.headSince = now
 	}
-	r.pending = slices.Delete(r.pending, i, i+1)
-	r.work -= g.prefillWork
-	if len(r.pending) == 0 {
-		r.work = 0 // without what rounding left
+	q.pending = slices.Delete(q.pending, i, i+1)
+	q.work -= g.prefillWork
+	if len(q.pending) == 0 {
+		q.work = 0 // clear the rounding error
 	}
 }
 
-// reserve takes in a prompt that takes so long, where nobody tells when it is read.
-func (r *prefillQueue) reserve(now event.Time, fill event.Span) {
-	r.plannedUntil = max(r.plannedUntil, now).Add(fill)
+// reserve plans a prefill of a given length, for endpoints that don't report when it
+// ends.
+func (q *prefillQueue) reserve(now event.Time, prefill event.Span) {
+	q.plannedUntil = max(q.plannedUntil, now).Add(prefill)
 }
 
-// head returns the grant whose prompt is being read; nil if there is none.
-func (r *prefillQueue) head() *grant {
-	if len(r.pending) == 0 {
+// head returns the grant whose prompt is being processed; nil if there is none.
+func (q *prefillQueue) head() *grant {
+	if len(q.pending) == 0 {
 		return nil
 	}
-	return r.pending[0]
+	return q.pending[0]
 }
 
-// headWork returns the work of the prompt that is being read, in seconds at speed 1.
-func (r *prefillQueue) headWork() float64 {
-	if len(r.pending) == 0 {
+// headWork returns the work of the prompt being processed, in seconds at speed 1.
+func (q *prefillQueue) headWork() float64 {
+	if len(q.pending) == 0 {
 		return 0
 	}
-	return r.pending[0].prefillWork
+	return q.pending[0].prefillWork
 }
 
-// Weights and bounds of an endpoint's pace.
+// Smoothing weight and bounds of an endpoint's prefill slowness.
 const (
 	prefillSlownessWeight = 0.2
 	prefillSlownessMin    = 0.4
 	prefillSlownessMax    = 4.0
-	// minPrefillSample is the least work of a sample, in seconds at speed 1: of a short prompt
-	// other times are the larger part.
+	// minPrefillSample is the least work of a sample, in seconds at speed 1: for shorter
+	// prompts the other parts of the latency dominate.
 	minPrefillSample = 0.02
-	// prefillSlownessMaxAge is how long a sample counts.
+	// prefillSlownessMaxAge is how long a sample is valid.
 	prefillSlownessMaxAge = 4 * event.Second
 )
 
-// prefillSlowness is how much slower an endpoint reads prompts now than by its speed alone: its
-// other requests take their part. The zero value is as fast as by its speed.
+// prefillSlowness is how much slower an endpoint currently processes prompts than its
+// speed suggests, due to its other requests. The zero value is a factor of 1.
 type prefillSlowness struct {
 	value float64
 	at    event.Time
 }
 
-// get returns the pace at now.
+// get returns the factor at now.
 func (p *prefillSlowness) get(now event.Time) float64 {
 	if p.value == 0 || now.Sub(p.at) > prefillSlownessMaxAge {
 		return 1
@@ -92,7 +91,7 @@
 	return p.value
 }
 
-// observe takes a sample.
+// observe adds a sample.
 func (p *prefillSlowness) observe(now event.Time, sample float64) {
 	sample = min(max(sample, prefillSlownessMin), prefillSlownessMax)
 	before := p.get(now)
@@ -100,26 +99,25 @@
 	p.at = now
 }
 
-// How the rate of reading prompts is learned.
+// Parameters of the prefill rate estimate.
 const (
-	minPrefillSamples = 20   // needed before the rate is used
-	prefillDecay    = 0.99 // of the older samples' weight, at each new one
-	// minPrefillRate bounds the rate from below, in tokens a second.
+	minPrefillSamples = 20   // required before the rate is used
+	prefillDecay      = 0.99 // decay factor of older samples' weight per new sample
+	// minPrefillRate is the lower bound of the rate, in tokens per second.
 	minPrefillRate = 500.0
 )
 
-// prefillFit learns how long an endpoint of speed 1 takes for a prompt's token, by
-// the least squares of the time to an answer's beginning over the prompt's length:
-// what each answer takes beside its prompt does not count. Older samples fade. The
-// zero value knows nothing.
+// prefillFit estimates the prefill time per token at speed 1, by a least-squares fit of
+// the time to first token over the prompt's length, which separates the fixed overhead of
+// a request. Older samples decay exponentially. The zero value is ready to use.
 type prefillFit struct {
 	samples      int
 	weight       float64
 	x, y, xx, xy float64
 }
 
-// observe takes a sample: a prompt's tokens, over the endpoint's speed, and the seconds
-// to the answer's beginning.
+// observe adds a sample: a prompt's tokens, divided by the endpoint's speed, and the time
+// to first token in seconds.
 func (f *prefillFit) observe(tokens, seconds float64) {
 	f.samples++
 	f.weight = f.weight*prefillDecay + 1
@@ -129,8 +127,8 @@
 	f.xy = f.xy*prefillDecay + tokens*seconds
 }
 
-// overhead returns the seconds that an answer takes beside its prompt; 0 while they are
-// not known.
+// overhead returns the time to first token less the prefill time, in seconds; 0 while
+// unknown.
 func (f *prefillFit) overhead() float64 {
 	rate := f.rate()
 	if rate == 0 {
@@ -139,7 +137,7 @@
 	return max(0, (f.y-f.x/rate)/f.weight)
 }
 
-// rate returns the prompt tokens a second at speed 1; 0 while it is not known.
+// rate returns the prompt tokens per second at speed 1; 0 while unknown.
 func (f *prefillFit) rate() float64 {
 	if f.samples < minPrefillSamples {
 		return 0
--- a/sched/rest.go
+++ b/sched/rest.go
@@ -8,11 +8,10 @@
 	"lynxramp.org/event"
 )
 
-// This file is how a pool keeps rests: for a while an endpoint wants nothing of one entry. The load that it
-// answers is an endpoint that turns away what one entry sends: that entry's requests go to others, wait if a
-// rest is over in time, and are refused at once with its end if none is.
+// This file implements cooldowns: an endpoint asks one entry to send nothing for a while. The entry's requests go
+// to other endpoints, wait if a cooldown ends in time, and are refused at once if none does.
 
-// startCooldown takes what an endpoint asked of an entry.
+// startCooldown records a cooldown that an endpoint asked of an entry.
 func (s *State) startCooldown(now event.Time, r *event.Rested) {
 	e, ok := s.byID[r.Endpoint]
 	if !ok {
@@ -25,12 +24,12 @@
 	s.refreshView(now, e)
 }
 
-// expireCooldowns forgets the rests of an endpoint that are over.
+// expireCooldowns removes an endpoint's expired cooldowns.
 func (e *endpoint) expireCooldowns(now event.Time) {
 	maps.DeleteFunc(e.cooldowns, func(_ event.BoxID, until event.Time) bool { return now >= until })
 }
 
-// dropCooldowns forgets what endpoints asked of an entry.
+// dropCooldowns removes all cooldowns of an entry.
 func (s *State) dropCooldowns(now event.Time, entry event.BoxID) {
 	if s.cooldownEndpoints == 0 {
 		return
@@ -43,19 +42,19 @@
 	}
 }
 
-// inCooldownFor reports whether an endpoint that isResting wants nothing of an entry now.
+// inCooldownFor reports whether the endpoint accepts nothing from an entry now.
 func (v *view) inCooldownFor(now event.Time, entry event.BoxID) bool {
 	return now < v.endpoint.cooldowns[entry]
 }
 
-// capacityInCooldown returns how many of some places are left to the entries that are not asked for rest.
-func (s *State) capacityInCooldown(e *endpoint, places int) int {
+// capacityOutsideCooldown returns the part of an endpoint's capacity that is available to entries not in cooldown.
+func (s *State) capacityOutsideCooldown(e *endpoint, capacity int) int {
 	entries := max(len(s.entries), len(e.cooldowns))
-	return places * (entries - len(e.cooldowns)) / entries
+	return capacity * (entries - len(e.cooldowns)) / entries
 }
 
-// cooldownEnd returns when the first endpoint takes requests of a ticket's entry again; false if one does now, or
-// none serves.
+// cooldownEnd returns when the first available endpoint accepts requests of a ticket's entry again. all is false
+// if one accepts them now or none is available.
 func (s *State) cooldownEnd(now event.Time, k *ticket) (end event.Time, all bool) {
 	for i := range s.views {
 		v := &s.views[i]
@@ -73,7 +72,8 @@
 	return end, all
 }
 
-// refuseInCooldown refuses a request whose entry all endpoints ask for rest, and for longer than it may wait.
+// refuseInCooldown refuses a request if its entry is in cooldown at all endpoints for longer than the request may
+// wait, and reports whether it did.
 func (s *State) refuseInCooldown(now event.Time, k *ticket, out *event.Effects) bool {
 	end, all := s.cooldownEnd(now, k)
 	if !all || end <= k.waitDeadline() {
@@ -84,7 +84,7 @@
 	return true
 }
 
-// waitDeadline returns the end of a ticket's patience.
+// waitDeadline returns when a ticket's queue timeout ends.
 func (k *ticket) waitDeadline() event.Time {
 	if k.Patience == 0 {
 		return k.deadline
@@ -92,22 +92,22 @@
 	return k.arrived.Add(k.Patience - k.Waited)
 }
 
-// refuseAllInCooldown refuses what waits of entries that all endpoints ask for rest. Those of one entry that avoid
-// no endpoint are alike but for their patience.
+// refuseAllInCooldown refuses the waiting requests whose cooldowns end too late. Requests of one entry without
+// endpoints to avoid share one lookup, because they differ only in their timeouts.
 func (s *State) refuseAllInCooldown(now event.Time, out *event.Effects) {
 	if s.cooldownEndpoints == 0 {
 		return
 	}
-	isRested := make(map[event.BoxID]bool)
+	inCooldown := make(map[event.BoxID]bool)
 	for _, k := range s.waitingByArrival() {
-		rested, seen := isRested[k.entry]
+		cooling, seen := inCooldown[k.entry]
 		if !seen || len(k.Avoid) > 0 {
-			_, rested = s.cooldownEnd(now, k)
+			_, cooling = s.cooldownEnd(now, k)
 		}
 		if len(k.Avoid) == 0 {
-			isRested[k.entry] = rested
+			inCooldown[k.entry] = cooling
 		}
-		if rested {
+		if cooling {
 			s.refuseInCooldown(now, k, out)
 		}
 	}
--- a/sched/state.go
+++ b/sched/state.go
@@ -10,130 +10,135 @@
 	"lynxramp.org/event"
 )
 
-// Bounds of the scheduler's patience.
+// Timeouts and bounds of the scheduler.
 const (
-	// ReportTimeout is how long an endpoint is granted work after its slot was
-	// last heard.
+	// ReportTimeout is how long an endpoint may be granted requests after its
+	// slot's last report.
 	ReportTimeout = 2500 * event.Millisecond
-	// EntryTimeout is how long an entry may be silent before its waiting requests
-	// are dropped.
+	// EntryTimeout is how long an entry may be unreachable before its waiting
+	// requests are dropped.
 	EntryTimeout = 5 * event.Second
-	// SettleTime is how long a new owner sheds nothing.
+	// SettleTime is how long a new owner sheds nothing, while entries and slots
+	// register with it.
 	SettleTime = 2 * event.Second
-	// MissingGrantGrace is how long a grant may be missing from its slot's reports
-	// before it is taken as ended.
+	// MissingGrantGrace is how long a grant may be missing from its slot's
+	// reports before it is treated as ended.
 	MissingGrantGrace = 2 * event.Second
-	// EndpointBackoff is how long an endpoint that did not take a request gets no other.
+	// EndpointBackoff is how long an endpoint that did not take a request gets
+	// no other.
 	EndpointBackoff = 300 * event.Millisecond
-	// MinRetryAfter and MaxRetryAfter bound what a refused caller is told.
+	// MinRetryAfter and MaxRetryAfter bound the Retry-After of refusals.
 	MinRetryAfter = event.Second
 	MaxRetryAfter = 60 * event.Second
 )
 
-// sizePenalty is the place a request loses in its team's queue for each second
-// of its estimated work.
+// sizePenalty is how many seconds a request is moved back in its team's queue
+// per second of its estimated work.
 const sizePenalty = 8.0
 
-// What a placement costs: its time counts little while it ends well before the
-// deadline, and much beyond that.
+// Weights of the placement cost: run time counts little while the request meets
+// its deadline, and lateness counts much.
 const (
-	timeWeight  = 0.05
-	latePenalty = 10.0
-	startMargin = 1.3 // to be started, a request must have so much more time than estimated
-	estimateMargin      = 1.3 // an estimate may be so much too short
+	timeWeight     = 0.05
+	latePenalty    = 10.0
+	startMargin    = 1.3 // required ratio of the time left to the estimated time when a request is granted
+	estimateMargin = 1.3 // safety factor of estimates
 )
 
-// maxSkipped bounds how many requests are passed over in one step, and skipScanBudget
-// how many endpoints are looked at for them: in a large pool some endpoint comes
-// free all the time, and there is less to gain.
+// maxSkipped bounds how many requests are skipped in one step, and
+// skipScanBudget how many endpoints are scanned for them: in a large pool
+// endpoints are freed often, so skipping gains less.
 const (
-	maxSkipped   = 16
+	maxSkipped     = 16
 	skipScanBudget = 512
 )
 
-// holderWaitTime is how long a request is passed over for the sake of a full endpoint
-// that holds its prompt, and holderMinSaving what that must save, in seconds.
+// holderWaitTime is how long a request may wait for a full endpoint that has
+// its prompt cached, and holderMinSaving the least cost this must save, in
+// seconds.
 const (
-	holderWaitTime = 2 * event.Second
+	holderWaitTime  = 2 * event.Second
 	holderMinSaving = 0.1
 )
 
-// reserveTime is how long room is kept for a tier after its last request.
+// reserveTime is how long capacity is reserved for a rank after its last
+// request.
 const reserveTime = 5 * event.Second
 
-// rateWindow is the time over which the drain rate is averaged.
+// rateWindow is the averaging window of throughputs.
 const rateWindow = 5 * event.Second
 
-// grant is a request that was given to an endpoint and has not ended.
+// grant is a request granted to an endpoint that has not ended.
 type grant struct {
-	endpoint *endpoint
-	entry    event.BoxID
-	at       event.Time
-	attempt  int
-	team     string
-	rank     int
-	originalRank    int // the rank that it came with
-	service  string
-	maxOutput   int // tokens asked for
+	endpoint        *endpoint
+	entry           event.BoxID
+	at              event.Time
+	attempt         int
+	team            string
+	rank            int
+	originalRank    int // rank it was submitted with
+	service         string
+	requestedOutput int // output tokens that the caller asked for
 	incarnation     event.Incarnation
-	tokenless     bool    // without tokens
-	prefillTokens   int     // tokens to be read
-	prefillWork     float64 // work of reading them, seconds at speed 1
-	firstPrefill    bool    // no other prompt was to be read before it
-	adopted  bool    // by an entry's word: it may have begun earlier
-	paced    bool    // by one who knows of the endpoint's limits
+	tokenless       bool    // request without tokens
+	prefillTokens   int     // prompt tokens that are not cached
+	prefillWork     float64 // work of its prefill, in seconds at speed 1
+	firstPrefill    bool    // no other prefill was pending when it was granted
+	adopted         bool    // reported by an entry: it may have begun earlier
+	paced           bool    // decided with knowledge of the endpoint's rate limits
 }
 
 // State is the scheduler of one pool. It is not safe for concurrent use.
 type State struct {
-	pool      event.Pool
-	started   event.Time
-	random    *rand.Rand
-	queue     queue
-	endpoints []*endpoint
-	byID      map[event.EndpointID]*endpoint
-	grants    map[event.RequestID]*grant
-	entries   map[event.BoxID]event.Time
-	arrivals  uint64
-	grantRate     throughput
-	skipped    []*ticket // of the step under way
-	views     []view    // of the endpoints, in their order
-	prefill   prefillFit
-	maxSpeed   float64 // speed of the fastest that serves, 0 if none does
-	capacity    int     // of all that serve, in thousandths
-	cooldownEndpoints   int     // endpoints that want nothing of some entries
-	limitShare      float64 // of endpoints' limits that this pool spends
-	runTime      meanRunTime // of places, by all requests
-	meanWork  float64 // of requests, in seconds at speed 1; 0 until one came
-	prefix    prefixIndex
-	outputLengths   map[string]*outputLength // by service
-	refused   map[Group]int            // since this owner began
-	classes   classes
-	drainingHosts   map[string]bool // IP numbers, by the platform's list
-	topRank       int             // the highest rank that came lately
-	topRankAt   event.Time      // when it came
+	pool              event.Pool
+	started           event.Time
+	random            *rand.Rand
+	queue             queue
+	endpoints         []*endpoint
+	byID              map[event.EndpointID]*endpoint
+	grants            map[event.RequestID]*grant
+	entries           map[event.BoxID]event.Time
+	arrivals          uint64
+	grantRate         throughput
+	skipped           []*ticket // requests skipped in the current step
+	views             []view    // of endpoints, in the same order
+	prefill           prefillFit
+	maxSpeed          float64     // of available endpoints; 0 if there is none
+	capacity          int         // sum over available endpoints, in units of 1/capacityScale
+	cooldownEndpoints int         // number of endpoints with cooldowns
+	limitShare        float64     // share of the endpoints' rate limits that this pool may spend
+	runTime           meanRunTime // over all requests
+	meanWork          float64     // of submitted requests, in seconds at speed 1; 0 before the first
+	prefix            prefixIndex
+	outputLengths     map[string]*outputLength // by service
+	refused           map[Group]int            // since this owner started
+	classes           classes
+	drainingHosts     map[string]bool // IP addresses, by the platform's list
+	topRank           int             // highest recent rank
+	topRankAt         event.Time      // when it was last submitted
 }
 
-// New returns the scheduler of pool, which owns it from now on.
+// New returns the scheduler of a pool. It takes ownership of the pool's
+// settings.
 func New(now event.Time, pool event.Pool, seed uint64) *State {
 	s := &State{
-		started: now,
-		random:  rand.New(rand.NewPCG(seed, 0)),
-		queue:   newQueue(),
-		byID:    make(map[event.EndpointID]*endpoint),
-		grants:  make(map[event.RequestID]*grant),
-		entries: make(map[event.BoxID]event.Time),
-		prefix:  prefixIndex{holders: make(map[uint64][]*endpoint)},
+		started:       now,
+		random:        rand.New(rand.NewPCG(seed, 0)),
+		queue:         newQueue(),
+		byID:          make(map[event.EndpointID]*endpoint),
+		grants:        make(map[event.RequestID]*grant),
+		entries:       make(map[event.BoxID]event.Time),
+		prefix:        prefixIndex{holders: make(map[uint64][]*endpoint)},
 		outputLengths: make(map[string]*outputLength),
-		refused: make(map[Group]int),
-		classes: make(classes),
+		refused:       make(map[Group]int),
+		classes:       make(classes),
 		limitShare:    1,
 	}
 	s.setPool(now, pool)
 	return s
 }
 
-// Step takes one event and adds to out what follows from it.
+// Step applies one event and appends the resulting effects to out.
 func (s *State) Step(now event.Time, e event.Event, out *event.Effects) {
 	switch e := e.(type) {
 	case *event.Submitted:
@@ -179,10 +184,10 @@
 	s.refuseOverdue(now, e, out)
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (s *State) Waiting() int { return s.queue.len() }
 
-// Running returns how many requests are granted and have not ended.
+// Running returns the number of granted requests that have not ended.
 func (s *State) Running() int { return len(s.grants) }
 
 func (s *State) setPool(now event.Time, p event.Pool) {
@@ -201,9 +206,9 @@
 	s.sortEndpoints(now)
 }
 
-// ensureEndpoint returns an ensureEndpoint by its name. One that was not known gets the last view, in
-// constant time: an owner that begins must take up thousands within its lease. 3,000 take
-// 2 ms this way and 240 ms where each is sorted into its place (best of five, one core).
+// ensureEndpoint returns an endpoint by ID, adding it if it is unknown. It
+// appends in constant time instead of sorting: a new owner must add thousands
+// of endpoints within its lease.
 func (s *State) ensureEndpoint(id event.EndpointID) *endpoint {
 	e, ok := s.byID[id]
 	if !ok {
@@ -215,7 +220,7 @@
 	return e
 }
 
-// dropEndpoint takes an endpoint away; the last one takes its place among the views.
+// dropEndpoint removes an endpoint. The last one is moved to its index.
 func (s *State) dropEndpoint(e *endpoint) {
 	s.subtractView(&s.views[e.index])
 	last := len(s.endpoints) - 1
@@ -227,7 +232,7 @@
 	delete(s.byID, e.ID)
 }
 
-// sortEndpoints puts the views in the order of the endpoints' names.
+// sortEndpoints sorts endpoints and views by endpoint ID.
 func (s *State) sortEndpoints(now event.Time) {
 	slices.SortFunc(s.endpoints, func(a, b *endpoint) int {
 		return strings.Compare(string(a.ID), string(b.ID))
@@ -243,7 +248,7 @@
 func (s *State) submit(now event.Time, e *event.Submitted, out *event.Effects) {
 	id := e.Ticket.ID
 	if g, ok := s.grants[id]; ok {
-		// The entry registers again: it has not seen the grant.
+		// The entry registers again because it has not seen the grant.
 		out.Grants = append(out.Grants, g.effect(id))
 		return
 	}
@@ -257,7 +262,7 @@
 		entry:    e.Entry,
 		arrived:  now,
 		deadline: now.Add(e.Ticket.Deadline),
-		seq:   s.arrivals,
+		seq:      s.arrivals,
 	}
 	k.expectedTokens = s.outputLength(k.Service).estimate(k.OutputTokens)
 	k.class = s.classes.forRank(k.Rank)
@@ -273,7 +278,7 @@
 	s.queue.add(k)
 }
 
-// precedence returns where among its rank a request waits.
+// precedence returns the initial precedence of a request.
 func (s *State) precedence(k *ticket) precedence {
 	switch {
 	case s.pool.LeastOutstanding:
@@ -287,7 +292,7 @@
 	}
 }
 
-// observeRank takes note of the highest tier that came lately.
+// observeRank updates the highest recent rank.
 func (s *State) observeRank(now event.Time, rank int) {
 	if rank >= s.topRank || now.Sub(s.topRankAt) >= reserveTime {
 		s.topRank = rank
@@ -295,7 +300,8 @@
 	}
 }
 
-// referenceWork is the estimated length of k in seconds on the reference engine.
+// referenceWork returns the estimated run time of k on the reference engine, in
+// seconds.
 func referenceWork(k *ticket) float64 {
 	if k.OutputTokens == 0 {
 		return callWork
@@ -303,7 +309,7 @@
 	return float64(k.PromptTokens)/referencePrefill + float64(k.expectedTokens)*referenceTokenGap.Seconds()
 }
 
-// withdraw forgets a request. If it was granted, the entry withdrew it before
+// withdraw removes a request. If it was granted, the entry withdrew it before
 // it saw the grant and never offered it.
 func (s *State) withdraw(now event.Time, e *event.Withdrawn) {
 	if k, ok := s.queue.byID[e.ID]; ok {
@@ -315,15 +321,15 @@
 	s.release(now, e.ID)
 }
 
-// addGrant enters a grant in the books.
+// addGrant records a grant.
 func (s *State) addGrant(id event.RequestID, g *grant) {
 	s.grants[id] = g
 	g.endpoint.grants[id] = g
 	g.endpoint.inflight++
 }
 
-// finish ends a grant. An endpoint that did not take the request is left alone
-// for a while.
+// finish ends a grant and updates the estimates. An endpoint that did not take
+// the request gets no other during EndpointBackoff.
 func (s *State) finish(now event.Time, e *event.Finished) {
 	if g, ok := s.grants[e.ID]; ok {
 		if e.Unused {
@@ -332,7 +338,7 @@
 			g.endpoint.backoffUntil = now.Add(EndpointBackoff)
 		}
 		if !e.Failed && !e.Void {
-			s.outputLength(g.service).observe(e.Tokens, g.maxOutput)
+			s.outputLength(g.service).observe(e.Tokens, g.requestedOutput)
 		}
 		s.observeSpeed(now, g, e)
 		if !e.Void {
@@ -343,7 +349,7 @@
 	s.release(now, e.ID)
 }
 
-// release ends a grant.
+// release removes a grant.
 func (s *State) release(now event.Time, id event.RequestID) {
 	g, ok := s.grants[id]
 	if !ok {
@@ -356,7 +362,8 @@
 	s.refreshView(now, g.endpoint)
 }
 
-// applyReport takes a slot's word on its endpoint and corrects the grants by it.
+// applyReport applies a slot's report on its endpoint and reconciles the grants
+// with it.
 func (s *State) applyReport(now event.Time, r event.Report) {
 	e, ok := s.byID[r.Endpoint]
 	if !ok {
@@ -377,8 +384,8 @@
 	}
 	for id, g := range e.grants {
 		_, runs := running[id]
-		old := restarted && g.incarnation != r.Incarnation
-		if old || (!runs && now.Sub(g.at) > MissingGrantGrace) {
+		stale := restarted && g.incarnation != r.Incarnation
+		if stale || (!runs && now.Sub(g.at) > MissingGrantGrace) {
 			s.release(now, id)
 		}
 	}
@@ -388,7 +395,8 @@
 	}
 }
 
-// updatePlatformDraining notes which endpoints stand on boxes that are leaving.
+// updatePlatformDraining marks the endpoints on boxes that the platform lists
+// as draining.
 func (s *State) updatePlatformDraining() {
 	for _, e := range s.endpoints {
 		e.platformDraining = s.drainingHosts[event.Host(e.report.Address)]
@@ -396,8 +404,8 @@
 }
 
 func (s *State) dropStaleEntries(now event.Time, out *event.Effects) {
-	for id, heard := range s.entries {
-		if now.Sub(heard) <= EntryTimeout {
+	for id, lastSeen := range s.entries {
+		if now.Sub(lastSeen) <= EntryTimeout {
 			continue
 		}
 		delete(s.entries, id)
@@ -412,33 +420,33 @@
 	}
 }
 
-// throughput averages how much of something goes in a second. The zero value is
-// ready.
+// throughput is a windowed average of an amount per second. The zero value is
+// ready to use.
 type throughput struct {
 	last event.Time
-	rate float64 // a second
+	rate float64 // per second
 }
 
-func (d *throughput) add(now event.Time, amount float64) {
-	gap := now.Sub(d.last).Seconds()
-	d.last = now
+func (t *throughput) add(now event.Time, amount float64) {
+	gap := now.Sub(t.last).Seconds()
+	t.last = now
 	keep := max(0, 1-gap/rateWindow.Seconds())
-	d.rate = d.rate*keep + amount/rateWindow.Seconds()
+	t.rate = t.rate*keep + amount/rateWindow.Seconds()
 }
 
-func (d *throughput) perSecond(now event.Time) float64 {
-	return d.rate * max(0, 1-now.Sub(d.last).Seconds()/rateWindow.Seconds())
+func (t *throughput) perSecond(now event.Time) float64 {
+	return t.rate * max(0, 1-now.Sub(t.last).Seconds()/rateWindow.Seconds())
 }
 
-// EndpointStatus is what operators are told of an endpoint.
+// EndpointStatus is the state of an endpoint as shown to operators.
 type EndpointStatus struct {
 	ID      event.EndpointID
 	Running int
-	// Serves is set while it may be granted work.
+	// Available is set while the endpoint may be granted requests.
 	Serves bool
 }
 
-// Endpoints returns the status of all endpoints, by name.
+// Endpoints returns the status of all endpoints, sorted by ID.
 func (s *State) Endpoints(now event.Time) []EndpointStatus {
 	list := make([]EndpointStatus, 0, len(s.endpoints))
 	for _, e := range s.endpoints {
@@ -448,7 +456,7 @@
 	return list
 }
 
-// Waits reports whether a request waits here.
+// Waits reports whether a request is waiting in the queue.
 func (s *State) Waits(id event.RequestID) bool {
 	_, ok := s.queue.byID[id]
 	return ok
