--- a/routing/check.go
+++ b/routing/check.go
@@ -7,14 +7,13 @@
 	"strings"
 )
 
-// Finding is something wrong at a place of a table.
+// Finding is a fault in a table.
 type Finding struct {
 	Path    string // such as routes[3].timeout
 	Message string
 }
 
-// Findings is all that is wrong with a table; as an error it lists them a line
-// each.
+// Findings has all faults of a table; its error text has one line each.
 type Findings []Finding
 
 // Error implements error.
@@ -30,11 +29,11 @@
 	*f = append(*f, Finding{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// Check returns all that is wrong with a table.
+// Check returns all faults of a table.
 func Check(t *Table) Findings {
 	var found Findings
 	services := checkServices(t, &found)
-	places := make(map[place]string)
+	places := make(map[routeKey]string)
 	for i := range t.Routes {
 		checkRoute(fmt.Sprintf("routes[%d]", i), &t.Routes[i], services, places, &found)
 	}
@@ -48,39 +47,39 @@
 		path := fmt.Sprintf("services[%d].name", i)
 		switch {
 		case s.Name == "":
-			found.add(path, "a service has a name")
+			found.add(path, "name is empty")
 		case names[s.Name]:
-			found.add(path, "%q is there twice", s.Name)
+			found.add(path, "duplicate service %q", s.Name)
 		}
 		names[s.Name] = true
 	}
 	return names
 }
 
-func checkRoute(path string, r *Route, services map[string]bool, places map[place]string, found *Findings) {
+func checkRoute(path string, r *Route, services map[string]bool, places map[routeKey]string, found *Findings) {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-		found.add(path+".prefix", "%q does not begin and end with a slash", r.Prefix)
+		found.add(path+".prefix", "%q must begin and end with a slash", r.Prefix)
 	}
-	at := place{strings.ToLower(r.Host), r.Prefix}
+	at := routeKey{strings.ToLower(r.Host), r.Prefix}
 	if other, ok := places[at]; ok {
-		found.add(path, "host and prefix are those of %s", other)
+		found.add(path, "same host and prefix as %s", other)
 	}
 	places[at] = path
 	if r.Timeout <= 0 {
-		found.add(path+".timeout", "a timeout is more than 0")
+		found.add(path+".timeout", "timeout must be greater than 0")
 	}
 	total := 0
 	for _, s := range r.Split {
 		if !services[s.Service] {
-			found.add(path+".split", "there is no service %q", s.Service)
+			found.add(path+".split", "unknown service %q", s.Service)
 		}
 		if s.Weight < 0 {
-			found.add(path+".split", "a weight is not negative")
+			found.add(path+".split", "weight must not be negative")
 		}
 		total += s.Weight
 	}
 	if total <= 0 {
-		found.add(path+".split", "the weights add up to 0")
+		found.add(path+".split", "sum of weights must be greater than 0")
 	}
 }
 
@@ -90,12 +89,12 @@
 	for i, team := range t.Teams {
 		path := fmt.Sprintf("teams[%d]", i)
 		if team.Name == "" || names[team.Name] {
-			found.add(path+".name", "%q is empty or there twice", team.Name)
+			found.add(path+".name", "empty or duplicate team name %q", team.Name)
 		}
 		names[team.Name] = true
 		for _, key := range team.Keys {
 			if other, ok := keys[key]; ok && other != team.Name {
-				found.add(path+".keys", "a key is also one of %s", other)
+				found.add(path+".keys", "key already belongs to team %s", other)
 			}
 			keys[key] = team.Name
 		}
--- a/routing/table.go
+++ b/routing/table.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Kind says what may be done with a request that may have run.
+// Kind defines whether a request that may have run can be repeated.
 type Kind uint8
 
-// The kinds of routes.
+// Route kinds.
 const (
 	// KindOnce requests run at most once.
 	KindOnce Kind = iota
 	// KindRepeatable requests may run more than once.
 	KindRepeatable
-	// KindStream answers are series of events; they run once unless the route
-	// says that they may be resumed.
+	// KindStream answers are event streams. Their requests run at most once
+	// unless the route is resumable.
 	KindStream
 )
 
@@ -29,29 +29,29 @@
 	Teams    []Team
 	Limits   Limits
 
-	places map[place]*Route
-	keys   map[string]*Team
-	byName map[string]*Service
-	team   map[string]*Team
+	routeByKey    map[routeKey]*Route
+	teamByKey     map[string]*Team
+	serviceByName map[string]*Service
+	teamByName    map[string]*Team
 }
 
-// Route sends the requests of a host whose paths begin with a prefix to one or
+// Route maps the requests of a host whose paths begin with a prefix to one or
 // more services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Timeout is the longest that a request may be held.
+	// Timeout is the maximum duration of a request.
 	Timeout time.Duration
-	// Target is the time within which an answer, or a stream's first event, is
-	// useful in full; Gap the longest pause between events that still is.
+	// Target is the longest time to an answer, or to a stream's first event, at
+	// full value. Gap is the longest pause between events at full value.
 	Target time.Duration
 	Gap    time.Duration
-	Rank   int // the larger is served first
+	Rank   int // higher ranks are served first
 	Split  []Share
-	// MaxAttempts is the most endpoints that one request may be sent to; Index makes
-	// a 0 a 1.
+	// MaxAttempts is the maximum number of endpoints that a request may be sent
+	// to. Index raises it to at least 1.
 	MaxAttempts int
 	Public      bool
 	Resumable   bool
@@ -62,90 +62,92 @@
 	return r.Kind == KindRepeatable || (r.Kind == KindStream && r.Resumable)
 }
 
-// Share is a service's weight among those of a route.
+// Share is the weight of a service in a route's traffic split.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Service is a set of endpoints that are alike in what they serve.
+// Service is a set of interchangeable endpoints.
 type Service struct {
 	Name   string
-	Stride int // tokens in an event of its streams; 0 stands for 1
+	Stride int // tokens per stream event; 0 means 1
 }
 
-// Team is a customer with keys and a quota.
+// Team is a tenant with API keys and a quota.
 type Team struct {
 	Name string
 	Keys []string
-	Rank *int // in place of the route's, where it is set
-	// Rate is the quota a second and Burst what may come on top; 0 is no limit.
+	Rank *int // takes precedence over the route's rank if set
+	// Rate is the quota per second and Burst the amount allowed in addition; a
+	// Rate of 0 is no limit.
 	Rate  float64
 	Burst float64
-	// InTokens says that the quota counts tokens; PlainTokens is what a request
-	// without any counts.
+	// InTokens says that the quota counts tokens. PlainTokens is what a request
+	// without tokens counts.
 	InTokens    bool
 	PlainTokens int
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bounds request bodies and connections of callers.
 type Limits struct {
 	BodyBytes int64
-	// IdleTimeout is how long a connection may rest between requests.
+	// IdleTimeout is how long a connection may be idle between requests.
 	IdleTimeout time.Duration
 }
 
-// place is where a route stands.
-type place struct{ host, prefix string }
+// routeKey identifies a route; the host is in lower case.
+type routeKey struct{ host, prefix string }
 
-// Index makes the table ready for look-ups. It, or IndexLike, must be called once, before any.
+// Index builds the lookup maps. It or IndexReusing must be called once, before
+// any lookup.
 func (t *Table) Index() { t.IndexLike(nil) }
 
-// IndexLike is Index where an older table may have the very same routes or teams, in the same memory:
-// their index is taken over. A change of a key or a limit beside 14,000 routes then takes 0.16 ms, not
-// 4.0 ms (BenchmarkTree). The older table may be nil.
+// IndexReusing is like Index but reuses the maps of an older table, which may
+// be nil, if both tables share the same backing arrays of routes or teams. This
+// keeps a small change cheap beside many routes.
 func (t *Table) IndexLike(old *Table) {
 	if old != nil && isSame(t.Routes, old.Routes) {
-		t.places = old.places
+		t.routeByKey = old.routeByKey
 	} else {
 		t.indexRoutes()
 	}
 	if old != nil && isSame(t.Teams, old.Teams) {
-		t.keys, t.team = old.keys, old.team
+		t.teamByKey, t.teamByName = old.teamByKey, old.teamByName
 	} else {
 		t.indexTeams()
 	}
-	t.byName = make(map[string]*Service, len(t.Services))
+	t.serviceByName = make(map[string]*Service, len(t.Services))
 	for i := range t.Services {
-		t.byName[t.Services[i].Name] = &t.Services[i]
+		t.serviceByName[t.Services[i].Name] = &t.Services[i]
 	}
 }
 
-// isSame reports whether two lists are one in memory.
+// isSame reports whether two slices share the same memory.
 func isSame[T any](a, b []T) bool { return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0] }
 
 func (t *Table) indexTeams() {
-	t.keys = make(map[string]*Team, len(t.Teams))
-	t.team = make(map[string]*Team, len(t.Teams))
+	t.teamByKey = make(map[string]*Team, len(t.Teams))
+	t.teamByName = make(map[string]*Team, len(t.Teams))
 	for i := range t.Teams {
-		t.team[t.Teams[i].Name] = &t.Teams[i]
+		t.teamByName[t.Teams[i].Name] = &t.Teams[i]
 		for _, key := range t.Teams[i].Keys {
-			t.keys[key] = &t.Teams[i]
+			t.teamByKey[key] = &t.Teams[i]
 		}
 	}
 }
 
 func (t *Table) indexRoutes() {
-	t.places = make(map[place]*Route, len(t.Routes))
+	t.routeByKey = make(map[routeKey]*Route, len(t.Routes))
 	for i := range t.Routes {
 		r := &t.Routes[i]
 		r.MaxAttempts = max(1, r.MaxAttempts)
-		t.places[place{strings.ToLower(r.Host), r.Prefix}] = r
+		t.routeByKey[routeKey{strings.ToLower(r.Host), r.Prefix}] = r
 	}
 }
 
-// Match returns the route with the longest prefix of path at a host; nil if
-// there is none. The host may carry a port.
+// Match returns the route of a host with the longest prefix of path; nil if
+// there is none. The host may include a port.
 func (t *Table) Match(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -156,7 +158,7 @@
 		if slash < 0 {
 			return nil
 		}
-		if r, ok := t.places[place{host, path[:slash+1]}]; ok {
+		if r, ok := t.routeByKey[routeKey{host, path[:slash+1]}]; ok {
 			return r
 		}
 		end = slash
@@ -164,16 +166,16 @@
 	return nil
 }
 
-// Holder returns the team that holds a key; nil if none does.
-func (t *Table) Holder(key string) *Team { return t.keys[key] }
+// TeamByKey returns the team that owns an API key; nil if none does.
+func (t *Table) Holder(key string) *Team { return t.teamByKey[key] }
 
 // Service returns a service by name; nil if there is none.
-func (t *Table) Service(name string) *Service { return t.byName[name] }
+func (t *Table) Service(name string) *Service { return t.serviceByName[name] }
 
 // Team returns a team by name; nil if there is none.
-func (t *Table) Team(name string) *Team { return t.team[name] }
+func (t *Table) Team(name string) *Team { return t.teamByName[name] }
 
-// Pick returns the service of a route for a number drawn from [0, 1).
+// Pick returns a service of the route by weight, for a random number in [0, 1).
 func (r *Route) Pick(draw float64) string {
 	total := 0
 	for _, s := range r.Split {
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func sound() *Table {
+func validTable() *Table {
 	return &Table{
 		Version: 3,
 		Routes: []Route{
@@ -23,7 +23,7 @@
 }
 
 func TestLongestPrefixWins(t *testing.T) {
-	table := sound()
+	table := validTable()
 	table.Index()
 	for _, c := range []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "deep"},
@@ -44,7 +44,7 @@
 }
 
 func TestPickFollowsWeights(t *testing.T) {
-	r := &sound().Routes[1]
+	r := &validTable().Routes[1]
 	for draw, want := range map[float64]string{0: "plain", 0.89: "plain", 0.91: "model", 0.999: "model"} {
 		if got := r.Pick(draw); got != want {
 			t.Errorf("draw %v: %s, want %s", draw, got, want)
@@ -52,40 +52,40 @@
 	}
 }
 
-func TestKeysAreHeldByOneTeam(t *testing.T) {
-	table := sound()
+func TestTeamByKeyAndUnknownKey(t *testing.T) {
+	table := validTable()
 	table.Index()
 	if got := table.Holder("k2"); got == nil || got.Name != "t1" {
-		t.Errorf("holder of k2: %v", got)
+		t.Errorf("team of k2: %v", got)
 	}
 	if got := table.Holder("k4"); got != nil {
-		t.Errorf("holder of an unknown key: %v", got)
+		t.Errorf("team of an unknown key: %v", got)
 	}
 }
 
 func TestCheckNamesEachFault(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil func(*Table)
-		want  string
+		corrupt func(*Table)
+		want    string
 	}{
-		"unknown service": {func(t *Table) { t.Routes[0].Split[0].Service = "none" }, "routes[0].split"},
-		"same place":      {func(t *Table) { t.Routes[1].Prefix = "/" }, "routes[1]"},
-		"no weight":       {func(t *Table) { t.Routes[0].Split[0].Weight = 0 }, "routes[0].split"},
-		"no timeout":      {func(t *Table) { t.Routes[1].Timeout = 0 }, "routes[1].timeout"},
-		"shared key":      {func(t *Table) { t.Teams[1].Keys[0] = "k1" }, "teams[1].keys"},
-		"no slash":        {func(t *Table) { t.Routes[0].Prefix = "/x" }, "routes[0].prefix"},
+		"unknown service":      {func(t *Table) { t.Routes[0].Split[0].Service = "none" }, "routes[0].split"},
+		"same host and prefix": {func(t *Table) { t.Routes[1].Prefix = "/" }, "routes[1]"},
+		"no weight":            {func(t *Table) { t.Routes[0].Split[0].Weight = 0 }, "routes[0].split"},
+		"no timeout":           {func(t *Table) { t.Routes[1].Timeout = 0 }, "routes[1].timeout"},
+		"shared key":           {func(t *Table) { t.Teams[1].Keys[0] = "k1" }, "teams[1].keys"},
+		"no slash":             {func(t *Table) { t.Routes[0].Prefix = "/x" }, "routes[0].prefix"},
 	} {
-		table := sound()
-		c.spoil(table)
+		table := validTable()
+		c.corrupt(table)
 		found := Check(table)
 		if len(found) != 1 || found[0].Path != c.want {
 			t.Errorf("%s: %v, want one at %s", name, found, c.want)
 		}
 		if !strings.Contains(found.Error(), c.want) {
-			t.Errorf("%s: the error does not name the place: %s", name, found)
+			t.Errorf("%s: error text does not contain the path: %s", name, found)
 		}
 	}
-	if diff := cmp.Diff(Findings(nil), Check(sound())); diff != "" {
+	if diff := cmp.Diff(Findings(nil), Check(validTable())); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -11,8 +11,8 @@
 	"lynxramp.org/event"
 )
 
-// loaded returns a scheduler of a pool whose endpoints are full, with requests
-// waiting, and the requests that run.
+// loaded returns a scheduler whose endpoints are all full, with requests waiting, and the
+// running requests.
 func loaded(endpoints, waiting int) (*State, []event.RequestID) {
 	p := event.Pool{Name: pool, MaxWaiting: 2 * waiting}
 	for i := range endpoints {
@@ -46,8 +46,7 @@
 	return k
 }
 
-// BenchmarkDecision measures a request's end and the decision that follows: which
-// of the waiting requests runs in its place.
+// BenchmarkDecision measures a request's end and the grant that follows.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range [...]struct{ endpoints, waiting int }{
 		{18, 200}, {18, 20000}, {275, 5000}, {1100, 200}, {1100, 2000}, {1100, 20000},
@@ -55,9 +54,9 @@
 		b.Run(fmt.Sprintf("endpoints=%d/waiting=%d", size.endpoints, size.waiting), func(b *testing.B) {
 			s, running := loaded(size.endpoints, size.waiting)
 			random := rand.New(rand.NewPCG(2, 2))
-			fresh := make([]event.Submitted, b.N)
-			for i := range fresh {
-				fresh[i] = event.Submitted{Entry: "e", Ticket: ticketOf(random, 1_000_000+i)}
+			submissions := make([]event.Submitted, b.N)
+			for i := range submissions {
+				submissions[i] = event.Submitted{Entry: "e", Ticket: ticketOf(random, 1_000_000+i)}
 			}
 			var out event.Effects
 			now := event.Time(SettleTime)
@@ -65,7 +64,7 @@
 			b.ResetTimer()
 			for i := range b.N {
 				out.Reset()
-				s.Step(now, &fresh[i], &out)
+				s.Step(now, &submissions[i], &out)
 				n := i % len(running)
 				s.Step(now, &event.Finished{ID: running[n], Pool: pool}, &out)
 				if len(out.Grants) > 0 {
@@ -76,14 +75,13 @@
 	}
 }
 
-// BenchmarkForecast measures a tick over a queue in which no request is hopeless: each is
-// looked at. With 4,000 waiting, the most that a service may have, it takes 0.4 to 0.6 ms of
-// the 50 ms between ticks, beside load, and took 0.43 before the work ahead was counted by team.
+// BenchmarkForecast measures a tick over a queue in which no request times out, so that
+// each one is examined.
 func BenchmarkForecast(b *testing.B) {
-	s := discovered(54, 10)
+	s := discoveredPool(54, 10)
 	var out event.Effects
 	for i := range 540 + 4000 {
-		s.Step(0, call(i, func(k *event.Ticket) {
+		s.Step(0, submission(i, func(k *event.Ticket) {
 			k.Team = fmt.Sprint("team", i%16)
 			k.Rank = -(i % 3)
 			k.Patience, k.Target, k.Deadline = 3600*event.Second, 3600*event.Second, 7200*event.Second
@@ -96,6 +94,6 @@
 		s.Step(0, &event.Tick{}, &out)
 	}
 	if s.Waiting() != 4000 || len(out.Refusals) > 0 {
-		b.Fatalf("%d wait and %d were refused", s.Waiting(), len(out.Refusals))
+		b.Fatalf("%d waiting and %d refused", s.Waiting(), len(out.Refusals))
 	}
 }
--- a/sched/discover_test.go
+++ b/sched/discover_test.go
@@ -9,8 +9,8 @@
 	"lynxramp.org/event"
 )
 
-// discovered returns a scheduler of a pool whose endpoints tell of themselves.
-func discovered(endpoints, slots int) *State {
+// discoveredPool returns a scheduler of a pool of discovered endpoints.
+func discoveredPool(endpoints, slots int) *State {
 	s := New(0, event.Pool{Name: pool, MaxWaiting: 40000, Discovered: true, Profile: event.Profile{
 		PrefillRate: 10000, TokenGap: 5 * event.Millisecond, CallTime: 10 * event.Millisecond,
 	}}, 1)
@@ -23,7 +23,7 @@
 	return s
 }
 
-func call(id int, change func(*event.Ticket)) *event.Submitted {
+func submission(id int, change func(*event.Ticket)) *event.Submitted {
 	t := event.Ticket{
 		ID: event.RequestID(fmt.Sprintf("r%d", id)), Service: pool, Pool: pool, Deadline: 10 * event.Second,
 		Target: event.Second, Patience: event.Second, PromptTokens: 100, OutputTokens: 50,
@@ -34,28 +34,28 @@
 	return &event.Submitted{Entry: "entry", Ticket: t}
 }
 
-func TestNearEndpointIsChosenAmongEqual(t *testing.T) {
-	s := discovered(8, 1)
+func TestPrefersEndpointInSameDataCentre(t *testing.T) {
+	s := discoveredPool(8, 1)
 	for i := range 2 {
 		var out event.Effects
-		s.Step(0, call(i, func(k *event.Ticket) { k.DataCentre = "z2" }), &out)
+		s.Step(0, submission(i, func(k *event.Ticket) { k.DataCentre = "z2" }), &out)
 		if len(out.Grants) != 1 || (out.Grants[0].Endpoint != "e0002" && out.Grants[0].Endpoint != "e0006") {
 			t.Errorf("grants %+v, want an endpoint of data centre z2", out.Grants)
 		}
 	}
 	var out event.Effects
-	s.Step(0, call(9, func(k *event.Ticket) { k.DataCentre = "z2" }), &out)
+	s.Step(0, submission(9, func(k *event.Ticket) { k.DataCentre = "z2" }), &out)
 	if len(out.Grants) != 1 {
-		t.Error("with the near ones full a far one was not taken")
+		t.Error("no endpoint of another data centre was used while the near ones are full")
 	}
 }
 
 func TestSlowEndpointIsAvoided(t *testing.T) {
-	s := discovered(2, 4)
+	s := discoveredPool(2, 4)
 	var out event.Effects
 	for i := range 4 {
 		out.Reset()
-		s.Step(0, call(i, nil), &out)
+		s.Step(0, submission(i, nil), &out)
 		gap := 5 * event.Millisecond
 		if out.Grants[0].Endpoint == "e0000" {
 			gap = 50 * event.Millisecond
@@ -63,70 +63,70 @@
 		s.Step(0, &event.Finished{ID: out.Grants[0].ID, Pool: pool, Tokens: 50, TokenGap: gap, FirstAfter: event.Millisecond}, &out)
 	}
 	out.Reset()
-	s.Step(0, call(9, nil), &out)
+	s.Step(0, submission(9, nil), &out)
 	if len(out.Grants) != 1 || out.Grants[0].Endpoint != "e0001" {
 		t.Errorf("grants %+v, want the fast endpoint", out.Grants)
 	}
 }
 
-func TestEndpointThatHadTheRequestIsAvoided(t *testing.T) {
-	s := discovered(2, 4)
+func TestAvoidsEndpointsOfEarlierAttempts(t *testing.T) {
+	s := discoveredPool(2, 4)
 	var out event.Effects
 	for i := range 6 {
-		s.Step(0, call(i, func(k *event.Ticket) { k.Avoid = []event.EndpointID{"e0000"} }), &out)
+		s.Step(0, submission(i, func(k *event.Ticket) { k.Avoid = []event.EndpointID{"e0000"} }), &out)
 	}
 	for _, g := range out.Grants {
 		if g.Endpoint != "e0001" {
-			t.Errorf("%s was granted again", g.Endpoint)
+			t.Errorf("%s was granted a request that avoids it", g.Endpoint)
 		}
 	}
 	if len(out.Grants) != 4 {
-		t.Errorf("%d grants, the other endpoint has 4 places", len(out.Grants))
+		t.Errorf("%d grants, the other endpoint has a capacity of 4", len(out.Grants))
 	}
-	// One that must avoid the only free endpoint does not hold up others.
+	// A request that must avoid the only free endpoint does not block others.
 	out.Reset()
-	s.Step(0, call(20, nil), &out)
+	s.Step(0, submission(20, nil), &out)
 	if len(out.Grants) != 1 || out.Grants[0].Endpoint != "e0000" {
 		t.Errorf("grants %+v, want one at the free endpoint", out.Grants)
 	}
 }
 
-func TestGoneEndpointGivesItsPlacesBack(t *testing.T) {
-	s := discovered(1, 1)
+func TestRemovedEndpointReleasesItsGrants(t *testing.T) {
+	s := discoveredPool(1, 1)
 	var out event.Effects
-	s.Step(0, call(1, nil), &out)
+	s.Step(0, submission(1, nil), &out)
 	s.Step(0, &event.EndpointGone{ID: "e0000"}, &out)
 	if s.Running() != 0 {
-		t.Error("a request runs at an endpoint that is gone")
+		t.Error("a grant remains at a removed endpoint")
 	}
 	out.Reset()
-	s.Step(0, call(2, nil), &out)
+	s.Step(0, submission(2, nil), &out)
 	if len(out.Grants) != 0 {
-		t.Errorf("granted %+v without an endpoint", out.Grants)
+		t.Errorf("granted %+v without endpoints", out.Grants)
 	}
 }
 
-func TestGoneEntryFreesItsPlaces(t *testing.T) {
-	s := discovered(1, 1)
+func TestRemovedEntryReleasesItsRequests(t *testing.T) {
+	s := discoveredPool(1, 1)
 	var out event.Effects
-	s.Step(0, call(1, nil), &out)
-	s.Step(0, call(2, nil), &out)
+	s.Step(0, submission(1, nil), &out)
+	s.Step(0, submission(2, nil), &out)
 	s.Step(0, &event.EntryGone{Entry: "entry"}, &out)
 	if s.Running() != 0 || s.Waiting() != 0 {
-		t.Errorf("%d run and %d wait for an entry that is gone", s.Running(), s.Waiting())
+		t.Errorf("%d running and %d waiting for a removed entry", s.Running(), s.Waiting())
 	}
 }
 
-// overloaded fills a pool whose drain is slow and known: one place, an end each
-// 100 ms.
+// overloaded returns a scheduler with one unit of capacity and a known drain rate: one
+// request each 100 ms.
 func overloaded(t *testing.T) (*State, event.Time) {
 	t.Helper()
-	s := discovered(1, 1)
+	s := discoveredPool(1, 1)
 	now := event.Time(0)
 	running := event.RequestID("")
 	for i := range 60 {
 		var out event.Effects
-		s.Step(now, call(i, func(k *event.Ticket) { k.Patience = 0; k.Deadline = event.Second / 2 }), &out)
+		s.Step(now, submission(i, func(k *event.Ticket) { k.Patience = 0; k.Deadline = event.Second / 2 }), &out)
 		s.Step(now, &event.Finished{ID: running, Pool: pool, FirstAfter: event.Millisecond}, &out)
 		for _, g := range out.Grants {
 			running = g.ID
@@ -136,67 +136,66 @@
 	return s, now
 }
 
-func TestHopelessWaitIsRefusedAtOnce(t *testing.T) {
+func TestRefusesExpectedTimeoutAtOnce(t *testing.T) {
 	s, now := overloaded(t)
 	var out event.Effects
 	for i := range 30 {
-		s.Step(now, call(1000+i, nil), &out)
+		s.Step(now, submission(1000+i, nil), &out)
 	}
 	if len(out.Refusals) < 10 {
-		t.Fatalf("%d of 30 refused, 10 a second drain and each may wait a second", len(out.Refusals))
+		t.Fatalf("%d of 30 refused at a drain rate of 10 a second and a timeout of 1 s", len(out.Refusals))
 	}
 	for _, r := range out.Refusals {
 		if r.Reason != event.ReasonShed || r.RetryAfter < MinRetryAfter {
 			t.Errorf("refused with %+v", r)
 		}
 	}
-	// Nothing drains any more: those that wait are told so as their time runs out, the one that
-	// is next last, when its target is over.
-	told := len(out.Refusals)
+	// Nothing drains any more: waiting requests are refused as their time runs out, the
+	// one at the head last, when its target has passed.
+	atOnce := len(out.Refusals)
 	for wait := event.Span(0); wait <= event.Second+50*event.Millisecond; wait += 50 * event.Millisecond {
 		s.Step(now.Add(wait), &event.Tick{}, &out)
 		if wait <= event.Second/2 && len(out.Refusals) == 30 {
-			t.Errorf("nobody waits after %v, though one could be in time", wait)
+			t.Errorf("no request waits after %v, though one could be in time", wait)
 		}
 	}
-	if len(out.Refusals) != 30 || told == 30 {
-		t.Errorf("%d of 30 told at once and %d in all when their target was over", told, len(out.Refusals))
+	if len(out.Refusals) != 30 || atOnce == 30 {
+		t.Errorf("%d of 30 refused at once and %d in total once their target had passed", atOnce, len(out.Refusals))
 	}
 }
 
-// TestPassedOverRequestKeepsItsPlace: a request that is passed over, since it must not go to
-// the endpoint that has room, has no more work before it than it had when it came. It was
-// counted behind all that came after it, and refused for a wait that it did not have.
-func TestPassedOverRequestKeepsItsPlace(t *testing.T) {
-	s := discovered(2, 1)
+// TestSkippedRequestKeepsItsPosition guards against counting later arrivals as work
+// before a request that was skipped because it must avoid the free endpoint.
+func TestSkippedRequestKeepsItsPosition(t *testing.T) {
+	s := discoveredPool(2, 1)
 	var out event.Effects
-	s.Step(0, call(0, func(k *event.Ticket) { k.Patience = 0 }), &out)
-	s.Step(0, call(1, func(k *event.Ticket) { k.Avoid = []event.EndpointID{"e0000", "e0001"}; k.Patience = 0 }), &out)
+	s.Step(0, submission(0, func(k *event.Ticket) { k.Patience = 0 }), &out)
+	s.Step(0, submission(1, func(k *event.Ticket) { k.Avoid = []event.EndpointID{"e0000", "e0001"}; k.Patience = 0 }), &out)
 	first := s.queue.byID["r1"]
 	for i := range 20 {
-		s.Step(0, call(10+i, func(k *event.Ticket) { k.Patience = 0 }), &out)
+		s.Step(0, submission(10+i, func(k *event.Ticket) { k.Patience = 0 }), &out)
 	}
 	if first.workBefore != 0 || s.queue.tier(first.Rank, first.precedence).workAhead(first) != 0 {
-		t.Errorf("%.2f s of work are counted before the request that came first", s.queue.tier(first.Rank, first.precedence).workAhead(first))
+		t.Errorf("%.2f s of work counted before the first request", s.queue.tier(first.Rank, first.precedence).workAhead(first))
 	}
 }
 
-func TestNothingIsRefusedWhilePlacesAreFree(t *testing.T) {
+func TestRefusesNothingWhileCapacityIsFree(t *testing.T) {
 	s, now := overloaded(t)
 	var out event.Effects
 	s.Step(now, &event.EndpointSeen{Endpoint: event.Endpoint{ID: "e9", Concurrency: 40, Speed: 1}, Address: "10.0.0.9:80"}, &out)
 	out.Reset()
 	for i := range 30 {
-		s.Step(now, call(2000+i, nil), &out)
+		s.Step(now, submission(2000+i, nil), &out)
 	}
 	if len(out.Refusals) != 0 || len(out.Grants) != 30 {
-		t.Errorf("%d refused and %d granted with 40 free places", len(out.Refusals), len(out.Grants))
+		t.Errorf("%d refused and %d granted with a free capacity of 40", len(out.Refusals), len(out.Grants))
 	}
 }
 
-// TestHigherRankGoesFirst also holds for a team's rank over a route's.
+// TestHigherRankGoesFirst also checks that a team's rank takes precedence over a route's.
 func TestHigherRankGoesFirst(t *testing.T) {
-	s := discovered(1, 1)
+	s := discoveredPool(1, 1)
 	var out event.Effects
 	rank := func(team, route int) func(*event.Ticket) {
 		return func(k *event.Ticket) {
@@ -204,10 +203,10 @@
 			k.Patience = 0
 		}
 	}
-	s.Step(0, call(0, nil), &out)
-	s.Step(0, call(1, rank(-1, 0)), &out)
-	s.Step(0, call(2, rank(0, -2)), &out)
-	s.Step(0, call(3, rank(0, -1)), &out)
+	s.Step(0, submission(0, nil), &out)
+	s.Step(0, submission(1, rank(-1, 0)), &out)
+	s.Step(0, submission(2, rank(0, -2)), &out)
+	s.Step(0, submission(3, rank(0, -1)), &out)
 	var order []event.RequestID
 	running := event.RequestID("r0")
 	for range 3 {
@@ -221,25 +220,25 @@
 	}
 }
 
-// TestCheapClassIsServedBesideTheOneAbove: a class of next to no work, refused more
-// often than the one above it, waits at that one's rank.
-func TestCheapClassIsServedBesideTheOneAbove(t *testing.T) {
-	s := discovered(1, 1)
+// TestCheapClassIsPromoted checks that only a class of little work that is refused more
+// often than the next higher one is promoted to its rank.
+func TestCheapClassIsPromoted(t *testing.T) {
+	s := discoveredPool(1, 1)
 	dear := func(k *event.Ticket) { k.Rank = 0; k.PromptTokens = 8000 }
 	cheap := func(k *event.Ticket) { k.Rank = -1; k.PromptTokens = 10; k.OutputTokens = 1 }
-	own := &ticket{Ticket: call(1, cheap).Ticket, class: s.classes.forRank(-1), expectedTokens: 1}
+	own := &ticket{Ticket: submission(1, cheap).Ticket, class: s.classes.forRank(-1), expectedTokens: 1}
 	for range 100 {
-		s.promote(0, &ticket{Ticket: call(0, dear).Ticket, class: s.classes.forRank(0), expectedTokens: 50})
+		s.promote(0, &ticket{Ticket: submission(0, dear).Ticket, class: s.classes.forRank(0), expectedTokens: 50})
 		s.promote(0, own)
 	}
 	if got := s.promote(0, own); got != -1 {
-		t.Errorf("rank %d while it is served as often, want its own", got)
+		t.Errorf("rank %d while served as often as the next higher class, want its own", got)
 	}
 	s.classes.forRank(-1).refused.add(0, 20)
 	if got := s.promote(0, own); got != 0 {
-		t.Errorf("rank %d while it is refused more often, want that above", got)
+		t.Errorf("rank %d while refused more often, want the next higher rank", got)
 	}
-	costly := &ticket{Ticket: call(2, func(k *event.Ticket) { k.Rank = -2; k.PromptTokens = 9000 }).Ticket, class: s.classes.forRank(-2), expectedTokens: 50}
+	costly := &ticket{Ticket: submission(2, func(k *event.Ticket) { k.Rank = -2; k.PromptTokens = 9000 }).Ticket, class: s.classes.forRank(-2), expectedTokens: 50}
 	for range 50 {
 		s.promote(0, costly)
 	}
@@ -249,12 +248,12 @@
 	}
 }
 
-// BenchmarkDiscovered measures an end and the decision that follows in a pool whose
-// endpoints are full.
+// BenchmarkDiscovered measures a request's end and the grant that follows in a full pool
+// of discovered endpoints.
 func BenchmarkDiscovered(b *testing.B) {
 	for _, size := range [...]struct{ endpoints, waiting int }{{18, 200}, {110, 2000}, {1100, 2000}, {1100, 20000}} {
 		b.Run(fmt.Sprintf("endpoints=%d/waiting=%d", size.endpoints, size.waiting), func(b *testing.B) {
-			s := discovered(size.endpoints, 10)
+			s := discoveredPool(size.endpoints, 10)
 			patient := func(k *event.Ticket) {
 				k.Patience = 0
 				k.Deadline = 3600 * event.Second
@@ -263,21 +262,21 @@
 			}
 			var out event.Effects
 			for i := range 10*size.endpoints + size.waiting {
-				s.Step(0, call(i, patient), &out)
+				s.Step(0, submission(i, patient), &out)
 			}
 			running := make([]event.RequestID, 0, len(out.Grants))
 			for _, g := range out.Grants {
 				running = append(running, g.ID)
 			}
-			fresh := make([]*event.Submitted, b.N)
-			for i := range fresh {
-				fresh[i] = call(1_000_000+i, patient)
+			submissions := make([]*event.Submitted, b.N)
+			for i := range submissions {
+				submissions[i] = submission(1_000_000+i, patient)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				out.Reset()
-				s.Step(0, fresh[i], &out)
+				s.Step(0, submissions[i], &out)
 				n := i % len(running)
 				s.Step(0, &event.Finished{ID: running[n], Pool: pool, TokenGap: 5 * event.Millisecond}, &out)
 				if len(out.Grants) > 0 {
@@ -288,14 +287,14 @@
 	}
 }
 
-// TestQuietPoolTakesABurst: the few requests of a quiet time say nothing of how many
-// a pool can run. It failed when only what drained lately counted.
-func TestQuietPoolTakesABurst(t *testing.T) {
-	s := discovered(2, 5)
+// TestIdlePoolAcceptsBurst guards against estimating the capacity from recent throughput,
+// which is low in an idle pool.
+func TestIdlePoolAcceptsBurst(t *testing.T) {
+	s := discoveredPool(2, 5)
 	now := event.Time(0)
 	for i := range runTimeSamples + 1 {
 		var out event.Effects
-		s.Step(now, call(i, nil), &out)
+		s.Step(now, submission(i, nil), &out)
 		now = now.Add(500 * event.Millisecond)
 		for _, g := range out.Grants {
 			s.Step(now, &event.Finished{ID: g.ID, Pool: pool, FirstAfter: event.Millisecond}, &out)
@@ -303,21 +302,21 @@
 	}
 	var out event.Effects
 	for i := range 20 {
-		s.Step(now, call(1000+i, nil), &out)
+		s.Step(now, submission(1000+i, nil), &out)
 	}
 	if len(out.Refusals) != 0 || len(out.Grants) != 10 {
-		t.Errorf("%d refused and %d granted, want 10 at once and 10 after half a second", len(out.Refusals), len(out.Grants))
+		t.Errorf("%d refused and %d granted, want 10 granted and none refused", len(out.Refusals), len(out.Grants))
 	}
 }
 
-func TestLeastOutstandingIsTheBaseline(t *testing.T) {
+func TestLeastOutstandingBalancesByCount(t *testing.T) {
 	s := New(0, event.Pool{Name: pool, MaxWaiting: 100, Discovered: true, LeastOutstanding: true}, 1)
 	var out event.Effects
 	for _, id := range []event.EndpointID{"a", "b"} {
 		s.Step(0, &event.EndpointSeen{Endpoint: event.Endpoint{ID: id, Concurrency: 4, Speed: 1}, Address: "10.0.0.1:80"}, &out)
 	}
 	for i := range 8 {
-		s.Step(0, call(i, nil), &out)
+		s.Step(0, submission(i, nil), &out)
 	}
 	for i, g := range out.Grants {
 		if want := []event.EndpointID{"a", "b"}[i%2]; g.Endpoint != want {
@@ -326,10 +325,11 @@
 	}
 }
 
-// TestFullWorthGoesFirst: within a rank a stream that is resumed goes first, then what
-// can be in time at its first try, then what was refused before, and what is late.
-func TestFullWorthGoesFirst(t *testing.T) {
-	s := discovered(1, 1)
+// TestPrecedenceWithinRank checks the order within a rank: resumed streams, requests that
+// can meet their target on the first attempt, then late requests and those refused
+// before.
+func TestPrecedenceWithinRank(t *testing.T) {
+	s := discoveredPool(1, 1)
 	var out event.Effects
 	patient := func(change func(*event.Ticket)) func(*event.Ticket) {
 		return func(k *event.Ticket) {
@@ -339,11 +339,11 @@
 			}
 		}
 	}
-	s.Step(0, call(0, nil), &out)
-	s.Step(0, call(1, patient(func(k *event.Ticket) { k.Target = 100 * event.Millisecond })), &out)
-	s.Step(0, call(2, patient(func(k *event.Ticket) { k.Returned = true })), &out)
-	s.Step(0, call(3, patient(nil)), &out)
-	s.Step(0, call(4, patient(func(k *event.Ticket) { k.Placed = true })), &out)
+	s.Step(0, submission(0, nil), &out)
+	s.Step(0, submission(1, patient(func(k *event.Ticket) { k.Target = 100 * event.Millisecond })), &out)
+	s.Step(0, submission(2, patient(func(k *event.Ticket) { k.Returned = true })), &out)
+	s.Step(0, submission(3, patient(nil)), &out)
+	s.Step(0, submission(4, patient(func(k *event.Ticket) { k.Placed = true })), &out)
 	now := event.Time(200 * event.Millisecond)
 	s.Step(now, &event.Tick{}, &out)
 	want := []event.RequestID{"r4", "r3", "r1", "r2"}
@@ -358,14 +358,14 @@
 	}
 }
 
-// TestForecastCountsTimeNotRequests: a queue of short requests drains sooner than one
-// of as many long ones.
-func TestForecastCountsTimeNotRequests(t *testing.T) {
+// TestExpectedWaitCountsRunTime checks that a queue of short requests is expected to
+// drain sooner than one of as many long ones.
+func TestExpectedWaitCountsRunTime(t *testing.T) {
 	refused := func(tokens int) int {
-		s := discovered(1, 4)
+		s := discoveredPool(1, 4)
 		var out event.Effects
 		for i := range 40 {
-			s.Step(0, call(i, func(k *event.Ticket) { k.OutputTokens = tokens }), &out)
+			s.Step(0, submission(i, func(k *event.Ticket) { k.OutputTokens = tokens }), &out)
 		}
 		return len(out.Refusals)
 	}
@@ -374,37 +374,36 @@
 	}
 }
 
-// TestUnusedGrantLeavesItsEndpointAsItIs: an endpoint that did not take a request is
-// left alone for a while, one that was not offered it is not.
-func TestUnusedGrantLeavesItsEndpointAsItIs(t *testing.T) {
+// TestUnusedGrantCausesNoBackoff checks that only an endpoint that was offered a request
+// and did not take it backs off.
+func TestUnusedGrantCausesNoBackoff(t *testing.T) {
 	for _, unused := range []bool{true, false} {
-		s := discovered(1, 1)
+		s := discoveredPool(1, 1)
 		var out event.Effects
-		s.Step(0, call(1, nil), &out)
+		s.Step(0, submission(1, nil), &out)
 		s.Step(0, &event.Finished{ID: "r1", Pool: pool, Void: true, Unused: unused}, &out)
 		out.Reset()
-		s.Step(0, call(2, nil), &out)
+		s.Step(0, submission(2, nil), &out)
 		if got := len(out.Grants) == 1; got != unused {
-			t.Errorf("unused %v: granted again at once: %v", unused, got)
+			t.Errorf("unused %v: granted without backoff: %v", unused, got)
 		}
 	}
 }
 
-// TestUnsureEndpointGetsOneRequestOnANewConnection: until an endpoint that failed has
-// served again, no more than one request is at stake there, and on a connection whose
-// failure tells that nothing was sent.
-func TestUnsureEndpointGetsOneRequestOnANewConnection(t *testing.T) {
-	s := discovered(1, 4)
+// TestHalfOpenEndpointGetsOneRequest checks that an endpoint that failed gets one request
+// at a time, on a new connection, until it has served again.
+func TestHalfOpenEndpointGetsOneRequest(t *testing.T) {
+	s := discoveredPool(1, 4)
 	seen := &event.EndpointSeen{
 		Endpoint: event.Endpoint{ID: "e0000", Concurrency: 4, Speed: 1}, Address: "10.0.0.1:80", Unsure: true,
 	}
 	var out event.Effects
 	s.Step(0, seen, &out)
 	for i := range 4 {
-		s.Step(0, call(i, nil), &out)
+		s.Step(0, submission(i, nil), &out)
 	}
 	if len(out.Grants) != 1 || !out.Grants[0].Fresh {
-		t.Fatalf("grants %+v, want one that asks for a new connection", out.Grants)
+		t.Fatalf("grants %+v, want one on a new connection", out.Grants)
 	}
 	out.Reset()
 	seen.Unsure = false
--- a/sched/length.go
+++ b/sched/length.go
@@ -12,7 +12,7 @@
 )
 
 // outputLength estimates the ratio of a service's output tokens to those its
-// callers announce. The zero value expects a ratio of 1.
+// callers request. The zero value expects a ratio of 1.
 type outputLength struct {
 	ratio   float64
 	samples int
@@ -28,13 +28,13 @@
 	return l
 }
 
-// observe adds an answer with its tokens and the announced number. It ignores
+// observe adds an answer with its tokens and the requested number. It ignores
 // answers for which either is unknown.
-func (l *outputLength) observe(tokens, allowed int) {
-	if tokens == 0 || allowed == 0 {
+func (l *outputLength) observe(tokens, requested int) {
+	if tokens == 0 || requested == 0 {
 		return
 	}
-	ratio := min(maxLengthRatio, float64(tokens)/float64(allowed))
+	ratio := min(maxLengthRatio, float64(tokens)/float64(requested))
 	l.samples++
 	if l.samples == 1 {
 		l.ratio = ratio
@@ -48,9 +48,9 @@
 func (l *outputLength) hasEnoughSamples() bool { return l.samples >= minLengthSamples }
 
 // estimate returns the expected output tokens of an answer.
-func (l *outputLength) estimate(allowed int) int {
-	if !l.hasEnoughSamples() || allowed == 0 {
-		return allowed
+func (l *outputLength) estimate(requested int) int {
+	if !l.hasEnoughSamples() || requested == 0 {
+		return requested
 	}
-	return max(1, int(l.ratio*float64(allowed)))
+	return max(1, int(l.ratio*float64(requested)))
 }
--- a/sched/limit_test.go
+++ b/sched/limit_test.go
@@ -8,10 +8,10 @@
 	"lynxramp.org/event"
 )
 
-// TestLimitsOfAllEndpointsAreForecast: where all endpoints name a limit, what they can't take in time is refused
-// early, with when to come back, and what they can is served.
-func TestLimitsOfAllEndpointsAreForecast(t *testing.T) {
-	s := discovered(3, 10)
+// TestRefusesBeyondRateLimits checks that requests beyond the endpoints' rate limits are refused early, with a
+// Retry-After, and that the limits are used up.
+func TestRefusesBeyondRateLimits(t *testing.T) {
+	s := discoveredPool(3, 10)
 	var out event.Effects
 	for i := range s.endpoints {
 		e := s.endpoints[i].Endpoint
@@ -22,7 +22,7 @@
 	const length = 20 * event.Second
 	for now, id := event.Time(0), 0; now < event.Time(length); now = now.Add(20 * event.Millisecond) {
 		out.Reset()
-		one := call(id, func(k *event.Ticket) { k.Patience = 500 * event.Millisecond })
+		one := submission(id, func(k *event.Ticket) { k.Patience = 500 * event.Millisecond })
 		asked[one.Ticket.ID] = now
 		s.Step(now, one, &out)
 		id++
@@ -30,14 +30,14 @@
 		for _, g := range out.Grants {
 			granted++
 			if !g.Paced {
-				t.Fatal("a grant of a limited endpoint is not spent from its limit")
+				t.Fatal("a grant to a rate-limited endpoint did not use its limit")
 			}
 			s.Step(now, &event.Finished{ID: g.ID, Tokens: 50}, &out)
 		}
 		for _, r := range out.Refusals {
 			refused++
 			if r.RetryAfter < MinRetryAfter {
-				t.Errorf("refused with %v", r.RetryAfter)
+				t.Errorf("refused with Retry-After %v", r.RetryAfter)
 			}
 			if now.Sub(asked[r.ID]) > 600*event.Millisecond {
 				late++
@@ -52,10 +52,9 @@
 	}
 }
 
-// TestUnusedGrantIsGivenBackToItsLimit: an endpoint that takes a request each ten seconds loses none to a caller
-// that left.
-func TestUnusedGrantIsGivenBackToItsLimit(t *testing.T) {
-	s := discovered(1, 10)
+// TestUnusedGrantRefundsRateLimit guards against losing part of a low rate limit to callers that left.
+func TestUnusedGrantRefundsRateLimit(t *testing.T) {
+	s := discoveredPool(1, 10)
 	var out event.Effects
 	seen := &event.EndpointSeen{Endpoint: s.endpoints[0].Endpoint, Address: "10.0.0.1:80", Limited: true, Limit: 0.1}
 	s.Step(0, seen, &out)
@@ -63,7 +62,7 @@
 	s.Step(now, &event.Tick{}, &out)
 	for i := range 3 {
 		out.Reset()
-		s.Step(now, call(i, nil), &out)
+		s.Step(now, submission(i, nil), &out)
 		if len(out.Grants) != 1 {
 			t.Fatalf("request %d: %d grants", i, len(out.Grants))
 		}
@@ -71,13 +70,14 @@
 	}
 }
 
-// TestNewPoolRefusesNothingForItsPart: a pool that begins, which may spend nothing yet, keeps what can be in time.
-func TestNewPoolRefusesNothingForItsPart(t *testing.T) {
-	s := discovered(1, 10)
+// TestNewPoolKeepsRequestsWithoutLimitShare guards against refusing requests in a new pool that has no share of
+// the rate limits yet.
+func TestNewPoolKeepsRequestsWithoutLimitShare(t *testing.T) {
+	s := discoveredPool(1, 10)
 	var out event.Effects
 	s.Step(0, &event.PartChanged{}, &out)
 	s.Step(0, &event.EndpointSeen{Endpoint: s.endpoints[0].Endpoint, Address: "10.0.0.1:80", Limited: true, Limit: 1e300}, &out)
-	s.Step(0, call(1, nil), &out)
+	s.Step(0, submission(1, nil), &out)
 	if len(out.Refusals)+len(out.Grants) != 0 {
 		t.Fatalf("grants %+v, refusals %+v", out.Grants, out.Refusals)
 	}
@@ -88,32 +88,32 @@
 	}
 }
 
-// TestLimitedEndpointsServeMoreThanGoneOnes: a load that some endpoints can take little of is served better than the
-// same load without them.
-func TestLimitedEndpointsServeMoreThanGoneOnes(t *testing.T) {
+// TestRateLimitedEndpointsBeatRemovedOnes checks that rate-limited endpoints add to the value served.
+func TestRateLimitedEndpointsBeatRemovedOnes(t *testing.T) {
 	for _, limited := range []int{7, 9} {
-		play := func(limit float64) *loadResult {
-			return playSeeds(3, func(l *load) {
-				l.endpoints, l.usual, l.burst, l.length = 18, 0.7, 1, event.Time(20*event.Second)
+		simulate := func(limit float64) *loadResult {
+			return runSeeds(3, func(l *load) {
+				l.endpoints, l.baseLoad, l.burst, l.length = 18, 0.7, 1, event.Time(20*event.Second)
 				l.limited, l.limit = limited, limit
 			})
 		}
-		gone, some, more := play(-1), play(1.1), play(2.5)
-		t.Logf("%d endpoints gone: %v", limited, gone)
-		t.Logf("1.1 a second: %v", some)
-		t.Logf("2.5 a second: %v", more)
-		if some.share() <= gone.share() || more.share() <= some.share() {
-			t.Errorf("%d endpoints: worth %.3f gone, %.3f with 1.1 a second, %.3f with 2.5", limited, gone.share(), some.share(), more.share())
+		removed, low, high := simulate(-1), simulate(1.1), simulate(2.5)
+		t.Logf("%d endpoints removed: %v", limited, removed)
+		t.Logf("1.1 a second: %v", low)
+		t.Logf("2.5 a second: %v", high)
+		if low.earnedShare() <= removed.earnedShare() || high.earnedShare() <= low.earnedShare() {
+			t.Errorf("%d endpoints: value %.3f removed, %.3f at 1.1 a second, %.3f at 2.5", limited, removed.earnedShare(), low.earnedShare(), high.earnedShare())
 		}
-		if n := gone.held + some.held + more.held; n > 0 {
-			t.Errorf("%d callers were held until their time was over", n)
+		if n := removed.timedOut + low.timedOut + high.timedOut; n > 0 {
+			t.Errorf("%d requests waited until their deadline", n)
 		}
 	}
 }
 
-// TestLongRequestsGoToLimitedEndpoints: a limit counts requests, so that short ones are better sent elsewhere.
-func TestLongRequestsGoToLimitedEndpoints(t *testing.T) {
-	s := discovered(2, 10)
+// TestLongRequestsPreferRateLimitedEndpoints checks that short requests go elsewhere, as a rate limit counts
+// requests.
+func TestLongRequestsPreferRateLimitedEndpoints(t *testing.T) {
+	s := discoveredPool(2, 10)
 	var out event.Effects
 	s.Step(0, &event.EndpointSeen{Endpoint: s.byID["e0000"].Endpoint, Address: "10.0.0.1:80", Limited: true, Limit: 20}, &out)
 	at := make(map[bool]map[event.EndpointID]int)
@@ -125,7 +125,7 @@
 		long := i%4 == 0
 		out.Reset()
 		s.Step(now, &event.Tick{}, &out)
-		s.Step(now, call(i, func(k *event.Ticket) {
+		s.Step(now, submission(i, func(k *event.Ticket) {
 			if long {
 				k.PromptTokens, k.OutputTokens = 2000, 200
 			}
@@ -136,6 +136,6 @@
 		}
 	}
 	if at[true]["e0000"] < 40 || at[false]["e0001"] < 120 {
-		t.Errorf("long ones went to %v, short ones to %v; e0000 is limited", at[true], at[false])
+		t.Errorf("long requests went to %v, short ones to %v; e0000 is rate-limited", at[true], at[false])
 	}
 }
--- a/sched/load_test.go
+++ b/sched/load_test.go
@@ -12,151 +12,152 @@
 	"lynxramp.org/event"
 )
 
-// This file replays the worst load in simulated time: callers of three kinds before endpoints
-// of three speeds, a burst of twice the usual for some seconds while a quarter of the endpoints
-// takes no new work and one team sends many times its usual. Lengths of answers differ by a hundred
-// times, callers guess them, and who is refused comes back once.
+// This file simulates overload: three kinds of requests, endpoints of three speeds, a
+// burst of twice the base load while a quarter of the endpoints is down and one team
+// sends more than its share. Callers estimate the lengths of their answers and retry once
+// when refused.
 
 // loadKind is a kind of request.
 type loadKind struct {
-	rank                       int
-	perSecond                  float64 // usual, for each 54 endpoints
-	prompt, output             float64 // mean tokens
-	most                       int     // output tokens
-	target, deadline           event.Span
-	worth, lateWorth           float64
-	spreadPrompt, spreadOutput float64 // deviation of the logarithm
+	rank                     int
+	perSecond                float64 // at a base load of 1 and 54 endpoints
+	prompt, output           float64 // mean tokens
+	maxOutput                int     // output tokens
+	target, deadline         event.Span
+	value, lateValue         float64
+	promptSigma, outputSigma float64 // standard deviation of the logarithm
 }
 
 var loadKinds = [...]loadKind{
-	{rank: 0, perSecond: 84, prompt: 6670, output: 384, most: 3840, target: 800 * event.Millisecond, deadline: 15 * event.Second, worth: 9, lateWorth: 2.7, spreadPrompt: 1, spreadOutput: 1.3},
-	{rank: -1, perSecond: 215, prompt: 690, output: 294, most: 2940, target: 800 * event.Millisecond, deadline: 15 * event.Second, worth: 1.1, lateWorth: 0.33, spreadPrompt: 0.8, spreadOutput: 1.3},
-	{rank: -2, perSecond: 123, prompt: 1860, output: 24, most: 228, target: 1500 * event.Millisecond, deadline: 3 * event.Second, worth: 0.3, lateWorth: 0.09, spreadPrompt: 0.9, spreadOutput: 1.3},
+	{rank: 0, perSecond: 84, prompt: 6670, output: 384, maxOutput: 3840, target: 800 * event.Millisecond, deadline: 15 * event.Second, value: 9, lateValue: 2.7, promptSigma: 1, outputSigma: 1.3},
+	{rank: -1, perSecond: 215, prompt: 690, output: 294, maxOutput: 2940, target: 800 * event.Millisecond, deadline: 15 * event.Second, value: 1.1, lateValue: 0.33, promptSigma: 0.8, outputSigma: 1.3},
+	{rank: -2, perSecond: 123, prompt: 1860, output: 24, maxOutput: 228, target: 1500 * event.Millisecond, deadline: 3 * event.Second, value: 0.3, lateValue: 0.09, promptSigma: 0.9, outputSigma: 1.3},
 }
 
-// load is what is replayed.
+// load has the parameters of a simulation.
 type load struct {
-	seed      uint64
-	endpoints int
-	usual     float64 // times what the places just serve
-	burst     float64 // times the usual, from 2 to 7 s
-	length    event.Time
-	guess     float64 // deviation of the logarithm of guess over length
-	baseline  bool    // placed where the fewest run, in the order of arrival
-	// limited is how many endpoints name a limit of limit requests a second, or are away all the time if limit is
-	// below 0; no others are lost then.
+	seed       uint64
+	endpoints  int
+	baseLoad   float64 // relative to the capacity
+	burst      float64 // relative to the base load, from 2 to 7 s
+	length     event.Time
+	guessSigma float64 // standard deviation of the logarithm of estimate over length
+	baseline   bool    // least outstanding requests, in the order of arrival
+	// limited is the number of endpoints with a rate limit, in requests per second. If
+	// limit is negative they are down during the whole simulation. If limited is not 0,
+	// no other endpoints go down.
 	limited int
 	limit   float64
 }
 
-// worstLoad is the load at its worst.
+// worstLoad returns the parameters of the overload.
 func worstLoad(seed uint64) load {
-	return load{seed: seed, endpoints: 54, usual: 0.85, burst: 2, length: event.Time(14 * event.Second), guess: 0.5}
+	return load{seed: seed, endpoints: 54, baseLoad: 0.85, burst: 2, length: event.Time(14 * event.Second), guessSigma: 0.5}
 }
 
 // loadRequest is one caller's request.
 type loadRequest struct {
-	kind   *loadKind
-	ticket event.Ticket
-	first  event.Time // its caller's first try
-	length int
-	share  float64 // of its kind's worth, by its size
-	long   bool    // of the tenth of its kind with the most tokens out
-	tries  int
-	placed bool
+	kind     *loadKind
+	ticket   event.Ticket
+	firstTry event.Time // time of its caller's first attempt
+	length   int
+	share    float64 // factor on its kind's value, by size
+	isLong   bool    // among the tenth of its kind with the longest answers
+	tries    int
+	placed   bool
 }
 
-// loadResult is what came of a replay.
+// loadResult has the totals of a simulation, by kind where it is an array.
 type loadResult struct {
-	owed, earned [len(loadKinds)]float64
-	owedLong     [len(loadKinds)]float64 // of that, what the longest tenth is owed
-	earnedLong   [len(loadKinds)]float64
-	held         int // left with their deadline over, neither placed nor told
-	refused      int
-	again        int     // refused at their second try
-	againWorth   float64 // of these
-	cut          int     // answers that their deadline cut
-	useless      float64 // place-seconds of these
-	placeSeconds float64
-}
-
-// share returns the part of what is owed that was earned, of all kinds.
-func (r *loadResult) share() float64 {
+	possible, earned  [len(loadKinds)]float64
+	possibleLong      [len(loadKinds)]float64 // part of possible from the longest tenth
+	earnedLong        [len(loadKinds)]float64
+	timedOut          int // deadline passed, neither granted nor refused before
+	refused           int
+	refusedTwice      int     // refused on the second attempt
+	refusedTwiceValue float64 // sum of their values
+	cutOff            int     // answers cut off by the deadline
+	wastedSeconds     float64 // run time of these
+	runSeconds        float64
+}
+
+// earnedShare returns the ratio of earned to possible value over all kinds.
+func (r *loadResult) earnedShare() float64 {
 	owed, earned := 0.0, 0.0
-	for i := range r.owed {
-		owed += r.owed[i]
+	for i := range r.possible {
+		owed += r.possible[i]
 		earned += r.earned[i]
 	}
 	return earned / owed
 }
 
 func (r *loadResult) add(o *loadResult) {
-	for i := range r.owed {
-		r.owed[i] += o.owed[i]
+	for i := range r.possible {
+		r.possible[i] += o.possible[i]
 		r.earned[i] += o.earned[i]
-		r.owedLong[i] += o.owedLong[i]
+		r.possibleLong[i] += o.possibleLong[i]
 		r.earnedLong[i] += o.earnedLong[i]
 	}
-	r.held += o.held
+	r.timedOut += o.timedOut
 	r.refused += o.refused
-	r.again += o.again
-	r.againWorth += o.againWorth
-	r.cut += o.cut
-	r.useless += o.useless
-	r.placeSeconds += o.placeSeconds
+	r.refusedTwice += o.refusedTwice
+	r.refusedTwiceValue += o.refusedTwiceValue
+	r.cutOff += o.cutOff
+	r.wastedSeconds += o.wastedSeconds
+	r.runSeconds += o.runSeconds
 }
 
-// worst returns the smallest part of what a kind of request, or its longest answers, is owed
-// that was earned.
-func (r *loadResult) worst() float64 {
+// worstShare returns the smallest ratio of earned to possible value among the kinds and
+// their longest answers.
+func (r *loadResult) worstShare() float64 {
 	worst := 1.0
-	for i := range r.owed {
-		worst = min(worst, r.earned[i]/r.owed[i], r.earnedLong[i]/r.owedLong[i])
+	for i := range r.possible {
+		worst = min(worst, r.earned[i]/r.possible[i], r.earnedLong[i]/r.possibleLong[i])
 	}
 	return worst
 }
 
 func (r *loadResult) String() string {
 	owed := 0.0
-	for i := range r.owed {
-		owed += r.owed[i]
+	for i := range r.possible {
+		owed += r.possible[i]
 	}
-	text := fmt.Sprintf("worth %.3f, worst %.3f, again %.3f, of kinds", r.share(), r.worst(), r.againWorth/owed)
-	for i := range r.owed {
-		text += fmt.Sprintf(" %.3f (longest %.3f)", r.earned[i]/r.owed[i], r.earnedLong[i]/r.owedLong[i])
+	text := fmt.Sprintf("value %.3f, worst %.3f, refused twice %.3f, by kind", r.earnedShare(), r.worstShare(), r.refusedTwiceValue/owed)
+	for i := range r.possible {
+		text += fmt.Sprintf(" %.3f (longest %.3f)", r.earned[i]/r.possible[i], r.earnedLong[i]/r.possibleLong[i])
 	}
-	return text + fmt.Sprintf(", held %d, refused %d, again %d, cut %d, useless place-seconds %.1f %%",
-		r.held, r.refused, r.again, r.cut, 100*r.useless/r.placeSeconds)
+	return text + fmt.Sprintf(", timed out %d, refused %d, refused twice %d, cut off %d, wasted run time %.1f %%",
+		r.timedOut, r.refused, r.refusedTwice, r.cutOff, 100*r.wastedSeconds/r.runSeconds)
 }
 
-// replay plays a load on a scheduler.
+// replay simulates a load on a scheduler.
 type replay struct {
 	load     load
 	random   *rand.Rand
 	s        *State
 	now      event.Time
-	todo     todoHeap
-	order    int
+	timers   timerHeap
+	seq      int
 	requests map[event.RequestID]*loadRequest
 	engines  map[event.EndpointID]*loadEngine
 	result   loadResult
 }
 
-type todo struct {
-	at    event.Time
-	order int
-	do    func()
+type timer struct {
+	at  event.Time
+	seq int
+	do  func()
 }
 
-type todoHeap []todo
+type timerHeap []timer
 
-func (h todoHeap) Len() int { return len(h) }
-func (h todoHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+func (h timerHeap) Len() int { return len(h) }
+func (h timerHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (h todoHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *todoHeap) Push(x any)   { *h = append(*h, x.(todo)) }
-func (h *todoHeap) Pop() any {
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)   { *h = append(*h, x.(timer)) }
+func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -164,8 +165,8 @@
 }
 
 func (r *replay) at(t event.Time, do func()) {
-	r.order++
-	heap.Push(&r.todo, todo{at: t, order: r.order, do: do})
+	r.seq++
+	heap.Push(&r.timers, timer{at: t, seq: r.seq, do: do})
 }
 
 func (r *replay) step(e event.Event) {
@@ -179,8 +180,8 @@
 	}
 }
 
-// playLoad returns what came of a load.
-func playLoad(l load) *loadResult {
+// runLoad simulates a load and returns its totals.
+func runLoad(l load) *loadResult {
 	r := &replay{
 		load: l, random: rand.New(rand.NewPCG(l.seed, 7)), requests: make(map[event.RequestID]*loadRequest),
 		engines: make(map[event.EndpointID]*loadEngine),
@@ -189,25 +190,25 @@
 		}, LeastOutstanding: l.baseline}, l.seed),
 	}
 	for i := range l.endpoints {
-		r.seeEndpoint(i, false)
+		r.updateEndpoint(i, false)
 	}
 	if l.limited == 0 {
-		r.at(event.Time(3*event.Second), func() { r.lose(true) })
-		r.at(event.Time(6*event.Second), func() { r.lose(false) })
+		r.at(event.Time(3*event.Second), func() { r.setQuarterDown(true) })
+		r.at(event.Time(6*event.Second), func() { r.setQuarterDown(false) })
 	}
 	for i := range loadKinds {
-		r.arrive(&loadKinds[i], 0)
+		r.scheduleArrival(&loadKinds[i], 0)
 	}
 	r.tick()
-	for len(r.todo) > 0 {
-		next := heap.Pop(&r.todo).(todo)
+	for len(r.timers) > 0 {
+		next := heap.Pop(&r.timers).(timer)
 		r.now = next.at
 		next.do()
 	}
 	return &r.result
 }
 
-// loadSpeeds are how much slower than the fastest the thirds of the endpoints are.
+// loadSpeeds are the slowness factors of the endpoints, in turn.
 var loadSpeeds = [...]float64{0.55, 1, 2.8}
 
 func loadEndpoint(i int) event.EndpointID { return event.EndpointID(fmt.Sprintf("e%03d", i)) }
@@ -218,18 +219,19 @@
 	return loadSpeeds[n%len(loadSpeeds)]
 }
 
-func (r *replay) seeEndpoint(i int, down bool) {
+func (r *replay) updateEndpoint(i int, down bool) {
 	r.step(&event.EndpointSeen{
 		Endpoint: event.Endpoint{ID: loadEndpoint(i), Concurrency: 10, Speed: 1}, Address: "10.0.0.1:80", Down: down || i < r.load.limited && r.load.limit < 0,
 		Limited: i < r.load.limited && r.load.limit > 0, Limit: r.load.limit,
 	})
 }
 
-// lose has a quarter of the endpoints fall silent, or come back. What runs there goes on.
-func (r *replay) lose(down bool) {
+// setQuarterDown marks a quarter of the endpoints as down or up. Running requests
+// continue.
+func (r *replay) setQuarterDown(down bool) {
 	for i := range r.load.endpoints {
 		if i%4 == 1 {
-			r.seeEndpoint(i, down)
+			r.updateEndpoint(i, down)
 		}
 	}
 }
@@ -241,9 +243,9 @@
 	}
 }
 
-// arrive has a caller of a kind come, and the next one after it.
-func (r *replay) arrive(kind *loadKind, at event.Time) {
-	rate := r.load.usual * kind.perSecond * float64(r.load.endpoints) / 54
+// scheduleArrival schedules the next request of a kind and the ones after it.
+func (r *replay) scheduleArrival(kind *loadKind, at event.Time) {
+	rate := r.load.baseLoad * kind.perSecond * float64(r.load.endpoints) / 54
 	if at >= event.Time(2*event.Second) && at < event.Time(7*event.Second) {
 		rate *= r.load.burst
 	}
@@ -253,101 +255,102 @@
 	}
 	r.at(at, func() {
 		r.submit(r.newRequest(kind))
-		r.arrive(kind, r.now)
+		r.scheduleArrival(kind, r.now)
 	})
 }
 
-// logNormal returns a number of a mean, whose logarithm has a deviation.
+// logNormal draws from a log-normal distribution with the given mean and standard
+// deviation of the logarithm.
 func (r *replay) logNormal(mean, deviation float64) float64 {
 	return mean * math.Exp(r.random.NormFloat64()*deviation-deviation*deviation/2)
 }
 
 func (r *replay) newRequest(kind *loadKind) *loadRequest {
-	prompt := max(60, int(r.logNormal(kind.prompt, kind.spreadPrompt)))
-	length := min(kind.most, max(6, int(r.logNormal(kind.output, kind.spreadOutput))))
-	guess := min(kind.most, max(1, int(r.logNormal(float64(length), r.load.guess)*math.Exp(r.load.guess*r.load.guess/2))))
+	prompt := max(60, int(r.logNormal(kind.prompt, kind.promptSigma)))
+	length := min(kind.maxOutput, max(6, int(r.logNormal(kind.output, kind.outputSigma))))
+	guess := min(kind.maxOutput, max(1, int(r.logNormal(float64(length), r.load.guessSigma)*math.Exp(r.load.guessSigma*r.load.guessSigma/2))))
 	team := r.random.IntN(16)
 	if r.now >= event.Time(4*event.Second) && r.now < event.Time(9*event.Second) && r.random.IntN(4) == 0 {
 		team = 0
 	}
-	k := &loadRequest{kind: kind, first: r.now, length: length}
+	k := &loadRequest{kind: kind, firstTry: r.now, length: length}
 	size := float64(prompt) + 10*float64(length)
 	k.share = min(4, 0.3+0.7*size/(kind.prompt+10*kind.output))
-	k.long = float64(length) > kind.output*2.4
+	k.isLong = float64(length) > kind.output*2.4
 	k.ticket = event.Ticket{
 		Team: fmt.Sprintf("t%02d", team), Rank: kind.rank, Service: pool, Pool: pool, PromptTokens: prompt, OutputTokens: guess,
 	}
-	i := r.index(kind)
-	r.result.owed[i] += kind.worth * k.share
-	if k.long {
-		r.result.owedLong[i] += kind.worth * k.share
+	i := r.kindIndex(kind)
+	r.result.possible[i] += kind.value * k.share
+	if k.isLong {
+		r.result.possibleLong[i] += kind.value * k.share
 	}
 	return k
 }
 
-func (r *replay) index(kind *loadKind) int {
+func (r *replay) kindIndex(kind *loadKind) int {
 	for i := range loadKinds {
 		if &loadKinds[i] == kind {
 			return i
 		}
 	}
-	panic("no such kind")
+	panic("unknown kind")
 }
 
-// submit sends a caller's try.
+// submit sends one attempt of a request.
 func (r *replay) submit(k *loadRequest) {
 	k.tries++
-	r.order++
-	k.ticket.ID = event.RequestID(fmt.Sprintf("r%d", r.order))
-	k.ticket.Deadline = k.first.Add(k.kind.deadline).Sub(r.now)
+	r.seq++
+	k.ticket.ID = event.RequestID(fmt.Sprintf("r%d", r.seq))
+	k.ticket.Deadline = k.firstTry.Add(k.kind.deadline).Sub(r.now)
 	k.ticket.Target = k.kind.target
 	k.ticket.Returned = k.tries > 1
 	k.ticket.Patience = min(k.ticket.Deadline/2, k.kind.target*9/10)
 	r.requests[k.ticket.ID] = k
 	id := k.ticket.ID
-	r.at(k.first.Add(k.kind.deadline), func() { r.leave(id) })
+	r.at(k.firstTry.Add(k.kind.deadline), func() { r.abandon(id) })
 	r.step(&event.Submitted{Entry: "entry", Ticket: k.ticket})
 }
 
-// leave has a caller go whose time is over.
-func (r *replay) leave(id event.RequestID) {
+// abandon withdraws a request whose deadline has passed.
+func (r *replay) abandon(id event.RequestID) {
 	if k, ok := r.requests[id]; ok && !k.placed {
 		delete(r.requests, id)
-		r.result.held++
+		r.result.timedOut++
 		r.step(&event.Withdrawn{Entry: "entry", ID: id, Pool: pool})
 	}
 }
 
-// refused has a caller come back once, when it was told to, within a third of its time.
+// refused retries a request once, after Retry-After but within a third of the time left.
 func (r *replay) refused(f event.Refused) {
 	k := r.requests[f.ID]
 	delete(r.requests, f.ID)
 	if f.Reason == event.ReasonDeadline {
-		r.result.held++
+		r.result.timedOut++
 		return
 	}
 	r.result.refused++
 	if k.tries > 1 {
-		r.result.again++
-		r.result.againWorth += k.kind.worth * k.share
+		r.result.refusedTwice++
+		r.result.refusedTwiceValue += k.kind.value * k.share
 		return
 	}
-	left := k.first.Add(k.kind.deadline).Sub(r.now)
+	left := k.firstTry.Add(k.kind.deadline).Sub(r.now)
 	r.at(r.now.Add(min(f.RetryAfter, left/3)), func() { r.submit(k) })
 }
 
-// loadEngine is an endpoint of ten places; what comes beyond them waits there.
+// loadEngine simulates an endpoint that runs ten requests at once and queues the others.
 type loadEngine struct {
-	slowness float64
-	running  int
-	waiting  []func()
-	reading  event.Time // until when prompts are read
+	slowness     float64
+	running      int
+	waiting      []func()
+	prefillUntil event.Time // end of the last prefill
 }
 
 const (
-	loadPlaces = 10
-	// loadWay is how long a word takes from an endpoint to the owner, by its entry, or back.
-	loadWay = 4 * event.Millisecond
+	loadCapacity = 10
+	// loadLatency is the one-way latency between an endpoint and the owner.
+	loadLatency = 4 * event.Millisecond
 )
 
 func (r *replay) granted(g event.Granted) {
@@ -359,9 +362,9 @@
 		r.engines[g.Endpoint] = e
 	}
 	granted := r.now
-	r.at(r.now.Add(loadWay), func() {
+	r.at(r.now.Add(loadLatency), func() {
 		run := func() { r.run(e, k, g.ID, granted) }
-		if e.running == loadPlaces {
+		if e.running == loadCapacity {
 			e.waiting = append(e.waiting, run)
 			return
 		}
@@ -369,25 +372,25 @@
 	})
 }
 
-// run has an engine begin with a request.
+// run starts a request on an engine.
 func (r *replay) run(e *loadEngine, k *loadRequest, id event.RequestID, granted event.Time) {
 	e.running++
 	read := event.Span(float64(k.ticket.PromptTokens) / 56600 * e.slowness * float64(event.Second))
-	begin := max(r.now, e.reading).Add(read + 16*event.Millisecond)
-	e.reading = begin
+	begin := max(r.now, e.prefillUntil).Add(read + 16*event.Millisecond)
+	e.prefillUntil = begin
 	gap := event.Span(5.5 * e.slowness * float64(event.Millisecond))
-	deadline := k.first.Add(k.kind.deadline)
+	deadline := k.firstTry.Add(k.kind.deadline)
 	end := begin.Add(gap * event.Span(k.length))
 	if begin < deadline {
-		r.at(begin.Add(loadWay), func() { r.step(&event.Begun{ID: id, Pool: pool, After: r.now.Sub(granted)}) })
+		r.at(begin.Add(loadLatency), func() { r.step(&event.Begun{ID: id, Pool: pool, After: r.now.Sub(granted)}) })
 	}
 	r.at(min(end, deadline), func() {
 		e.free()
-		r.at(r.now.Add(loadWay), func() { r.end(id, k, granted, begin, gap, end <= deadline) })
+		r.at(r.now.Add(loadLatency), func() { r.finish(id, k, granted, begin, gap, end <= deadline) })
 	})
 }
 
-// free gives a place to who waits at the engine.
+// free ends a request and starts the next one queued at the engine.
 func (e *loadEngine) free() {
 	e.running--
 	if len(e.waiting) > 0 {
@@ -397,73 +400,72 @@
 	}
 }
 
-func (r *replay) end(id event.RequestID, k *loadRequest, granted, begin event.Time, gap event.Span, whole bool) {
+func (r *replay) finish(id event.RequestID, k *loadRequest, granted, begin event.Time, gap event.Span, whole bool) {
 	delete(r.requests, id)
 	f := &event.Finished{ID: id, Pool: pool, Tokens: k.length, FirstAfter: begin.Sub(granted), TokenGap: gap, Failed: !whole}
-	r.result.placeSeconds += r.now.Sub(granted).Seconds()
+	r.result.runSeconds += r.now.Sub(granted).Seconds()
 	if !whole {
 		f.Tokens = int(max(0, r.now.Sub(begin)) / gap)
-		r.result.cut++
-		r.result.useless += r.now.Sub(granted).Seconds()
+		r.result.cutOff++
+		r.result.wastedSeconds += r.now.Sub(granted).Seconds()
 		r.step(f)
 		return
 	}
-	worth := k.kind.worth
-	if begin.Sub(k.first) > k.kind.target {
-		worth = k.kind.lateWorth
+	worth := k.kind.value
+	if begin.Sub(k.firstTry) > k.kind.target {
+		worth = k.kind.lateValue
 	}
-	i := r.index(k.kind)
+	i := r.kindIndex(k.kind)
 	r.result.earned[i] += worth * k.share
-	if k.long {
+	if k.isLong {
 		r.result.earnedLong[i] += worth * k.share
 	}
 	r.step(f)
 }
 
-// playSeeds plays the worst load with several seeds.
-func playSeeds(seeds int, change func(*load)) *loadResult {
+// runSeeds sums the results of the overload over several seeds.
+func runSeeds(seeds int, change func(*load)) *loadResult {
 	sum := &loadResult{}
 	for seed := range seeds {
 		l := worstLoad(uint64(seed))
 		if change != nil {
 			change(&l)
 		}
-		sum.add(playLoad(l))
+		sum.add(runLoad(l))
 	}
 	return sum
 }
 
-// TestNobodyIsHeldToTheEnd: under the worst load who gets no place is told so, and told in
-// time to come back.
-func TestNobodyIsHeldToTheEnd(t *testing.T) {
-	r := playSeeds(4, nil)
+// TestNoRequestWaitsUntilDeadline checks that under overload every request is granted or
+// refused before its deadline.
+func TestNoRequestWaitsUntilDeadline(t *testing.T) {
+	r := runSeeds(4, nil)
 	t.Log(r)
-	if r.held > 0 {
-		t.Errorf("%d callers were held until their time was over", r.held)
+	if r.timedOut > 0 {
+		t.Errorf("%d requests waited until their deadline", r.timedOut)
 	}
 }
 
-// TestWaysUnderTheWorstLoad compares, on the same seeds, the baseline that places each request
-// where the fewest run, the policy, and the policy with callers that know the lengths of their
-// answers or nothing of them: what more could be had by knowing, and what is lost where guesses
-// mislead.
-func TestWaysUnderTheWorstLoad(t *testing.T) {
+// TestPolicyBeatsBaselineUnderWorstLoad compares the scheduler with the least-outstanding
+// baseline on the same seeds, and checks that it neither depends on exact length
+// estimates nor is misleading by wrong ones.
+func TestPolicyBeatsBaselineUnderWorstLoad(t *testing.T) {
 	const seeds = 6
-	baseline := playSeeds(seeds, func(l *load) { l.baseline = true })
-	policy := playSeeds(seeds, nil)
-	known := playSeeds(seeds, func(l *load) { l.guess = 0.02 })
-	misled := playSeeds(seeds, func(l *load) { l.guess = 2 })
+	baseline := runSeeds(seeds, func(l *load) { l.baseline = true })
+	policy := runSeeds(seeds, nil)
+	exact := runSeeds(seeds, func(l *load) { l.guessSigma = 0.02 })
+	misleading := runSeeds(seeds, func(l *load) { l.guessSigma = 2 })
 	t.Log("least outstanding:", baseline)
 	t.Log("policy:", policy)
-	t.Log("lengths known:", known)
-	t.Log("guesses mislead:", misled)
-	if policy.share() < baseline.share()+0.05 {
-		t.Errorf("worth %.3f, of the baseline %.3f", policy.share(), baseline.share())
+	t.Log("exact estimates:", exact)
+	t.Log("misleading estimates:", misleading)
+	if policy.earnedShare() < baseline.earnedShare()+0.05 {
+		t.Errorf("value %.3f, baseline %.3f", policy.earnedShare(), baseline.earnedShare())
 	}
-	if known.share() > policy.share()+0.03 {
-		t.Errorf("worth %.3f with lengths known, %.3f with guesses: they are not used well", known.share(), policy.share())
+	if exact.earnedShare() > policy.earnedShare()+0.03 {
+		t.Errorf("value %.3f with exact estimates, %.3f with usual ones: too sensitive to estimates", exact.earnedShare(), policy.earnedShare())
 	}
-	if misled.share() < policy.share()-0.03 {
-		t.Errorf("worth %.3f with guesses that mislead, %.3f with usual ones", misled.share(), policy.share())
+	if misleading.earnedShare() < policy.earnedShare()-0.03 {
+		t.Errorf("value %.3f with misleading estimates, %.3f with usual ones", misleading.earnedShare(), policy.earnedShare())
 	}
 }
--- a/sched/reading_test.go
+++ b/sched/reading_test.go
@@ -9,7 +9,7 @@
 	"lynxramp.org/event"
 )
 
-func TestReadingGoesOnePromptAfterTheOther(t *testing.T) {
+func TestPrefillQueueIsSequential(t *testing.T) {
 	var r prefillQueue
 	a, b := &grant{prefillWork: 1}, &grant{prefillWork: 2}
 	r.add(0, a)
@@ -19,19 +19,19 @@
 	}
 	r.remove(event.Time(event.Second), a)
 	if r.work != 2 || r.headWork() != 2 || r.headSince != event.Time(event.Second) {
-		t.Errorf("with one read: work %v, first %v, since %v", r.work, r.headWork(), r.headSince)
+		t.Errorf("after one prefill: work %v, first %v, since %v", r.work, r.headWork(), r.headSince)
 	}
-	r.remove(event.Time(2*event.Second), a) // it is not there any more
+	r.remove(event.Time(2*event.Second), a) // already removed
 	r.remove(event.Time(2*event.Second), b)
 	if r.work != 0 || r.headWork() != 0 {
-		t.Errorf("with all read: work %v, first %v", r.work, r.headWork())
+		t.Errorf("after all prefills: work %v, first %v", r.work, r.headWork())
 	}
 }
 
-func TestPrefillRateIsFoundBesideAFixedTime(t *testing.T) {
+func TestPrefillRateExcludesOverhead(t *testing.T) {
 	var f prefillFit
 	if f.rate() != 0 {
-		t.Error("a rate without a sample")
+		t.Error("rate is known without a sample")
 	}
 	for i := range 200 {
 		tokens := float64(500 + i%37*1000)
@@ -45,67 +45,65 @@
 		f.observe(tokens, 0.05+tokens/40000)
 	}
 	if got := f.rate(); math.Abs(got-40000) > 100 {
-		t.Errorf("rate %v, want 40000 after it changed", got)
+		t.Errorf("rate %v, want 40000 after the change", got)
 	}
 }
 
-// TestBegunAnswerFreesItsPrompt holds that a long prompt is counted against an
-// endpoint until its answer begins, and no longer: before, it was counted by an
-// estimate, seconds too long.
-func TestBegunAnswerFreesItsPrompt(t *testing.T) {
-	s := discovered(2, 4)
+// TestBegunAnswerLeavesPrefillQueue checks that a prompt counts against its endpoint
+// until its answer begins, and no longer.
+func TestBegunAnswerLeavesPrefillQueue(t *testing.T) {
+	s := discoveredPool(2, 4)
 	var out event.Effects
 	long := func(k *event.Ticket) { k.PromptTokens = 8000 }
-	s.Step(0, call(1, long), &out)
+	s.Step(0, submission(1, long), &out)
 	first := out.Grants[0].Endpoint
 	out.Reset()
-	s.Step(0, call(2, nil), &out)
+	s.Step(0, submission(2, nil), &out)
 	if out.Grants[0].Endpoint == first {
-		t.Error("a short request was placed behind a long prompt")
+		t.Error("a short request was granted behind a long prefill")
 	}
 	s.Step(0, &event.Finished{ID: "r2", Pool: pool}, &out)
 	now := event.Time(100 * event.Millisecond)
 	s.Step(now, &event.Begun{ID: "r1", Pool: pool, After: 100 * event.Millisecond}, &out)
 	out.Reset()
-	s.Step(now, call(4, nil), &out)
+	s.Step(now, submission(4, nil), &out)
 	if out.Grants[0].Endpoint != first {
-		t.Errorf("placed at %s, %s has read its prompt", out.Grants[0].Endpoint, first)
+		t.Errorf("granted to %s, but %s has finished its prefill", out.Grants[0].Endpoint, first)
 	}
 }
 
-// TestRequestWaitsForAnEndpointWhereItIsInTime holds that a place behind a prompt
-// that would make a request late is not taken while another comes free soon.
-func TestRequestWaitsForAnEndpointWhereItIsInTime(t *testing.T) {
-	s := discovered(2, 2)
+// TestWaitsForEndpointThatMeetsTarget guards against granting a request to an endpoint
+// where queued prompts make it late, while another endpoint will be freed soon.
+func TestWaitsForEndpointThatMeetsTarget(t *testing.T) {
+	s := discoveredPool(2, 2)
 	var out event.Effects
-	s.Step(0, call(1, func(k *event.Ticket) { k.PromptTokens = 40000; k.Target = 10 * event.Second }), &out)
+	s.Step(0, submission(1, func(k *event.Ticket) { k.PromptTokens = 40000; k.Target = 10 * event.Second }), &out)
 	busy := out.Grants[0].Endpoint
 	for i := 2; i <= 3; i++ {
-		s.Step(0, call(i, nil), &out)
+		s.Step(0, submission(i, nil), &out)
 	}
 	out.Reset()
-	s.Step(0, call(4, func(k *event.Ticket) { k.Patience = 0 }), &out)
+	s.Step(0, submission(4, func(k *event.Ticket) { k.Patience = 0 }), &out)
 	if len(out.Grants) != 0 {
-		t.Fatalf("granted %+v behind a prompt of four seconds, its target is one", out.Grants)
+		t.Fatalf("granted %+v behind a prefill of 4 s with a target of 1 s", out.Grants)
 	}
 	s.Step(0, &event.Finished{ID: "r2", Pool: pool}, &out)
 	if len(out.Grants) != 1 || out.Grants[0].Endpoint == busy {
-		t.Errorf("grants %+v, want the endpoint that came free", out.Grants)
+		t.Errorf("grants %+v, want the endpoint that was freed", out.Grants)
 	}
-	// One that can be in time nowhere takes what there is.
+	// A request that is late at every endpoint takes the free one.
 	out.Reset()
-	s.Step(0, call(5, func(k *event.Ticket) { k.PromptTokens = 40000 }), &out)
+	s.Step(0, submission(5, func(k *event.Ticket) { k.PromptTokens = 40000 }), &out)
 	if len(out.Grants) != 1 {
-		t.Error("a request that is late everywhere does not take the place that is free")
+		t.Error("a request that is late at every endpoint was not granted to the free one")
 	}
 }
 
-// TestPaceOfReadingIsLearned: an endpoint that reads slower than its speed says is
-// expected to do so with the next prompts, for a while.
-func TestPaceOfReadingIsLearned(t *testing.T) {
+// TestPrefillSlownessIsLearned checks that the factor follows its samples and expires.
+func TestPrefillSlownessIsLearned(t *testing.T) {
 	var p prefillSlowness
 	if p.get(0) != 1 {
-		t.Errorf("pace %v without a sample", p.get(0))
+		t.Errorf("slowness %v without a sample", p.get(0))
 	}
 	now := event.Time(0)
 	for range 30 {
@@ -113,9 +111,9 @@
 		p.observe(now, 2)
 	}
 	if got := p.get(now); got < 1.9 || got > 2 {
-		t.Errorf("pace %v after samples of 2", got)
+		t.Errorf("slowness %v after samples of 2", got)
 	}
 	if got := p.get(now.Add(prefillSlownessMaxAge + event.Second)); got != 1 {
-		t.Errorf("pace %v, the samples are too old", got)
+		t.Errorf("slowness %v from expired samples, want 1", got)
 	}
 }
--- a/sched/rest_test.go
+++ b/sched/rest_test.go
@@ -8,9 +8,9 @@
 	"lynxramp.org/event"
 )
 
-// rested returns a pool of two endpoints which want nothing of an entry for a while, the first for longer.
-func rested(entry event.BoxID) *State {
-	s := discovered(2, 1)
+// poolInCooldown returns a pool of two endpoints that asked an entry for cooldowns, the first for a longer one.
+func poolInCooldown(entry event.BoxID) *State {
+	s := discoveredPool(2, 1)
 	var out event.Effects
 	for _, r := range []event.Rested{{Entry: entry, Endpoint: "e0000", For: 4 * event.Second}, {Entry: entry, Endpoint: "e0001", For: 2 * event.Second}} {
 		s.Step(0, &r, &out)
@@ -18,44 +18,45 @@
 	return s
 }
 
-func callOf(id int, entry event.BoxID, patience event.Span) *event.Submitted {
-	one := call(id, func(k *event.Ticket) { k.Patience = patience })
+func callFrom(id int, entry event.BoxID, patience event.Span) *event.Submitted {
+	one := submission(id, func(k *event.Ticket) { k.Patience = patience })
 	one.Entry = entry
 	return one
 }
 
-// TestEntryThatAllAskForRestIsToldAtOnce: its callers are told when the first endpoint takes requests again, those
-// of another entry are served, and its own too when the rest is over.
-func TestEntryThatAllAskForRestIsToldAtOnce(t *testing.T) {
-	s := rested("a")
+// TestRefusesEntryInCooldownAtAllEndpoints checks that its requests are refused at once until the first cooldown
+// ends, and that those of another entry are served.
+func TestRefusesEntryInCooldownAtAllEndpoints(t *testing.T) {
+	s := poolInCooldown("a")
 	var out event.Effects
 	now := event.Time(event.Second)
-	s.Step(now, callOf(1, "a", 500*event.Millisecond), &out)
+	s.Step(now, callFrom(1, "a", 500*event.Millisecond), &out)
 	if len(out.Refusals) != 1 || out.Refusals[0].Reason != event.ReasonRest {
 		t.Fatalf("refusals %+v, grants %+v", out.Refusals, out.Grants)
 	}
 	if after := out.Refusals[0].RetryAfter; after < event.Second || after > 1250*event.Millisecond {
-		t.Errorf("told to come back after %v, want 1 s and up to a quarter", after)
+		t.Errorf("Retry-After %v, want 1 s plus up to a quarter", after)
 	}
 	out.Reset()
-	s.Step(now, callOf(2, "b", 500*event.Millisecond), &out)
+	s.Step(now, callFrom(2, "b", 500*event.Millisecond), &out)
 	if len(out.Grants) != 1 {
 		t.Errorf("another entry: grants %+v", out.Grants)
 	}
 	out.Reset()
-	s.Step(event.Time(2100*event.Millisecond), callOf(3, "a", 500*event.Millisecond), &out)
+	s.Step(event.Time(2100*event.Millisecond), callFrom(3, "a", 500*event.Millisecond), &out)
 	if len(out.Grants) != 1 || out.Grants[0].Endpoint != "e0001" {
-		t.Errorf("after the rest: grants %+v", out.Grants)
+		t.Errorf("after the cooldown: grants %+v", out.Grants)
 	}
 }
 
-// TestShortRestIsWaitedFor: what can be in time after a rest waits for its end, and holds no other entry up.
-func TestShortRestIsWaitedFor(t *testing.T) {
-	s := rested("a")
+// TestRequestWaitsForShortCooldown checks that a request waits for a cooldown that ends in time, without blocking
+// other entries.
+func TestRequestWaitsForShortCooldown(t *testing.T) {
+	s := poolInCooldown("a")
 	var out event.Effects
 	now := event.Time(1800 * event.Millisecond)
-	s.Step(now, callOf(1, "a", 500*event.Millisecond), &out)
-	s.Step(now, callOf(2, "b", 500*event.Millisecond), &out)
+	s.Step(now, callFrom(1, "a", 500*event.Millisecond), &out)
+	s.Step(now, callFrom(2, "b", 500*event.Millisecond), &out)
 	if len(out.Refusals) != 0 || len(out.Grants) != 1 || out.Grants[0].Entry != "b" {
 		t.Fatalf("refusals %+v, grants %+v", out.Refusals, out.Grants)
 	}
@@ -67,13 +68,13 @@
 	}
 }
 
-// TestWaitingIsToldOfRest: what waits for a place when all endpoints ask its entry for rest is refused at the next
-// tick.
-func TestWaitingIsToldOfRest(t *testing.T) {
-	s := discovered(1, 1)
+// TestRefusesWaitingRequestsOnCooldown checks that a cooldown at all endpoints also refuses requests that already
+// wait.
+func TestRefusesWaitingRequestsOnCooldown(t *testing.T) {
+	s := discoveredPool(1, 1)
 	var out event.Effects
-	s.Step(0, callOf(1, "a", 500*event.Millisecond), &out)
-	s.Step(0, callOf(2, "a", 500*event.Millisecond), &out)
+	s.Step(0, callFrom(1, "a", 500*event.Millisecond), &out)
+	s.Step(0, callFrom(2, "a", 500*event.Millisecond), &out)
 	s.Step(0, &event.Rested{Entry: "a", Endpoint: "e0000", For: 2 * event.Second}, &out)
 	s.Step(1, &event.Tick{}, &out)
 	if len(out.Refusals) != 1 || out.Refusals[0].Reason != event.ReasonRest {
@@ -81,13 +82,13 @@
 	}
 }
 
-// TestRestsOfAnEntryThatEndedAreForgotten: its successor, which was asked for nothing, is sent on.
-func TestRestsOfAnEntryThatEndedAreForgotten(t *testing.T) {
-	s := rested("a")
+// TestRemovedEntryLosesCooldowns guards against applying the cooldowns of a terminated entry to its successor.
+func TestRemovedEntryLosesCooldowns(t *testing.T) {
+	s := poolInCooldown("a")
 	var out event.Effects
 	s.Step(0, &event.EntryGone{Entry: "a"}, &out)
-	s.Step(0, callOf(1, "a", 500*event.Millisecond), &out)
+	s.Step(0, callFrom(1, "a", 500*event.Millisecond), &out)
 	if len(out.Grants) != 1 || s.cooldownEndpoints != 0 {
-		t.Errorf("grants %+v, %d resting", out.Grants, s.cooldownEndpoints)
+		t.Errorf("grants %+v, %d endpoints with cooldowns", out.Grants, s.cooldownEndpoints)
 	}
 }
--- a/sched/state_test.go
+++ b/sched/state_test.go
@@ -11,31 +11,32 @@
 	"lynxramp.org/event"
 )
 
-// book checks what a scheduler says against what must always hold.
-type book struct {
-	t       *rapid.T
-	state   *State
-	now     event.Time
-	waiting map[event.RequestID]int // rank
-	granted map[event.RequestID]event.EndpointID
-	left    map[event.EndpointID]bool
-	next    int
-	out     event.Effects
+// invariantChecker drives a scheduler and checks its invariants after each
+// step.
+type invariantChecker struct {
+	t        *rapid.T
+	state    *State
+	now      event.Time
+	waiting  map[event.RequestID]int // rank
+	granted  map[event.RequestID]event.EndpointID
+	draining map[event.EndpointID]bool
+	next     int
+	out      event.Effects
 }
 
 const pool = "pool"
 
-func (b *book) step(e event.Event) {
+func (b *invariantChecker) step(e event.Event) {
 	b.out.Reset()
 	b.state.Step(b.now, e, &b.out)
-	// A refusal and a grant of one step: the refusals are judged by what waits
-	// after the step.
+	// If a step both refuses and grants, refusals are checked against the
+	// requests that wait after it.
 	for _, g := range b.out.Grants {
 		if _, again := b.granted[g.ID]; again {
 			b.t.Fatalf("%s was granted twice", g.ID)
 		}
-		if b.left[g.Endpoint] {
-			b.t.Fatalf("%s was granted to %s, which is leaving", g.ID, g.Endpoint)
+		if b.draining[g.Endpoint] {
+			b.t.Fatalf("%s was granted to %s, which is draining", g.ID, g.Endpoint)
 		}
 		delete(b.waiting, g.ID)
 		b.granted[g.ID] = g.Endpoint
@@ -51,7 +52,7 @@
 		}
 		for id, other := range b.waiting {
 			if other < rank {
-				b.t.Fatalf("%s of rank %d was shed while %s of rank %d waits", r.ID, rank, id, other)
+				b.t.Fatalf("%s of rank %d was shed while %s of rank %d is waiting", r.ID, rank, id, other)
 			}
 		}
 	}
@@ -65,11 +66,11 @@
 		}
 	}
 	if got, want := b.state.Waiting(), len(b.waiting); got != want {
-		b.t.Fatalf("%d wait, want %d", got, want)
+		b.t.Fatalf("%d waiting, want %d", got, want)
 	}
 }
 
-func (b *book) act() {
+func (b *invariantChecker) act() {
 	t := b.t
 	switch rapid.IntRange(0, 9).Draw(t, "act") {
 	case 0, 1, 2, 3, 4:
@@ -103,31 +104,31 @@
 	}
 }
 
-func (b *book) report(id event.EndpointID) {
+func (b *invariantChecker) report(id event.EndpointID) {
 	r := event.Report{Endpoint: id, Pool: pool, Address: "a", Incarnation: 1}
 	for g, e := range b.granted {
 		if e == id {
 			r.Running = append(r.Running, g.Dispatch(0))
 		}
 	}
-	r.Leaving = b.left[id] || rapid.IntRange(0, 20).Draw(b.t, "leave") == 0
-	b.left[id] = r.Leaving
+	r.Leaving = b.draining[id] || rapid.IntRange(0, 20).Draw(b.t, "leave") == 0
+	b.draining[id] = r.Leaving
 	b.step(&event.SlotReported{Report: r})
 }
 
-// TestScheduler checks over random histories: nothing granted twice, nothing to
-// endpoints that are leaving or full, and nothing shed while a request of a
-// lower tier waits.
+// TestScheduler checks over random histories that nothing is granted twice or
+// to draining or full endpoints, and nothing is shed while a request of a lower
+// tier waits.
 func TestScheduler(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := event.Pool{Name: pool, MaxWaiting: rapid.IntRange(1, 10).Draw(t, "max")}
 		for i := range 3 {
 			p.Endpoints = append(p.Endpoints, event.Endpoint{ID: event.EndpointID(fmt.Sprint("e", i)), Concurrency: 1 + i, Speed: 1})
 		}
-		b := &book{
+		b := &invariantChecker{
 			t: t, state: New(0, p, 1), now: event.Time(SettleTime),
 			waiting: make(map[event.RequestID]int), granted: make(map[event.RequestID]event.EndpointID),
-			left: make(map[event.EndpointID]bool),
+			draining: make(map[event.EndpointID]bool),
 		}
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			b.act()
