--- a/routing/check.go
+++ b/routing/check.go
@@ -33,9 +33,9 @@
 func Check(t *Table) Findings {
 	var found Findings
 	services := checkServices(t, &found)
-	places := make(map[routeKey]string)
+	seen := make(map[routeKey]string)
 	for i := range t.Routes {
-		checkRoute(fmt.Sprintf("routes[%d]", i), &t.Routes[i], services, places, &found)
+		checkRoute(fmt.Sprintf("routes[%d]", i), &t.Routes[i], services, seen, &found)
 	}
 	checkTeams(t, &found)
 	return found
@@ -56,15 +56,15 @@
 	return names
 }
 
-func checkRoute(path string, r *Route, services map[string]bool, places map[routeKey]string, found *Findings) {
+func checkRoute(path string, r *Route, services map[string]bool, seen map[routeKey]string, found *Findings) {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		found.add(path+".prefix", "%q must begin and end with a slash", r.Prefix)
 	}
-	at := routeKey{strings.ToLower(r.Host), r.Prefix}
-	if other, ok := places[at]; ok {
+	key := routeKey{strings.ToLower(r.Host), r.Prefix}
+	if other, ok := seen[key]; ok {
 		found.add(path, "same host and prefix as %s", other)
 	}
-	places[at] = path
+	seen[key] = path
 	if r.Timeout <= 0 {
 		found.add(path+".timeout", "timeout must be greater than 0")
 	}
--- a/sched/discover_test.go
+++ b/sched/discover_test.go
@@ -224,11 +224,11 @@
 // often than the next higher one is promoted to its rank.
 func TestCheapClassIsPromoted(t *testing.T) {
 	s := discoveredPool(1, 1)
-	dear := func(k *event.Ticket) { k.Rank = 0; k.PromptTokens = 8000 }
+	expensive := func(k *event.Ticket) { k.Rank = 0; k.PromptTokens = 8000 }
 	cheap := func(k *event.Ticket) { k.Rank = -1; k.PromptTokens = 10; k.OutputTokens = 1 }
 	own := &ticket{Ticket: submission(1, cheap).Ticket, class: s.classes.forRank(-1), expectedTokens: 1}
 	for range 100 {
-		s.promote(0, &ticket{Ticket: submission(0, dear).Ticket, class: s.classes.forRank(0), expectedTokens: 50})
+		s.promote(0, &ticket{Ticket: submission(0, expensive).Ticket, class: s.classes.forRank(0), expectedTokens: 50})
 		s.promote(0, own)
 	}
 	if got := s.promote(0, own); got != -1 {
--- a/sched/load_test.go
+++ b/sched/load_test.go
@@ -61,7 +61,7 @@
 	ticket   event.Ticket
 	firstTry event.Time // time of its caller's first attempt
 	length   int
-	share    float64 // factor on its kind's value, by size
+	weight   float64 // factor on its kind's value, by size
 	isLong   bool    // among the tenth of its kind with the longest answers
 	tries    int
 	placed   bool
@@ -83,12 +83,12 @@
 
 // earnedShare returns the ratio of earned to possible value over all kinds.
 func (r *loadResult) earnedShare() float64 {
-	owed, earned := 0.0, 0.0
+	possible, earned := 0.0, 0.0
 	for i := range r.possible {
-		owed += r.possible[i]
+		possible += r.possible[i]
 		earned += r.earned[i]
 	}
-	return earned / owed
+	return earned / possible
 }
 
 func (r *loadResult) add(o *loadResult) {
@@ -118,11 +118,11 @@
 }
 
 func (r *loadResult) String() string {
-	owed := 0.0
+	possible := 0.0
 	for i := range r.possible {
-		owed += r.possible[i]
+		possible += r.possible[i]
 	}
-	text := fmt.Sprintf("value %.3f, worst %.3f, refused twice %.3f, by kind", r.earnedShare(), r.worstShare(), r.refusedTwiceValue/owed)
+	text := fmt.Sprintf("value %.3f, worst %.3f, refused twice %.3f, by kind", r.earnedShare(), r.worstShare(), r.refusedTwiceValue/possible)
 	for i := range r.possible {
 		text += fmt.Sprintf(" %.3f (longest %.3f)", r.earned[i]/r.possible[i], r.earnedLong[i]/r.possibleLong[i])
 	}
@@ -208,15 +208,15 @@
 	return &r.result
 }
 
-// loadSpeeds are the slowness factors of the endpoints, in turn.
-var loadSpeeds = [...]float64{0.55, 1, 2.8}
+// loadSlowness are the slowness factors of the endpoints, in turn.
+var loadSlowness = [...]float64{0.55, 1, 2.8}
 
 func loadEndpoint(i int) event.EndpointID { return event.EndpointID(fmt.Sprintf("e%03d", i)) }
 
 func (r *replay) slowness(id event.EndpointID) float64 {
 	n := 0
 	_, _ = fmt.Sscanf(string(id), "e%d", &n)
-	return loadSpeeds[n%len(loadSpeeds)]
+	return loadSlowness[n%len(loadSlowness)]
 }
 
 func (r *replay) updateEndpoint(i int, down bool) {
@@ -261,8 +261,8 @@
 
 // logNormal draws from a log-normal distribution with the given mean and standard
 // deviation of the logarithm.
-func (r *replay) logNormal(mean, deviation float64) float64 {
-	return mean * math.Exp(r.random.NormFloat64()*deviation-deviation*deviation/2)
+func (r *replay) logNormal(mean, sigma float64) float64 {
+	return mean * math.Exp(r.random.NormFloat64()*sigma-sigma*sigma/2)
 }
 
 func (r *replay) newRequest(kind *loadKind) *loadRequest {
@@ -275,15 +275,15 @@
 	}
 	k := &loadRequest{kind: kind, firstTry: r.now, length: length}
 	size := float64(prompt) + 10*float64(length)
-	k.share = min(4, 0.3+0.7*size/(kind.prompt+10*kind.output))
+	k.weight = min(4, 0.3+0.7*size/(kind.prompt+10*kind.output))
 	k.isLong = float64(length) > kind.output*2.4
 	k.ticket = event.Ticket{
 		Team: fmt.Sprintf("t%02d", team), Rank: kind.rank, Service: pool, Pool: pool, PromptTokens: prompt, OutputTokens: guess,
 	}
 	i := r.kindIndex(kind)
-	r.result.possible[i] += kind.value * k.share
+	r.result.possible[i] += kind.value * k.weight
 	if k.isLong {
-		r.result.possibleLong[i] += kind.value * k.share
+		r.result.possibleLong[i] += kind.value * k.weight
 	}
 	return k
 }
@@ -332,7 +332,7 @@
 	r.result.refused++
 	if k.tries > 1 {
 		r.result.refusedTwice++
-		r.result.refusedTwiceValue += k.kind.value * k.share
+		r.result.refusedTwiceValue += k.kind.value * k.weight
 		return
 	}
 	left := k.firstTry.Add(k.kind.deadline).Sub(r.now)
@@ -375,8 +375,8 @@
 // run starts a request on an engine.
 func (r *replay) run(e *loadEngine, k *loadRequest, id event.RequestID, granted event.Time) {
 	e.running++
-	read := event.Span(float64(k.ticket.PromptTokens) / 56600 * e.slowness * float64(event.Second))
-	begin := max(r.now, e.prefillUntil).Add(read + 16*event.Millisecond)
+	prefill := event.Span(float64(k.ticket.PromptTokens) / 56600 * e.slowness * float64(event.Second))
+	begin := max(r.now, e.prefillUntil).Add(prefill + 16*event.Millisecond)
 	e.prefillUntil = begin
 	gap := event.Span(5.5 * e.slowness * float64(event.Millisecond))
 	deadline := k.firstTry.Add(k.kind.deadline)
@@ -400,25 +400,25 @@
 	}
 }
 
-func (r *replay) finish(id event.RequestID, k *loadRequest, granted, begin event.Time, gap event.Span, whole bool) {
+func (r *replay) finish(id event.RequestID, k *loadRequest, granted, begin event.Time, gap event.Span, completed bool) {
 	delete(r.requests, id)
-	f := &event.Finished{ID: id, Pool: pool, Tokens: k.length, FirstAfter: begin.Sub(granted), TokenGap: gap, Failed: !whole}
+	f := &event.Finished{ID: id, Pool: pool, Tokens: k.length, FirstAfter: begin.Sub(granted), TokenGap: gap, Failed: !completed}
 	r.result.runSeconds += r.now.Sub(granted).Seconds()
-	if !whole {
+	if !completed {
 		f.Tokens = int(max(0, r.now.Sub(begin)) / gap)
 		r.result.cutOff++
 		r.result.wastedSeconds += r.now.Sub(granted).Seconds()
 		r.step(f)
 		return
 	}
-	worth := k.kind.value
+	value := k.kind.value
 	if begin.Sub(k.firstTry) > k.kind.target {
-		worth = k.kind.lateValue
+		value = k.kind.lateValue
 	}
 	i := r.kindIndex(k.kind)
-	r.result.earned[i] += worth * k.share
+	r.result.earned[i] += value * k.weight
 	if k.isLong {
-		r.result.earnedLong[i] += worth * k.share
+		r.result.earnedLong[i] += value * k.weight
 	}
 	r.step(f)
 }
@@ -448,7 +448,7 @@
 
 // TestPolicyBeatsBaselineUnderWorstLoad compares the scheduler with the least-outstanding
 // baseline on the same seeds, and checks that it neither depends on exact length
-// estimates nor is misleading by wrong ones.
+// estimates nor is misled by wrong ones.
 func TestPolicyBeatsBaselineUnderWorstLoad(t *testing.T) {
 	const seeds = 6
 	baseline := runSeeds(seeds, func(l *load) { l.baseline = true })
