--- a/sched/discover.go
+++ b/sched/discover.go
@@ -110,7 +110,7 @@
 	if s.pool.Discovered {
 		s.observePrefill(now, e, g, b.After)
 	}
-	e.prefills.remove(now, g)
+	e.prefillQueue.remove(now, g)
 	s.refreshView(now, e)
 }
 
@@ -120,11 +120,11 @@
 	if g.firstPrefill && firstToken > 0 {
 		s.prefill.observe(float64(g.prefillTokens)/e.speed(), firstToken.Seconds())
 	}
-	if g.prefillWork < minPrefillSample || s.prefill.rate() == 0 || e.prefills.head() != g {
+	if g.prefillWork < minPrefillSample || s.prefill.rate() == 0 || e.prefillQueue.head() != g {
 		return
 	}
-	prefill := now.Sub(e.prefills.headSince).Seconds() - s.prefill.overhead()
-	e.prefillSlowness.observe(now, prefill*e.speed()/g.prefillWork)
+	elapsed := now.Sub(e.prefillQueue.headSince).Seconds() - s.prefill.overhead()
+	e.prefillSlowdown.observe(now, elapsed*e.speed()/g.prefillWork)
 }
 
 // isWorthWaiting reports whether k would miss its target at the best endpoint
--- a/sched/endpoint.go
+++ b/sched/endpoint.go
@@ -31,10 +31,10 @@
 	// backoffUntil is when the endpoint may be granted requests again after it
 	// did not take one.
 	backoffUntil    event.Time
-	prefills        prefillQueue
-	prefillSlowness prefillSlowness // relative to slowness
+	prefillQueue    prefillQueue
+	prefillSlowdown prefillSlowdown // relative to slowness
 	grants          map[event.RequestID]*grant
-	cachedMarks     markSet
+	cachedMarks     cachedMarks
 	// slowness is the measured time per unit of work relative to the pool's
 	// profile; 0 if unknown.
 	slowness   float64
@@ -52,12 +52,12 @@
 )
 
 // observeSlowness adds a sample of the endpoint's slowness.
-func (e *endpoint) observeSlowness(now event.Time, slowness float64) {
-	slowness = min(max(slowness, slownessMin), slownessMax)
+func (e *endpoint) observeSlowness(now event.Time, sample float64) {
+	sample = min(max(sample, slownessMin), slownessMax)
 	if e.slowness == 0 || now.Sub(e.slownessAt) > slownessMaxAge {
-		e.slowness = slowness
+		e.slowness = sample
 	} else {
-		e.slowness += slownessWeight * (slowness - e.slowness)
+		e.slowness += slownessWeight * (sample - e.slowness)
 	}
 	e.slownessAt = now
 }
--- a/sched/forecast.go
+++ b/sched/forecast.go
@@ -94,7 +94,7 @@
 // time of those requests, divided by the capacity. Capacity left by higher ranks is
 // estimated as the share of work that was recently granted to this rank and below.
 func (s *State) expectedWait(now event.Time, k *ticket) event.Span {
-	if s.capacity == 0 {
+	if s.capacityUnits == 0 {
 		return 0
 	}
 	above, own := 0.0, 0.0
@@ -111,7 +111,7 @@
 		}
 		availableRate += rate
 	}
-	capacity := float64(s.capacity) / capacityScale
+	capacity := float64(s.capacityUnits) / unitsPerRequest
 	available := capacity
 	if totalRate > 0 {
 		available = capacity * max(availableRate/totalRate, minCapacityShare)
--- a/sched/length.go
+++ b/sched/length.go
@@ -11,18 +11,18 @@
 	maxLengthRatio = 3.0
 )
 
-// outputLength estimates the ratio of a service's output tokens to those its
+// lengthRatio estimates the ratio of a service's output tokens to those its
 // callers request. The zero value expects a ratio of 1.
-type outputLength struct {
+type lengthRatio struct {
 	ratio   float64
 	samples int
 }
 
 // outputLength returns the output length estimate of a service.
-func (s *State) outputLength(service string) *outputLength {
+func (s *State) outputLength(service string) *lengthRatio {
 	l, ok := s.outputLengths[service]
 	if !ok {
-		l = &outputLength{}
+		l = &lengthRatio{}
 		s.outputLengths[service] = l
 	}
 	return l
@@ -30,7 +30,7 @@
 
 // observe adds an answer with its tokens and the requested number. It ignores
 // answers for which either is unknown.
-func (l *outputLength) observe(tokens, requested int) {
+func (l *lengthRatio) observe(tokens, requested int) {
 	if tokens == 0 || requested == 0 {
 		return
 	}
@@ -45,10 +45,10 @@
 
 // hasEnoughSamples reports whether the estimate is good enough to refuse
 // requests by it.
-func (l *outputLength) hasEnoughSamples() bool { return l.samples >= minLengthSamples }
+func (l *lengthRatio) hasEnoughSamples() bool { return l.samples >= minLengthSamples }
 
 // estimate returns the expected output tokens of an answer.
-func (l *outputLength) estimate(requested int) int {
+func (l *lengthRatio) estimate(requested int) int {
 	if !l.hasEnoughSamples() || requested == 0 {
 		return requested
 	}
--- a/sched/limit.go
+++ b/sched/limit.go
@@ -35,14 +35,14 @@
 }
 
 // SetLimitShare sets the share of the endpoints' rate limits that this pool may spend.
-func (s *State) SetPart(now event.Time, share float64) {
-	if share == s.limitShare {
+func (s *State) SetPart(now event.Time, limitShare float64) {
+	if limitShare == s.limitShare {
 		return
 	}
-	s.limitShare = share
+	s.limitShare = limitShare
 	for _, e := range s.endpoints {
 		if e.rateLimit.isSet {
-			e.rateLimit.pacer.Set(now, e.rateLimit.rate, share)
+			e.rateLimit.pacer.Set(now, e.rateLimit.rate, limitShare)
 			s.refreshView(now, e)
 		}
 	}
@@ -70,8 +70,8 @@
 	return 0
 }
 
-// capacityScale is the number of capacity units per concurrent request. Capacities are summed in these units.
-const capacityScale = 1000
+// unitsPerRequest is the number of capacity units per concurrent request: capacities are summed in these units.
+const unitsPerRequest = 1000
 
 // defaultRunTime is the run time assumed until enough requests have finished, in seconds.
 const defaultRunTime = 1.0
@@ -79,18 +79,18 @@
 // maxLimitedCapacity bounds the capacity computed from a rate limit, which may be any number.
 const maxLimitedCapacity = 1e5
 
-// limitedCapacity returns the concurrency that a rate limit sustains, in units of 1/capacityScale. During
+// limitedCapacity returns the concurrency that a rate limit sustains, in capacity units. During
 // SettleTime it counts the whole limit: the pool's share grows as entries connect to their owner.
 func (s *State) limitedCapacity(now event.Time, l *rateLimit) int {
-	runTime := defaultRunTime
+	runSeconds := defaultRunTime
 	if s.runTime.samples >= runTimeSamples {
-		runTime = s.runTime.mean
+		runSeconds = s.runTime.mean
 	}
 	rate := l.pacer.Rate()
 	if now.Sub(s.started) < SettleTime {
 		rate = max(rate, min(l.rate, maxLimitedCapacity))
 	}
-	return max(1, int(min(rate*runTime, maxLimitedCapacity)*capacityScale))
+	return max(1, int(min(rate*runSeconds, maxLimitedCapacity)*unitsPerRequest))
 }
 
 // rateLimitCost is the extra cost, in seconds, of a rate-limited endpoint for a request of no work. It falls
--- a/sched/load_test.go
+++ b/sched/load_test.go
@@ -110,11 +110,11 @@
 // worstShare returns the smallest ratio of earned to possible value among the kinds and
 // their longest answers.
 func (r *loadResult) worstShare() float64 {
-	worst := 1.0
+	worstShare := 1.0
 	for i := range r.possible {
-		worst = min(worst, r.earned[i]/r.possible[i], r.earnedLong[i]/r.possibleLong[i])
+		worstShare = min(worstShare, r.earned[i]/r.possible[i], r.earnedLong[i]/r.possibleLong[i])
 	}
-	return worst
+	return worstShare
 }
 
 func (r *loadResult) String() string {
@@ -386,7 +386,7 @@
 	}
 	r.at(min(end, deadline), func() {
 		e.free()
-		r.at(r.now.Add(loadLatency), func() { r.finish(id, k, granted, begin, gap, end <= deadline) })
+		r.at(r.now.Add(loadLatency), func() { r.end(id, k, granted, begin, gap, end <= deadline) })
 	})
 }
 
@@ -400,7 +400,7 @@
 	}
 }
 
-func (r *replay) finish(id event.RequestID, k *loadRequest, granted, begin event.Time, gap event.Span, completed bool) {
+func (r *replay) end(id event.RequestID, k *loadRequest, granted, begin event.Time, gap event.Span, completed bool) {
 	delete(r.requests, id)
 	f := &event.Finished{ID: id, Pool: pool, Tokens: k.length, FirstAfter: begin.Sub(granted), TokenGap: gap, Failed: !completed}
 	r.result.runSeconds += r.now.Sub(granted).Seconds()
--- a/sched/place.go
+++ b/sched/place.go
@@ -23,10 +23,10 @@
 	for k := s.queue.first(); k != nil && len(s.skipped) < skipLimit; k = s.queue.first() {
 		c := s.chooseEndpoint(now, k)
 		switch {
-		case c.endpoint == nil && (len(k.Avoid) > 0 || c.inCooldown):
+		case c.best == nil && (len(k.Avoid) > 0 || c.inCooldown):
 			s.queue.detach(k)
 			s.skipped = append(s.skipped, k)
-		case c.endpoint == nil:
+		case c.best == nil:
 			s.requeueSkipped()
 			return
 		case k.Target == 0 && c.minTime > c.timeLeft && s.outputLength(k.Service).hasEnoughSamples():
@@ -36,7 +36,7 @@
 			s.queue.detach(k)
 			s.skipped = append(s.skipped, k)
 		default:
-			s.grant(now, k, c.endpoint, c.est, out)
+			s.grant(now, k, c.best, c.est, out)
 		}
 	}
 	s.requeueSkipped()
@@ -72,10 +72,10 @@
 	s.prefix.add(e, k.Prefix)
 	switch {
 	case !s.pool.Discovered:
-		e.prefills.reserve(now, event.Span(est.prefill*float64(event.Second)))
+		e.prefillQueue.reserve(now, event.Span(est.prefill*float64(event.Second)))
 	case !g.tokenless:
-		g.firstPrefill = len(e.prefills.pending) == 0
-		e.prefills.add(now, g)
+		g.firstPrefill = len(e.prefillQueue.pending) == 0
+		e.prefillQueue.add(now, g)
 	}
 	s.addGrant(k.ID, g)
 	s.refreshView(now, e)
--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -34,10 +34,10 @@
 	cached   int // tokens
 }
 
-// markSet has the marks that one endpoint probably has in its cache. Two
+// cachedMarks has the marks that one endpoint probably has in its cache. Two
 // generations approximate an LRU order: when the young one is full it becomes
 // the old one, and the previous old one is discarded.
-type markSet struct {
+type cachedMarks struct {
 	young, old map[uint64]struct{}
 }
 
--- a/sched/queue.go
+++ b/sched/queue.go
@@ -127,20 +127,20 @@
 func (q *queue) len() int { return len(q.byID) }
 
 // before reports whether t precedes the tier of a rank and precedence.
-func (t *tier) before(rank int, p precedence) bool {
+func (t *tier) before(rank int, precedence precedence) bool {
 	if t.rank != rank {
 		return t.rank > rank
 	}
-	return t.precedence < p
+	return t.precedence < precedence
 }
 
-func (q *queue) tier(rank int, p precedence) *tier {
-	i := slices.IndexFunc(q.tiers, func(t *tier) bool { return !t.before(rank, p) })
+func (q *queue) tier(rank int, precedence precedence) *tier {
+	i := slices.IndexFunc(q.tiers, func(t *tier) bool { return !t.before(rank, precedence) })
 	if i < 0 {
 		i = len(q.tiers)
 	}
-	if i == len(q.tiers) || q.tiers[i].rank != rank || q.tiers[i].precedence != p {
-		t := &tier{rank: rank, precedence: p, teams: make(map[string]*team), active: btree.NewG(treeDegree, teamLess)}
+	if i == len(q.tiers) || q.tiers[i].rank != rank || q.tiers[i].precedence != precedence {
+		t := &tier{rank: rank, precedence: precedence, teams: make(map[string]*team), active: btree.NewG(treeDegree, teamLess)}
 		q.tiers = slices.Insert(q.tiers, i, t)
 	}
 	return q.tiers[i]
--- a/sched/reading.go
+++ b/sched/reading.go
@@ -66,36 +66,36 @@
 
 // Smoothing weight and bounds of an endpoint's prefill slowness.
 const (
-	prefillSlownessWeight = 0.2
-	prefillSlownessMin    = 0.4
-	prefillSlownessMax    = 4.0
+	prefillSlowdownWeight = 0.2
+	prefillSlowdownMin    = 0.4
+	prefillSlowdownMax    = 4.0
 	// minPrefillSample is the least work of a sample, in seconds at speed 1: for shorter
 	// prompts the other parts of the latency dominate.
 	minPrefillSample = 0.02
-	// prefillSlownessMaxAge is how long a sample is valid.
-	prefillSlownessMaxAge = 4 * event.Second
+	// prefillSlowdownMaxAge is how long a sample is valid.
+	prefillSlowdownMaxAge = 4 * event.Second
 )
 
-// prefillSlowness is how much slower an endpoint currently processes prompts than its
+// prefillSlowdown is how much slower an endpoint currently processes prompts than its
 // speed suggests, due to its other requests. The zero value is a factor of 1.
-type prefillSlowness struct {
+type prefillSlowdown struct {
 	value float64
 	at    event.Time
 }
 
 // get returns the factor at now.
-func (p *prefillSlowness) get(now event.Time) float64 {
-	if p.value == 0 || now.Sub(p.at) > prefillSlownessMaxAge {
+func (p *prefillSlowdown) get(now event.Time) float64 {
+	if p.value == 0 || now.Sub(p.at) > prefillSlowdownMaxAge {
 		return 1
 	}
 	return p.value
 }
 
 // observe adds a sample.
-func (p *prefillSlowness) observe(now event.Time, sample float64) {
-	sample = min(max(sample, prefillSlownessMin), prefillSlownessMax)
+func (p *prefillSlowdown) observe(now event.Time, sample float64) {
+	sample = min(max(sample, prefillSlowdownMin), prefillSlowdownMax)
 	before := p.get(now)
-	p.value = before + prefillSlownessWeight*(sample-before)
+	p.value = before + prefillSlowdownWeight*(sample-before)
 	p.at = now
 }
 
--- a/sched/reading_test.go
+++ b/sched/reading_test.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestPrefillSlownessIsLearned checks that the factor follows its samples and expires.
-func TestPrefillSlownessIsLearned(t *testing.T) {
-	var p prefillSlowness
+// TestPrefillSlowdownIsLearned checks that the factor follows its samples and expires.
+func TestPrefillSlowdownIsLearned(t *testing.T) {
+	var p prefillSlowdown
 	if p.get(0) != 1 {
 		t.Errorf("slowness %v without a sample", p.get(0))
 	}
@@ -113,7 +113,7 @@
 	if got := p.get(now); got < 1.9 || got > 2 {
 		t.Errorf("slowness %v after samples of 2", got)
 	}
-	if got := p.get(now.Add(prefillSlownessMaxAge + event.Second)); got != 1 {
+	if got := p.get(now.Add(prefillSlowdownMaxAge + event.Second)); got != 1 {
 		t.Errorf("slowness %v from expired samples, want 1", got)
 	}
 }
--- a/sched/rest.go
+++ b/sched/rest.go
@@ -47,10 +47,10 @@
 	return now < v.endpoint.cooldowns[entry]
 }
 
-// capacityOutsideCooldown returns the part of an endpoint's capacity that is available to entries not in cooldown.
-func (s *State) capacityOutsideCooldown(e *endpoint, capacity int) int {
+// capacityOutsideCooldown returns the capacity units that are available to entries not in cooldown.
+func (s *State) capacityOutsideCooldown(e *endpoint, units int) int {
 	entries := max(len(s.entries), len(e.cooldowns))
-	return capacity * (entries - len(e.cooldowns)) / entries
+	return units * (entries - len(e.cooldowns)) / entries
 }
 
 // cooldownEnd returns when the first available endpoint accepts requests of a ticket's entry again. all is false
@@ -58,7 +58,7 @@
 func (s *State) cooldownEnd(now event.Time, k *ticket) (end event.Time, all bool) {
 	for i := range s.views {
 		v := &s.views[i]
-		if v.capacity == 0 && !v.hasCooldowns || k.avoids(v.endpoint) || !v.endpoint.isAvailable(now) {
+		if v.capacityUnits == 0 && !v.hasCooldowns || k.avoids(v.endpoint) || !v.endpoint.isAvailable(now) {
 			continue
 		}
 		until := v.endpoint.cooldowns[k.entry]
--- a/sched/state.go
+++ b/sched/state.go
@@ -104,14 +104,14 @@
 	views             []view    // of endpoints, in the same order
 	prefill           prefillFit
 	maxSpeed          float64     // of available endpoints; 0 if there is none
-	capacity          int         // sum over available endpoints, in units of 1/capacityScale
+	capacityUnits     int         // sum over available endpoints
 	cooldownEndpoints int         // number of endpoints with cooldowns
 	limitShare        float64     // share of the endpoints' rate limits that this pool may spend
 	runTime           meanRunTime // over all requests
 	meanWork          float64     // of submitted requests, in seconds at speed 1; 0 before the first
 	prefix            prefixIndex
-	outputLengths     map[string]*outputLength // by service
-	refused           map[Group]int            // since this owner started
+	outputLengths     map[string]*lengthRatio // by service
+	refused           map[Group]int           // since this owner started
 	classes           classes
 	drainingHosts     map[string]bool // IP addresses, by the platform's list
 	topRank           int             // highest recent rank
@@ -129,7 +129,7 @@
 		grants:        make(map[event.RequestID]*grant),
 		entries:       make(map[event.BoxID]event.Time),
 		prefix:        prefixIndex{holders: make(map[uint64][]*endpoint)},
-		outputLengths: make(map[string]*outputLength),
+		outputLengths: make(map[string]*lengthRatio),
 		refused:       make(map[Group]int),
 		classes:       make(classes),
 		limitShare:    1,
@@ -238,7 +238,7 @@
 		return strings.Compare(string(a.ID), string(b.ID))
 	})
 	clear(s.views)
-	s.capacity, s.cooldownEndpoints = 0, 0
+	s.capacityUnits, s.cooldownEndpoints = 0, 0
 	for i, e := range s.endpoints {
 		e.index = i
 	}
@@ -356,7 +356,7 @@
 		return
 	}
 	g.endpoint.inflight--
-	g.endpoint.prefills.remove(now, g)
+	g.endpoint.prefillQueue.remove(now, g)
 	delete(g.endpoint.grants, id)
 	delete(s.grants, id)
 	s.refreshView(now, g.endpoint)
--- a/sched/view.go
+++ b/sched/view.go
@@ -13,7 +13,7 @@
 type view struct {
 	endpoint        *endpoint
 	slowness        float64 // 1 / speed
-	prefillSlowness float64 // slowness of prefill
+	prefillSlowness float64 // 1 / speed of prefill
 	// Pending prefill: headWork seconds of the prompt processed since
 	// headSince, and queuedWork seconds of those behind it, both at speed 1.
 	headWork, queuedWork float64
@@ -22,7 +22,7 @@
 	dataCentre           string
 	free                 int32 // free capacity for the highest rank; 0 if unavailable
 	reserved             int32 // part of free that lower ranks may not use
-	capacity             int32 // in units of 1/capacityScale; 0 if unavailable
+	capacityUnits        int32 // capacity in units; 0 if unavailable
 	hasCooldowns         bool  // some entries are in cooldown
 	isRateLimited        bool  // limited in requests per second
 }
@@ -31,17 +31,17 @@
 func (s *State) refreshView(now event.Time, e *endpoint) {
 	v := &s.views[e.index]
 	s.subtractView(v)
-	first := e.prefills.headWork()
+	headWork := e.prefillQueue.headWork()
 	*v = view{
-		endpoint: e, slowness: 1 / e.speed(), prefillSlowness: e.prefillSlowness.get(now) / e.speed(), dataCentre: e.DataCentre,
-		headWork: first, queuedWork: e.prefills.work - first, headSince: e.prefills.headSince, plannedUntil: e.prefills.plannedUntil,
+		endpoint: e, slowness: 1 / e.speed(), prefillSlowness: e.prefillSlowdown.get(now) / e.speed(), dataCentre: e.DataCentre,
+		headWork: headWork, queuedWork: e.prefillQueue.work - headWork, headSince: e.prefillQueue.headSince, plannedUntil: e.prefillQueue.plannedUntil,
 	}
 	if e.Concurrency > 0 && e.isAvailable(now) {
-		free, capacity := max(0, e.capacity()-e.inflight), e.capacity()*capacityScale
+		free, units := max(0, e.capacity()-e.inflight), e.capacity()*unitsPerRequest
 		if e.rateLimit.isSet {
 			v.isRateLimited = true
 			free = min(free, e.rateLimit.pacer.Room(now))
-			capacity = min(capacity, s.limitedCapacity(now, &e.rateLimit))
+			units = min(units, s.limitedCapacity(now, &e.rateLimit))
 		}
 		if len(e.cooldowns) > 0 {
 			e.expireCooldowns(now)
@@ -49,10 +49,10 @@
 		}
 		if v.hasCooldowns {
 			s.cooldownEndpoints++
-			capacity = s.capacityOutsideCooldown(e, capacity)
+			units = s.capacityOutsideCooldown(e, units)
 		}
-		v.free, v.capacity = clampInt32(free), clampInt32(capacity)
-		s.capacity += int(v.capacity)
+		v.free, v.capacityUnits = clampInt32(free), clampInt32(units)
+		s.capacityUnits += int(v.capacityUnits)
 		if !s.pool.Discovered {
 			v.reserved = clampInt32(e.Concurrency / reserveDivisor)
 		}
@@ -64,7 +64,7 @@
 
 // subtractView removes a view from the pool's sums.
 func (s *State) subtractView(v *view) {
-	s.capacity -= int(v.capacity)
+	s.capacityUnits -= int(v.capacityUnits)
 	if v.hasCooldowns {
 		s.cooldownEndpoints--
 	}
@@ -101,7 +101,7 @@
 	// the answer.
 	toFirstToken  bool
 	prefillRate   float64 // prompt tokens per second
-	deadline      float64 // time left to the deadline
+	deadlineLeft  float64 // time left to the deadline
 	dataCentre    string
 	rateLimitCost float64 // extra cost of a rate-limited endpoint
 }
@@ -113,7 +113,7 @@
 func (s *State) costModel(now event.Time, k *ticket) costModel {
 	profile := s.profile()
 	timeLeft := k.deadline.Sub(now).Seconds()
-	p := costModel{now: now, timeLeft: timeLeft, deadline: timeLeft, prefillWeight: s.pool.PrefillWeight, prefillRate: profile.PrefillRate, dataCentre: k.DataCentre}
+	p := costModel{now: now, timeLeft: timeLeft, deadlineLeft: timeLeft, prefillWeight: s.pool.PrefillWeight, prefillRate: profile.PrefillRate, dataCentre: k.DataCentre}
 	if k.Target > 0 {
 		p.timeLeft = (k.Target - now.Sub(k.arrived)).Seconds()
 		p.toFirstToken = true
@@ -149,19 +149,19 @@
 	return p
 }
 
-// cost returns the cost of the request at an endpoint that has so many prompt
+// costAt returns the cost of the request at an endpoint that has so many prompt
 // tokens cached, and the estimated times there.
-func (p *costModel) cost(v *view, cached int) (cost float64, est estimate) {
-	work := p.prefill - float64(cached)/p.prefillRate
-	prefill := work * v.prefillSlowness
+func (p *costModel) costAt(v *view, cached int) (cost float64, est estimate) {
+	prefillWork := p.prefill - float64(cached)/p.prefillRate
+	prefill := prefillWork * v.prefillSlowness
 	total := prefill + p.decode*v.slowness
 	firstToken := prefill
 	if p.prefill == 0 {
 		firstToken = total
 	}
-	ahead := v.prefillAhead(p.now)
-	total += ahead
-	firstToken += ahead
+	prefillAhead := v.prefillAhead(p.now)
+	total += prefillAhead
+	firstToken += prefillAhead
 	cost = total * timeWeight
 	if p.dataCentre != "" && v.dataCentre != "" && p.dataCentre != v.dataCentre {
 		cost += crossDataCentreCost
@@ -183,10 +183,10 @@
 	if late := latency*estimateMargin - p.timeLeft; late > 0 {
 		cost += latePenalty * late
 	}
-	if late := total*estimateMargin - p.deadline; p.toFirstToken && late > 0 {
+	if late := total*estimateMargin - p.deadlineLeft; p.toFirstToken && late > 0 {
 		cost += latePenalty * late
 	}
-	return cost, estimate{prefill: prefill, prefillWork: work, total: total, latency: latency, cached: cached}
+	return cost, estimate{prefill: prefill, prefillWork: prefillWork, total: total, latency: latency, cached: cached}
 }
 
 // prefillAhead returns the seconds until the endpoint has processed its pending
@@ -199,7 +199,7 @@
 
 // choice is the result of chooseEndpoint. Times are in seconds.
 type choice struct {
-	endpoint      *endpoint // with free capacity and the least cost; nil if none has free capacity
+	best          *endpoint // with free capacity and the least cost; nil if none has free capacity
 	est           estimate  // there
 	cost          float64   // there
 	timeLeft      float64   // to the target or the deadline
@@ -247,16 +247,16 @@
 			c.inCooldown = true
 			continue
 		}
-		if c.endpoint == nil || v.endpoint.inflight < c.endpoint.inflight {
-			c.endpoint = v.endpoint
+		if c.best == nil || v.endpoint.inflight < c.best.inflight {
+			c.best = v.endpoint
 		}
 	}
 }
 
 // consider takes an endpoint if it costs less than the current choice.
 func (c *choice) consider(p *costModel, v *view, cached int) {
-	if cost, est := p.cost(v, cached); cost < c.cost {
-		c.endpoint, c.est, c.cost = v.endpoint, est, cost
+	if cost, est := p.costAt(v, cached); cost < c.cost {
+		c.best, c.est, c.cost = v.endpoint, est, cost
 	}
 }
 
@@ -271,7 +271,7 @@
 		case v.free > 0 && !(belowTop && v.free <= v.reserved):
 			c.consider(p, v, h.cached)
 		case h.endpoint.isAvailable(now):
-			cost, _ := p.cost(v, h.cached)
+			cost, _ := p.costAt(v, h.cached)
 			minFullCost = min(minFullCost, cost)
 		}
 	}
