--- a/routing/table.go
+++ b/routing/table.go
@@ -62,7 +62,7 @@
 	return r.Kind == KindRepeatable || (r.Kind == KindStream && r.Resumable)
 }
 
-// Share is the weight of a service in a route's traffic split.
+// WeightedService is a service with its weight in a route's traffic split.
 type Share struct {
 	Service string
 	Weight  int
--- a/sched/limit_test.go
+++ b/sched/limit_test.go
@@ -18,13 +18,13 @@
 		s.Step(0, &event.EndpointSeen{Endpoint: e, Address: "10.0.0.1:80", Limited: true, Limit: 2}, &out)
 	}
 	granted, refused, late := 0, 0, 0
-	asked := make(map[event.RequestID]event.Time)
+	submittedAt := make(map[event.RequestID]event.Time)
 	const length = 20 * event.Second
 	for now, id := event.Time(0), 0; now < event.Time(length); now = now.Add(20 * event.Millisecond) {
 		out.Reset()
-		one := submission(id, func(k *event.Ticket) { k.Patience = 500 * event.Millisecond })
-		asked[one.Ticket.ID] = now
-		s.Step(now, one, &out)
+		submitted := submission(id, func(k *event.Ticket) { k.Patience = 500 * event.Millisecond })
+		submittedAt[submitted.Ticket.ID] = now
+		s.Step(now, submitted, &out)
 		id++
 		s.Step(now, &event.Tick{}, &out)
 		for _, g := range out.Grants {
@@ -39,7 +39,7 @@
 			if r.RetryAfter < MinRetryAfter {
 				t.Errorf("refused with Retry-After %v", r.RetryAfter)
 			}
-			if now.Sub(asked[r.ID]) > 600*event.Millisecond {
+			if now.Sub(submittedAt[r.ID]) > 600*event.Millisecond {
 				late++
 			}
 		}
--- a/sched/rest_test.go
+++ b/sched/rest_test.go
@@ -18,10 +18,10 @@
 	return s
 }
 
-func callFrom(id int, entry event.BoxID, patience event.Span) *event.Submitted {
-	one := submission(id, func(k *event.Ticket) { k.Patience = patience })
-	one.Entry = entry
-	return one
+func callFrom(id int, entry event.BoxID, timeout event.Span) *event.Submitted {
+	s := submission(id, func(k *event.Ticket) { k.Patience = timeout })
+	s.Entry = entry
+	return s
 }
 
 // TestRefusesEntryInCooldownAtAllEndpoints checks that its requests are refused at once until the first cooldown
