--- a/cluster/absent_test.go
+++ b/cluster/absent_test.go
@@ -32,19 +32,19 @@
 	s.run(second)
 	owner := s.mustOwner()
 	for i := range entries {
-		s.step(owner, &SessionBegan{Reads: level.Newest, Session: SessionID(i + 1), Hello: message.Hello{Entry: event.BoxID(fmt.Sprint("entry", i))}})
+		s.step(owner, &SessionOpened{FormatVersion: level.Newest, Session: SessionID(i + 1), Hello: message.Hello{Entry: event.BoxID(fmt.Sprint("entry", i))}})
 	}
 	for i := range requests {
-		s.step(owner, &SessionTold{Session: SessionID(away + 1 + i%(entries-away)), Batch: submit(event.RequestID(fmt.Sprint("r", i)))})
+		s.step(owner, &BatchReceived{Session: SessionID(away + 1 + i%(entries-away)), Batch: submit(event.RequestID(fmt.Sprint("r", i)))})
 	}
 	for i := range away {
-		s.step(owner, &SessionEnded{Session: SessionID(i + 1)})
+		s.step(owner, &SessionClosed{Session: SessionID(i + 1)})
 	}
-	now := s.now.Add(entryPatience + second)
+	now := s.now.Add(entryTimeout + second)
 	var out Effects
 	owner.state.owner.tick(now, owner.state, &out)
-	if got := forgotten(owner.state.owner); got == 0 || got > forgetMost {
-		t.Errorf("%d entries forgotten in one step, want some, %d at the most", got, forgetMost)
+	if got := forgotten(owner.state.owner); got == 0 || got > maxForgetPerTick {
+		t.Errorf("%d entries forgotten in one step, want some, %d at the most", got, maxForgetPerTick)
 	}
 	best := time.Hour
 	for range 3 {
--- a/cluster/asked_test.go
+++ b/cluster/asked_test.go
@@ -39,7 +39,7 @@
 }
 
 func (s *askingSim) connect(id SessionID, reads level.Level) {
-	s.step(s.owner, &SessionBegan{Reads: reads, Session: id, Hello: message.Hello{Entry: event.BoxID(fmt.Sprint("entry", id)), Life: 1}})
+	s.step(s.owner, &SessionOpened{FormatVersion: reads, Session: id, Hello: message.Hello{Entry: event.BoxID(fmt.Sprint("entry", id)), Life: 1}})
 }
 
 // heard has an entry tell of endpoints from one to another that name a limit.
@@ -50,7 +50,7 @@
 			Endpoint: event.EndpointID(fmt.Sprintf("i-%08x", i)), Word: backpressure.Word{Limited: true, Rate: rate},
 		})
 	}
-	s.step(s.owner, &SessionTold{Session: id, Batch: b})
+	s.step(s.owner, &BatchReceived{Session: id, Batch: b})
 }
 
 // told returns what a session was told that endpoints ask for, and the longest message of it.
@@ -80,7 +80,7 @@
 	s.run(event.Second)
 	s.connect(5, level.Newest)
 	for range 3 {
-		s.step(s.owner, &SessionPinged{Session: 5, Ping: message.Ping{Sent: s.now}})
+		s.step(s.owner, &PingReceived{Session: 5, Ping: message.Ping{Sent: s.now}})
 	}
 	for id, want := range map[SessionID]int{1: endpoints, 3: endpoints, 4: 0, 5: endpoints} {
 		states, longest := s.told(id)
--- a/cluster/bulk_bench_test.go
+++ b/cluster/bulk_bench_test.go
@@ -10,8 +10,8 @@
 )
 
 // largeMachine has a configuration of many routes and many endpoints.
-func largeMachine(b *testing.B, d Document) *machine {
-	m := &machine{}
+func largeMachine(b *testing.B, d Document) *stateMachine {
+	m := &stateMachine{}
 	commands := parts(d)
 	for i := range manyEndpoints {
 		commands = append(commands, encodeEndpoint(manyEndpoint(i, 1)))
@@ -36,7 +36,7 @@
 func BenchmarkRestore(b *testing.B) {
 	data := largeMachine(b, routesDocument(1, manyRoutes)).snapshot()
 	for b.Loop() {
-		var m machine
+		var m stateMachine
 		if err := m.restore(data, level.Newest); err != nil {
 			b.Fatal(err)
 		}
@@ -57,7 +57,7 @@
 	list := parts(routesDocument(1, manyRoutes))
 	b.ResetTimer()
 	for n := 0; n < b.N; {
-		var m machine
+		var m stateMachine
 		for i := 0; i < len(list) && n < b.N; i, n = i+1, n+1 {
 			if _, err := m.apply(1, list[i]); err != nil {
 				b.Fatal(err)
--- a/cluster/bulk_sim_test.go
+++ b/cluster/bulk_sim_test.go
@@ -144,7 +144,7 @@
 		case to == nil || to.disk.member.ID != f.message.To || s.cut(string(f.message.From.Box()), to.name):
 		default:
 			s.meet(s.boxes[string(f.message.From.Box())], to)
-			s.step(to, &Received{Message: f.message})
+			s.step(to, &MessageReceived{Message: f.message})
 		}
 	}
 	s.flying = append(late, s.flying...)
@@ -191,11 +191,11 @@
 func (s *slowSim) tellSaved(b *simBox, saved []consensus.Ready) {
 	for _, r := range slices.Backward(saved) {
 		if n := len(r.Entries); n > 0 {
-			s.step(b, &Saved{Index: r.Entries[n-1].Index, Term: r.Entries[n-1].Term})
+			s.step(b, &LogSaved{Index: r.Entries[n-1].Index, Term: r.Entries[n-1].Term})
 			return
 		}
 		if r.Snapshot != nil {
-			s.step(b, &Saved{Index: r.Snapshot.Index, Term: r.Snapshot.Term})
+			s.step(b, &LogSaved{Index: r.Snapshot.Index, Term: r.Snapshot.Term})
 			return
 		}
 	}
@@ -209,7 +209,7 @@
 		for i, name := range s.order {
 			b := s.boxes[name]
 			if int64(s.now)%int64(slowTick) == int64(i)*int64(slowStep) {
-				s.step(b, &Ticked{})
+				s.step(b, &Tick{})
 			}
 			s.finishDecoding(b)
 			if b.state != nil && b.joins {
@@ -234,7 +234,7 @@
 	s        *slowSim
 	document Document
 	sent     event.Time
-	tokens   []Token
+	tokens   []CallID
 }
 
 func (s *slowSim) operator(d Document) *operator {
@@ -246,14 +246,14 @@
 	s := o.s
 	if owner := s.owner(); owner != nil && s.now.Sub(o.sent) >= second {
 		if n := len(o.tokens); n > 0 {
-			s.step(owner, &CallGone{Token: o.tokens[n-1]})
+			s.step(owner, &CallCancelled{Call: o.tokens[n-1]})
 		}
 		o.sent = s.now
 		s.token++
 		o.tokens = append(o.tokens, s.token)
-		s.step(owner, &DocumentSent{Token: s.token, Document: o.document})
+		s.step(owner, &DocumentSubmitted{Call: s.token, Document: o.document})
 	}
-	return slices.ContainsFunc(o.tokens, func(t Token) bool { return s.answers[t].Status == StatusDone })
+	return slices.ContainsFunc(o.tokens, func(t CallID) bool { return s.answers[t].Status == StatusDone })
 }
 
 // checkOwner fails the test if nobody owns the pools or the term is another.
@@ -353,7 +353,7 @@
 			t.Fatal("the large configuration was not acknowledged")
 		}
 	}
-	for i := range 2 * compactBytes / entryBytes { // so that the log is compacted
+	for i := range 2 * minCompactBytes / entryOverhead { // so that the log is compacted
 		s.tell(s.mustOwner(), manyEndpoint(i, 1))
 		s.run(slowStep)
 	}
@@ -382,7 +382,7 @@
 
 // logBound is what the log of a box may take in memory, in bytes, when its state is 1 MB: twice the
 // least between two snapshots, and a configuration that is not committed.
-const logBound = 2*compactBytes + 2<<20
+const logBound = 2*minCompactBytes + 2<<20
 
 // TestLogStaysWithinItsBound: 60 changes of 1 MB within 6 s stayed in memory, as the log kept 256
 // entries of any size and as all that was not yet replicated piled up in it.
@@ -390,11 +390,11 @@
 	s := newSlowSim(t, 3, 0)
 	s.run(4 * second)
 	most := 0
-	var tokens []Token
+	var tokens []CallID
 	for version := range uint64(60) {
 		s.token++
 		tokens = append(tokens, s.token)
-		s.step(s.mustOwner(), &DocumentSent{Token: s.token, Document: noiseDocument(version+1, 1<<20)})
+		s.step(s.mustOwner(), &DocumentSubmitted{Call: s.token, Document: noiseDocument(version+1, 1<<20)})
 		s.run(100 * event.Millisecond)
 		most = max(most, s.logBytes())
 	}
--- a/cluster/decoder.go
+++ b/cluster/decoder.go
@@ -13,7 +13,7 @@
 
 // decoder decodes documents beside the loop of a Server.
 type decoder struct {
-	read func([]byte) (*routing.Table, error)
+	parse func([]byte) (*routing.Table, error)
 	next chan Document // the newest that is to be decoded
 
 	mu sync.Mutex
@@ -24,11 +24,11 @@
 }
 
 func newDecoder(read func([]byte) (*routing.Table, error)) *decoder {
-	return &decoder{read: read, next: make(chan Document, 1)}
+	return &decoder{parse: read, next: make(chan Document, 1)}
 }
 
-// give gives a document to be decoded, in place of one that is not begun. Only the loop calls it.
-func (d *decoder) give(doc Document) {
+// submit gives a document to be decoded, in place of one that is not begun. Only the loop calls it.
+func (d *decoder) submit(doc Document) {
 	select {
 	case <-d.next:
 	default:
@@ -44,7 +44,7 @@
 		case <-ctx.Done():
 			return
 		case doc := <-d.next:
-			e := &Decoded{Version: doc.Version, Document: doc.Data}
+			e := &DocumentDecoded{Version: doc.Version, Document: doc.Data}
 			if e.Table, e.Err = d.decode(doc.Data); e.Err == nil {
 				tree = hashtree.Build(e.Table, tree)
 				e.Tree = tree
@@ -62,7 +62,7 @@
 	if d.last != nil && d.lastSum == sum {
 		return d.last, nil
 	}
-	table, err := d.read(data)
+	table, err := d.parse(data)
 	if err != nil {
 		return nil, err
 	}
--- a/cluster/document.go
+++ b/cluster/document.go
@@ -19,11 +19,11 @@
 // replicating one of any size goes on over lost connections and changes of the leader.
 
 const (
-	// partBytes is the most of a document in a part, before it is compressed. As a message of the
+	// maxPartBytes is the most of a document in a part, before it is compressed. As a message of the
 	// replicated log has at most so much too, a part holds nothing up, and none is sent in vain.
-	partBytes = 32 << 10
-	// maxDocument is the largest document that is read, in bytes: twice what operators may send.
-	maxDocument = 64 << 20
+	maxPartBytes = 32 << 10
+	// maxDocumentBytes is the largest document that is read, in bytes: twice what operators may send.
+	maxDocumentBytes = 64 << 20
 )
 
 // Document is a configuration as its operator sent it.
@@ -62,7 +62,7 @@
 	key := documentKey{Version: d.Version, Size: uint32(len(d.Data)), Sum: sha256.Sum256(d.Data)}
 	p := &packed{key: key}
 	for rest := d.Data; len(rest) > 0 || len(p.parts) == 0; {
-		n := min(partBytes, len(rest))
+		n := min(maxPartBytes, len(rest))
 		p.parts = append(p.parts, compress(rest[:n]))
 		rest = rest[n:]
 	}
@@ -84,15 +84,15 @@
 	return b.Bytes()
 }
 
-// expand adds to data what a part holds.
-func expand(data, part []byte) ([]byte, error) {
+// decompressPart adds to data what a part holds.
+func decompressPart(data, part []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(part))
 	b := bytes.NewBuffer(data)
-	n, err := io.Copy(b, io.LimitReader(r, partBytes+1))
+	n, err := io.Copy(b, io.LimitReader(r, maxPartBytes+1))
 	switch {
 	case err != nil:
 		return nil, errors.Wrap(err, "part of a document")
-	case n > partBytes:
+	case n > maxPartBytes:
 		return nil, errors.New("part of a document is too long")
 	}
 	return b.Bytes(), nil
@@ -114,7 +114,7 @@
 // encodePart returns the command that brings a part of a packed document.
 func (p *packed) encodePart(number int) []byte {
 	data := make([]byte, 0, 1+partHeader+len(p.parts[number]))
-	data = appendKey(append(data, commandPart), p.key)
+	data = appendKey(append(data, commandDocument), p.key)
 	data = binary.BigEndian.AppendUint32(data, uint32(number))
 	return append(data, p.parts[number]...)
 }
@@ -126,7 +126,7 @@
 // level.Parts. It is of the same kind as that of a part.
 func (d *Document) encodeWhole() []byte {
 	data := make([]byte, 0, 1+versionBytes+len(d.Data))
-	data = binary.BigEndian.AppendUint64(append(data, commandPart), d.Version)
+	data = binary.BigEndian.AppendUint64(append(data, commandDocument), d.Version)
 	return append(data, d.Data...)
 }
 
@@ -134,12 +134,12 @@
 // part has the document's size behind the version, whose first byte is at most that of
 // maxDocument. A document is a text there, whose bytes are all above that.
 func isWholeDocument(body []byte) bool {
-	return len(body) > versionBytes && body[versionBytes] > maxDocument>>24
+	return len(body) > versionBytes && body[versionBytes] > maxDocumentBytes>>24
 }
 
-// applyWhole takes a document that came whole.
-func (m *machine) applyWhole(body []byte) change {
-	m.knows(level.Listed)
+// applyWholeDocument takes a document that came whole.
+func (m *stateMachine) applyWholeDocument(body []byte) change {
+	m.observeFormat(level.Listed)
 	version := binary.BigEndian.Uint64(body)
 	if version <= m.document.Version {
 		return change{}
@@ -164,7 +164,7 @@
 		u.sum = sha256.New()
 	}
 	before := len(u.data)
-	data, err := expand(u.data, part)
+	data, err := decompressPart(u.data, part)
 	if err != nil {
 		return err
 	}
@@ -177,8 +177,8 @@
 	return err
 }
 
-// isWhole reports whether all parts have come.
-func (u *upload) isWhole() bool { return len(u.parts) > 0 && uint32(len(u.data)) == u.key.Size }
+// isComplete reports whether all parts have come.
+func (u *upload) isComplete() bool { return len(u.parts) > 0 && uint32(len(u.data)) == u.key.Size }
 
 // document returns the whole document.
 func (u *upload) document() (Document, error) {
@@ -190,19 +190,19 @@
 
 // applyDocument takes a document that came whole, or a part of one. One that can't be read tells nothing
 // of what members read.
-func (m *machine) applyDocument(body []byte) (change, error) {
+func (m *stateMachine) applyDocument(body []byte) (change, error) {
 	if isWholeDocument(body) {
-		return m.applyWhole(body), nil
+		return m.applyWholeDocument(body), nil
 	}
 	c, err := m.applyPart(body)
 	if err == nil {
-		m.knows(level.Parts)
+		m.observeFormat(level.Parts)
 	}
 	return c, err
 }
 
 // applyPart takes a part of a document; the last one puts the document in force.
-func (m *machine) applyPart(body []byte) (change, error) {
+func (m *stateMachine) applyPart(body []byte) (change, error) {
 	if len(body) < partHeader {
 		return change{}, errors.New("part of a document without its header")
 	}
@@ -211,7 +211,7 @@
 	if key.Version <= m.document.Version {
 		return change{}, nil
 	}
-	if key.Size > maxDocument {
+	if key.Size > maxDocumentBytes {
 		return change{}, errors.Errorf("document of %d bytes", key.Size)
 	}
 	if m.upload.key != key {
@@ -224,8 +224,8 @@
 		return change{}, nil // it is known
 	}
 	err := m.upload.add(body[partHeader:])
-	if err != nil || !m.upload.isWhole() {
-		return change{}, m.dropUploadIf(err)
+	if err != nil || !m.upload.isComplete() {
+		return change{}, m.dropUploadOnError(err)
 	}
 	d, err := m.upload.document()
 	m.upload = upload{}
@@ -236,8 +236,8 @@
 	return change{document: true}, nil
 }
 
-// dropUploadIf drops a document of which a part could not be read.
-func (m *machine) dropUploadIf(err error) error {
+// dropUploadOnError drops a document of which a part could not be read.
+func (m *stateMachine) dropUploadOnError(err error) error {
 	if err != nil {
 		m.upload = upload{}
 	}
--- a/cluster/events.go
+++ b/cluster/events.go
@@ -15,115 +15,115 @@
 // SessionID names a connection of an entry.
 type SessionID uint64
 
-// Token names a call that waits for an answer.
-type Token uint64
+// CallID names a call that waits for an answer.
+type CallID uint64
 
 // Event is something that happened to a control box.
 type Event interface{ isEvent() }
 
 // The events.
 type (
-	// Ticked says that time passed.
-	Ticked struct{}
-	// Received brings a message of the replicated log.
-	Received struct{ Message consensus.Message }
-	// Saved says that the log is on disk up to an entry.
-	Saved struct {
+	// Tick says that time passed.
+	Tick struct{}
+	// MessageReceived brings a message of the replicated log.
+	MessageReceived struct{ Message consensus.Message }
+	// LogSaved says that the log is on disk up to an entry.
+	LogSaved struct {
 		Index consensus.Index
 		Term  consensus.Term
 	}
-	// JoinAsked says that a box wants to be a member.
-	JoinAsked struct{ Member consensus.Member }
-	// DocumentSent brings a configuration that was found sound.
-	DocumentSent struct {
-		Token    Token
+	// JoinRequested says that a box wants to be a member.
+	JoinRequested struct{ Member consensus.Member }
+	// DocumentSubmitted brings a configuration that was found sound.
+	DocumentSubmitted struct {
+		Call    CallID
 		Document Document
 	}
-	// DocumentRead asks for the newest configuration.
-	DocumentRead struct{ Token Token }
-	// EndpointTold brings an endpoint's word on itself; the ID in it is the endpoint's name.
-	EndpointTold struct {
-		Token    Token
+	// DocumentRequested asks for the newest configuration.
+	DocumentRequested struct{ Call CallID }
+	// HeartbeatReceived brings an endpoint's word on itself; the ID in it is the endpoint's name.
+	HeartbeatReceived struct {
+		Call    CallID
 		Endpoint registry.Endpoint
 	}
-	// EndpointLeft says that an endpoint says that it ends.
-	EndpointLeft struct {
-		Token Token
+	// EndpointRemoved says that an endpoint says that it ends.
+	EndpointRemoved struct {
+		Call CallID
 		Name  string
 		Born  uint64 // as in registry.Endpoint
 	}
-	// EndpointsHeard says that other boxes have heard endpoints that had no news.
-	EndpointsHeard struct{ IDs []string }
-	// CallGone says that a call does not wait any more.
-	CallGone struct{ Token Token }
-	// SessionBegan says that an entry connected.
-	SessionBegan struct {
+	// HeartbeatsForwarded says that other boxes have heard endpoints that had no news.
+	HeartbeatsForwarded struct{ IDs []string }
+	// CallCancelled says that a call does not wait any more.
+	CallCancelled struct{ Call CallID }
+	// SessionOpened says that an entry connected.
+	SessionOpened struct {
 		Session SessionID
 		Hello   message.Hello
-		// Reads and Build are what the entry reads and is.
-		Reads level.Level
+		// FormatVersion and Build are what the entry reads and is.
+		FormatVersion level.Level
 		Build string
 	}
-	// SessionPinged brings an entry's question.
-	SessionPinged struct {
+	// PingReceived brings an entry's question.
+	PingReceived struct {
 		Session SessionID
 		Ping    message.Ping
 	}
-	// SessionTold brings what an entry says.
-	SessionTold struct {
+	// BatchReceived brings what an entry says.
+	BatchReceived struct {
 		Session SessionID
 		Batch   *message.Batch
 	}
-	// SessionEnded says that an entry's connection is gone.
-	SessionEnded struct{ Session SessionID }
-	// SessionWanted brings an entry's question for nodes of the configuration.
-	SessionWanted struct {
+	// SessionClosed says that an entry's connection is gone.
+	SessionClosed struct{ Session SessionID }
+	// NodesRequested brings an entry's question for nodes of the configuration.
+	NodesRequested struct {
 		Session SessionID
-		Want    *message.Want
+		Request    *message.Want
 	}
-	// Decoded brings a document that Effects asked to decode.
-	Decoded struct {
+	// DocumentDecoded brings a document that Effects asked to decode.
+	DocumentDecoded struct {
 		Version  uint64
 		Document []byte
 		Table    *routing.Table
 		Tree     *hashtree.Tree
 		Err      error
 	}
-	// PeerTold says what another control box reads and is that has made a connection.
-	PeerTold struct {
+	// PeerConnected says what another control box reads and is that has made a connection.
+	PeerConnected struct {
 		Box   event.BoxID
-		Link  uint64 // names the connection
-		Reads level.Level
+		Connection  uint64 // names the connection
+		FormatVersion level.Level
 		Build string
 	}
-	// PeerLost says that such a connection has ended.
-	PeerLost struct {
+	// PeerDisconnected says that such a connection has ended.
+	PeerDisconnected struct {
 		Box  event.BoxID
-		Link uint64
+		Connection uint64
 	}
-	// StopAsked says that the process is to end.
-	StopAsked struct{}
+	// StopRequested says that the process is to end.
+	StopRequested struct{}
 )
 
-func (*Ticked) isEvent()         {}
-func (*Received) isEvent()       {}
-func (*Saved) isEvent()          {}
-func (*JoinAsked) isEvent()      {}
-func (*DocumentSent) isEvent()   {}
-func (*DocumentRead) isEvent()   {}
-func (*EndpointTold) isEvent()   {}
-func (*EndpointLeft) isEvent()   {}
-func (*EndpointsHeard) isEvent() {}
-func (*CallGone) isEvent()       {}
-func (*SessionBegan) isEvent()   {}
-func (*SessionPinged) isEvent()  {}
-func (*SessionTold) isEvent()    {}
-func (*SessionEnded) isEvent()   {}
-func (*SessionWanted) isEvent()  {}
-func (*Decoded) isEvent()        {}
-func (*PeerTold) isEvent()       {}
-func (*PeerLost) isEvent()       {}
-func (*StopAsked) isEvent()      {}
+func (*Tick) isEvent()         {}
+func (*MessageReceived) isEvent()       {}
+func (*LogSaved) isEvent()          {}
+func (*JoinRequested) isEvent()      {}
+func (*DocumentSubmitted) isEvent()   {}
+func (*DocumentRequested) isEvent()   {}
+func (*HeartbeatReceived) isEvent()   {}
+func (*EndpointRemoved) isEvent()   {}
+func (*HeartbeatsForwarded) isEvent() {}
+func (*CallCancelled) isEvent()       {}
+func (*SessionOpened) isEvent()   {}
+func (*PingReceived) isEvent()  {}
+func (*BatchReceived) isEvent()    {}
+func (*SessionClosed) isEvent()   {}
+func (*NodesRequested) isEvent()  {}
+func (*DocumentDecoded) isEvent()        {}
+func (*PeerConnected) isEvent()       {}
+func (*PeerDisconnected) isEvent()       {}
+func (*StopRequested) isEvent()      {}
 
 // Status says how a call ended.
 type Status uint8
@@ -134,23 +134,23 @@
 	StatusDone Status = iota + 1
 	// StatusElsewhere: another box leads; Answer.Leader says which, if known.
 	StatusElsewhere
-	// StatusUnclear: it may or may not have been done.
-	StatusUnclear
+	// StatusUnknown: it may or may not have been done.
+	StatusUnknown
 	// StatusUnknownService: an endpoint is of a service that the configuration does not have.
 	StatusUnknownService
 )
 
 // Answer ends a call.
 type Answer struct {
-	Token  Token
+	Call  CallID
 	Status Status
 	Leader string // operators' address of the leader
 	// Next is the operators' address to which an endpoint is to send its next words; empty if it is to choose
 	// a box by itself.
 	Next     string
 	Document Document
-	// Until is when the lease ends on which the answer rests.
-	Until event.Time
+	// ValidUntil is when the lease ends on which the answer rests.
+	ValidUntil event.Time
 }
 
 // Send is a message for a session.
@@ -165,21 +165,21 @@
 	Answers []Answer
 	Sends   []Send
 	Closes  []SessionID
-	// Heard are endpoints of which Leader is to be told that they live.
-	Heard  []string
+	// Heartbeats are endpoints of which Leader is to be told that they live.
+	Heartbeats  []string
 	Leader consensus.ID
 	// Decode is a document that is to be decoded beside the loop; a Decoded answers. A later one
 	// may take the place of one that is not begun. Version 0 is none.
 	Decode Document
-	// Stop says why the process must end: it met what only a later build reads. Nothing else of
+	// Fatal says why the process must end: it met what only a later build reads. Nothing else of
 	// these effects is to be carried out then.
-	Stop  error
-	Notes []Note
+	Fatal  error
+	LogRecords []LogRecord
 }
 
-// Note is a line for the log: a belief that changed.
-type Note struct {
-	Text   string
+// LogRecord is a line for the log: a belief that changed.
+type LogRecord struct {
+	Message   string
 	Fields []Field
 }
 
@@ -189,8 +189,8 @@
 	Value any
 }
 
-func (e *Effects) note(text string, fields ...Field) {
-	e.Notes = append(e.Notes, Note{Text: text, Fields: fields})
+func (e *Effects) logInfo(text string, fields ...Field) {
+	e.LogRecords = append(e.LogRecords, LogRecord{Message: text, Fields: fields})
 }
 
 func (e *Effects) reset() {
@@ -198,8 +198,8 @@
 	e.Answers = e.Answers[:0]
 	e.Sends = e.Sends[:0]
 	e.Closes = e.Closes[:0]
-	e.Heard = nil
+	e.Heartbeats = nil
 	e.Decode = Document{}
-	e.Stop = nil
-	e.Notes = e.Notes[:0]
+	e.Fatal = nil
+	e.LogRecords = e.LogRecords[:0]
 }
--- a/cluster/fleet_harm_test.go
+++ b/cluster/fleet_harm_test.go
@@ -38,7 +38,7 @@
 		f.cut = func(from, to string) bool { return f.now < until && (from == box || (to == box && !oneWay)) }
 	case 4: // a planned change of the owner
 		if b := f.boxes[box]; b.state != nil {
-			f.step(b, &StopAsked{})
+			f.step(b, &StopRequested{})
 		}
 	case 5, 6: // entries are killed, and perhaps the owner with them
 		some(part, func(e *fleetEntry) { f.killEntry(e, span(700)) })
--- a/cluster/fleet_sim_test.go
+++ b/cluster/fleet_sim_test.go
@@ -186,7 +186,7 @@
 		e.client.Lost(e.now(f.now), l.id, nil)
 	}
 	if b := f.boxes[l.box]; b.state != nil {
-		f.step(b, &SessionEnded{Session: l.session})
+		f.step(b, &SessionClosed{Session: l.session})
 	}
 }
 
@@ -291,7 +291,7 @@
 			l := e.link
 			e.link = nil
 			if b := f.boxes[l.box]; b.state != nil {
-				f.step(b, &SessionEnded{Session: l.session})
+				f.step(b, &SessionClosed{Session: l.session})
 			}
 		}
 	}
@@ -327,13 +327,13 @@
 		l.up = l.up[1:]
 		switch {
 		case m.Hello != nil:
-			f.step(b, &SessionBegan{Reads: level.Newest, Session: l.session, Hello: *m.Hello})
+			f.step(b, &SessionOpened{FormatVersion: level.Newest, Session: l.session, Hello: *m.Hello})
 		case m.Ping != nil:
-			f.step(b, &SessionPinged{Session: l.session, Ping: *m.Ping})
+			f.step(b, &PingReceived{Session: l.session, Ping: *m.Ping})
 		case m.Batch != nil:
-			f.step(b, &SessionTold{Session: l.session, Batch: m.Batch})
+			f.step(b, &BatchReceived{Session: l.session, Batch: m.Batch})
 		case m.Want != nil:
-			f.step(b, &SessionWanted{Session: l.session, Want: m.Want})
+			f.step(b, &NodesRequested{Session: l.session, Request: m.Want})
 		}
 	}
 	for _, m := range f.sends[l.session][l.taken:] {
--- a/cluster/folders_test.go
+++ b/cluster/folders_test.go
@@ -66,11 +66,11 @@
 		if m.document.Version != 9 || len(m.registry.Endpoints) != 3 || len(m.registry.Gone) != 300 {
 			t.Errorf("%s: version %d, %d endpoints, %d ended; want 9, 3 and 300", commit, m.document.Version, len(m.registry.Endpoints), len(m.registry.Gone))
 		}
-		if state.node.Members().Voters == nil || state.compact <= 1 {
-			t.Errorf("%s: members %+v, a snapshot at %d", commit, state.node.Members(), state.compact)
+		if state.node.Members().Voters == nil || state.snapshotIndex <= 1 {
+			t.Errorf("%s: members %+v, a snapshot at %d", commit, state.node.Members(), state.snapshotIndex)
 		}
-		if m.level != want {
-			t.Errorf("%s: the folder tells level %d, want %d", commit, m.level, want)
+		if m.formatVersion != want {
+			t.Errorf("%s: the folder tells level %d, want %d", commit, m.formatVersion, want)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := machine{level: level.Newest}
+	m := stateMachine{formatVersion: level.Newest}
 	snapshot := m.snapshot()
 	snapshot[1]++ // the level
 	restored.Snapshot.Index, restored.Snapshot.Data = 3, snapshot
--- a/cluster/greet_bench_test.go
+++ b/cluster/greet_bench_test.go
@@ -56,10 +56,10 @@
 	took := cputime.Of(func() {
 		for i := range entries {
 			id := SessionID(i + 1)
-			s.step(owner, &SessionBegan{Reads: level.Newest, Session: id, Hello: message.Hello{
+			s.step(owner, &SessionOpened{FormatVersion: level.Newest, Session: id, Hello: message.Hello{
 				Entry: event.BoxID(fmt.Sprint("entry", i)), Life: 1, Entries: entries,
 			}})
-			s.step(owner, &SessionPinged{Session: id, Ping: message.Ping{Sent: s.now}})
+			s.step(owner, &PingReceived{Session: id, Ping: message.Ping{Sent: s.now}})
 		}
 	})
 	bytes := 0
--- a/cluster/levels_test.go
+++ b/cluster/levels_test.go
@@ -19,9 +19,9 @@
 )
 
 // fullMachine returns a machine with some of all that the log may bring, at a level.
-func fullMachine(t *testing.T, l level.Level) *machine {
+func fullMachine(t *testing.T, l level.Level) *stateMachine {
 	t.Helper()
-	m := &machine{}
+	m := &stateMachine{}
 	d := Document{Version: 3, Data: []byte(`{"version":3}`)}
 	commands := [][]byte{
 		encodeEndpoint(registry.Endpoint{ID: "e", Service: "s", Address: "127.0.0.1:1", Sequence: 1}),
@@ -39,7 +39,7 @@
 		commands = append(commands, encodePoison(poison.Record{Lines: []poison.Line{{Print: "0123456789abcdef", Ends: []uint64{7}}}}))
 	}
 	if l >= level.Told {
-		commands = append(commands, encodeLevel(l))
+		commands = append(commands, encodeFormatVersion(l))
 	}
 	if l >= level.Starts {
 		commands = append(commands, encodeEndpoint(registry.Endpoint{ID: "g", Born: 7, Service: "s", Address: "127.0.0.1:3", Sequence: 1}))
@@ -53,11 +53,11 @@
 }
 
 // contents is all that a machine has, for comparisons.
-func (m *machine) contents(t *testing.T) string {
+func (m *stateMachine) contents(t *testing.T) string {
 	t.Helper()
 	m.registry.IsGone("") // it makes what is derived, which is there or not after a snapshot
 	data, err := json.Marshal([]any{
-		m.level, m.document.Version, m.document.Data, m.upload.key, m.upload.parts, m.registry, m.spending.Record(), m.poison.Record(),
+		m.formatVersion, m.document.Version, m.document.Data, m.upload.key, m.upload.parts, m.registry, m.spending.Record(), m.poison.Record(),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 func TestSnapshotsOfAllLevels(t *testing.T) {
 	for _, l := range []level.Level{level.Listed, level.Parts, level.Suspects, level.Told, level.Starts} {
 		m := fullMachine(t, l)
-		var again machine
+		var again stateMachine
 		if err := again.restore(m.snapshot(), level.Newest); err != nil {
 			t.Errorf("level %d: %v", l, err)
 			continue
@@ -79,8 +79,8 @@
 		if diff := cmp.Diff(m.contents(t), again.contents(t)); diff != "" {
 			t.Errorf("level %d (-want +got):\n%s", l, diff)
 		}
-		if m.level != l {
-			t.Errorf("a log with forms up to level %d tells level %d", l, m.level)
+		if m.formatVersion != l {
+			t.Errorf("a log with forms up to level %d tells level %d", l, m.formatVersion)
 		}
 	}
 }
@@ -88,8 +88,8 @@
 // TestSnapshotAboveIsTold: a box whose folder is of a later build must say so, and not that the folder
 // is damaged: an operator would take its disk for lost.
 func TestSnapshotAboveIsTold(t *testing.T) {
-	var m machine
-	later := append([]byte{formatTold, byte(level.Newest + 2)}, fullMachine(t, level.Told).snapshot()[2:]...)
+	var m stateMachine
+	later := append([]byte{formatVersioned, byte(level.Newest + 2)}, fullMachine(t, level.Told).snapshot()[2:]...)
 	for name, c := range map[string]struct {
 		data []byte
 		says string
@@ -102,7 +102,7 @@
 			t.Errorf("%s: %v, want what was found and what is read", name, err)
 		}
 	}
-	for name, data := range map[string][]byte{"no snapshot": []byte("?"), "JSON that is cut": []byte(`{"version":`), "a format alone": {formatTold}} {
+	for name, data := range map[string][]byte{"no snapshot": []byte("?"), "JSON that is cut": []byte(`{"version":`), "a format alone": {formatVersioned}} {
 		if err := m.restore(data, level.Newest); level.IsAbove(err) || !errors.Is(err, errSnapshot) {
 			t.Errorf("%s: %v, want that it can't be read", name, err)
 		}
@@ -113,12 +113,12 @@
 // in builds that don't know of each other.
 func TestWholeDocumentIsNoPart(t *testing.T) {
 	for _, text := range []string{"{}", "\t{}", " {}", "\n\n{}", `{"version":2,"routes":[]}`} {
-		var m machine
+		var m stateMachine
 		d := Document{Version: 2, Data: []byte(text)}
 		if c, err := m.apply(1, d.encodeWhole()); err != nil || !c.document || string(m.document.Data) != text {
 			t.Errorf("%q whole: %v, %q", text, err, m.document.Data)
 		}
-		m = machine{}
+		m = stateMachine{}
 		d.pack()
 		if c, err := m.apply(1, d.packed.encodePart(0)); err != nil || !c.document || string(m.document.Data) != text {
 			t.Errorf("%q in parts: %v, %q", text, err, m.document.Data)
@@ -129,13 +129,13 @@
 // TestCommandsAboveAreTold: a command that a box does not know used to be passed over, so that it
 // differed from the others from there on, and might lead next.
 func TestCommandsAboveAreTold(t *testing.T) {
-	for name, command := range map[string][]byte{"a later kind": {lastCommand + 1, 1}, "a later level": encodeLevel(level.Newest + 1)} {
-		if err := readable(command, level.Newest); !level.IsAbove(err) {
+	for name, command := range map[string][]byte{"a later kind": {lastCommand + 1, 1}, "a later level": encodeFormatVersion(level.Newest + 1)} {
+		if err := checkReadable(command, level.Newest); !level.IsAbove(err) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	for _, command := range [][]byte{{}, {0, 1}, encodeLevel(level.Newest), encodeRemove("e")} {
-		if err := readable(command, level.Newest); err != nil {
+	for _, command := range [][]byte{{}, {0, 1}, encodeFormatVersion(level.Newest), encodeRemove("e")} {
+		if err := checkReadable(command, level.Newest); err != nil {
 			t.Errorf("%v: %v", command, err)
 		}
 	}
@@ -147,10 +147,10 @@
 	f.Add(d.encodeWhole())
 	d.pack()
 	f.Add(d.packed.encodePart(0))
-	f.Add(encodeLevel(level.Told))
+	f.Add(encodeFormatVersion(level.Told))
 	f.Add(encodeRemove("e"))
 	f.Fuzz(func(t *testing.T, command []byte) {
-		var m machine
+		var m stateMachine
 		before := m.contents(t)
 		if _, err := m.apply(2, command); err != nil && m.contents(t) != before && m.upload.key == (documentKey{}) {
 			t.Errorf("%v, and the state is another", err)
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -15,11 +15,11 @@
 	"lynxramp.org/registry"
 )
 
-// machine is the replicated state: what the log's commands make.
-type machine struct {
-	// level is what the log says of which forms all members read: from level.Told on by a command
+// stateMachine is the replicated state: what the log's commands make.
+type stateMachine struct {
+	// formatVersion is what the log says of which forms all members read: from formatVersion.Told on by a command
 	// of its own, before by the forms that it has; 0 where it has none that tells.
-	level    level.Level
+	formatVersion    level.Level
 	document Document
 	upload   upload
 	registry registry.State
@@ -31,44 +31,44 @@
 
 // The first byte of a command says what it is.
 const (
-	commandPart byte = iota + 1
+	commandDocument byte = iota + 1
 	commandEndpoint
-	commandRemove
+	commandRemoveEndpoint
 	commandSpending
 	commandPoison
-	commandLevel
-	commandStart // an endpoint's word that tells when it started
-	lastCommand  = commandStart
+	commandFormatVersion
+	commandEndpointInstance // an endpoint's word that tells when it started
+	lastCommand  = commandEndpointInstance
 )
 
-// encodeLevel returns the command that raises the group's level. It is a form of level.Told, so that
+// encodeFormatVersion returns the command that raises the group's level. It is a form of level.Told, so that
 // builds before it must not be sent it.
-func encodeLevel(l level.Level) []byte { return []byte{commandLevel, byte(l)} }
+func encodeFormatVersion(l level.Level) []byte { return []byte{commandFormatVersion, byte(l)} }
 
-// levelOf returns the level of a command's form: who reads that reads the command. Where it isn't
+// formatOf returns the level of a command's form: who reads that reads the command. Where it isn't
 // known, because the kind of command is not, it is false.
-func levelOf(command []byte) (level.Level, bool) {
+func formatOf(command []byte) (level.Level, bool) {
 	switch {
 	case len(command) == 0 || command[0] == 0:
 		return level.Listed, true // it does nothing, on every box alike
 	case command[0] > lastCommand:
 		return 0, false
-	case command[0] == commandPart && !isWholeDocument(command[1:]):
+	case command[0] == commandDocument && !isWholeDocument(command[1:]):
 		return level.Parts, true
 	case command[0] == commandPoison:
 		return level.Suspects, true
-	case command[0] == commandStart || command[0] == commandRemove && registry.Name(string(command[1:])) != string(command[1:]):
+	case command[0] == commandEndpointInstance || command[0] == commandRemoveEndpoint && registry.Name(string(command[1:])) != string(command[1:]):
 		return level.Starts, true
-	case command[0] == commandLevel && len(command) == 2:
+	case command[0] == commandFormatVersion && len(command) == 2:
 		return max(level.Told, level.Level(command[1])), true
 	}
 	return level.Listed, true
 }
 
-// readable reports whether a box that reads a level reads a command: an error names what it does not
+// checkReadable reports whether a box that reads a level reads a command: an error names what it does not
 // read.
-func readable(command []byte, reads level.Level) error {
-	l, known := levelOf(command)
+func checkReadable(command []byte, reads level.Level) error {
+	l, known := formatOf(command)
 	switch {
 	case !known:
 		return &level.Above{
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// knows takes note that the log has a form of a level, which all members read then.
-func (m *machine) knows(l level.Level) { m.level = max(m.level, l) }
+// observeFormat takes note that the log has a form of a level, which all members read then.
+func (m *stateMachine) observeFormat(l level.Level) { m.formatVersion = max(m.formatVersion, l) }
 
 // encodeEndpoint returns the command that takes an endpoint's word on itself.
 func encodeEndpoint(e registry.Endpoint) []byte {
@@ -92,7 +92,7 @@
 	}
 	kind := commandEndpoint
 	if e.Born > 0 {
-		kind = commandStart
+		kind = commandEndpointInstance
 	}
 	return append([]byte{kind}, data...)
 }
@@ -115,28 +115,28 @@
 
 // encodeRemove returns the command that takes an endpoint's word that it ends. Its id is its name alone where it
 // does not tell when it started, or not all members read that.
-func encodeRemove(id string) []byte { return append([]byte{commandRemove}, id...) }
+func encodeRemove(id string) []byte { return append([]byte{commandRemoveEndpoint}, id...) }
 
 // change is what a command changed.
 type change struct {
 	document bool
-	level    bool
+	formatVersion    bool
 	spending *budget.Record
 	poison   *poison.Record
-	seen     []registry.Endpoint
-	gone     []string
+	updated     []registry.Endpoint
+	removed     []string
 }
 
 // apply carries out the command of an entry of the log.
-func (m *machine) apply(index consensus.Index, command []byte) (change, error) {
+func (m *stateMachine) apply(index consensus.Index, command []byte) (change, error) {
 	if len(command) == 0 {
 		return change{}, errors.New("empty command")
 	}
 	body := command[1:]
 	switch command[0] {
-	case commandPart:
+	case commandDocument:
 		return m.applyDocument(body)
-	case commandEndpoint, commandStart:
+	case commandEndpoint, commandEndpointInstance:
 		var e registry.Endpoint
 		if err := json.Unmarshal(body, &e); err != nil {
 			return change{}, errors.Wrap(err, "endpoint")
@@ -144,18 +144,18 @@
 		if command[0] == commandEndpoint {
 			e.Born = 0 // builds that read no starts pass it over
 		}
-		return m.put(index, e), nil
-	case commandRemove:
+		return m.putEndpoint(index, e), nil
+	case commandRemoveEndpoint:
 		id := m.registry.Ending(registry.ParseID(string(body)))
 		m.registry.Remove(id, uint64(index))
-		return change{gone: []string{id}}, nil
+		return change{removed: []string{id}}, nil
 	case commandSpending:
 		var r budget.Record
 		if err := json.Unmarshal(body, &r); err != nil {
 			return change{}, errors.Wrap(err, "record of budgets")
 		}
 		if r.Part {
-			m.knows(level.Parts)
+			m.observeFormat(level.Parts)
 		}
 		m.spending.Apply(r)
 		return change{spending: &r}, nil
@@ -164,26 +164,26 @@
 		if err := json.Unmarshal(body, &r); err != nil {
 			return change{}, errors.Wrap(err, "record of requests that end endpoints")
 		}
-		m.knows(level.Suspects)
+		m.observeFormat(level.Suspects)
 		m.poison.Apply(r)
 		return change{poison: &r}, nil
-	case commandLevel:
+	case commandFormatVersion:
 		if len(body) != 1 {
 			return change{}, errors.New("level of another length")
 		}
-		raised := level.Level(body[0]) > m.level
-		m.knows(level.Level(body[0]))
-		return change{level: raised}, nil
+		raised := level.Level(body[0]) > m.formatVersion
+		m.observeFormat(level.Level(body[0]))
+		return change{formatVersion: raised}, nil
 	default:
 		return change{}, errors.Errorf("command of kind %d", command[0])
 	}
 }
 
-// put takes an endpoint's word on itself.
-func (m *machine) put(index consensus.Index, told registry.Endpoint) change {
+// putEndpoint takes an endpoint's word on itself.
+func (m *stateMachine) putEndpoint(index consensus.Index, told registry.Endpoint) change {
 	e, counts := m.registry.Start(told)
 	if !counts || !m.registry.Accepts(e) {
 		return change{}
 	}
-	return change{gone: m.registry.Put(e, uint64(index)), seen: []registry.Endpoint{e}}
+	return change{removed: m.registry.Put(e, uint64(index)), updated: []registry.Endpoint{e}}
 }
--- a/cluster/meters.go
+++ b/cluster/meters.go
@@ -18,11 +18,11 @@
 	voters   *metrics.Gauge
 	sessions *metrics.Gauge
 	suspects *metrics.Gauge
-	asking   *metrics.Gauge
+	feedback   *metrics.Gauge
 	grants   *metrics.Counter
 	refusals *metrics.Counter
 	steps    *metrics.Histogram
-	levels   *levelMeters
+	formats   *formatGauges
 }
 
 func newMeters() meters {
@@ -35,27 +35,27 @@
 		voters:   set.NewGauge("lynxramp_control_voters", nil),
 		sessions: set.NewGauge("lynxramp_control_sessions", nil),
 		suspects: set.NewGauge("lynxramp_control_suspects", nil),
-		asking:   set.NewGauge("lynxramp_control_asking_endpoints", nil),
+		feedback:   set.NewGauge("lynxramp_control_asking_endpoints", nil),
 		grants:   set.NewCounter("lynxramp_control_grants_total"),
 		refusals: set.NewCounter("lynxramp_control_refusals_total"),
 		steps:    set.NewHistogram("lynxramp_control_step_seconds"),
-		levels:   &levelMeters{set: set},
+		formats:   &formatGauges{set: set},
 	}
 	metrics.RegisterSet(set)
 	return m
 }
 
-// stepped takes what a step took and left.
-func (m *meters) stepped(began time.Time, s *State, out *Effects) {
+// recordStep takes what a step took and left.
+func (m *meters) recordStep(began time.Time, s *State, out *Effects) {
 	m.steps.UpdateDuration(began)
-	m.levels.update(began, s)
+	m.formats.update(began, s)
 	owner, sessions, suspects, asking := 0.0, 0.0, 0.0, 0.0
 	if s.owner != nil {
 		owner, sessions, suspects = 1, float64(len(s.owner.sessions)), float64(len(s.owner.suspects))
-		asking = float64(len(s.owner.asking.now))
+		asking = float64(len(s.owner.feedback.active))
 	}
 	m.suspects.Set(suspects)
-	m.asking.Set(asking)
+	m.feedback.Set(asking)
 	m.owner.Set(owner)
 	m.sessions.Set(sessions)
 	m.term.Set(float64(s.node.Term()))
@@ -69,8 +69,8 @@
 	}
 }
 
-// called takes how long a call of an operator or an endpoint took.
-func (m *meters) called(began time.Time, status Status) {
-	name := map[Status]string{StatusDone: "done", StatusElsewhere: "elsewhere", StatusUnclear: "unclear", StatusUnknownService: "unknown_service"}[status]
+// recordCall takes how long a call of an operator or an endpoint took.
+func (m *meters) recordCall(began time.Time, status Status) {
+	name := map[Status]string{StatusDone: "done", StatusElsewhere: "elsewhere", StatusUnknown: "unclear", StatusUnknownService: "unknown_service"}[status]
 	m.set.GetOrCreateHistogram(`lynxramp_control_call_seconds{status="` + name + `"}`).UpdateDuration(began)
 }
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -14,8 +14,8 @@
 	"lynxramp.org/message"
 )
 
-// redialEvery is how often a peer that can't be reached is dialled.
-const redialEvery = 200 * time.Millisecond
+// redialInterval is how often a peer that can't be reached is dialled.
+const redialInterval = 200 * time.Millisecond
 
 // maxPeers bounds how many boxes are remembered.
 const maxPeers = 64
@@ -35,7 +35,7 @@
 type peer struct {
 	address string
 	conn    *link.Conn[message.Envelope] // nil while there is none
-	dialed  time.Time
+	dialedAt  time.Time
 	dialing bool
 }
 
@@ -43,8 +43,8 @@
 	return &peers{self: self, log: log, all: make(map[string]*peer)}
 }
 
-// know remembers a box.
-func (p *peers) know(address string) {
+// add remembers a box.
+func (p *peers) add(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.get(address)
@@ -79,9 +79,9 @@
 	case one == nil:
 	case one.conn != nil:
 		one.conn.Send(m)
-	case !one.dialing && time.Since(one.dialed) > redialEvery:
+	case !one.dialing && time.Since(one.dialedAt) > redialInterval:
 		one.dialing = true
-		one.dialed = time.Now()
+		one.dialedAt = time.Now()
 		go p.dial(one, m)
 	}
 }
@@ -121,8 +121,8 @@
 	}
 }
 
-// tellMembers tells a box that asks to join whom it may ask.
-func (p *peers) tellMembers(address string) {
+// sendMembers tells a box that asks to join whom it may ask.
+func (p *peers) sendMembers(address string) {
 	p.mu.Lock()
 	members := p.members
 	p.mu.Unlock()
@@ -131,8 +131,8 @@
 	}
 }
 
-// learn remembers the members that another box told of.
-func (p *peers) learn(r *message.Redirect) {
+// addMembers remembers the members that another box told of.
+func (p *peers) addMembers(r *message.Redirect) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range r.Members {
@@ -140,8 +140,8 @@
 	}
 }
 
-// askToJoin asks all boxes that are known to take this one in.
-func (p *peers) askToJoin(self consensus.Member) {
+// requestJoin asks all boxes that are known to take this one in.
+func (p *peers) requestJoin(self consensus.Member) {
 	p.mu.Lock()
 	addresses := make([]string, 0, len(p.all))
 	for address := range p.all {
--- a/cluster/peers_test.go
+++ b/cluster/peers_test.go
@@ -22,7 +22,7 @@
 func TestLostConnectionIsToldAfterItsBox(t *testing.T) {
 	s := &Server{
 		config: Config{Link: "127.0.0.1:1"}, log: zap.NewNop(), peers: newPeers("127.0.0.1:1", zap.NewNop()),
-		input: make(chan Event, inputDepth), logInput: make(chan Event, inputDepth),
+		events: make(chan Event, eventQueueSize), logEvents: make(chan Event, eventQueueSize),
 	}
 	l, err := link.Listen("127.0.0.1:0", s.serve)
 	if err != nil {
@@ -37,14 +37,14 @@
 	go func() { served <- c.Serve(func(*message.Envelope) {}) }()
 	join := &message.Envelope{Join: &consensus.Member{ID: consensus.MakeID("127.0.0.2:1", 7), Address: "127.0.0.2:2"}}
 	c.Send(join.Introduced())
-	first := nextEvent(t, s.logInput)
-	if told, ok := first.(*PeerTold); !ok || told.Box != "127.0.0.2:1" || told.Reads != level.Newest {
+	first := nextEvent(t, s.logEvents)
+	if told, ok := first.(*PeerConnected); !ok || told.Box != "127.0.0.2:1" || told.FormatVersion != level.Newest {
 		t.Fatalf("first came %T %+v", first, first)
 	}
 	c.Close()
 	<-served
-	second := nextEvent(t, s.logInput)
-	if lost, ok := second.(*PeerLost); !ok || lost.Link != first.(*PeerTold).Link {
+	second := nextEvent(t, s.logEvents)
+	if lost, ok := second.(*PeerDisconnected); !ok || lost.Connection != first.(*PeerConnected).Connection {
 		t.Errorf("then came %T %+v", second, second)
 	}
 }
@@ -69,25 +69,25 @@
 	members := len(b.state.allMembers())
 	for i := range uint64(10 * maxPeers) {
 		box := event.BoxID(fmt.Sprintf("10.0.%d.%d:1", i/256, i%256))
-		s.step(b, &PeerTold{Box: box, Link: 1000 + i, Reads: level.Newest})
+		s.step(b, &PeerConnected{Box: box, Connection: 1000 + i, FormatVersion: level.Newest})
 		if i%2 == 0 {
-			s.step(b, &PeerLost{Box: box, Link: 1000 + i})
+			s.step(b, &PeerDisconnected{Box: box, Connection: 1000 + i})
 		}
-		if n := len(b.state.levels.peers); n > maxPeers {
+		if n := len(b.state.formats.peers); n > maxPeers {
 			t.Fatalf("%d boxes are remembered", n)
 		}
 	}
-	if len(b.state.levels.peers) < maxPeers/2 {
-		t.Errorf("%d boxes are remembered, though half of those that came are connected", len(b.state.levels.peers))
+	if len(b.state.formats.peers) < maxPeers/2 {
+		t.Errorf("%d boxes are remembered, though half of those that came are connected", len(b.state.formats.peers))
 	}
 	for _, m := range b.state.allMembers() {
 		box := m.ID.Box()
 		if m.ID == b.state.node.ID() {
 			continue
 		}
-		s.step(b, &PeerLost{Box: box, Link: 5000})
-		s.step(b, &PeerTold{Box: box, Link: 5001, Reads: level.Newest})
-		if p := b.state.levels.peers[box]; p == nil || !p.links[5001] {
+		s.step(b, &PeerDisconnected{Box: box, Connection: 5000})
+		s.step(b, &PeerConnected{Box: box, Connection: 5001, FormatVersion: level.Newest})
+		if p := b.state.formats.peers[box]; p == nil || !p.connections[5001] {
 			t.Errorf("%s, one of %d members, is not remembered", box, members)
 		}
 	}
--- a/cluster/pieces_test.go
+++ b/cluster/pieces_test.go
@@ -58,7 +58,7 @@
 // owner's signs of life, and from its beginning with each new connection.
 func TestViewIsBounded(t *testing.T) {
 	s := newLargeSim(t)
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	if got := sizeOfView(t, firstView(t, s, 1)); got > mostView {
 		t.Errorf("a session began with %d bytes on %d endpoints, want %d at the most", got, allEndpoints, mostView)
 	}
@@ -70,7 +70,7 @@
 	s := newLargeSim(t)
 	s.stop(s.mustOwner().name) // the next one counts from its beginning for all alike
 	s.run(2 * second)
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	before := len(s.sends[1])
 	s.run(9 * second)
 	down := make(map[string]bool)
@@ -105,7 +105,7 @@
 	first.Leaving, first.Sequence = true, 2
 	s.tell(s.mustOwner(), first)
 	s.token++
-	s.step(s.mustOwner(), &EndpointLeft{Token: s.token, Name: largeEndpoint(1).ID})
+	s.step(s.mustOwner(), &EndpointRemoved{Call: s.token, Name: largeEndpoint(1).ID})
 	s.run(200 * event.Millisecond)
 	s.stop(s.mustOwner().name)
 	s.run(2 * second)
@@ -125,9 +125,9 @@
 // TestPieceIsNotSentAgain: while a piece is on its way questions bring no other.
 func TestPieceIsNotSentAgain(t *testing.T) {
 	s := newLargeSim(t)
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	for range 5 {
-		s.step(s.mustOwner(), &SessionPinged{Session: 1})
+		s.step(s.mustOwner(), &PingReceived{Session: 1})
 	}
 	views := 0
 	for _, m := range s.sends[1] {
@@ -162,13 +162,13 @@
 // begin begins a session with the present owner.
 func (e *pieceEntry) begin(id SessionID) {
 	e.session, e.read, e.told = id, 0, nil
-	e.sim.step(e.sim.mustOwner(), &SessionBegan{Reads: level.Newest, Session: id, Hello: message.Hello{Entry: "entry", Revision: e.revision}})
+	e.sim.step(e.sim.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: id, Hello: message.Hello{Entry: "entry", Revision: e.revision}})
 	e.take()
 }
 
 // ask sends the owner a question and takes what comes.
 func (e *pieceEntry) ask() {
-	e.sim.step(e.sim.mustOwner(), &SessionPinged{Session: e.session, Ping: message.Ping{Revision: e.revision}})
+	e.sim.step(e.sim.mustOwner(), &PingReceived{Session: e.session, Ping: message.Ping{Revision: e.revision}})
 	e.take()
 }
 
--- a/cluster/poison_test.go
+++ b/cluster/poison_test.go
@@ -21,9 +21,9 @@
 	s.put(b, 1)
 	s.run(event.Second)
 	b = s.mustOwner()
-	s.step(b, &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry", Life: 1}})
+	s.step(b, &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry", Life: 1}})
 	acked := func() uint64 {
-		s.step(b, &SessionPinged{Session: 1, Ping: message.Ping{Sent: s.now}})
+		s.step(b, &PingReceived{Session: 1, Ping: message.Ping{Sent: s.now}})
 		last := uint64(0)
 		for _, m := range s.sends[1] {
 			if m.Pong != nil {
@@ -34,7 +34,7 @@
 	}
 	whole := func(string, string) bool { return false }
 	s.cut = func(from, to string) bool { return from == b.name || to == b.name }
-	s.step(b, &SessionTold{Session: 1, Batch: &message.Batch{Ends: []poison.End{
+	s.step(b, &BatchReceived{Session: 1, Batch: &message.Batch{Ends: []poison.End{
 		{Number: 1, Print: "p", Endpoint: "e1"}, {Number: 2, Print: "p", Endpoint: "e2"},
 	}}})
 	if n := acked(); n != 0 {
@@ -53,8 +53,8 @@
 		t.Errorf("the next owner knows nothing: %v", v)
 	}
 	// A greeting tells the entry what must not run without an owner.
-	s.step(next, &Ticked{})
-	s.step(next, &SessionBegan{Reads: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry", Life: 1}})
+	s.step(next, &Tick{})
+	s.step(next, &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry", Life: 1}})
 	view := s.sends[2][0].View
 	if view == nil || view.Suspects == nil || len(view.Suspects.List) != 1 || view.Suspects.List[0] != "p" {
 		t.Errorf("greeted with %+v", view)
@@ -66,11 +66,11 @@
 func TestDeadEntryTellsNothing(t *testing.T) {
 	for name, dies := range map[string]func(s *sim, b *simBox){
 		"another life": func(s *sim, b *simBox) {
-			s.step(b, &SessionBegan{Reads: level.Newest, Session: 3, Hello: message.Hello{Entry: "entry", Life: 2}})
+			s.step(b, &SessionOpened{FormatVersion: level.Newest, Session: 3, Hello: message.Hello{Entry: "entry", Life: 2}})
 		},
 		"away for long": func(s *sim, b *simBox) {
-			s.step(b, &SessionEnded{Session: 1})
-			s.run(entryPatience + event.Second)
+			s.step(b, &SessionClosed{Session: 1})
+			s.run(entryTimeout + event.Second)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -83,10 +83,10 @@
 				s.tell(b, registry.Endpoint{ID: id, Service: "s", Address: "10.0.0.1:8" + id[1:], Slots: 4, Sequence: 1})
 			}
 			s.run(200 * event.Millisecond)
-			s.step(b, &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry", Life: 1}})
-			s.step(b, &SessionBegan{Reads: level.Newest, Session: 2, Hello: message.Hello{Entry: "other", Life: 1}})
+			s.step(b, &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry", Life: 1}})
+			s.step(b, &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "other", Life: 1}})
 			ticket := event.Ticket{ID: "1", Service: "s", Pool: "s", Deadline: 20 * event.Second, Target: event.Second}
-			s.step(b, &SessionTold{Session: 1, Batch: &message.Batch{
+			s.step(b, &BatchReceived{Session: 1, Batch: &message.Batch{
 				Ends:   []poison.End{{Number: 1, Print: "p", Endpoint: "gone"}},
 				Submit: []message.Submission{{Ticket: ticket, Print: "p"}},
 			}})
@@ -96,7 +96,7 @@
 			}
 			dies(s, b)
 			ticket.ID = "2"
-			s.step(b, &SessionTold{Session: 2, Batch: &message.Batch{Submit: []message.Submission{{Ticket: ticket, Print: "p"}}}})
+			s.step(b, &BatchReceived{Session: 2, Batch: &message.Batch{Submit: []message.Submission{{Ticket: ticket, Print: "p"}}}})
 			for _, c := range b.state.owner.poison.TakeChanges() {
 				if c.What == poison.TrialBegan && c.Ends == 2 {
 					return
--- a/cluster/server.go
+++ b/cluster/server.go
@@ -26,19 +26,19 @@
 
 // Times and bounds of a control box.
 const (
-	tickEvery  = 50 * time.Millisecond
-	joinEvery  = 300 * time.Millisecond
-	inputDepth = 1024
-	// quietLeader is how long a voter may be without a leader before it asks to
+	tickInterval  = 50 * time.Millisecond
+	joinInterval  = 300 * time.Millisecond
+	eventQueueSize = 1024
+	// leaderTimeout is how long a voter may be without a leader before it asks to
 	// join again: it may have been replaced.
-	quietLeader = 2 * event.Second
-	// handOver is how long a planned stop waits for another leader.
-	handOver = 600 * time.Millisecond
+	leaderTimeout = 2 * event.Second
+	// transferTimeout is how long a planned stop waits for another leader.
+	transferTimeout = 600 * time.Millisecond
 )
 
-// founderDisk is the incarnation of a founder's first disk. It is the same on all
+// founderIncarnation is the incarnation of a founder's first disk. It is the same on all
 // founders, so that each knows the others' ids without asking.
-const founderDisk = event.Incarnation(1)
+const founderIncarnation = event.Incarnation(1)
 
 // Config says what a control box is and whom it knows.
 type Config struct {
@@ -60,23 +60,23 @@
 	log    *zap.Logger
 	clock  event.Clock
 	state  *State
-	keeper *store.Keeper
+	writer *store.Keeper
 	peers  *peers
-	input  chan Event
-	// logInput has the messages of the replicated log. They go before all else: a lease must not
+	events  chan Event
+	// logEvents has the messages of the replicated log. They go before all else: a lease must not
 	// lapse, nor an election fail, because hundreds of entries speak at once.
-	logInput chan Event
+	logEvents chan Event
 	decoder  *decoder
 	meters   meters
-	tokens   atomic.Uint64
-	links    atomic.Uint64 // connections that others made, counted
-	// stopped has why the process must end by itself.
-	stopped chan error
+	lastCall   atomic.Uint64
+	lastConnection    atomic.Uint64 // connections that others made, counted
+	// fatal has why the process must end by itself.
+	fatal chan error
 
 	mu       sync.Mutex
-	calls    map[Token]chan Answer
+	calls    map[CallID]chan Answer
 	sessions map[SessionID]*link.Conn[message.Envelope]
-	next     SessionID
+	lastSession     SessionID
 }
 
 // Open opens a box's data folder and makes its server.
@@ -84,14 +84,14 @@
 	disk := event.Incarnation(random.Number())
 	founds := c.Found && slices.Contains(c.Seeds, c.Operators)
 	if founds {
-		disk = founderDisk
+		disk = founderIncarnation
 	}
 	opened, identity, restored, err := store.Open(c.Data, event.BoxID(c.Link), disk)
 	if err != nil {
 		return nil, err
 	}
-	if founds && identity.Group == "" && restored.Snapshot.Index == 0 && identity.Disk == founderDisk {
-		if restored, err = found(c, opened, identity); err != nil {
+	if founds && identity.Group == "" && restored.Snapshot.Index == 0 && identity.Disk == founderIncarnation {
+		if restored, err = bootstrap(c, opened, identity); err != nil {
 			return nil, err
 		}
 	}
@@ -99,12 +99,12 @@
 		config:   c,
 		log:      c.Log,
 		clock:    event.NewClock(),
-		input:    make(chan Event, inputDepth),
-		logInput: make(chan Event, inputDepth),
+		events:    make(chan Event, eventQueueSize),
+		logEvents: make(chan Event, eventQueueSize),
 		decoder:  newDecoder(c.Settings.Decode),
 		meters:   newMeters(),
-		stopped:  make(chan error, 1),
-		calls:    make(map[Token]chan Answer),
+		fatal:  make(chan error, 1),
+		calls:    make(map[CallID]chan Answer),
 		sessions: make(map[SessionID]*link.Conn[message.Envelope]),
 	}
 	c.Settings.Seed = random.Number()
@@ -113,24 +113,24 @@
 		return nil, err
 	}
 	s.peers = newPeers(c.Link, c.Log)
-	s.keeper = store.NewKeeper(&store.Patient{Disk: opened, Context: context.Background(), Log: c.Log}, s.peers)
+	s.writer = store.NewKeeper(&store.Patient{Disk: opened, Context: context.Background(), Log: c.Log}, s.peers)
 	s.log.Info("control box starts", zap.String("member", string(identity.Member())), zap.Bool("founds", founds),
 		zap.Uint64("last_entry", uint64(restored.Snapshot.Index)+uint64(len(restored.Entries))),
 		zap.Uint64("term", uint64(restored.HardState.Term)), zap.Uint64("version", s.state.Document().Version))
 	return s, nil
 }
 
-// found writes the first membership to an empty disk: the seeds, all of them.
-func found(c Config, disk *store.Store, identity store.Identity) (consensus.Restored, error) {
+// bootstrap writes the first membership to an empty disk: the seeds, all of them.
+func bootstrap(c Config, disk *store.Store, identity store.Identity) (consensus.Restored, error) {
 	var founders []consensus.Member
 	for _, seed := range c.Seeds {
 		founders = append(founders, consensus.Member{
-			ID: consensus.MakeID(event.BoxID(LinkAddress(seed, c.Link)), founderDisk), Address: seed,
+			ID: consensus.MakeID(event.BoxID(LinkAddress(seed, c.Link)), founderIncarnation), Address: seed,
 		})
 	}
 	slices.SortFunc(founders, func(a, b consensus.Member) int { return cmp.Compare(a.ID, b.ID) })
 	r := consensus.Restored{Snapshot: consensus.Snapshot{
-		Index: 1, Members: consensus.Membership{Voters: founders}, Data: foundingState(),
+		Index: 1, Members: consensus.Membership{Voters: founders}, Data: bootstrapState(),
 	}}
 	if err := disk.Save(&consensus.Ready{Snapshot: &r.Snapshot}); err != nil {
 		return r, err
@@ -164,42 +164,42 @@
 	keep, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
-		if err := s.keeper.Run(keep); err != nil {
+		if err := s.writer.Run(keep); err != nil {
 			s.log.Error("keeper ended", zap.String("error", err.Error()))
 		}
 	}()
-	go s.stayMember(keep)
-	go s.decoder.run(keep, s.input)
+	go s.maintainMembership(keep)
+	go s.decoder.run(keep, s.events)
 	go s.loop(keep)
 	select {
 	case <-ctx.Done():
-	case err := <-s.stopped:
+	case err := <-s.fatal:
 		s.log.Error("control box stops: it met a form that it does not read", logx.Err(err),
 			zap.Uint8("level", uint8(level.Newest)), zap.String("build", level.Build()))
 		return err
 	}
 	s.log.Info("control box stops: hands the lead over")
-	s.input <- &StopAsked{}
-	time.Sleep(handOver)
+	s.events <- &StopRequested{}
+	time.Sleep(transferTimeout)
 	return nil
 }
 
 // SetSeeds takes note of other boxes that the settings now name.
 func (s *Server) SetSeeds(seeds []string) {
 	for _, seed := range seeds {
-		s.peers.know(LinkAddress(seed, s.config.Link))
+		s.peers.add(LinkAddress(seed, s.config.Link))
 	}
 }
 
 // loop is the goroutine that owns the state.
 func (s *Server) loop(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	var out Effects
 	for {
-		e := s.nextOfLog(ticker)
+		e := s.nextLogEvent(ticker)
 		if e == nil {
-			e = s.nextOfAny(ctx, ticker)
+			e = s.nextEvent(ctx, ticker)
 		}
 		if e == nil {
 			return
@@ -207,59 +207,59 @@
 		out.reset()
 		began := time.Now()
 		s.state.Step(s.clock.Now(), e, &out)
-		if out.Stop != nil {
-			s.stopped <- out.Stop
+		if out.Fatal != nil {
+			s.fatal <- out.Fatal
 			return
 		}
-		s.meters.stepped(began, s.state, &out)
-		s.carryOut(&out)
+		s.meters.recordStep(began, s.state, &out)
+		s.applyEffects(&out)
 	}
 }
 
-// nextOfLog returns an event that the replicated log waits for; nil if there is none.
-func (s *Server) nextOfLog(ticker *time.Ticker) Event {
+// nextLogEvent returns an event that the replicated log waits for; nil if there is none.
+func (s *Server) nextLogEvent(ticker *time.Ticker) Event {
 	select {
-	case e := <-s.logInput:
+	case e := <-s.logEvents:
 		return e
-	case saved := <-s.keeper.Saved():
-		return &Saved{Index: saved.Index, Term: saved.Term}
+	case saved := <-s.writer.Saved():
+		return &LogSaved{Index: saved.Index, Term: saved.Term}
 	case <-ticker.C:
-		return &Ticked{}
+		return &Tick{}
 	default:
 		return nil
 	}
 }
 
-// nextOfAny waits for an event of any kind; it returns nil when ctx has ended.
-func (s *Server) nextOfAny(ctx context.Context, ticker *time.Ticker) Event {
+// nextEvent waits for an event of any kind; it returns nil when ctx has ended.
+func (s *Server) nextEvent(ctx context.Context, ticker *time.Ticker) Event {
 	select {
 	case <-ctx.Done():
 		return nil
-	case e := <-s.logInput:
+	case e := <-s.logEvents:
 		return e
-	case e := <-s.input:
+	case e := <-s.events:
 		return e
-	case saved := <-s.keeper.Saved():
-		return &Saved{Index: saved.Index, Term: saved.Term}
+	case saved := <-s.writer.Saved():
+		return &LogSaved{Index: saved.Index, Term: saved.Term}
 	case <-ticker.C:
-		return &Ticked{}
+		return &Tick{}
 	}
 }
 
-func (s *Server) carryOut(out *Effects) {
-	for _, n := range out.Notes {
+func (s *Server) applyEffects(out *Effects) {
+	for _, n := range out.LogRecords {
 		fields := make([]zap.Field, len(n.Fields))
 		for i, f := range n.Fields {
 			fields[i] = zap.Any(f.Name, f.Value)
 		}
-		s.log.Info(n.Text, fields...)
+		s.log.Info(n.Message, fields...)
 	}
 	if r := &out.Ready; r.MustSave() || len(r.Early)+len(r.Messages) > 0 {
-		s.keeper.Keep(*r)
+		s.writer.Keep(*r)
 		out.Ready = consensus.Ready{}
 	}
 	if out.Decode.Version > 0 {
-		s.decoder.give(out.Decode)
+		s.decoder.submit(out.Decode)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -271,16 +271,16 @@
 	for _, id := range out.Closes {
 		if c, ok := s.sessions[id]; ok {
 			delete(s.sessions, id)
-			time.AfterFunc(tickEvery, c.Close) // what was sent goes first
+			time.AfterFunc(tickInterval, c.Close) // what was sent goes first
 		}
 	}
-	if len(out.Heard) > 0 {
-		s.peers.send(string(out.Leader.Box()), &message.Envelope{Heard: &message.Heard{Endpoints: out.Heard}})
+	if len(out.Heartbeats) > 0 {
+		s.peers.send(string(out.Leader.Box()), &message.Envelope{Heard: &message.Heard{Endpoints: out.Heartbeats}})
 	}
 	for _, a := range out.Answers {
-		if call, ok := s.calls[a.Token]; ok {
+		if call, ok := s.calls[a.Call]; ok {
 			call <- a
-			delete(s.calls, a.Token)
+			delete(s.calls, a.Call)
 		}
 	}
 }
@@ -288,9 +288,9 @@
 func (s *Server) addSession(c *link.Conn[message.Envelope]) SessionID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next++
-	s.sessions[s.next] = c
-	return s.next
+	s.lastSession++
+	s.sessions[s.lastSession] = c
+	return s.lastSession
 }
 
 func (s *Server) removeSession(id SessionID) {
@@ -299,11 +299,11 @@
 	delete(s.sessions, id)
 }
 
-// stayMember asks the group to take this box in while it has no vote or hears no
+// maintainMembership asks the group to take this box in while it has no vote or hears no
 // leader.
-func (s *Server) stayMember(ctx context.Context) {
+func (s *Server) maintainMembership(ctx context.Context) {
 	s.SetSeeds(s.config.Seeds)
-	ticker := time.NewTicker(joinEvery)
+	ticker := time.NewTicker(joinInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -314,7 +314,7 @@
 		asks, members := s.membership()
 		s.peers.setMembers(members)
 		if asks {
-			s.peers.askToJoin(s.self())
+			s.peers.requestJoin(s.self())
 		}
 	}
 }
@@ -330,9 +330,9 @@
 		members []string
 	}
 	c := make(chan result, 1)
-	s.input <- inspect(func(now event.Time, state *State) {
-		quiet := now.Sub(state.node.HeardLeader()) > quietLeader && state.node.Leader() != state.node.ID()
-		c <- result{!state.node.IsVoter() || quiet, state.memberLinks()}
+	s.events <- inspect(func(now event.Time, state *State) {
+		quiet := now.Sub(state.node.HeardLeader()) > leaderTimeout && state.node.Leader() != state.node.ID()
+		c <- result{!state.node.IsVoter() || quiet, state.memberLinkAddresses()}
 	})
 	r := <-c
 	return r.asks, r.members
@@ -344,20 +344,20 @@
 func (inspect) isEvent() {}
 
 // call passes an event with a token on and waits for the answer.
-func (s *Server) call(ctx context.Context, ask func(Token) Event) Answer {
+func (s *Server) call(ctx context.Context, ask func(CallID) Event) Answer {
 	began := time.Now()
 	a := s.await(ctx, ask)
-	s.meters.called(began, a.Status)
+	s.meters.recordCall(began, a.Status)
 	return a
 }
 
-func (s *Server) await(ctx context.Context, ask func(Token) Event) Answer {
-	token := Token(s.tokens.Add(1))
+func (s *Server) await(ctx context.Context, ask func(CallID) Event) Answer {
+	token := CallID(s.lastCall.Add(1))
 	answer := make(chan Answer, 1)
 	s.mu.Lock()
 	s.calls[token] = answer
 	s.mu.Unlock()
-	s.input <- ask(token)
+	s.events <- ask(token)
 	select {
 	case a := <-answer:
 		return a
@@ -366,8 +366,8 @@
 	s.mu.Lock()
 	delete(s.calls, token)
 	s.mu.Unlock()
-	s.input <- &CallGone{Token: token}
-	return Answer{Token: token, Status: StatusUnclear}
+	s.events <- &CallCancelled{Call: token}
+	return Answer{Call: token, Status: StatusUnknown}
 }
 
 // PutDocument replicates a configuration. When the answer is StatusDone, it or a
@@ -380,27 +380,27 @@
 	}
 	d := Document{Version: table.Version, Data: data}
 	d.pack()
-	return s.call(ctx, func(k Token) Event { return &DocumentSent{Token: k, Document: d} }), nil
+	return s.call(ctx, func(k CallID) Event { return &DocumentSubmitted{Call: k, Document: d} }), nil
 }
 
 // ReadDocument returns the newest configuration. StatusDone is only answered while the
 // lease holds on which that rests, so the answer must be passed on at once.
 func (s *Server) ReadDocument(ctx context.Context) Answer {
-	a := s.call(ctx, func(k Token) Event { return &DocumentRead{Token: k} })
-	if a.Status == StatusDone && (s.clock.Now() >= a.Until || a.Document.Version == 0) {
-		return Answer{Token: a.Token, Status: StatusUnclear}
+	a := s.call(ctx, func(k CallID) Event { return &DocumentRequested{Call: k} })
+	if a.Status == StatusDone && (s.clock.Now() >= a.ValidUntil || a.Document.Version == 0) {
+		return Answer{Call: a.Call, Status: StatusUnknown}
 	}
 	return a
 }
 
 // TellEndpoint takes an endpoint's word on itself.
 func (s *Server) TellEndpoint(ctx context.Context, e registry.Endpoint) Answer {
-	return s.call(ctx, func(k Token) Event { return &EndpointTold{Token: k, Endpoint: e} })
+	return s.call(ctx, func(k CallID) Event { return &HeartbeatReceived{Call: k, Endpoint: e} })
 }
 
 // RemoveEndpoint takes note that an endpoint ends; born is as in registry.Endpoint.
 func (s *Server) RemoveEndpoint(ctx context.Context, name string, born uint64) Answer {
-	return s.call(ctx, func(k Token) Event { return &EndpointLeft{Token: k, Name: name, Born: born} })
+	return s.call(ctx, func(k CallID) Event { return &EndpointRemoved{Call: k, Name: name, Born: born} })
 }
 
 // Log returns the box's log.
--- a/cluster/server_test.go
+++ b/cluster/server_test.go
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() {
 		cancel()
-		time.Sleep(handOver)
+		time.Sleep(transferTimeout)
 	})
 	var list []*Server
 	for i, operators := range seeds {
@@ -74,7 +74,7 @@
 	var d Document
 	var term consensus.Term
 	done := make(chan struct{})
-	s.input <- inspect(func(_ event.Time, state *State) {
+	s.events <- inspect(func(_ event.Time, state *State) {
 		d, term = state.Document(), state.Node().Term()
 		close(done)
 	})
@@ -92,12 +92,12 @@
 	put := func(d Document) *Server {
 		for ctx.Err() == nil {
 			for _, s := range servers {
-				token := func(k Token) Event { return &DocumentSent{Token: k, Document: d} }
+				token := func(k CallID) Event { return &DocumentSubmitted{Call: k, Document: d} }
 				if a := s.call(ctx, token); a.Status == StatusDone {
 					return s
 				}
 			}
-			time.Sleep(tickEvery)
+			time.Sleep(tickInterval)
 		}
 		t.Fatalf("version %d was not acknowledged", d.Version)
 		return nil
@@ -115,7 +115,7 @@
 	for i, s := range servers {
 		d, now := s.look()
 		for ; d.Version != want.Version && ctx.Err() == nil; d, now = s.look() {
-			time.Sleep(tickEvery)
+			time.Sleep(tickInterval)
 		}
 		if !bytes.Equal(d.Data, want.Data) || now != term {
 			t.Errorf("box %d has version %d of %d bytes in term %d, want 2 of %d in term %d", i+1, d.Version, len(d.Data), now, len(want.Data), term)
--- a/cluster/sim_test.go
+++ b/cluster/sim_test.go
@@ -64,7 +64,7 @@
 	stalled bool
 	waiting []consensus.Ready
 	// decoding is a document that is decoded beside the loop, until decoded.
-	decoding Decoded
+	decoding DocumentDecoded
 	decoded  event.Time
 	// busy is until when it works on events that it took: it takes none before.
 	busy event.Time
@@ -78,10 +78,10 @@
 	order    []string
 	messages []consensus.Message
 	cut      func(from, to string) bool
-	answers  map[Token]Answer
+	answers  map[CallID]Answer
 	sends    map[SessionID][]*message.Envelope
 	closed   map[SessionID]bool
-	token    Token
+	token    CallID
 	random   *rand.Rand
 	lives    int
 	started  uint64 // processes of boxes
@@ -116,18 +116,18 @@
 // newSim starts founders and as many boxes that join.
 func newSim(t testing.TB, founders, joining int) *sim {
 	s := &sim{
-		t: t, boxes: make(map[string]*simBox), answers: make(map[Token]Answer), closed: make(map[SessionID]bool),
+		t: t, boxes: make(map[string]*simBox), answers: make(map[CallID]Answer), closed: make(map[SessionID]bool),
 		sends: make(map[SessionID][]*message.Envelope), random: rand.New(rand.NewPCG(1, 2)),
 		cut: func(string, string) bool { return false }, settings: simSettings,
 	}
 	var members []consensus.Member
 	for i := range founders {
 		name := fmt.Sprintf("box%d", i+1)
-		members = append(members, consensus.Member{ID: consensus.MakeID(event.BoxID(name), founderDisk), Address: name + ":operators"})
+		members = append(members, consensus.Member{ID: consensus.MakeID(event.BoxID(name), founderIncarnation), Address: name + ":operators"})
 	}
 	for _, m := range members {
 		disk := &simDisk{member: m, restored: consensus.Restored{Snapshot: consensus.Snapshot{
-			Index: 1, Members: consensus.Membership{Voters: members}, Data: foundingState(),
+			Index: 1, Members: consensus.Membership{Voters: members}, Data: bootstrapState(),
 		}}}
 		s.add(string(m.ID.Box()), disk)
 	}
@@ -157,13 +157,13 @@
 // start starts a box with what its disk holds.
 func (s *sim) start(b *simBox) {
 	settings := s.settings(s.random.Uint64())
-	settings.Reads = b.reads
+	settings.FormatVersion = b.reads
 	state, err := NewState(s.now, b.disk.member.ID, b.disk.restored, settings)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	if s.compactLeast > 0 {
-		state.compactLeast = s.compactLeast
+		state.compactThreshold = s.compactLeast
 	}
 	b.state = state
 	s.started++
@@ -176,12 +176,12 @@
 		b := s.boxes[other]
 		if last := b.met[name]; last > 0 {
 			delete(b.met, name)
-			s.step(b, &PeerLost{Box: event.BoxID(name), Link: last})
+			s.step(b, &PeerDisconnected{Box: event.BoxID(name), Connection: last})
 		}
 	}
 	s.boxes[name].state = nil
 	s.boxes[name].waiting = nil
-	s.boxes[name].decoding = Decoded{}
+	s.boxes[name].decoding = DocumentDecoded{}
 }
 
 func (s *sim) restart(name string) { s.start(s.boxes[name]) }
@@ -193,17 +193,17 @@
 	}
 	var out Effects
 	work := s.work(func() { b.state.Step(s.now, e, &out) })
-	if out.Stop != nil {
-		s.t.Fatalf("%s, which reads level %d, stops: %v", b.name, b.reads, out.Stop)
+	if out.Fatal != nil {
+		s.t.Fatalf("%s, which reads level %d, stops: %v", b.name, b.reads, out.Fatal)
 	}
 	b.busy = max(b.busy, s.now).Add(work)
 	s.messages = append(s.messages, out.Ready.Early...)
 	b.waiting = append(b.waiting, out.Ready)
 	for _, a := range out.Answers {
-		s.answers[a.Token] = a
+		s.answers[a.Call] = a
 	}
-	if to := s.boxes[string(out.Leader.Box())]; len(out.Heard) > 0 && to != nil && !s.cut(b.name, to.name) {
-		defer s.step(to, &EndpointsHeard{IDs: out.Heard})
+	if to := s.boxes[string(out.Leader.Box())]; len(out.Heartbeats) > 0 && to != nil && !s.cut(b.name, to.name) {
+		defer s.step(to, &HeartbeatsForwarded{IDs: out.Heartbeats})
 	}
 	for _, one := range out.Sends {
 		s.sends[one.Session] = append(s.sends[one.Session], one.Message)
@@ -229,7 +229,7 @@
 	if d.Version == 0 {
 		return
 	}
-	b.decoding = Decoded{Version: d.Version}
+	b.decoding = DocumentDecoded{Version: d.Version}
 	work := s.work(func() {
 		if b.decoding.Table, b.decoding.Err = s.settings(0).Decode(d.Data); b.decoding.Err == nil {
 			b.tree = hashtree.Build(b.decoding.Table, b.tree)
@@ -246,7 +246,7 @@
 		return
 	}
 	e := b.decoding
-	b.decoding = Decoded{}
+	b.decoding = DocumentDecoded{}
 	s.step(b, &e)
 }
 
@@ -260,9 +260,9 @@
 		b.disk.save(&r)
 		s.messages = append(s.messages, r.Messages...)
 		if n := len(r.Entries); n > 0 {
-			s.step(b, &Saved{Index: r.Entries[n-1].Index, Term: r.Entries[n-1].Term})
+			s.step(b, &LogSaved{Index: r.Entries[n-1].Index, Term: r.Entries[n-1].Term})
 		} else if r.Snapshot != nil {
-			s.step(b, &Saved{Index: r.Snapshot.Index, Term: r.Snapshot.Term})
+			s.step(b, &LogSaved{Index: r.Snapshot.Index, Term: r.Snapshot.Term})
 		}
 	}
 }
@@ -284,7 +284,7 @@
 			}
 			from := s.boxes[string(m.From.Box())]
 			s.meet(from, to)
-			s.step(to, &Received{Message: asSent(from, m)})
+			s.step(to, &MessageReceived{Message: asSent(from, m)})
 		}
 		for _, name := range s.order {
 			b := s.boxes[name]
@@ -292,7 +292,7 @@
 				continue
 			}
 			s.finishDecoding(b)
-			s.step(b, &Ticked{})
+			s.step(b, &Tick{})
 			if b.state != nil && b.joins {
 				s.join(b)
 			}
@@ -311,7 +311,7 @@
 		reads = to.reads
 	}
 	to.met[from.name] = from.life
-	s.step(to, &PeerTold{Box: event.BoxID(from.name), Link: from.life, Reads: reads})
+	s.step(to, &PeerConnected{Box: event.BoxID(from.name), Connection: from.life, FormatVersion: reads})
 }
 
 // asSent returns a message as a build of the sender's level sends it.
@@ -328,13 +328,13 @@
 // join does what Server.stayMember does.
 func (s *sim) join(b *simBox) {
 	node := b.state.Node()
-	quiet := s.now.Sub(node.HeardLeader()) > quietLeader && node.Leader() != node.ID()
+	quiet := s.now.Sub(node.HeardLeader()) > leaderTimeout && node.Leader() != node.ID()
 	if int64(s.now)%int64(300*event.Millisecond) != 0 || (node.IsVoter() && !quiet) {
 		return
 	}
 	for _, name := range s.order {
 		if name != b.name && !s.cut(b.name, name) {
-			s.step(s.boxes[name], &JoinAsked{Member: b.disk.member})
+			s.step(s.boxes[name], &JoinRequested{Member: b.disk.member})
 		}
 	}
 }
@@ -365,22 +365,22 @@
 }
 
 // put sends a configuration to a box and returns its token.
-func (s *sim) put(b *simBox, version uint64) Token {
+func (s *sim) put(b *simBox, version uint64) CallID {
 	s.token++
-	s.step(b, &DocumentSent{Token: s.token, Document: Document{Version: version, Data: fmt.Appendf(nil, "v%d", version)}})
+	s.step(b, &DocumentSubmitted{Call: s.token, Document: Document{Version: version, Data: fmt.Appendf(nil, "v%d", version)}})
 	return s.token
 }
 
-func (s *sim) tell(b *simBox, e registry.Endpoint) Token {
+func (s *sim) tell(b *simBox, e registry.Endpoint) CallID {
 	s.token++
-	s.step(b, &EndpointTold{Token: s.token, Endpoint: e})
+	s.step(b, &HeartbeatReceived{Call: s.token, Endpoint: e})
 	return s.token
 }
 
 // read asks a box for the configuration.
 func (s *sim) read(b *simBox) Answer {
 	s.token++
-	s.step(b, &DocumentRead{Token: s.token})
+	s.step(b, &DocumentRequested{Call: s.token})
 	return s.answers[s.token]
 }
 
@@ -395,7 +395,7 @@
 
 // ping sends an entry's question and returns what the owner lent with its answer.
 func (s *sim) ping(session SessionID, p message.Ping) budget.Lent {
-	s.step(s.mustOwner(), &SessionPinged{Session: session, Ping: p})
+	s.step(s.mustOwner(), &PingReceived{Session: session, Ping: p})
 	sent := s.sends[session]
 	return sent[len(sent)-1].Pong.Lent
 }
--- a/cluster/size_test.go
+++ b/cluster/size_test.go
@@ -153,18 +153,18 @@
 		s.tell(s.mustOwner(), manyEndpoint(i, 1))
 	}
 	s.run(second)
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	all := firstView(t, s, 1)
 	if list := unpack(t, all); !all.Whole || len(list) != 40 || all.Revision == 0 {
 		t.Errorf("an entry that knows nothing was told %d endpoints, whole %v", len(list), all.Whole)
 	}
 	s.tell(s.mustOwner(), manyEndpoint(40, 1))
 	s.token++
-	s.step(s.mustOwner(), &EndpointLeft{Token: s.token, Name: manyEndpoint(7, 1).ID})
+	s.step(s.mustOwner(), &EndpointRemoved{Call: s.token, Name: manyEndpoint(7, 1).ID})
 	s.run(second)
 	s.stop(s.mustOwner().name)
 	s.run(6 * second) // all fall silent
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry", Revision: all.Revision}})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry", Revision: all.Revision}})
 	some := firstView(t, s, 2)
 	if list := unpack(t, some); some.Whole || len(list) != 1 || list[0].ID != manyEndpoint(40, 1).ID || len(some.Gone) != 1 {
 		t.Errorf("an entry that knows 40 endpoints was told %+v and %v, want one more and one gone", list, some.Gone)
@@ -179,7 +179,7 @@
 func TestNewsOfATickGoTogether(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	before := len(s.sends[1])
 	registerMany(s)
 	told := 0
@@ -211,12 +211,12 @@
 	s.tell(s.mustOwner(), manyEndpoint(1, 1))
 	s.run(second)
 	owner := cutReplies(s)
-	s.step(owner, &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
+	s.step(owner, &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	for owner.state.owns(s.now) {
 		s.run(simStep)
 	}
-	s.step(owner, &SessionTold{Session: 1, Batch: submit("a")})
-	s.step(owner, &SessionPinged{Session: 1})
+	s.step(owner, &BatchReceived{Session: 1, Batch: submit("a")})
+	s.step(owner, &PingReceived{Session: 1})
 	for _, m := range s.sends[1] {
 		if m.Decisions != nil || m.Pong != nil {
 			t.Errorf("an owner without a lease told %+v", m)
@@ -238,8 +238,8 @@
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	owner := cutReplies(s)
-	s.step(owner, &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
-	s.run(consensus.ElectionMin - consensus.LeaseMargin + lapsePatience + 50*event.Millisecond)
+	s.step(owner, &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
+	s.run(consensus.ElectionMin - consensus.LeaseMargin + leaseGracePeriod + 50*event.Millisecond)
 	if !s.closed[1] {
 		t.Error("the session of an owner whose lease is over goes on")
 	}
@@ -275,7 +275,7 @@
 			s.stop(name)
 		}
 	}
-	s.run(leaderless + second)
+	s.run(leaderGracePeriod + second)
 	if a := s.answers[s.tell(other, e)]; a.Status != StatusElsewhere {
 		t.Errorf("a box without a leader for long answered %+v", a)
 	}
@@ -303,10 +303,10 @@
 	for i, name := range leaderless() {
 		id := SessionID(i + 1)
 		sessions[name] = id
-		s.step(s.boxes[name], &SessionBegan{Reads: level.Newest, Session: id, Hello: message.Hello{Entry: event.BoxID(name)}})
-		s.step(s.boxes[name], &SessionPinged{Session: id})
+		s.step(s.boxes[name], &SessionOpened{FormatVersion: level.Newest, Session: id, Hello: message.Hello{Entry: event.BoxID(name)}})
+		s.step(s.boxes[name], &PingReceived{Session: id})
 	}
-	s.run(earlyPatience - simStep)
+	s.run(pendingSessionTimeout - simStep)
 	owner := s.mustOwner()
 	for name, id := range sessions {
 		sent := s.sends[id]
@@ -325,8 +325,8 @@
 		}
 	}
 	s.run(2 * second)
-	s.step(owner, &SessionBegan{Reads: level.Newest, Session: 50, Hello: message.Hello{Entry: "late"}})
-	s.run(earlyPatience + 2*simStep)
+	s.step(owner, &SessionOpened{FormatVersion: level.Newest, Session: 50, Hello: message.Hello{Entry: "late"}})
+	s.run(pendingSessionTimeout + 2*simStep)
 	if !s.closed[50] {
 		t.Error("an entry is kept for long by a box that knows no leader")
 	}
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -15,21 +15,21 @@
 	"lynxramp.org/registry"
 )
 
-// The first byte of a snapshot says how the rest is written: beginsJSON up to level.Packed, then
-// formatParts, formatSuspects, and formatTold, which says the level itself behind it.
+// The first byte of a snapshot says how the rest is written: formatJSON up to level.Packed, then
+// formatParts, formatSuspects, and formatVersioned, which says the level itself behind it.
 const (
-	beginsJSON     = '{'
+	formatJSON     = '{'
 	formatParts    = 1
 	formatSuspects = 2
-	formatTold     = 3
-	lastFormat     = formatTold
+	formatVersioned     = 3
+	lastFormat     = formatVersioned
 )
 
 // errSnapshot says that a snapshot is not one.
 var errSnapshot = errors.New("snapshot can't be read")
 
-// plainState is the machine as JSON.
-type plainState struct {
+// jsonState is the machine as JSON.
+type jsonState struct {
 	Version  uint64         `json:"version"`
 	Data     []byte         `json:"data"`
 	Registry registry.State `json:"registry"`
@@ -39,17 +39,17 @@
 // snapshot returns the machine as bytes, in the newest form that its level has: those of documents as
 // they are in the log, compressed. Equal machines have equal snapshots, so that a member that gets one
 // from several leaders can put it together.
-func (m *machine) snapshot() []byte {
+func (m *stateMachine) snapshot() []byte {
 	var data []byte
 	switch {
-	case m.level >= level.Told:
-		data = []byte{formatTold, byte(m.level)}
-	case m.level == level.Suspects:
+	case m.formatVersion >= level.Told:
+		data = []byte{formatVersioned, byte(m.formatVersion)}
+	case m.formatVersion == level.Suspects:
 		data = []byte{formatSuspects}
-	case m.level == level.Parts:
+	case m.formatVersion == level.Parts:
 		data = []byte{formatParts}
 	default:
-		return m.plainSnapshot()
+		return m.jsonSnapshot()
 	}
 	if m.document.Version > 0 {
 		m.document.pack()
@@ -60,14 +60,14 @@
 	data = appendParts(data, m.upload.key, m.upload.parts)
 	data = appendJSON(data, m.registry)
 	data = appendJSON(data, m.spending.Record())
-	if m.level < level.Suspects {
+	if m.formatVersion < level.Suspects {
 		return data
 	}
 	return appendJSON(data, m.poison.Record())
 }
 
-func (m *machine) plainSnapshot() []byte {
-	data, err := json.Marshal(plainState{
+func (m *stateMachine) jsonSnapshot() []byte {
+	data, err := json.Marshal(jsonState{
 		Version: m.document.Version, Data: m.document.Data, Registry: m.registry, Spending: m.spending.Record(),
 	})
 	if err != nil {
@@ -100,35 +100,35 @@
 
 // restore makes the machine what a snapshot says, of any level up to what the box reads; an empty one is
 // that of a new group of a build before level.Told. The error of one of a later build is a level.Above.
-func (m *machine) restore(data []byte, reads level.Level) error {
-	*m = machine{}
+func (m *stateMachine) restore(data []byte, reads level.Level) error {
+	*m = stateMachine{}
 	if len(data) == 0 {
 		return nil
 	}
 	r := &reader{data: data[1:]}
 	switch data[0] {
-	case beginsJSON:
-		return m.restorePlain(data)
+	case formatJSON:
+		return m.restoreJSON(data)
 	case formatParts:
-		m.level = level.Parts
+		m.formatVersion = level.Parts
 	case formatSuspects:
-		m.level = level.Suspects
-	case formatTold:
+		m.formatVersion = level.Suspects
+	case formatVersioned:
 		if one := r.take(1); one != nil {
-			m.level = level.Level(one[0])
+			m.formatVersion = level.Level(one[0])
 		}
 	default:
-		return unknownFormat(data[0])
+		return unknownFormatError(data[0])
 	}
-	if m.level > reads {
-		return level.TooNew("a snapshot", m.level, reads)
+	if m.formatVersion > reads {
+		return level.TooNew("a snapshot", m.formatVersion, reads)
 	}
-	return errors.Wrap(m.restoreFrom(r), "snapshot")
+	return errors.Wrap(m.restoreFields(r), "snapshot")
 }
 
-// unknownFormat returns what a snapshot is that begins with no format of this build.
-func unknownFormat(format byte) error {
-	if format == 0 || format > lastFormat+formatsAhead {
+// unknownFormatError returns what a snapshot is that begins with no format of this build.
+func unknownFormatError(format byte) error {
+	if format == 0 || format > lastFormat+maxFutureFormats {
 		return errSnapshot
 	}
 	return &level.Above{
@@ -137,35 +137,35 @@
 	}
 }
 
-// formatsAhead is how many formats later builds may have added, so that a snapshot of one of them is
+// maxFutureFormats is how many formats later builds may have added, so that a snapshot of one of them is
 // told from bytes that are none.
-const formatsAhead = 16
+const maxFutureFormats = 16
 
-func (m *machine) restorePlain(data []byte) error {
-	var s plainState
+func (m *stateMachine) restoreJSON(data []byte) error {
+	var s jsonState
 	if err := json.Unmarshal(data, &s); err != nil {
 		return errors.Wrap(errSnapshot, err.Error())
 	}
-	m.level = level.Listed
+	m.formatVersion = level.Listed
 	m.document = Document{Version: s.Version, Data: s.Data}
 	m.registry = s.Registry
 	m.spending.Apply(s.Spending)
 	return nil
 }
 
-func (m *machine) restoreFrom(r *reader) error {
+func (m *stateMachine) restoreFields(r *reader) error {
 	document := r.upload()
 	m.upload = r.upload()
 	r.json(&m.registry)
 	var spending budget.Record
 	r.json(&spending)
 	m.spending.Apply(spending)
-	if m.level >= level.Suspects {
+	if m.formatVersion >= level.Suspects {
 		var known poison.Record
 		r.json(&known)
 		m.poison.Apply(known)
 	}
-	if r.err == nil && document.isWhole() {
+	if r.err == nil && document.isComplete() {
 		m.document, r.err = document.document()
 	}
 	return r.err
@@ -194,7 +194,7 @@
 	}
 }
 
-func (r *reader) number() uint64 {
+func (r *reader) uvarint() uint64 {
 	n, size := binary.Uvarint(r.data)
 	if size <= 0 {
 		r.fail(errSnapshot)
@@ -210,11 +210,11 @@
 		return upload{}
 	}
 	u := upload{key: parseKey(key)}
-	if u.key.Size > maxDocument {
+	if u.key.Size > maxDocumentBytes {
 		r.fail(errSnapshot)
 	}
-	for n := r.number(); n > 0 && r.err == nil; n-- {
-		if part := r.take(r.number()); r.err == nil {
+	for n := r.uvarint(); n > 0 && r.err == nil; n-- {
+		if part := r.take(r.uvarint()); r.err == nil {
 			r.fail(u.add(part))
 		}
 	}
@@ -222,7 +222,7 @@
 }
 
 func (r *reader) json(v any) {
-	if field := r.take(r.number()); r.err == nil {
+	if field := r.take(r.uvarint()); r.err == nil {
 		r.fail(json.Unmarshal(field, v))
 	}
 }
--- a/cluster/starts_test.go
+++ b/cluster/starts_test.go
@@ -22,8 +22,8 @@
 	e := registry.Endpoint{ID: "e", Born: 1000, Service: "s", Address: "10.0.0.1:80", Slots: 1, Sequence: 900}
 	s.tell(s.mustOwner(), e)
 	s.run(second)
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
-	s.step(s.mustOwner(), &SessionTold{Session: 1, Batch: submit("a")})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
+	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("a")})
 	if got := s.grants(1); len(got) != 1 || got[0].Endpoint != "e/1000" {
 		t.Fatalf("grants %+v, want one to the first start", got)
 	}
@@ -33,20 +33,20 @@
 	for s.answers[token].Status != StatusDone {
 		s.run(simStep)
 	}
-	s.step(s.mustOwner(), &SessionTold{Session: 1, Batch: submit("b")})
+	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("b")})
 	if got := s.grants(1); len(got) != 2 || got[1].Endpoint != "e/2000" {
 		t.Fatalf("grants %+v, want one to the second start", got)
 	}
 	late := e
 	late.Sequence, late.Leaving = 901, true
 	s.tell(s.mustOwner(), late)
-	s.step(s.mustOwner(), &EndpointLeft{Token: 99, Name: "e", Born: 1000})
-	s.step(s.mustOwner(), &SessionTold{Session: 1, Batch: &message.Batch{Finish: []message.Finish{
+	s.step(s.mustOwner(), &EndpointRemoved{Call: 99, Name: "e", Born: 1000})
+	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: &message.Batch{Finish: []message.Finish{
 		{Finished: event.Finished{ID: "a", Pool: "s"}, Endpoint: "e/1000", Suspect: true},
 		{Finished: event.Finished{ID: "b", Pool: "s"}, Endpoint: "e/2000", Ran: message.RanWell},
 	}}})
 	s.run(second / 2)
-	s.step(s.mustOwner(), &SessionTold{Session: 1, Batch: submit("c")})
+	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("c")})
 	s.run(second / 2)
 	if got := s.grants(1); len(got) != 3 || got[2].Endpoint != "e/2000" {
 		t.Errorf("grants %+v, want three", got)
@@ -54,8 +54,8 @@
 	s.stop(s.mustOwner().name)
 	s.run(4 * second)
 	s.tell(s.mustOwner(), late)
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry"}})
-	s.step(s.mustOwner(), &SessionTold{Session: 2, Batch: submit("d")})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry"}})
+	s.step(s.mustOwner(), &BatchReceived{Session: 2, Batch: submit("d")})
 	s.run(second)
 	if got := s.grants(2); len(got) != 1 || got[0].Endpoint != "e/2000" {
 		t.Errorf("the next owner granted %+v", got)
@@ -74,15 +74,15 @@
 	again := old
 	again.Born = 2000
 	s.tell(s.mustOwner(), again)
-	for range 2 * (downBeats + 1) {
+	for range 2 * (downAfterHeartbeats + 1) {
 		s.run(second / 2)
 		for _, name := range s.order {
 			old.Sequence++
 			s.tell(s.boxes[name], old)
 		}
 	}
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
-	s.step(s.mustOwner(), &SessionTold{Session: 1, Batch: submit("a")})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
+	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("a")})
 	s.run(second)
 	if got := s.grants(1); len(got) != 0 {
 		t.Errorf("granted %+v to a start that is silent", got)
@@ -134,11 +134,11 @@
 	s.put(s.mustOwner(), 1)
 	s.tell(s.mustOwner(), registry.Endpoint{ID: "e", Born: 1000, Service: "s", Address: "10.0.0.1:80", Slots: 9, Sequence: 1})
 	s.run(second)
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Told, Session: 1, Hello: message.Hello{Entry: "back"}})
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry"}})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Told, Session: 1, Hello: message.Hello{Entry: "back"}})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry"}})
 	for range 3 {
-		s.step(s.mustOwner(), &SessionPinged{Session: 1})
-		s.step(s.mustOwner(), &SessionPinged{Session: 2})
+		s.step(s.mustOwner(), &PingReceived{Session: 1})
+		s.step(s.mustOwner(), &PingReceived{Session: 2})
 		s.run(second)
 	}
 	if len(s.sends[1]) > 0 || s.closed[1] {
@@ -147,8 +147,8 @@
 	if len(s.sends[2]) == 0 {
 		t.Error("an entry of this build was sent nothing")
 	}
-	s.step(s.mustOwner(), &SessionEnded{Session: 1})
-	if n := len(s.mustOwner().state.owner.unread); n > 0 {
+	s.step(s.mustOwner(), &SessionClosed{Session: 1})
+	if n := len(s.mustOwner().state.owner.unsupported); n > 0 {
 		t.Errorf("%d sessions are remembered", n)
 	}
 }
@@ -167,19 +167,19 @@
 	for s.owner() == nil {
 		s.run(simStep)
 	}
-	groupLevel := func() level.Level { return s.mustOwner().state.machine.level }
+	groupLevel := func() level.Level { return s.mustOwner().state.machine.formatVersion }
 	s.run(second)
 	if got := groupLevel(); got >= level.Starts {
 		t.Fatalf("the level is %d before any entry can have been heard", got)
 	}
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Told, Session: 1, Hello: message.Hello{Entry: "old"}})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Told, Session: 1, Hello: message.Hello{Entry: "old"}})
 	s.run(20 * second)
-	s.step(s.mustOwner(), &SessionEnded{Session: 1})
+	s.step(s.mustOwner(), &SessionClosed{Session: 1})
 	s.run(3 * second)
 	if got := groupLevel(); got >= level.Starts {
 		t.Fatalf("the level is %d while an entry is away for 3 s that reads %d", got, level.Told)
 	}
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 2, Hello: message.Hello{Entry: "old", Life: 2}})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "old", Life: 2}})
 	s.run(2 * second)
 	if got := groupLevel(); got != level.Newest {
 		t.Errorf("the level is %d once all read %d", got, level.Newest)
--- a/cluster/state.go
+++ b/cluster/state.go
@@ -16,17 +16,17 @@
 
 // Bounds of the log and of endpoints' silence.
 const (
-	// compactBytes is the least that is logged between snapshots, in bytes, and compactGrowth how
+	// minCompactBytes is the least that is logged between snapshots, in bytes, and compactGrowth how
 	// many times the last snapshot: making one, and writing and sending it, must stay a part of
 	// the work that the log itself makes.
-	compactBytes  = 4 << 20
+	minCompactBytes  = 4 << 20
 	compactGrowth = 2
-	// entryBytes is what an entry counts besides its command, so that a log of small entries
+	// entryOverhead is what an entry counts besides its command, so that a log of small entries
 	// has a snapshot after 512 of them.
-	entryBytes = compactBytes / 512
-	// downBeats is how many times its own rhythm an endpoint may be silent before
+	entryOverhead = minCompactBytes / 512
+	// downAfterHeartbeats is how many times its own rhythm an endpoint may be silent before
 	// it is taken for down.
-	downBeats = 4
+	downAfterHeartbeats = 4
 )
 
 // Settings are what a State must know of its deployment.
@@ -40,35 +40,35 @@
 	// Decode reads a configuration and checks it. It takes long for a large one, and is called
 	// beside the loop.
 	Decode func([]byte) (*routing.Table, error)
-	// Reads is the level that the box reads; 0 is the newest. Tests set it.
-	Reads level.Level
+	// FormatVersion is the level that the box reads; 0 is the newest. Tests set it.
+	FormatVersion level.Level
 }
 
 // State is the reducer of a control box. It is not safe for concurrent use.
 type State struct {
 	settings Settings
 	node     *consensus.Node
-	machine  machine
-	config   config
-	pending  map[consensus.Index]pending
-	heard    map[string]bool // endpoints that the leader is not yet told of
-	uploads  uploads
-	compact  consensus.Index // of the last snapshot
-	// snapshotBytes is the length of the last snapshot, logged what was logged since.
-	snapshotBytes, logged int
-	// compactLeast is compactBytes, but for tests.
-	compactLeast int
+	machine  stateMachine
+	config   decodedConfig
+	pendingCalls  map[consensus.Index]pendingCall
+	pendingHeartbeats    map[string]bool // endpoints that the leader is not yet told of
+	uploads  uploadQueue
+	snapshotIndex  consensus.Index // of the last snapshot
+	// snapshotBytes is the length of the last snapshot, loggedBytes what was loggedBytes since.
+	snapshotBytes, loggedBytes int
+	// compactThreshold is compactBytes, but for tests.
+	compactThreshold int
 	owner        *owner // nil while this box does not own the pools
-	// early are sessions of entries that came while no leader was known.
-	early   map[SessionID]*earlySession
+	// pendingSessions are sessions of entries that came while no leader was known.
+	pendingSessions   map[SessionID]*pendingSession
 	leader  consensus.ID
 	members consensus.Membership // as last told in the log
-	levels  levels
+	formats  formatVersions
 }
 
-// pending is a call that waits for its command to be committed.
-type pending struct {
-	token Token
+// pendingCall is a call that waits for its command to be committed.
+type pendingCall struct {
+	call CallID
 	term  consensus.Term
 }
 
@@ -77,25 +77,25 @@
 	s := &State{
 		settings: settings,
 		node:     consensus.New(now, id, r, settings.Seed),
-		pending:  make(map[consensus.Index]pending),
-		heard:    make(map[string]bool),
-		early:    make(map[SessionID]*earlySession),
-		compact:  r.Snapshot.Index,
+		pendingCalls:  make(map[consensus.Index]pendingCall),
+		pendingHeartbeats:    make(map[string]bool),
+		pendingSessions:    make(map[SessionID]*pendingSession),
+		snapshotIndex:  r.Snapshot.Index,
 
 		snapshotBytes: len(r.Snapshot.Data),
-		compactLeast:  compactBytes,
-		levels:        newLevels(settings.Reads),
+		compactThreshold:  minCompactBytes,
+		formats:        newFormatVersions(settings.FormatVersion),
 	}
 	for _, e := range r.Entries {
 		if e.Kind != consensus.EntryCommand {
 			continue
 		}
-		if err := s.readable(e.Data); err != nil {
+		if err := s.checkReadable(e.Data); err != nil {
 			return nil, err
 		}
 	}
 	s.node.SetLimits(settings.Members)
-	if s.levels.own >= level.Told {
+	if s.formats.own >= level.Told {
 		s.node.SetUsualForms(consensus.Forms{Held: true}) // until a box has said what it reads
 	}
 	if err := s.restore(r.Snapshot.Data); err != nil {
@@ -118,42 +118,42 @@
 		return
 	}
 	s.stepNode(now, e, out)
-	if d, ok := e.(*Decoded); ok {
-		s.takeDecoded(now, d, out)
+	if d, ok := e.(*DocumentDecoded); ok {
+		s.applyDecoded(now, d, out)
 	}
-	s.settle(now, out)
+	s.applyCommitted(now, out)
 	s.stepCalls(now, e, out)
 	if s.owner != nil {
 		s.owner.step(now, e, s, out)
 	} else {
 		s.stepSession(now, e, out)
 	}
-	s.settle(now, out)
-	s.sendEarlyOn(now, out)
-	s.askDecode(out)
-	s.tellLeader(out)
+	s.applyCommitted(now, out)
+	s.redirectPendingSessions(now, out)
+	s.requestDecode(out)
+	s.logMembership(out)
 }
 
 func (s *State) stepNode(now event.Time, e Event, out *Effects) {
 	switch e := e.(type) {
-	case *Ticked:
+	case *Tick:
 		s.node.Tick(now, &out.Ready)
-		s.tellHeard(now, out)
-	case *Received:
+		s.forwardHeartbeats(now, out)
+	case *MessageReceived:
 		s.node.Step(now, e.Message, &out.Ready)
-	case *Saved:
+	case *LogSaved:
 		s.node.Saved(now, e.Index, e.Term, &out.Ready)
-	case *JoinAsked:
-		if s.mayJoin(e, out) {
+	case *JoinRequested:
+		if s.canJoin(e, out) {
 			// A box that does not lead has no say; the joining box asks on.
 			_, _ = s.node.Join(now, e.Member, &out.Ready)
 		}
-	case *PeerTold:
-		s.hearPeer(e, out)
-	case *PeerLost:
-		s.losePeer(e, out)
-	case *StopAsked:
-		s.node.Transfer(now, s.handOverTo, &out.Ready)
+	case *PeerConnected:
+		s.peerConnected(e, out)
+	case *PeerDisconnected:
+		s.peerDisconnected(e, out)
+	case *StopRequested:
+		s.node.Transfer(now, s.transferRank, &out.Ready)
 	}
 }
 
@@ -163,25 +163,25 @@
 // stepCalls takes the calls of operators and endpoints.
 func (s *State) stepCalls(now event.Time, e Event, out *Effects) {
 	switch e := e.(type) {
-	case *DocumentSent:
-		s.sendDocument(now, e, out)
-	case *DocumentRead:
+	case *DocumentSubmitted:
+		s.submitDocument(now, e, out)
+	case *DocumentRequested:
 		if !s.owns(now) {
-			s.elsewhere(e.Token, out)
+			s.answerNotLeader(e.Call, out)
 			return
 		}
 		out.Answers = append(out.Answers, Answer{
-			Token: e.Token, Status: StatusDone, Document: s.machine.document, Until: s.node.LeaseEnd(now),
+			Call: e.Call, Status: StatusDone, Document: s.machine.document, ValidUntil: s.node.LeaseEnd(now),
 		})
-	case *EndpointTold:
-		s.hearEndpoint(now, e, out)
-	case *EndpointLeft:
+	case *HeartbeatReceived:
+		s.receiveHeartbeat(now, e, out)
+	case *EndpointRemoved:
 		s.removeEndpoint(now, e, out)
-	case *CallGone:
-		s.uploads.forget(e.Token)
-		for i, p := range s.pending {
-			if p.token == e.Token {
-				delete(s.pending, i)
+	case *CallCancelled:
+		s.uploads.cancelCall(e.Call)
+		for i, p := range s.pendingCalls {
+			if p.call == e.Call {
+				delete(s.pendingCalls, i)
 			}
 		}
 	}
@@ -189,55 +189,55 @@
 
 // propose puts a command into the log, unless it is known to change nothing; the
 // call is answered when it is committed.
-func (s *State) propose(now event.Time, token Token, command []byte, known bool, out *Effects) {
+func (s *State) propose(now event.Time, token CallID, command []byte, known bool, out *Effects) {
 	if !s.owns(now) {
-		s.elsewhere(token, out)
+		s.answerNotLeader(token, out)
 		return
 	}
 	if known {
-		out.Answers = append(out.Answers, Answer{Token: token, Status: StatusDone, Next: s.address()})
+		out.Answers = append(out.Answers, Answer{Call: token, Status: StatusDone, Next: s.ownAddress()})
 		return
 	}
 	index, err := s.node.Propose(now, command, &out.Ready)
 	if err != nil {
-		s.elsewhere(token, out)
+		s.answerNotLeader(token, out)
 		return
 	}
-	s.pending[index] = pending{token: token, term: s.node.Term()}
+	s.pendingCalls[index] = pendingCall{call: token, term: s.node.Term()}
 }
 
-// hearsLeader reports whether another box leads and was heard a moment ago.
-func (s *State) hearsLeader(now event.Time) bool {
+// isLeaderActive reports whether another box leads and was heard a moment ago.
+func (s *State) isLeaderActive(now event.Time) bool {
 	leader := s.node.Leader()
 	return leader != "" && leader != s.node.ID() && now.Sub(s.node.HeardLeader()) < consensus.ElectionMin
 }
 
-// leaderless is how long a box goes on taking word of endpoints without news while it hears
+// leaderGracePeriod is how long a box goes on taking word of endpoints without news while it hears
 // no leader: an election takes 0.4 to 0.65 s, and each endpoint that is turned away tries
 // all boxes in turn. It is below the time after which an owner takes an endpoint for down.
-const leaderless = 2 * event.Second
+const leaderGracePeriod = 2 * event.Second
 
-// heardLeaderLately reports whether another box leads, or did a moment ago.
-func (s *State) heardLeaderLately(now event.Time) bool {
-	return s.node.Leader() != s.node.ID() && now.Sub(s.node.HeardLeader()) < leaderless
+// sawLeaderRecently reports whether another box leads, or did a moment ago.
+func (s *State) sawLeaderRecently(now event.Time) bool {
+	return s.node.Leader() != s.node.ID() && now.Sub(s.node.HeardLeader()) < leaderGracePeriod
 }
 
-// tellHeard tells the leader which endpoints were heard here, once there is one.
-func (s *State) tellHeard(now event.Time, out *Effects) {
+// forwardHeartbeats tells the leader which endpoints were heard here, once there is one.
+func (s *State) forwardHeartbeats(now event.Time, out *Effects) {
 	switch {
-	case len(s.heard) == 0:
-	case s.hearsLeader(now):
+	case len(s.pendingHeartbeats) == 0:
+	case s.isLeaderActive(now):
 		out.Leader = s.node.Leader()
-		out.Heard = slices.Sorted(maps.Keys(s.heard))
-		clear(s.heard)
-	case !s.heardLeaderLately(now):
-		clear(s.heard)
+		out.Heartbeats = slices.Sorted(maps.Keys(s.pendingHeartbeats))
+		clear(s.pendingHeartbeats)
+	case !s.sawLeaderRecently(now):
+		clear(s.pendingHeartbeats)
 	}
 }
 
-// elsewhere answers a call that this box can't serve.
-func (s *State) elsewhere(token Token, out *Effects) {
-	out.Answers = append(out.Answers, Answer{Token: token, Status: StatusElsewhere, Leader: s.leaderAddress()})
+// answerNotLeader answers a call that this box can't serve.
+func (s *State) answerNotLeader(token CallID, out *Effects) {
+	out.Answers = append(out.Answers, Answer{Call: token, Status: StatusElsewhere, Leader: s.leaderAddress()})
 }
 
 // leaderAddress returns the operators' address of another box that leads; empty
@@ -260,8 +260,8 @@
 	return append(slices.Clone(m.Voters), m.Learners...)
 }
 
-// memberLinks returns the link addresses of all members.
-func (s *State) memberLinks() []string {
+// memberLinkAddresses returns the link addresses of all members.
+func (s *State) memberLinkAddresses() []string {
 	var list []string
 	for _, m := range s.allMembers() {
 		list = append(list, string(m.ID.Box()))
@@ -269,12 +269,12 @@
 	return list
 }
 
-// settle applies what was committed and takes up or lays down the ownership.
-func (s *State) settle(now event.Time, out *Effects) {
-	if snap := out.Ready.Snapshot; snap != nil && snap.Index > s.compact {
-		s.compacted(snap.Index, snap.Data)
+// applyCommitted applies what was committed and takes up or lays down the ownership.
+func (s *State) applyCommitted(now event.Time, out *Effects) {
+	if snap := out.Ready.Snapshot; snap != nil && snap.Index > s.snapshotIndex {
+		s.recordSnapshot(snap.Index, snap.Data)
 		if err := s.restore(snap.Data); err != nil {
-			out.Stop = err
+			out.Fatal = err
 			return
 		}
 		s.machine.spending.Heard(now)
@@ -284,117 +284,117 @@
 		out.Ready.Committed = nil
 		for _, entry := range committed {
 			s.applyEntry(now, entry, out)
-			if out.Stop != nil {
+			if out.Fatal != nil {
 				return
 			}
-			s.compactAt(entry.Index, out)
+			s.compactIfDue(entry.Index, out)
 		}
 	}
-	s.settleOwnership(now, out)
-	s.logNext(now, out)
+	s.updateOwnership(now, out)
+	s.proposeNextUpload(now, out)
 }
 
-// compactAt takes a snapshot at the entry that was just applied, if one is due. It is due at the
+// compactIfDue takes a snapshot at the entry that was just applied, if one is due. It is due at the
 // same entries on all boxes, whatever they apply together: see consensus.Node.Compact.
-func (s *State) compactAt(index consensus.Index, out *Effects) {
-	if s.logged < max(s.compactLeast, compactGrowth*s.snapshotBytes) || s.machine.level == 0 {
+func (s *State) compactIfDue(index consensus.Index, out *Effects) {
+	if s.loggedBytes < max(s.compactThreshold, compactGrowth*s.snapshotBytes) || s.machine.formatVersion == 0 {
 		return // a log that does not tell which snapshots its members read has none yet
 	}
 	data := s.machine.snapshot()
-	s.compacted(index, data)
+	s.recordSnapshot(index, data)
 	s.node.Compact(index, data, &out.Ready)
 }
 
-// compacted takes note of the newest snapshot.
-func (s *State) compacted(index consensus.Index, data []byte) {
-	s.compact = index
+// recordSnapshot takes note of the newest snapshot.
+func (s *State) recordSnapshot(index consensus.Index, data []byte) {
+	s.snapshotIndex = index
 	s.snapshotBytes = len(data)
-	s.logged = 0
+	s.loggedBytes = 0
 }
 
 func (s *State) applyEntry(now event.Time, entry consensus.Entry, out *Effects) {
-	s.logged += entryBytes + len(entry.Data)
+	s.loggedBytes += entryOverhead + len(entry.Data)
 	if entry.Kind == consensus.EntryCommand {
 		s.applyCommand(now, entry, out)
 	}
 	if s.owner != nil && entry.Term == s.owner.term {
-		s.owner.recorded(now, entry.Index, s, out)
+		s.owner.recordCommitted(now, entry.Index, s, out)
 	}
-	s.uploaded(entry, out)
-	p, ok := s.pending[entry.Index]
+	s.uploadApplied(entry, out)
+	p, ok := s.pendingCalls[entry.Index]
 	if !ok {
 		return
 	}
-	delete(s.pending, entry.Index)
+	delete(s.pendingCalls, entry.Index)
 	status := StatusDone
 	if p.term != entry.Term {
-		status = StatusUnclear
+		status = StatusUnknown
 	}
-	out.Answers = append(out.Answers, Answer{Token: p.token, Status: status})
+	out.Answers = append(out.Answers, Answer{Call: p.call, Status: status})
 }
 
 func (s *State) applyCommand(now event.Time, entry consensus.Entry, out *Effects) {
-	if err := s.readable(entry.Data); err != nil {
-		out.Stop = err
+	if err := s.checkReadable(entry.Data); err != nil {
+		out.Fatal = err
 		return
 	}
 	c, err := s.machine.apply(entry.Index, entry.Data)
 	if err != nil {
 		// A command that no version of this program can read does nothing, on
 		// every box alike.
-		out.note("command not applied", Field{"error", err.Error()})
+		out.logInfo("command not applied", Field{"error", err.Error()})
 		return
 	}
 	if c.spending != nil {
 		s.machine.spending.Heard(now)
-		if s.owner != nil && s.owner.record != entry.Index {
-			s.owner.book.Foreign(now, *c.spending)
+		if s.owner != nil && s.owner.recordIndex != entry.Index {
+			s.owner.budgets.Foreign(now, *c.spending)
 		}
 	}
-	if c.poison != nil && s.owner != nil && s.owner.poisonRecord != entry.Index {
+	if c.poison != nil && s.owner != nil && s.owner.poisonIndex != entry.Index {
 		s.owner.poison.Foreign(now, *c.poison)
 	}
-	if c.level {
-		s.levelRaised(out)
+	if c.formatVersion {
+		s.formatVersionRaised(out)
 	}
 	if c.document {
-		out.note("configuration applied", Field{"version", s.machine.document.Version}, Field{"bytes", len(s.machine.document.Data)})
+		out.logInfo("configuration applied", Field{"version", s.machine.document.Version}, Field{"bytes", len(s.machine.document.Data)})
 	}
 	if s.owner != nil {
-		s.owner.applied(now, c, s, out)
+		s.owner.applyChange(now, c, s, out)
 	}
 }
 
-// settleOwnership begins to own when this box has come to lead, and ends when it leads no
+// updateOwnership begins to own when this box has come to lead, and ends when it leads no
 // more. A short lapse of the lease within a term is no end: a quorum that answers again in
 // this term has followed nobody else since. To end and begin anew at each lapse would send
 // all entries away and back, and the work of that can let the lease lapse again.
-func (s *State) settleOwnership(now event.Time, out *Effects) {
+func (s *State) updateOwnership(now event.Time, out *Effects) {
 	owns := s.owns(now)
-	if s.owner != nil && !s.owner.remains(now, s.node) {
-		s.owner.end(s, out)
+	if s.owner != nil && !s.owner.remainsOwner(now, s.node) {
+		s.owner.closeSessions(s, out)
 		s.owner = nil
-		out.note("owns the pools no more", Field{"term", uint64(s.node.Term())})
+		out.logInfo("owns the pools no more", Field{"term", uint64(s.node.Term())})
 	}
 	if !owns && s.owner == nil {
-		s.config.wanted = 0
+		s.config.requiredVersion = 0
 	}
-	if owns && s.owner == nil && s.wantTable() {
+	if owns && s.owner == nil && s.isConfigReady() {
 		s.owner = newOwner(now, s)
-		out.note("owns the pools", Field{"term", uint64(s.node.Term())}, Field{"waiting_entries", len(s.early)})
-		s.takeEarly(now, out)
+		out.logInfo("owns the pools", Field{"term", uint64(s.node.Term())}, Field{"waiting_entries", len(s.pendingSessions)})
+		s.openPendingSessions(now, out)
 	}
 	if !s.node.Leads() {
-		s.failPending(out)
+		s.failPendingCalls(out)
 	}
 }
 
-// failPending answers the calls whose commands may or may not be committed.
-func (s *State) failPending(out *Effects) {
+// failPendingCalls answers the calls whose commands may or may not be committed.
+func (s *State) failPendingCalls(out *Effects) {
 	s.uploads.fail(out)
-	for index, p := range s.pending {
-		out.Answers = append(out.Answers, Answer{Token: p.token, Status: StatusUnclear})
-		delete(s.pending, index)
+	for index, p := range s.pendingCalls {
+		out.Answers = append(out.Answers, Answer{Call: p.call, Status: StatusUnknown})
+		delete(s.pendingCalls, index)
 	}
 }
 
@@ -404,25 +404,25 @@
 		leader = string(id.Box())
 	}
 	out.Sends = append(out.Sends, Send{session, &message.Envelope{Redirect: &message.Redirect{
-		Leader: leader, Members: s.memberLinks(),
+		Leader: leader, Members: s.memberLinkAddresses(),
 	}}})
 	out.Closes = append(out.Closes, session)
 }
 
-// tellLeader notes changes of the leader and of the members.
-func (s *State) tellLeader(out *Effects) {
+// logMembership notes changes of the leader and of the members.
+func (s *State) logMembership(out *Effects) {
 	if id := s.node.Leader(); id != s.leader {
 		s.leader = id
-		out.note("leader", Field{"leader", string(id)}, Field{"term", uint64(s.node.Term())})
+		out.logInfo("leader", Field{"leader", string(id)}, Field{"term", uint64(s.node.Term())})
 	}
 	m := s.node.Members()
 	if !slices.Equal(m.Voters, s.members.Voters) || !slices.Equal(m.Learners, s.members.Learners) {
 		s.members = consensus.Membership{Voters: slices.Clone(m.Voters), Learners: slices.Clone(m.Learners)}
-		out.note("members", Field{"voters", ids(m.Voters)}, Field{"learners", ids(m.Learners)})
+		out.logInfo("members", Field{"voters", memberIDs(m.Voters)}, Field{"learners", memberIDs(m.Learners)})
 	}
 }
 
-func ids(list []consensus.Member) []string {
+func memberIDs(list []consensus.Member) []string {
 	var names []string
 	for _, m := range list {
 		names = append(names, string(m.ID))
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -148,7 +148,7 @@
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	old := s.mustOwner()
-	s.step(old, &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
+	s.step(old, &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	frozen := old.state
 	old.state = nil
 	s.run(4 * second)
@@ -186,10 +186,10 @@
 	s.run(second)
 	s.token++
 	token := s.token
-	s.step(s.mustOwner(), &DocumentSent{Token: token, Document: Document{Version: 6, Data: []byte("other")}})
+	s.step(s.mustOwner(), &DocumentSubmitted{Call: token, Document: Document{Version: 6, Data: []byte("other")}})
 	older := s.put(s.mustOwner(), 5)
 	s.run(second)
-	for _, k := range []Token{token, older} {
+	for _, k := range []CallID{token, older} {
 		if s.answers[k].Status != StatusDone {
 			t.Errorf("a resent or older configuration was not acknowledged: %+v", s.answers[k])
 		}
@@ -241,8 +241,8 @@
 	ready := registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 100, Sequence: 1}
 	s.tell(s.mustOwner(), ready)
 	s.run(second)
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
-	s.step(s.mustOwner(), &SessionTold{Session: 1, Batch: submit("a")})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
+	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("a")})
 	if got := s.grants(1); len(got) != 1 || got[0].Endpoint != "e" {
 		t.Fatalf("grants %+v, want one to e", got)
 	}
@@ -259,15 +259,15 @@
 	late := ready
 	late.Sequence = 2
 	s.tell(s.mustOwner(), late)
-	s.step(s.mustOwner(), &SessionTold{Session: 1, Batch: submit("b")})
+	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("b")})
 	s.run(second)
 	if got := s.grants(1); len(got) != 1 {
 		t.Errorf("grants %+v: one came after the acknowledgement", got)
 	}
 	s.stop(s.mustOwner().name)
 	s.run(4 * second)
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry"}})
-	s.step(s.mustOwner(), &SessionTold{Session: 2, Batch: submit("c")})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry"}})
+	s.step(s.mustOwner(), &BatchReceived{Session: 2, Batch: submit("c")})
 	s.run(second)
 	if got := s.grants(2); len(got) != 0 {
 		t.Errorf("the next owner granted %+v to an endpoint that is leaving", got)
@@ -284,13 +284,13 @@
 	s.stop(s.mustOwner().name)
 	s.run(4 * second)
 	running := message.Running{Ticket: event.Ticket{ID: "old", Service: "s", Pool: "s"}, Endpoint: "e"}
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry", Running: []message.Running{running}}})
-	s.step(s.mustOwner(), &SessionTold{Session: 1, Batch: submit("new")})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry", Running: []message.Running{running}}})
+	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("new")})
 	if got := s.grants(1); len(got) != 0 {
 		t.Fatalf("granted %+v though the only place is taken", got)
 	}
 	done := message.Finish{Finished: event.Finished{ID: "old", Pool: "s"}, Endpoint: "e"}
-	s.step(s.mustOwner(), &SessionTold{Session: 1, Batch: &message.Batch{Finish: []message.Finish{done}}})
+	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: &message.Batch{Finish: []message.Finish{done}}})
 	if got := s.grants(1); len(got) != 1 {
 		t.Errorf("grants %+v, want one when the place came free", got)
 	}
@@ -302,9 +302,9 @@
 	s.put(s.mustOwner(), 1)
 	e := registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 9, Sequence: 1}
 	s.tell(s.mustOwner(), e)
-	s.run((downBeats + 1) * second)
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
-	s.step(s.mustOwner(), &SessionTold{Session: 1, Batch: submit("a")})
+	s.run((downAfterHeartbeats + 1) * second)
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
+	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("a")})
 	if got := s.grants(1); len(got) != 0 {
 		t.Fatalf("granted %+v to an endpoint that is silent", got)
 	}
@@ -323,7 +323,7 @@
 }
 
 func TestMachineSurvivesItsSnapshot(t *testing.T) {
-	var m machine
+	var m stateMachine
 	for i, command := range [][]byte{
 		firstPart(Document{Version: 4, Data: []byte(`{"version": 4}`)}),
 		encodeEndpoint(registry.Endpoint{ID: "a", Service: "s", Address: "10.0.0.1:80", Sequence: 2}),
@@ -334,14 +334,14 @@
 			t.Fatal(err)
 		}
 	}
-	var again machine
+	var again stateMachine
 	if err := again.restore(m.snapshot(), level.Newest); err != nil {
 		t.Fatal(err)
 	}
 	if string(again.document.Data) != `{"version": 4}` || len(again.registry.Endpoints) != 1 || len(again.registry.Gone) != 1 {
 		t.Errorf("restored %+v", again)
 	}
-	for _, bad := range [][]byte{nil, {99}, {commandPart, 1}, append([]byte{commandEndpoint}, '{')} {
+	for _, bad := range [][]byte{nil, {99}, {commandDocument, 1}, append([]byte{commandEndpoint}, '{')} {
 		if _, err := again.apply(9, bad); err == nil {
 			t.Errorf("command %v was applied", bad)
 		}
@@ -364,12 +364,12 @@
 		b.Submit[0].Ticket.Team = "t"
 		b.Submit[0].Quota = amount
 		before := len(s.grants(session))
-		s.step(s.mustOwner(), &SessionTold{Session: session, Batch: b})
+		s.step(s.mustOwner(), &BatchReceived{Session: session, Batch: b})
 		s.run(simStep) // a record may have to be committed
 		s.run(simStep)
 		granted += amount * (len(s.grants(session)) - before)
 	}
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry", Life: 5}})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry", Life: 5}})
 	lent := s.ping(1, message.Ping{})
 	if len(lent.UpTo) == 0 {
 		t.Fatal("the entry was lent nothing")
@@ -379,10 +379,10 @@
 	for range 20 {
 		spend(1, simQuota/40)
 	}
-	s.step(s.mustOwner(), &SessionEnded{Session: 1})
+	s.step(s.mustOwner(), &SessionClosed{Session: 1})
 	s.run(second)
 	held.Spent = held.UpTo * 3 / 4
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry", Life: 5, Held: []budget.Holding{held}}})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry", Life: 5, Held: []budget.Holding{held}}})
 	for range 100 {
 		spend(2, simQuota/100)
 	}
@@ -406,15 +406,15 @@
 			other = s.boxes[name]
 		}
 	}
-	for range 3 * downBeats {
+	for range 3 * downAfterHeartbeats {
 		e.Sequence++
 		if token := s.tell(other, e); s.answers[token].Status != StatusDone || s.answers[token].Next == "" {
 			t.Fatalf("a heartbeat without news got %+v", s.answers[token])
 		}
 		s.run(second / 2)
 	}
-	s.step(s.mustOwner(), &SessionBegan{Reads: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
-	s.step(s.mustOwner(), &SessionTold{Session: 1, Batch: submit("a")})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
+	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("a")})
 	if got := s.grants(1); len(got) != 1 {
 		t.Errorf("grants %+v: the owner takes an endpoint for down that another box hears", got)
 	}
--- a/cluster/suspended_test.go
+++ b/cluster/suspended_test.go
@@ -26,9 +26,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	leader := -1
-	for d := noiseDocument(1, 10); leader < 0 && ctx.Err() == nil; time.Sleep(tickEvery) {
+	for d := noiseDocument(1, 10); leader < 0 && ctx.Err() == nil; time.Sleep(tickInterval) {
 		for i, s := range servers {
-			if s.call(ctx, func(k Token) Event { return &DocumentSent{Token: k, Document: d} }).Status == StatusDone {
+			if s.call(ctx, func(k CallID) Event { return &DocumentSubmitted{Call: k, Document: d} }).Status == StatusDone {
 				leader = i
 				break
 			}
@@ -40,14 +40,14 @@
 	// What its lease rests on when it wakes is what it had heard before.
 	a := servers[leader].ReadDocument(ctx)
 	for ; a.Status != StatusDone && ctx.Err() == nil; a = servers[leader].ReadDocument(ctx) {
-		time.Sleep(tickEvery)
+		time.Sleep(tickInterval)
 	}
 	slept[leader].Add(int64(2 * event.Second))
-	if now := servers[leader].clock.Now(); now < a.Until {
-		t.Fatalf("the lease lasts until %v, it is %v", a.Until, now)
+	if now := servers[leader].clock.Now(); now < a.ValidUntil {
+		t.Fatalf("the lease lasts until %v, it is %v", a.ValidUntil, now)
 	}
 	held := make(chan bool, 1)
-	servers[leader].input <- inspect(func(now event.Time, s *State) { held <- s.node.HasLease(now) && s.node.LeaseEnd(now) <= a.Until })
+	servers[leader].events <- inspect(func(now event.Time, s *State) { held <- s.node.HasLease(now) && s.node.LeaseEnd(now) <= a.ValidUntil })
 	if <-held {
 		t.Error("it holds the lease that it had before it slept")
 	}
--- a/cluster/takeup_test.go
+++ b/cluster/takeup_test.go
@@ -55,9 +55,9 @@
 	}
 	old := document(1, routing.Team{Name: "t", Rate: 1000, Burst: 1000})
 	newest := document(2, routing.Team{Name: "t", Rate: 500, Burst: 500}, routing.Team{Name: "u", Rate: 10, Burst: 10})
-	id := consensus.MakeID("box1", founderDisk)
+	id := consensus.MakeID("box1", founderIncarnation)
 	members := consensus.Membership{Voters: []consensus.Member{{ID: id, Address: "box1:operators"}}}
-	m := machine{document: old}
+	m := stateMachine{document: old}
 	r := consensus.Restored{
 		HardState: consensus.HardState{Term: 1},
 		Snapshot:  consensus.Snapshot{Index: 5, Term: 1, Members: members, Data: m.snapshot()},
@@ -72,17 +72,17 @@
 	decoded := false
 	for now := event.Time(0); now < event.Time(2*event.Second) && s.owner == nil; now = now.Add(50 * event.Millisecond) {
 		var out Effects
-		s.Step(now, &Ticked{}, &out)
+		s.Step(now, &Tick{}, &out)
 		if out.Decode.Version == 1 && !decoded {
 			decoded = true // version 2 is still being decoded when the box is elected
 			table, err := settings.Decode(out.Decode.Data)
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Step(now, &Decoded{Version: 1, Table: table, Tree: hashtree.Build(table, nil)}, &Effects{})
+			s.Step(now, &DocumentDecoded{Version: 1, Table: table, Tree: hashtree.Build(table, nil)}, &Effects{})
 		}
 		for _, e := range out.Ready.Entries {
-			s.Step(now, &Saved{Index: e.Index, Term: e.Term}, &Effects{})
+			s.Step(now, &LogSaved{Index: e.Index, Term: e.Term}, &Effects{})
 		}
 	}
 	if s.machine.document.Version != 2 {
--- a/cluster/upgrade_sim_test.go
+++ b/cluster/upgrade_sim_test.go
@@ -23,7 +23,7 @@
 	from     level.Level
 	states   map[uint64]string // what all members had when they had applied an entry
 	applied  map[*State]uint64
-	sent     map[Token]uint64 // versions by call
+	sent     map[CallID]uint64 // versions by call
 	down     *simBox
 	cutOff   string
 	sequence uint64
@@ -35,7 +35,7 @@
 func newUpgrade(t *testing.T, from level.Level, boxes int, seed uint64) *upgrade {
 	u := &upgrade{
 		sim: newSim(t, boxes, 0), from: from, states: make(map[uint64]string), applied: make(map[*State]uint64),
-		sent: make(map[Token]uint64), commands: make(map[byte]int),
+		sent: make(map[CallID]uint64), commands: make(map[byte]int),
 	}
 	u.random = rand.New(rand.NewPCG(seed, 5))
 	u.compactLeast = 1
@@ -65,7 +65,7 @@
 		})
 	case n < 45 && owner != nil:
 		u.token++
-		u.step(owner, &EndpointLeft{Token: u.token, Name: fmt.Sprint("e", u.random.IntN(9)), Born: u.random.Uint64N(3)})
+		u.step(owner, &EndpointRemoved{Call: u.token, Name: fmt.Sprint("e", u.random.IntN(9)), Born: u.random.Uint64N(3)})
 	case n < 60 && owner != nil:
 		u.tellEnd(owner)
 	case n < 70 && u.down == nil:
@@ -89,8 +89,8 @@
 func (u *upgrade) tellEnd(owner *simBox) {
 	u.session++
 	u.number++
-	u.step(owner, &SessionBegan{Session: u.session, Hello: message.Hello{Entry: "entry", Life: 1}, Reads: level.Newest})
-	u.step(owner, &SessionTold{Session: u.session, Batch: &message.Batch{Ends: []poison.End{{
+	u.step(owner, &SessionOpened{Session: u.session, Hello: message.Hello{Entry: "entry", Life: 1}, FormatVersion: level.Newest})
+	u.step(owner, &BatchReceived{Session: u.session, Batch: &message.Batch{Ends: []poison.End{{
 		Number: u.number, Print: poison.Print(fmt.Sprintf("%016x", u.random.IntN(5))),
 		Endpoint: event.EndpointID(fmt.Sprint("e", u.random.IntN(99))), Request: event.RequestID(fmt.Sprint(u.number)),
 	}}}})
@@ -121,7 +121,7 @@
 func (u *upgrade) replace(name string, to level.Level) {
 	b := u.boxes[name]
 	if b.state != nil {
-		u.step(b, &StopAsked{})
+		u.step(b, &StopRequested{})
 		u.run(200 * event.Millisecond)
 		u.stop(name)
 	}
@@ -160,11 +160,11 @@
 		if got, all := state.node.Applied(), owner.state.node.Applied(); got != all {
 			u.t.Fatalf("%s has applied %d entries, the owner %d", name, got, all)
 		}
-		if want >= level.Told && state.machine.level != want {
-			u.t.Fatalf("%s: the group has level %d, want %d", name, state.machine.level, want)
+		if want >= level.Told && state.machine.formatVersion != want {
+			u.t.Fatalf("%s: the group has level %d, want %d", name, state.machine.formatVersion, want)
 		}
-		if want < level.Told && state.machine.level > want {
-			u.t.Fatalf("%s: the log tells level %d while a member reads %d", name, state.machine.level, want)
+		if want < level.Told && state.machine.formatVersion > want {
+			u.t.Fatalf("%s: the log tells level %d while a member reads %d", name, state.machine.formatVersion, want)
 		}
 	}
 }
@@ -238,7 +238,7 @@
 func TestMemberBelowTheGroup(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(2 * event.Second)
-	if got := s.mustOwner().state.machine.level; got != level.Newest {
+	if got := s.mustOwner().state.machine.formatVersion; got != level.Newest {
 		t.Fatalf("a new group has level %d", got)
 	}
 	var back *simBox
@@ -250,7 +250,7 @@
 	s.stop(back.name)
 	before := simDisk{member: back.disk.member, restored: back.disk.restored}
 	back.reads = level.Suspects
-	if _, err := NewState(s.now, back.disk.member.ID, back.disk.restored, Settings{Reads: level.Suspects}); !level.IsAbove(err) {
+	if _, err := NewState(s.now, back.disk.member.ID, back.disk.restored, Settings{FormatVersion: level.Suspects}); !level.IsAbove(err) {
 		t.Errorf("the folder of a later build: %v", err)
 	}
 	back.disk.restored.Snapshot.Data = nil // a build before level.Told does not look
@@ -291,7 +291,7 @@
 		order := rapid.Permutation(s.order).Draw(rt, "order")
 		lead, moves := s.mustOwner().name, 0
 		for _, name := range order {
-			s.step(s.boxes[name], &StopAsked{})
+			s.step(s.boxes[name], &StopRequested{})
 			s.run(600 * event.Millisecond)
 			s.stop(name)
 			s.run(event.Span(rapid.IntRange(1, 100).Draw(rt, "off")) * simStep)
--- a/cluster/upload_property_test.go
+++ b/cluster/upload_property_test.go
@@ -20,16 +20,16 @@
 	cutOff  string  // a box that no message reaches or leaves
 	loss    int     // of 100 messages
 	sent    map[uint64]Document
-	calls   map[Token]uint64 // versions by call
+	calls   map[CallID]uint64 // versions by call
 	applied map[*State]uint64
 }
 
 func newChaos(t *rapid.T, tb testing.TB) *chaos {
-	c := &chaos{sim: newSim(tb, 3, 0), sent: make(map[uint64]Document), calls: make(map[Token]uint64), applied: make(map[*State]uint64)}
+	c := &chaos{sim: newSim(tb, 3, 0), sent: make(map[uint64]Document), calls: make(map[CallID]uint64), applied: make(map[*State]uint64)}
 	seed := rapid.Uint64().Draw(t, "seed")
 	c.compactLeast = 1 // a snapshot is due after twice the last one's size
 	for _, name := range c.order {
-		c.boxes[name].state.compactLeast = 1
+		c.boxes[name].state.compactThreshold = 1
 	}
 	c.random = rand.New(rand.NewPCG(seed, 3))
 	c.cut = func(from, to string) bool {
@@ -43,7 +43,7 @@
 	version := uint64(len(c.sent))
 	if version == 0 || c.random.IntN(3) == 0 {
 		version++
-		size := []int{0, 1, partBytes - 1, partBytes, partBytes + 1, 9 * partBytes}[c.random.IntN(6)]
+		size := []int{0, 1, maxPartBytes - 1, maxPartBytes, maxPartBytes + 1, 9 * maxPartBytes}[c.random.IntN(6)]
 		c.sent[version] = noiseDocument(version, size)
 	} else {
 		version -= uint64(c.random.IntN(2)) * uint64(c.random.IntN(int(version)))
@@ -51,7 +51,7 @@
 	b := c.boxes[c.order[c.random.IntN(len(c.order))]]
 	c.token++
 	c.calls[c.token] = version
-	c.step(b, &DocumentSent{Token: c.token, Document: c.sent[version]})
+	c.step(b, &DocumentSubmitted{Call: c.token, Document: c.sent[version]})
 }
 
 // happen lets one thing happen.
@@ -177,8 +177,8 @@
 			rt.Fatalf("version %d is in force, %d was acknowledged", got, acknowledged)
 		}
 		last := uint64(len(c.sent)) + 1
-		c.sent[last] = noiseDocument(last, 3*partBytes)
-		c.step(c.mustOwner(), &DocumentSent{Token: 1 << 40, Document: c.sent[last]})
+		c.sent[last] = noiseDocument(last, 3*maxPartBytes)
+		c.step(c.mustOwner(), &DocumentSubmitted{Call: 1 << 40, Document: c.sent[last]})
 		c.run(2 * second)
 		c.check()
 		for _, name := range c.order {
@@ -189,7 +189,7 @@
 			if state.machine.upload.data != nil {
 				rt.Fatalf("%s keeps a part of version %d", name, state.machine.upload.key.Version)
 			}
-			snapshots += int(min(1, state.compact/2))
+			snapshots += int(min(1, state.snapshotIndex/2))
 			documents += len(c.sent)
 		}
 	})
--- a/cluster/upload_test.go
+++ b/cluster/upload_test.go
@@ -20,14 +20,14 @@
 	d := noiseDocument(1, 1<<20)
 	before := owner.state.Node().LogBytes()
 	const calls = 5
-	for i := range Token(calls) {
-		s.step(owner, &DocumentSent{Token: 100 + i, Document: d})
+	for i := range CallID(calls) {
+		s.step(owner, &DocumentSubmitted{Call: 100 + i, Document: d})
 	}
 	if got, most := owner.state.Node().LogBytes()-before, 11*len(d.Data)/10; got > most {
 		t.Errorf("%d calls took %d bytes of the log, want %d at the most", calls, got, most)
 	}
 	s.run(second)
-	for i := range Token(calls) {
+	for i := range CallID(calls) {
 		if a := s.answers[100+i]; a.Status != StatusDone {
 			t.Errorf("call %d was answered with %+v", i, a)
 		}
@@ -53,15 +53,15 @@
 	owner := s.mustOwner()
 	versions := []uint64{2, 5, 3, 9, 1, 7}
 	for i, v := range versions {
-		s.step(owner, &DocumentSent{Token: 100 + Token(i), Document: noiseDocument(v, 1<<20)})
+		s.step(owner, &DocumentSubmitted{Call: 100 + CallID(i), Document: noiseDocument(v, 1<<20)})
 	}
-	s.step(owner, &CallGone{Token: 101})
+	s.step(owner, &CallCancelled{Call: 101})
 	if got, most := owner.state.Node().LogBytes(), 11<<20/10; got > most {
 		t.Errorf("the log took %d bytes, want %d at the most", got, most)
 	}
 	s.run(3 * second)
 	for i, v := range versions {
-		a, answered := s.answers[100+Token(i)]
+		a, answered := s.answers[100+CallID(i)]
 		if gone := v == 5; gone == answered || (answered && a.Status != StatusDone) {
 			t.Errorf("the call of version %d was answered with %+v, %v", v, a, answered)
 		}
@@ -75,17 +75,17 @@
 	s.run(2 * second)
 	old := s.mustOwner()
 	s.cut = func(from, to string) bool { return from == old.name || to == old.name }
-	s.step(old, &DocumentSent{Token: 100, Document: noiseDocument(1, 1<<20)})
-	s.step(old, &DocumentSent{Token: 101, Document: noiseDocument(2, 1<<20)})
+	s.step(old, &DocumentSubmitted{Call: 100, Document: noiseDocument(1, 1<<20)})
+	s.step(old, &DocumentSubmitted{Call: 101, Document: noiseDocument(2, 1<<20)})
 	s.run(3 * second)
-	for token := Token(100); token <= 101; token++ {
-		if a := s.answers[token]; a.Status != StatusUnclear {
+	for token := CallID(100); token <= 101; token++ {
+		if a := s.answers[token]; a.Status != StatusUnknown {
 			t.Errorf("call %d was answered with %+v", token, a)
 		}
 	}
 	s.cut = func(string, string) bool { return false }
 	next := s.mustOwner()
-	s.step(next, &DocumentSent{Token: 102, Document: noiseDocument(3, 1<<20)})
+	s.step(next, &DocumentSubmitted{Call: 102, Document: noiseDocument(3, 1<<20)})
 	s.run(2 * second)
 	for _, name := range s.order {
 		s.wantDocument(name, noiseDocument(3, 1<<20))
@@ -103,7 +103,7 @@
 }
 
 // apply carries out commands, which must be readable.
-func apply(t *testing.T, m *machine, commands ...[]byte) {
+func apply(t *testing.T, m *stateMachine, commands ...[]byte) {
 	t.Helper()
 	for i, c := range commands {
 		if _, err := m.apply(consensus.Index(i+1), c); err != nil {
@@ -112,7 +112,7 @@
 	}
 }
 
-func wantInForce(t *testing.T, m *machine, want Document) {
+func wantInForce(t *testing.T, m *stateMachine, want Document) {
 	t.Helper()
 	if m.document.Version != want.Version || !bytes.Equal(m.document.Data, want.Data) {
 		t.Errorf("version %d of %d bytes is in force, want %d of %d", m.document.Version, len(m.document.Data), want.Version, len(want.Data))
@@ -124,13 +124,13 @@
 
 // TestDocumentsOfAllSizes are read back as they were sent.
 func TestDocumentsOfAllSizes(t *testing.T) {
-	var m machine
-	for i, size := range []int{0, 1, partBytes - 1, partBytes, partBytes + 1, 3 * partBytes, 1 << 20} {
+	var m stateMachine
+	for i, size := range []int{0, 1, maxPartBytes - 1, maxPartBytes, maxPartBytes + 1, 3 * maxPartBytes, 1 << 20} {
 		d := noiseDocument(uint64(i+1), size)
 		apply(t, &m, parts(d)...)
 		wantInForce(t, &m, d)
 		d = Document{Version: d.Version, Data: bytes.Repeat([]byte("{}\n"), size/3)}
-		var other machine
+		var other stateMachine
 		apply(t, &other, parts(d)...)
 		wantInForce(t, &other, d)
 	}
@@ -139,11 +139,11 @@
 // TestPartsOfOtherDocuments: parts that are given up, that come twice, out of turn or too late
 // change nothing of a document that comes whole.
 func TestPartsOfOtherDocuments(t *testing.T) {
-	a, b := noiseDocument(3, 4*partBytes), noiseDocument(4, 4*partBytes)
-	sameVersion := noiseDocument(4, 4*partBytes)
+	a, b := noiseDocument(3, 4*maxPartBytes), noiseDocument(4, 4*maxPartBytes)
+	sameVersion := noiseDocument(4, 4*maxPartBytes)
 	sameVersion.Data[0]++
 	pa, pb, ps := parts(a), parts(b), parts(sameVersion)
-	var m machine
+	var m stateMachine
 	apply(t, &m, pa[0], pa[1], ps[0], ps[1], pb[2], pb[0], pb[0], pb[2], pb[1], ps[1], pb[1], pb[2], pa[2])
 	if m.document.Version != 0 || m.upload.key.Sum != parseKey(pb[0][1:]).Sum || len(m.upload.parts) != 3 {
 		t.Fatalf("%d parts of version %d, want 3 of 4", len(m.upload.parts), m.upload.key.Version)
@@ -157,13 +157,13 @@
 
 // TestDamagedPartIsNotApplied: what its sum does not confirm does not come in force.
 func TestDamagedPartIsNotApplied(t *testing.T) {
-	var m machine
-	list := parts(noiseDocument(1, 2*partBytes))
+	var m stateMachine
+	list := parts(noiseDocument(1, 2*maxPartBytes))
 	for name, bad := range map[string][]byte{
 		"short":     list[1][:partHeader],
 		"cut":       list[1][:len(list[1])-5],
 		"exchanged": append(bytes.Clone(list[1][:1+partHeader]), list[0][1+partHeader:]...),
-		"too long":  append(bytes.Clone(list[1][:1+partHeader]), compress(make([]byte, partBytes+1))...),
+		"too long":  append(bytes.Clone(list[1][:1+partHeader]), compress(make([]byte, maxPartBytes+1))...),
 	} {
 		apply(t, &m, list[0])
 		if _, err := m.apply(9, bad); err == nil {
@@ -172,11 +172,11 @@
 		if m.document.Version != 0 {
 			t.Errorf("%s: came in force", name)
 		}
-		m = machine{}
+		m = stateMachine{}
 	}
 	huge := noiseDocument(1, 5)
 	huge.pack()
-	huge.packed.key.Size = maxDocument + 1
+	huge.packed.key.Size = maxDocumentBytes + 1
 	if _, err := m.apply(9, huge.packed.encodePart(0)); err == nil {
 		t.Error("a document of more than the bound was begun")
 	}
@@ -185,9 +185,9 @@
 // TestSnapshotHasPartsUnderWay: a machine that was restored goes on with a document of which it
 // had a part, and takes the very bytes that another one takes.
 func TestSnapshotHasPartsUnderWay(t *testing.T) {
-	first, second := noiseDocument(1, partBytes+7), noiseDocument(2, 3*partBytes)
+	first, second := noiseDocument(1, maxPartBytes+7), noiseDocument(2, 3*maxPartBytes)
 	list := parts(second)
-	var m, again machine
+	var m, again stateMachine
 	apply(t, &m, parts(first)...)
 	apply(t, &m, list[0], list[1], encodeEndpoint(registry.Endpoint{ID: "a", Service: "s", Address: "10.0.0.1:80", Sequence: 2}))
 	if err := again.restore(m.snapshot(), level.Newest); err != nil {
@@ -196,7 +196,7 @@
 	if !bytes.Equal(m.snapshot(), again.snapshot()) {
 		t.Error("equal machines have unequal snapshots")
 	}
-	for _, one := range []*machine{&m, &again} {
+	for _, one := range []*stateMachine{&m, &again} {
 		apply(t, one, list[2])
 		wantInForce(t, one, second)
 	}
@@ -207,8 +207,8 @@
 
 // FuzzRestore reads anything as a snapshot.
 func FuzzRestore(f *testing.F) {
-	var m machine
-	list := parts(noiseDocument(2, 2*partBytes))
+	var m stateMachine
+	list := parts(noiseDocument(2, 2*maxPartBytes))
 	for _, c := range append(parts(noiseDocument(1, 9)), list[0]) {
 		if _, err := m.apply(1, c); err != nil {
 			f.Fatal(err)
@@ -218,10 +218,10 @@
 	f.Add(whole)
 	f.Add(whole[:len(whole)/2])
 	f.Add([]byte{lastFormat})
-	f.Add(foundingState())
+	f.Add(bootstrapState())
 	f.Add([]byte(`{"version":1,"data":"e30=","registry":{"endpoints":null,"gone":null},"spending":{"lines":null}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var one, two machine
+		var one, two stateMachine
 		if one.restore(data, level.Newest) != nil {
 			return
 		}
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -18,22 +18,22 @@
 // of them at the most.
 
 const (
-	// viewBytes bounds the endpoints in one message, before they are packed to half of that:
+	// maxViewBytes bounds the endpoints in one message, before they are packed to half of that:
 	// 19 ms of a link of 1.25 MB/s.
-	viewBytes = 48 << 10
-	// silentMost bounds the silent endpoints that one message names: 14 kB of ids.
-	silentMost = 1000
-	// packedMost is how many packed pieces are kept for sessions that begin alike.
-	packedMost = 64
+	maxViewBytes = 48 << 10
+	// maxUnreachablePerMessage bounds the silent endpoints that one message names: 14 kB of ids.
+	maxUnreachablePerMessage = 1000
+	// maxPackedPieces is how many packed pieces are kept for sessions that begin alike.
+	maxPackedPieces = 64
 )
 
 // viewProgress is how far a session has been told what it begins with.
 type viewProgress struct {
-	upTo     uint64 // revision
-	isBehind bool   // there is more
-	// isListed says that silent was made: endpoints that the entry is to be told are silent.
-	isListed bool
-	silent   []string
+	revision     uint64 // revision
+	isIncomplete bool   // there is more
+	// isUnreachableListed says that silent was made: endpoints that the entry is to be told are silent.
+	isUnreachableListed bool
+	unreachable   []string
 }
 
 // pieceKey names a piece of the registry. Changes only leave the revisions that are past, so
@@ -49,12 +49,12 @@
 	listed message.Listing
 }
 
-// packFor packs endpoints as all entries of the group read them.
-func (s *State) packFor(list []message.Endpoint) packedPiece {
+// packEndpoints packs endpoints as all entries of the group read them.
+func (s *State) packEndpoints(list []message.Endpoint) packedPiece {
 	switch {
 	case len(list) == 0:
 		return packedPiece{}
-	case s.machine.level >= level.Starts:
+	case s.machine.formatVersion >= level.Starts:
 		return packedPiece{listed: message.List(list)}
 	}
 	return packedPiece{packed: message.Pack(list)}
@@ -62,27 +62,27 @@
 
 func (p packedPiece) addTo(v *message.View) { v.Endpoints, v.Listed = p.packed, p.listed }
 
-// show hands news of an endpoint to the scheduler, and with the next tick to all entries.
-func (o *owner) show(now event.Time, e registry.Endpoint) {
+// publishEndpoint hands news of an endpoint to the scheduler, and with the next tick to all entries.
+func (o *owner) publishEndpoint(now event.Time, e registry.Endpoint) {
 	o.admission.SetEndpoint(now, message.Endpoint{Endpoint: e, Down: o.down[e.ID]}, &o.effects)
-	o.news[e.ID] = true
+	o.changedEndpoints[e.ID] = true
 }
 
-// tellNews tells all entries what changed of endpoints since the last tick, in one message:
+// sendEndpointChanges tells all entries what changed of endpoints since the last tick, in one message:
 // one for each change and entry would be 900,000 while 3,000 endpoints come to 300 entries.
 // What one message has not room for waits for the next tick.
-func (o *owner) tellNews(s *State, out *Effects) {
-	if len(o.news) == 0 {
+func (o *owner) sendEndpointChanges(s *State, out *Effects) {
+	if len(o.changedEndpoints) == 0 {
 		return
 	}
 	view := &message.View{}
 	var seen []message.Endpoint
 	size := 0
-	for _, id := range slices.Sorted(maps.Keys(o.news)) {
-		if size >= viewBytes {
+	for _, id := range slices.Sorted(maps.Keys(o.changedEndpoints)) {
+		if size >= maxViewBytes {
 			break
 		}
-		delete(o.news, id)
+		delete(o.changedEndpoints, id)
 		if e, ok := s.machine.registry.Endpoints[id]; ok {
 			seen = append(seen, message.Endpoint{Endpoint: e, Down: o.down[id]})
 			size += e.Size()
@@ -91,20 +91,20 @@
 			size += len(id)
 		}
 	}
-	s.packFor(seen).addTo(view)
-	o.sendNews(view, s, out)
+	s.packEndpoints(seen).addTo(view)
+	o.broadcastChanges(view, s, out)
 }
 
-// sendNews sends news to all entries. Those that have all before it know the registry up to
+// broadcastChanges sends news to all entries. Those that have all before it know the registry up to
 // its revision then; a session that is still told what it begins with does not.
-func (o *owner) sendNews(view *message.View, s *State, out *Effects) {
+func (o *owner) broadcastChanges(view *message.View, s *State, out *Effects) {
 	complete := *view
-	if len(o.news) == 0 {
+	if len(o.changedEndpoints) == 0 {
 		complete.Revision = s.machine.registry.Revision
 	}
 	all, some := &message.Envelope{View: &complete}, &message.Envelope{View: view}
-	for _, id := range o.inOrder() {
-		if o.sessions[id].view.isBehind {
+	for _, id := range o.sessionIDs() {
+		if o.sessions[id].view.isIncomplete {
 			out.Sends = append(out.Sends, Send{id, some})
 			continue
 		}
@@ -115,32 +115,32 @@
 // firstView returns what a session begins with: what has changed of endpoints since the
 // revision that its entry knows, and which of them are silent, or the first piece of that.
 func (o *owner) firstView(one *session, revision uint64, s *State) *message.View {
-	if one.reads < level.Parts {
+	if one.formatVersion < level.Parts {
 		return o.wholeView(one, revision, s)
 	}
 	reaches := s.machine.registry.Reaches(revision)
 	if !reaches {
 		revision = 0
 	}
-	one.view = viewProgress{upTo: revision}
+	one.view = viewProgress{revision: revision}
 	view := o.nextView(one, s)
-	view.Whole, view.Signs, view.Members = !reaches, true, s.memberLinks()
+	view.Whole, view.Signs, view.Members = !reaches, true, s.memberLinkAddresses()
 	return view
 }
 
 // wholeView returns all that a session begins with at once, for an entry that knows no pieces.
 func (o *owner) wholeView(one *session, revision uint64, s *State) *message.View {
-	if one.reads < level.Packed || !s.machine.registry.Reaches(revision) {
+	if one.formatVersion < level.Packed || !s.machine.registry.Reaches(revision) {
 		revision = 0
 	}
 	p := s.machine.registry.After(revision, math.MaxInt)
-	one.view = viewProgress{upTo: p.UpTo}
-	list := endpoints(p.Endpoints)
+	one.view = viewProgress{revision: p.UpTo}
+	list := toMessageEndpoints(p.Endpoints)
 	for i := range list {
 		list[i].Down = o.down[list[i].ID]
 	}
 	view := &message.View{
-		Whole: revision == 0, Endpoints: message.Pack(list), Revision: p.UpTo, Signs: true, Members: s.memberLinks(),
+		Whole: revision == 0, Endpoints: message.Pack(list), Revision: p.UpTo, Signs: true, Members: s.memberLinkAddresses(),
 	}
 	for _, id := range p.Gone {
 		view.Gone = append(view.Gone, event.EndpointID(id))
@@ -154,8 +154,8 @@
 }
 
 // sendView sends the next piece of what a session begins with, when the last one is there.
-func (o *owner) sendView(p *SessionPinged, one *session, s *State, out *Effects) {
-	if !one.view.isBehind || p.Ping.Revision < one.view.upTo {
+func (o *owner) sendView(p *PingReceived, one *session, s *State, out *Effects) {
+	if !one.view.isIncomplete || p.Ping.Revision < one.view.revision {
 		return
 	}
 	out.Sends = append(out.Sends, Send{p.Session, &message.Envelope{View: o.nextView(one, s)}})
@@ -164,32 +164,32 @@
 // nextView returns the next piece for a session.
 func (o *owner) nextView(one *session, s *State) *message.View {
 	v := &one.view
-	p := o.pieceAfter(v.upTo, s)
+	p := o.pieceAfter(v.revision, s)
 	view := &message.View{Revision: p.UpTo}
-	o.pack(v.upTo, p, s).addTo(view)
+	o.pack(v.revision, p, s).addTo(view)
 	for _, id := range p.Gone {
 		view.Gone = append(view.Gone, event.EndpointID(id))
 	}
-	v.upTo = p.UpTo
+	v.revision = p.UpTo
 	if !p.More {
-		view.Silent = o.nextSilent(v)
+		view.Silent = o.nextUnreachable(v)
 	}
-	v.isBehind = p.More || len(v.silent) > 0
-	view.More = v.isBehind
+	v.isIncomplete = p.More || len(v.unreachable) > 0
+	view.More = v.isIncomplete
 	return view
 }
 
-// nextSilent returns some of the silent endpoints that an entry is to be told of.
-func (o *owner) nextSilent(v *viewProgress) (list []event.EndpointID) {
-	if !v.isListed {
-		v.isListed = true
-		v.silent = slices.Sorted(maps.Keys(o.down))
+// nextUnreachable returns some of the silent endpoints that an entry is to be told of.
+func (o *owner) nextUnreachable(v *viewProgress) (list []event.EndpointID) {
+	if !v.isUnreachableListed {
+		v.isUnreachableListed = true
+		v.unreachable = slices.Sorted(maps.Keys(o.down))
 	}
-	for len(v.silent) > 0 && len(list) < silentMost {
-		if id := v.silent[0]; o.down[id] {
+	for len(v.unreachable) > 0 && len(list) < maxUnreachablePerMessage {
+		if id := v.unreachable[0]; o.down[id] {
 			list = append(list, event.EndpointID(id))
 		}
-		v.silent = v.silent[1:]
+		v.unreachable = v.unreachable[1:]
 	}
 	return list
 }
@@ -198,13 +198,13 @@
 // that begin alike: 0.3 ms each for ten pieces of 10,000 endpoints and 300 entries are 0.9 s
 // after a change of owner.
 func (o *owner) pieceAfter(revision uint64, s *State) registry.Piece {
-	if at := s.machine.registry.Revision; o.piecesAt != at {
+	if at := s.machine.registry.Revision; o.piecesRevision != at {
 		clear(o.pieces)
-		o.piecesAt = at
+		o.piecesRevision = at
 	}
 	p, ok := o.pieces[revision]
 	if !ok {
-		p = s.machine.registry.After(revision, viewBytes)
+		p = s.machine.registry.After(revision, maxViewBytes)
 		o.pieces[revision] = p
 	}
 	return p
@@ -216,16 +216,16 @@
 	key := pieceKey{after, p.UpTo, len(p.Endpoints)}
 	packed, ok := o.packed[key]
 	if !ok {
-		if len(o.packed) >= packedMost {
+		if len(o.packed) >= maxPackedPieces {
 			clear(o.packed)
 		}
-		packed = s.packFor(endpoints(p.Endpoints))
+		packed = s.packEndpoints(toMessageEndpoints(p.Endpoints))
 		o.packed[key] = packed
 	}
 	return packed
 }
 
-func endpoints(list []registry.Endpoint) []message.Endpoint {
+func toMessageEndpoints(list []registry.Endpoint) []message.Endpoint {
 	all := make([]message.Endpoint, len(list))
 	for i, e := range list {
 		all[i].Endpoint = e
