--- a/cluster/asked.go
+++ b/cluster/asked.go
@@ -12,68 +12,68 @@
 	"lynxramp.org/message"
 )
 
-// This file is an owner's part in what endpoints ask for in their answers: it takes in what entries heard, and
-// tells all entries, so that none sends more than an endpoint takes when it decides alone, or by the grant of
-// an owner that is new.
+// This file distributes the feedback of endpoints, such as rate limits and draining: an owner receives
+// it from the entries that got the responses and sends it to all entries, so that it is also respected by
+// degraded entries and after a change of owner.
 
 const (
-	// maxFeedbackPerMessage bounds the endpoints in one message: 16 kB.
+	// maxFeedbackPerMessage bounds the endpoints in one message, to about 16 kB.
 	maxFeedbackPerMessage = 400
-	// maxFeedbackLogLines bounds the lines about endpoints, in lines a second.
+	// maxFeedbackLogLines bounds the log lines about feedback, in lines per second.
 	maxFeedbackLogLines = 20
 )
 
-// feedbackTracker is what an owner knows of endpoints that ask for something. The zero feedbackTracker knows nothing.
+// feedbackTracker tracks the endpoints with feedback in force. The zero value is empty.
 type feedbackTracker struct {
-	active  map[event.EndpointID]bool // those that do
-	unsent map[event.EndpointID]bool // of which the entries are not yet told
-	// sorted has those of now by id, made once for all sessions that begin alike; nil if it is to be made anew.
+	active map[event.EndpointID]bool // endpoints with feedback in force
+	unsent map[event.EndpointID]bool // endpoints whose change is not yet sent to the entries
+	// sorted caches the ids of active in order, for all new sessions; nil if it must be rebuilt.
 	sorted []event.EndpointID
-	// logLines were written since linesFrom, and suppressed not.
+	// logLines is the number of lines logged since logWindowStart, suppressed the number dropped.
 	logLines, suppressed int
-	logWindowStart      event.Time
+	logWindowStart       event.Time
 }
 
-// list returns those that ask for something, by id.
-func (a *feedbackTracker) list() []event.EndpointID {
-	if a.sorted == nil {
-		a.sorted = slices.Sorted(maps.Keys(a.active))
+// list returns the endpoints with feedback in force, by id.
+func (f *feedbackTracker) list() []event.EndpointID {
+	if f.sorted == nil {
+		f.sorted = slices.Sorted(maps.Keys(f.active))
 	}
-	return a.sorted
+	return f.sorted
 }
 
-// receiveFeedback takes in words of endpoints that an entry heard.
-func (o *owner) receiveFeedback(now event.Time, entry event.BoxID, words []backpressure.Heard) {
-	for i := range words {
-		id := words[i].Endpoint
-		if !o.admission.Hear(now, entry, &words[i], &o.effects) {
+// receiveFeedback applies endpoint feedback that an entry received in responses.
+func (o *owner) receiveFeedback(now event.Time, entry event.BoxID, reports []backpressure.Heard) {
+	for i := range reports {
+		id := reports[i].Endpoint
+		if !o.admission.Hear(now, entry, &reports[i], &o.effects) {
 			continue
 		}
 		o.feedback.update(id, o.admission.Asked(id).Asks())
 	}
 }
 
-func (a *feedbackTracker) update(id event.EndpointID, asks bool) {
-	if a.active == nil {
-		a.active, a.unsent = make(map[event.EndpointID]bool), make(map[event.EndpointID]bool)
+func (f *feedbackTracker) update(id event.EndpointID, isActive bool) {
+	if f.active == nil {
+		f.active, f.unsent = make(map[event.EndpointID]bool), make(map[event.EndpointID]bool)
 	}
-	a.unsent[id] = true
-	a.sorted = nil
-	if asks {
-		a.active[id] = true
+	f.unsent[id] = true
+	f.sorted = nil
+	if isActive {
+		f.active[id] = true
 	} else {
-		delete(a.active, id)
+		delete(f.active, id)
 	}
 }
 
-// remove forgets an endpoint that has ended. Entries find that out by themselves.
-func (a *feedbackTracker) remove(id event.EndpointID) {
-	delete(a.active, id)
-	delete(a.unsent, id)
-	a.sorted = nil
+// remove drops a terminated endpoint. Entries learn of its removal from the registry.
+func (f *feedbackTracker) remove(id event.EndpointID) {
+	delete(f.active, id)
+	delete(f.unsent, id)
+	f.sorted = nil
 }
 
-// sendFeedback tells all entries what changed since the last tick, as much as one message may have.
+// sendFeedback sends all entries what changed since the last tick, up to the limit of one message.
 func (o *owner) sendFeedback(now event.Time, out *Effects) {
 	if len(o.feedback.unsent) == 0 {
 		return
@@ -87,7 +87,7 @@
 		state := o.admission.Asked(id)
 		list = append(list, state)
 		if o.feedback.allowLogLine(now, out) {
-			out.logInfo("endpoint asks", Field{"endpoint", string(id)}, Field{"limited", state.Limited}, Field{"limit_per_s", state.Rate}, Field{"leaving", state.Leaving})
+			out.logInfo("endpoint feedback changed", Field{"endpoint", string(id)}, Field{"limited", state.Limited}, Field{"limit_per_s", state.Rate}, Field{"leaving", state.Leaving})
 		}
 	}
 	m := &message.Envelope{View: &message.View{Asked: list}}
@@ -98,41 +98,42 @@
 	}
 }
 
-// allowLogLine reports whether there is room for another line.
-func (a *feedbackTracker) allowLogLine(now event.Time, out *Effects) bool {
-	if now.Sub(a.logWindowStart) >= event.Second {
-		if a.suppressed > 0 {
-			out.logInfo("endpoints asked, lines left out", Field{"count", a.suppressed})
+// allowLogLine reports whether the rate limit allows another log line.
+func (f *feedbackTracker) allowLogLine(now event.Time, out *Effects) bool {
+	if now.Sub(f.logWindowStart) >= event.Second {
+		if f.suppressed > 0 {
+			out.logInfo("suppressed log lines on endpoint feedback", Field{"count", f.suppressed})
 		}
-		a.logLines, a.suppressed, a.logWindowStart = 0, 0, now
+		f.logLines, f.suppressed, f.logWindowStart = 0, 0, now
 	}
-	if a.logLines == maxFeedbackLogLines {
-		a.suppressed++
+	if f.logLines == maxFeedbackLogLines {
+		f.suppressed++
 		return false
 	}
-	a.logLines++
+	f.logLines++
 	return true
 }
 
-// sendInitialFeedback tells an entry the next part of what was asked for when its session began.
-func (o *owner) sendInitialFeedback(id SessionID, one *session, out *Effects) {
-	n := min(len(one.pendingFeedback), maxFeedbackPerMessage)
+// sendInitialFeedback sends an entry the next part of the feedback in force when its session began.
+func (o *owner) sendInitialFeedback(id SessionID, sess *session, out *Effects) {
+	n := min(len(sess.pendingFeedback), maxFeedbackPerMessage)
 	if n == 0 {
 		return
 	}
 	list := make([]backpressure.State, n)
-	for i, endpoint := range one.pendingFeedback[:n] {
+	for i, endpoint := range sess.pendingFeedback[:n] {
 		list[i] = o.admission.Asked(endpoint)
 	}
-	one.pendingFeedback = one.pendingFeedback[n:]
+	sess.pendingFeedback = sess.pendingFeedback[n:]
 	out.Sends = append(out.Sends, Send{id, &message.Envelope{View: &message.View{Asked: list}}})
 }
 
-// deferTimeout is how long an entry is taken to leave decisions to the owner after it said so: some of its questions,
-// and less than it waits for an answer before it decides alone.
+// deferTimeout is how long an entry is assumed to leave decisions to the owner after a ping that said so. It
+// spans several pings and is shorter than the time after which an entry without an answer decides by itself.
 const deferTimeout = 500 * event.Millisecond
 
-// receiveOwned takes whether an entry that asks leaves decisions to this owner. One that reads no limits spends no part.
+// receiveOwned records whether a ping says that the entry leaves decisions to this owner. An entry whose format
+// version has no rate limits uses no share of them, so it counts as well.
 func (e *entry) receiveOwned(now event.Time, p *message.Ping) {
 	if p.Owned || e.formatVersion < level.Asked {
 		e.deferredAt = now
@@ -143,14 +144,14 @@
 	return e.session != 0 && e.deferredAt != 0 && now.Sub(e.deferredAt) < deferTimeout
 }
 
-// updateLimitShare spends as much of endpoints' limits as belongs to the entries that leave decisions to this owner: the
-// others may be deciding alone, by their own parts.
+// updateLimitShare sets the share of endpoints' rate limits that this owner may use: that of the entries that leave
+// decisions to it. The other entries may be degraded and use their own shares.
 func (o *owner) updateLimitShare(now event.Time) {
-	obey := 0
+	deferring := 0
 	for _, e := range o.entries {
 		if e.defersToOwner(now) {
-			obey++
+			deferring++
 		}
 	}
-	o.admission.SetPart(now, float64(obey)/float64(o.entryCount(now)), &o.effects)
+	o.admission.SetPart(now, float64(deferring)/float64(o.entryCount(now)), &o.effects)
 }
--- a/cluster/bulk_sim_test.go
+++ b/cluster/bulk_sim_test.go
@@ -20,7 +20,7 @@
 const (
 	slowStep    = 2 * event.Millisecond
 	slowLatency = event.Millisecond
-	slowTick    = 50 * event.Millisecond // as tickEvery
+	slowTick    = 50 * event.Millisecond // as tickInterval
 	// slowLink is what a box sends to all others together, in bytes a second: 10 Mbit/s.
 	slowLink = 10e6 / 8
 	// slowSync and slowDisk are what a disk takes to save: a time, and bytes a second.
@@ -246,12 +246,12 @@
 	s := o.s
 	if owner := s.owner(); owner != nil && s.now.Sub(o.sent) >= second {
 		if n := len(o.tokens); n > 0 {
-			s.step(owner, &CallCancelled{Call: o.tokens[n-1]})
+			s.step(owner, &CallCancelled{CallID: o.tokens[n-1]})
 		}
 		o.sent = s.now
 		s.token++
 		o.tokens = append(o.tokens, s.token)
-		s.step(owner, &DocumentSubmitted{Call: s.token, Document: o.document})
+		s.step(owner, &DocumentSubmitted{CallID: s.token, Document: o.document})
 	}
 	return slices.ContainsFunc(o.tokens, func(t CallID) bool { return s.answers[t].Status == StatusDone })
 }
@@ -394,7 +394,7 @@
 	for version := range uint64(60) {
 		s.token++
 		tokens = append(tokens, s.token)
-		s.step(s.mustOwner(), &DocumentSubmitted{Call: s.token, Document: noiseDocument(version+1, 1<<20)})
+		s.step(s.mustOwner(), &DocumentSubmitted{CallID: s.token, Document: noiseDocument(version+1, 1<<20)})
 		s.run(100 * event.Millisecond)
 		most = max(most, s.logBytes())
 	}
--- a/cluster/config.go
+++ b/cluster/config.go
@@ -8,23 +8,22 @@
 	"lynxramp.org/routing"
 )
 
-// This file is what a control box makes of the configuration's document. It is decoded beside the
-// loop: a document of 14,000 routes takes 0.1 s, and what the loop does in one step must end long
-// before a lease does.
+// This file decodes the configuration document. Decoding runs outside the event loop: a step of the
+// loop must take far less time than a lease.
 
-// decodedConfig is the newest configuration that is decoded.
+// decodedConfig is the newest decoded configuration.
 type decodedConfig struct {
 	version uint64
 	table   *routing.Table
 	tree    *hashtree.Tree
-	// document is the configuration as its operator sent it, for entries that read no trees.
-	document []byte
-	requestedVersion    uint64 // version that was last given to be decoded
-	attemptedVersion  uint64 // version of the last answer, sound or not
-	requiredVersion   uint64 // version that must be decoded before this box owns the pools
+	// document is the configuration as submitted, for entries that don't support trees.
+	document         []byte
+	requestedVersion uint64 // newest version sent to the decoder
+	attemptedVersion uint64 // version of the decoder's last result, valid or not
+	requiredVersion  uint64 // version that must be decoded before this box owns the pools; 0 if not set
 }
 
-// requestDecode gives the newest document to be decoded, once.
+// requestDecode sends the newest document to the decoder, once.
 func (s *State) requestDecode(out *Effects) {
 	d := s.machine.document
 	if d.Version <= s.config.requestedVersion {
@@ -34,10 +33,10 @@
 	out.Decode = d
 }
 
-// isConfigReady takes note that this box is about to own the pools: it must have decoded the configuration
-// that is committed by now. By an older one, or none, it would not know of quotas and keys that
-// entries and the owner before went by. A newer one that comes meanwhile is not waited for: changes
-// that follow each other must not leave the pools without an owner.
+// isConfigReady reports whether the decoder is done with the configuration that was committed when this
+// box, about to own the pools, first asked. With an older one it would not have the quotas and keys that
+// entries and the previous owner used. It does not wait for newer versions, so that a series of changes
+// can't leave the pools without an owner.
 func (s *State) isConfigReady() bool {
 	if s.config.requiredVersion == 0 {
 		s.config.requiredVersion = s.machine.document.Version
@@ -45,12 +44,12 @@
 	return s.config.attemptedVersion >= s.config.requiredVersion
 }
 
-// applyDecoded takes a configuration that was decoded.
+// applyDecoded applies a decoded configuration.
 func (s *State) applyDecoded(now event.Time, d *DocumentDecoded, out *Effects) {
 	s.config.attemptedVersion = max(s.config.attemptedVersion, d.Version)
 	if d.Err != nil {
-		// It was sound when it was proposed: another version of this program wrote it.
-		out.logInfo("configuration not read", Field{"version", d.Version}, Field{"error", d.Err.Error()})
+		// It was valid when it was proposed, so another build wrote it.
+		out.logInfo("configuration can't be decoded; keeping the previous one", Field{"version", d.Version}, Field{"error", d.Err.Error()})
 		return
 	}
 	if d.Version <= s.config.version {
--- a/cluster/decoder.go
+++ b/cluster/decoder.go
@@ -11,23 +11,23 @@
 	"lynxramp.org/routing"
 )
 
-// decoder decodes documents beside the loop of a Server.
+// decoder decodes documents outside the event loop of a Server.
 type decoder struct {
 	parse func([]byte) (*routing.Table, error)
-	next chan Document // the newest that is to be decoded
+	next  chan Document // the newest document to decode
 
 	mu sync.Mutex
-	// last is the table of the document that was decoded last: a document is decoded once when
-	// an operator sends it, and is the same when it is committed.
+	// last caches the most recent table: a document is decoded when an operator submits it, and
+	// is needed again when it is committed.
 	last    *routing.Table
 	lastSum [sha256.Size]byte
 }
 
-func newDecoder(read func([]byte) (*routing.Table, error)) *decoder {
-	return &decoder{parse: read, next: make(chan Document, 1)}
+func newDecoder(parse func([]byte) (*routing.Table, error)) *decoder {
+	return &decoder{parse: parse, next: make(chan Document, 1)}
 }
 
-// submit gives a document to be decoded, in place of one that is not begun. Only the loop calls it.
+// submit queues a document, replacing one that is not started yet. Only the loop calls it.
 func (d *decoder) submit(doc Document) {
 	select {
 	case <-d.next:
@@ -36,7 +36,7 @@
 	d.next <- doc
 }
 
-// run decodes what is given until ctx ends.
+// run decodes queued documents until ctx ends.
 func (d *decoder) run(ctx context.Context, to chan<- Event) {
 	var tree *hashtree.Tree
 	for {
--- a/cluster/doc.go
+++ b/cluster/doc.go
@@ -1,18 +1,17 @@
 // SPDX-License-Identifier: MIT
 
-// Package cluster runs a control box of a fleet: a member of the replicated log
-// that keeps the configuration and the registry of endpoints, and, while it leads
-// and holds the lease, the owner that decides on all requests.
+// Package cluster runs a control box: a member of the replicated log that stores the
+// configuration and the registry of endpoints. While a box is the leader and holds the
+// lease, it is also the owner, which schedules all requests.
 //
-// Most of what the owner knows is soft: entries and endpoints tell it to the next one.
-// What was spent of quotas and retry budgets is not: records of it are in the log (package
-// budget).
+// Most of the owner's state is soft: a new owner rebuilds it from entries and endpoints.
+// Spending of quotas and retry budgets, and poison requests, are recorded in the log (packages
+// budget and poison).
 //
-// State is the reducer over all events; one goroutine (Server.run) owns it.
-// Others read the disk, the links and the operators' calls and only pass events.
+// State is the reducer over all events; one goroutine (Server.loop) owns it. Other goroutines
+// do the disk, network and API work and only send events.
 //
-// A group is founded from the seeds of the settings, once, by settings that say
-// so (Found). Every other box joins: it is a learner until it has saved all that
-// is committed, then a voter while there are fewer than the limit, else it stands
-// by and takes the place of a voter that is dead.
+// A group is bootstrapped once, from the seeds in the settings (Config.Bootstrap). Any other
+// box joins as a learner. Once it has saved all committed entries it becomes a voter if there
+// are fewer than the limit; otherwise it stays a learner until it can replace a dead voter.
 package cluster
--- a/cluster/document.go
+++ b/cluster/document.go
@@ -15,18 +15,18 @@
 	"lynxramp.org/level"
 )
 
-// This file is how a configuration stands in the log: in parts, each a command of its own, so that
-// replicating one of any size goes on over lost connections and changes of the leader.
+// This file stores a configuration in the log as parts, each a command of its own, so that the
+// replication of a large one survives lost connections and changes of the leader.
 
 const (
-	// maxPartBytes is the most of a document in a part, before it is compressed. As a message of the
-	// replicated log has at most so much too, a part holds nothing up, and none is sent in vain.
+	// maxPartBytes bounds the document bytes in a part, before compression. It is also the size limit
+	// of a message of the replicated log, so that each part fits in a message.
 	maxPartBytes = 32 << 10
-	// maxDocumentBytes is the largest document that is read, in bytes: twice what operators may send.
+	// maxDocumentBytes is the largest document that is read: twice what operators may submit.
 	maxDocumentBytes = 64 << 20
 )
 
-// Document is a configuration as its operator sent it.
+// Document is a configuration as submitted by an operator.
 type Document struct {
 	Version uint64
 	Data    []byte
@@ -34,27 +34,27 @@
 	packed *packed // nil until pack
 }
 
-// packed is a document as the log has it.
+// packed is a document in the format of the log.
 type packed struct {
 	key   documentKey
-	parts [][]byte // compressed, each by itself
+	parts [][]byte // compressed separately
 }
 
-// documentKey tells documents apart by their content.
+// documentKey identifies a document by its content.
 type documentKey struct {
 	Version uint64
 	Size    uint32 // bytes
 	Sum     [sha256.Size]byte
 }
 
-// keyBytes is the length of an encoded key, partHeader that of what goes before a part.
+// keyBytes is the length of an encoded key, partHeader that of the header of a part.
 const (
 	keyBytes   = 8 + 4 + sha256.Size
 	partHeader = keyBytes + 4
 )
 
-// pack makes the document's parts. It takes some 30 ms for 3 MB: a Server calls it beside the
-// loop.
+// pack splits the document into compressed parts. It is slow for a large one, so a Server calls it
+// outside the event loop.
 func (d *Document) pack() {
 	if d.packed != nil {
 		return
@@ -79,21 +79,21 @@
 		err = w.Close()
 	}
 	if err != nil {
-		panic(err) // a buffer takes all, and the level is a known one
+		panic(err) // a buffer accepts any write, and the compression level is valid
 	}
 	return b.Bytes()
 }
 
-// decompressPart adds to data what a part holds.
+// decompressPart appends the content of a part to data.
 func decompressPart(data, part []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(part))
 	b := bytes.NewBuffer(data)
 	n, err := io.Copy(b, io.LimitReader(r, maxPartBytes+1))
 	switch {
 	case err != nil:
-		return nil, errors.Wrap(err, "part of a document")
+		return nil, errors.Wrap(err, "decompress document part")
 	case n > maxPartBytes:
-		return nil, errors.New("part of a document is too long")
+		return nil, errors.New("document part exceeds the size limit")
 	}
 	return b.Bytes(), nil
 }
@@ -104,14 +104,14 @@
 	return append(data, k.Sum[:]...)
 }
 
-// parseKey reads a key from data, which has at least keyBytes.
+// parseKey decodes a key from data, which must have at least keyBytes.
 func parseKey(data []byte) documentKey {
 	k := documentKey{Version: binary.BigEndian.Uint64(data), Size: binary.BigEndian.Uint32(data[8:])}
 	copy(k.Sum[:], data[12:])
 	return k
 }
 
-// encodePart returns the command that brings a part of a packed document.
+// encodePart returns the command with one part of a packed document.
 func (p *packed) encodePart(number int) []byte {
 	data := make([]byte, 0, 1+partHeader+len(p.parts[number]))
 	data = appendKey(append(data, commandDocument), p.key)
@@ -119,25 +119,25 @@
 	return append(data, p.parts[number]...)
 }
 
-// versionBytes is the length of a version before a whole document.
+// versionBytes is the length of the version before a whole document.
 const versionBytes = 8
 
-// encodeWhole returns the command that brings a document whole, for groups with boxes below
-// level.Parts. It is of the same kind as that of a part.
+// encodeWhole returns the command with a whole document, for groups with boxes that don't support
+// parts. It has the same kind as the command with a part.
 func (d *Document) encodeWhole() []byte {
 	data := make([]byte, 0, 1+versionBytes+len(d.Data))
 	data = binary.BigEndian.AppendUint64(append(data, commandDocument), d.Version)
 	return append(data, d.Data...)
 }
 
-// isWholeDocument tells a command's body that is a version and a document from one that is a part: a
-// part has the document's size behind the version, whose first byte is at most that of
-// maxDocument. A document is a text there, whose bytes are all above that.
+// isWholeDocument reports whether a command's body is a version and a whole document, not a part.
+// In a part the version is followed by the size, whose first byte is at most that of
+// maxDocumentBytes; a whole document is text there, whose bytes are all larger.
 func isWholeDocument(body []byte) bool {
 	return len(body) > versionBytes && body[versionBytes] > maxDocumentBytes>>24
 }
 
-// applyWholeDocument takes a document that came whole.
+// applyWholeDocument applies a whole document.
 func (m *stateMachine) applyWholeDocument(body []byte) change {
 	m.observeFormat(level.Listed)
 	version := binary.BigEndian.Uint64(body)
@@ -148,8 +148,8 @@
 	return change{document: true}
 }
 
-// upload is a document of which not all parts have come. There is one at a time: the first part
-// of another takes its place, so that documents that were given up don't pile up.
+// upload is an incomplete document. There is one at a time: the first part of another document
+// replaces it, so that abandoned uploads don't accumulate.
 type upload struct {
 	key   documentKey
 	parts [][]byte
@@ -157,7 +157,7 @@
 	sum   hash.Hash
 }
 
-// add takes the next part.
+// add appends the next part.
 func (u *upload) add(part []byte) error {
 	if u.data == nil {
 		u.data = make([]byte, 0, u.key.Size)
@@ -169,7 +169,7 @@
 		return err
 	}
 	if uint32(len(data)) > u.key.Size {
-		return errors.New("document is longer than it was said to be")
+		return errors.New("document exceeds its declared size")
 	}
 	u.data = data
 	u.parts = append(u.parts, part)
@@ -177,19 +177,19 @@
 	return err
 }
 
-// isComplete reports whether all parts have come.
+// isComplete reports whether all parts were added.
 func (u *upload) isComplete() bool { return len(u.parts) > 0 && uint32(len(u.data)) == u.key.Size }
 
-// document returns the whole document.
+// document returns the complete document.
 func (u *upload) document() (Document, error) {
 	if !bytes.Equal(u.sum.Sum(nil), u.key.Sum[:]) {
-		return Document{}, errors.New("document is not what was sent")
+		return Document{}, errors.New("document checksum mismatch")
 	}
 	return Document{Version: u.key.Version, Data: u.data, packed: &packed{key: u.key, parts: u.parts}}, nil
 }
 
-// applyDocument takes a document that came whole, or a part of one. One that can't be read tells nothing
-// of what members read.
+// applyDocument applies a whole document or a part of one. One that can't be read does not raise the
+// format version.
 func (m *stateMachine) applyDocument(body []byte) (change, error) {
 	if isWholeDocument(body) {
 		return m.applyWholeDocument(body), nil
@@ -201,10 +201,10 @@
 	return c, err
 }
 
-// applyPart takes a part of a document; the last one puts the document in force.
+// applyPart applies a part of a document; the last one completes the document.
 func (m *stateMachine) applyPart(body []byte) (change, error) {
 	if len(body) < partHeader {
-		return change{}, errors.New("part of a document without its header")
+		return change{}, errors.New("document part is shorter than its header")
 	}
 	key := parseKey(body)
 	number := binary.BigEndian.Uint32(body[keyBytes:])
@@ -212,7 +212,7 @@
 		return change{}, nil
 	}
 	if key.Size > maxDocumentBytes {
-		return change{}, errors.Errorf("document of %d bytes", key.Size)
+		return change{}, errors.Errorf("document size of %d bytes exceeds the limit", key.Size)
 	}
 	if m.upload.key != key {
 		if number != 0 {
@@ -221,7 +221,7 @@
 		m.upload = upload{key: key}
 	}
 	if number != uint32(len(m.upload.parts)) {
-		return change{}, nil // it is known
+		return change{}, nil // a duplicate, or out of order
 	}
 	err := m.upload.add(body[partHeader:])
 	if err != nil || !m.upload.isComplete() {
@@ -236,7 +236,7 @@
 	return change{document: true}, nil
 }
 
-// dropUploadOnError drops a document of which a part could not be read.
+// dropUploadOnError drops the upload if a part could not be read.
 func (m *stateMachine) dropUploadOnError(err error) error {
 	if err != nil {
 		m.upload = upload{}
--- a/cluster/early.go
+++ b/cluster/early.go
@@ -9,23 +9,22 @@
 	"lynxramp.org/event"
 )
 
-// This file is what a control box does with entries while it is not the owner.
+// This file serves entries while the control box is not the owner.
 
-// pendingSession is what an entry said that came while no leader was known. It is kept for a
-// while until one is: hundreds of entries that are sent away try box after box, after 60 ms
-// each, while the same boxes hold an election.
+// pendingSession holds the messages of an entry that connected while no leader was known. Redirecting
+// such entries at once would make hundreds of them retry box after box during an election.
 type pendingSession struct {
-	receivedAt   event.Time
-	opened  *SessionOpened
-	pings []*PingReceived
+	receivedAt event.Time
+	opened     *SessionOpened
+	pings      []*PingReceived
 }
 
-// pendingSessionTimeout is how long an entry is kept that came while no leader was known: most of
-// an election, and not so long that an entry loses much at a box that is cut off.
+// pendingSessionTimeout is how long a pending session is kept: most of an election, but short enough
+// that an entry loses little time at a box that is cut off from the group.
 const pendingSessionTimeout = 250 * event.Millisecond
 
-// stepSession takes what entries say while this box is not the owner: it sends them on to
-// the leader, and keeps those that come while there is none.
+// stepSession applies messages of entries while this box is not the owner: it redirects them to the
+// leader, or queues them while no leader is known.
 func (s *State) stepSession(now event.Time, e Event, out *Effects) {
 	switch e := e.(type) {
 	case *SessionOpened:
@@ -35,8 +34,8 @@
 		}
 		s.redirect(e.Session, out)
 	case *PingReceived:
-		if one, ok := s.pendingSessions[e.Session]; ok {
-			one.pings = append(one.pings, e)
+		if pending, ok := s.pendingSessions[e.Session]; ok {
+			pending.pings = append(pending.pings, e)
 			return
 		}
 		s.redirect(e.Session, out)
@@ -49,20 +48,20 @@
 	}
 }
 
-// openPendingSessions begins the sessions that came before this box owned the pools.
+// openPendingSessions opens the queued sessions when this box becomes the owner.
 func (s *State) openPendingSessions(now event.Time, out *Effects) {
 	for _, id := range slices.Sorted(maps.Keys(s.pendingSessions)) {
-		one := s.pendingSessions[id]
-		s.owner.step(now, one.opened, s, out)
-		for _, p := range one.pings {
+		pending := s.pendingSessions[id]
+		s.owner.step(now, pending.opened, s, out)
+		for _, p := range pending.pings {
 			s.owner.step(now, p, s, out)
 		}
 	}
 	clear(s.pendingSessions)
 }
 
-// redirectPendingSessions sends the entries that came early to the leader that is known now, and those
-// that have waited for one long enough to any other box.
+// redirectPendingSessions redirects queued sessions to the leader once it is known, and those that
+// timed out to any other member.
 func (s *State) redirectPendingSessions(now event.Time, out *Effects) {
 	leader := s.node.Leader()
 	known := leader != "" && leader != s.node.ID()
--- a/cluster/endpoints.go
+++ b/cluster/endpoints.go
@@ -8,43 +8,43 @@
 	"lynxramp.org/registry"
 )
 
-// This file is what a control box does with the words of endpoints on themselves.
+// This file applies the heartbeats of endpoints, which carry their state, and their removals.
 
-// instanceOf returns an endpoint's word with the id of the start that it is of; false if it counts for nothing.
-// When an endpoint started counts once all boxes of the group read that.
-func (s *State) instanceOf(told registry.Endpoint) (registry.Endpoint, bool) {
-	return s.machine.registry.Start(s.toGroupFormat(told))
+// instanceOf returns the reported endpoint with the id of its instance; false if the report is void. Start
+// times are ignored until all boxes of the group support them.
+func (s *State) instanceOf(reported registry.Endpoint) (registry.Endpoint, bool) {
+	return s.machine.registry.Start(s.toGroupFormat(reported))
 }
 
-// toGroupFormat returns an endpoint's word as all boxes of the group read it.
-func (s *State) toGroupFormat(told registry.Endpoint) registry.Endpoint {
+// toGroupFormat drops the fields of a reported endpoint that some boxes of the group don't support.
+func (s *State) toGroupFormat(reported registry.Endpoint) registry.Endpoint {
 	if s.machine.formatVersion < level.Starts {
-		told.Born = 0
+		reported.Born = 0
 	}
-	return told
+	return reported
 }
 
-// receiveHeartbeat takes an endpoint's word on itself.
+// receiveHeartbeat applies the state that an endpoint reports.
 func (s *State) receiveHeartbeat(now event.Time, t *HeartbeatReceived, out *Effects) {
-	e, counts := s.instanceOf(t.Endpoint)
-	known := !counts || !s.machine.registry.Accepts(e) || !s.machine.registry.Changes(e) ||
+	e, valid := s.instanceOf(t.Endpoint)
+	isNoop := !valid || !s.machine.registry.Accepts(e) || !s.machine.registry.Changes(e) ||
 		(s.owner != nil && s.owner.isAddressTaken(now, e, s))
 	switch {
-	case known && s.sawLeaderRecently(now):
-		// It has no news: the leader need only know that it lives.
-		if counts {
+	case isNoop && s.sawLeaderRecently(now):
+		// It changes nothing: the leader only has to know that the endpoint is alive.
+		if valid {
 			s.pendingHeartbeats[e.ID] = true
 		}
-		out.Answers = append(out.Answers, Answer{Call: t.Call, Status: StatusDone, Next: s.ownAddress()})
-	case !known && s.hasUnknownService(e):
-		out.Answers = append(out.Answers, Answer{Call: t.Call, Status: StatusUnknownService})
+		out.Answers = append(out.Answers, Answer{CallID: t.CallID, Status: StatusDone, Next: s.ownAddress()})
+	case !isNoop && s.hasUnknownService(e):
+		out.Answers = append(out.Answers, Answer{CallID: t.CallID, Status: StatusUnknownService})
 	default:
-		s.propose(now, t.Call, encodeEndpoint(s.toGroupFormat(t.Endpoint)), known, out)
+		s.propose(now, t.CallID, encodeEndpoint(s.toGroupFormat(t.Endpoint)), isNoop, out)
 	}
 }
 
-// hasUnknownService reports whether an endpoint is of a service that is not in the configuration, as an owner
-// knows, and was not of it when it came.
+// hasUnknownService reports whether an endpoint's service is not in the owner's configuration and is not
+// the one it was registered with.
 func (s *State) hasUnknownService(e registry.Endpoint) bool {
 	if s.owner == nil || s.config.table == nil || s.config.table.Service(e.Service) != nil {
 		return false
@@ -52,14 +52,14 @@
 	return s.machine.registry.Endpoints[e.ID].Service != e.Service
 }
 
-// removeEndpoint takes an endpoint's word that it ends.
+// removeEndpoint removes an endpoint that reported its termination.
 func (s *State) removeEndpoint(now event.Time, e *EndpointRemoved, out *Effects) {
-	told := s.toGroupFormat(registry.Endpoint{ID: e.Name, Born: e.Born})
-	known := s.machine.registry.IsGone(s.machine.registry.Ending(told.ID, told.Born))
-	s.propose(now, e.Call, encodeRemove(registry.StartID(told.ID, told.Born)), known, out)
+	removed := s.toGroupFormat(registry.Endpoint{ID: e.Name, Born: e.Born})
+	isNoop := s.machine.registry.IsGone(s.machine.registry.Ending(removed.ID, removed.Born))
+	s.propose(now, e.CallID, encodeRemove(registry.StartID(removed.ID, removed.Born)), isNoop, out)
 }
 
-// ownAddress returns the operators' ownAddress of this box; empty if it is no member.
+// ownAddress returns the operator address of this box; empty if it is not a member.
 func (s *State) ownAddress() string {
 	for _, m := range s.allMembers() {
 		if m.ID == s.node.ID() {
--- a/cluster/events.go
+++ b/cluster/events.go
@@ -12,76 +12,76 @@
 	"lynxramp.org/routing"
 )
 
-// SessionID names a connection of an entry.
+// SessionID identifies a connection of an entry.
 type SessionID uint64
 
-// CallID names a call that waits for an answer.
+// CallID identifies a call that waits for an answer.
 type CallID uint64
 
-// Event is something that happened to a control box.
+// Event is an input of a State.
 type Event interface{ isEvent() }
 
 // The events.
 type (
-	// Tick says that time passed.
+	// Tick is sent at a fixed interval.
 	Tick struct{}
-	// MessageReceived brings a message of the replicated log.
+	// MessageReceived carries a message of the replicated log.
 	MessageReceived struct{ Message consensus.Message }
-	// LogSaved says that the log is on disk up to an entry.
+	// LogSaved reports that the log is on disk up to an entry.
 	LogSaved struct {
 		Index consensus.Index
 		Term  consensus.Term
 	}
-	// JoinRequested says that a box wants to be a member.
+	// JoinRequested is a request of a box to become a member.
 	JoinRequested struct{ Member consensus.Member }
-	// DocumentSubmitted brings a configuration that was found sound.
+	// DocumentSubmitted carries a validated configuration.
 	DocumentSubmitted struct {
-		Call    CallID
+		CallID   CallID
 		Document Document
 	}
 	// DocumentRequested asks for the newest configuration.
-	DocumentRequested struct{ Call CallID }
-	// HeartbeatReceived brings an endpoint's word on itself; the ID in it is the endpoint's name.
+	DocumentRequested struct{ CallID CallID }
+	// HeartbeatReceived carries the state reported by an endpoint; its ID is the endpoint's name.
 	HeartbeatReceived struct {
-		Call    CallID
+		CallID   CallID
 		Endpoint registry.Endpoint
 	}
-	// EndpointRemoved says that an endpoint says that it ends.
+	// EndpointRemoved reports that an endpoint announced its termination.
 	EndpointRemoved struct {
-		Call CallID
-		Name  string
-		Born  uint64 // as in registry.Endpoint
+		CallID CallID
+		Name   string
+		Born   uint64 // as in registry.Endpoint
 	}
-	// HeartbeatsForwarded says that other boxes have heard endpoints that had no news.
+	// HeartbeatsForwarded carries the endpoints whose unchanged heartbeats another box received.
 	HeartbeatsForwarded struct{ IDs []string }
-	// CallCancelled says that a call does not wait any more.
-	CallCancelled struct{ Call CallID }
-	// SessionOpened says that an entry connected.
+	// CallCancelled reports that a caller no longer waits.
+	CallCancelled struct{ CallID CallID }
+	// SessionOpened reports that an entry connected.
 	SessionOpened struct {
 		Session SessionID
 		Hello   message.Hello
-		// FormatVersion and Build are what the entry reads and is.
+		// FormatVersion and Build are those of the entry.
 		FormatVersion level.Level
-		Build string
+		Build         string
 	}
-	// PingReceived brings an entry's question.
+	// PingReceived carries a ping of an entry.
 	PingReceived struct {
 		Session SessionID
 		Ping    message.Ping
 	}
-	// BatchReceived brings what an entry says.
+	// BatchReceived carries a batch of messages of an entry.
 	BatchReceived struct {
 		Session SessionID
 		Batch   *message.Batch
 	}
-	// SessionClosed says that an entry's connection is gone.
+	// SessionClosed reports that the connection of an entry was closed.
 	SessionClosed struct{ Session SessionID }
-	// NodesRequested brings an entry's question for nodes of the configuration.
+	// NodesRequested is an entry's request for nodes of the configuration tree.
 	NodesRequested struct {
 		Session SessionID
-		Request    *message.Want
+		Want    *message.Want
 	}
-	// DocumentDecoded brings a document that Effects asked to decode.
+	// DocumentDecoded is the result of Effects.Decode.
 	DocumentDecoded struct {
 		Version  uint64
 		Document []byte
@@ -89,67 +89,67 @@
 		Tree     *hashtree.Tree
 		Err      error
 	}
-	// PeerConnected says what another control box reads and is that has made a connection.
+	// PeerConnected reports a connection of another control box, or its changed format version.
 	PeerConnected struct {
-		Box   event.BoxID
-		Connection  uint64 // names the connection
+		Box           event.BoxID
+		Connection    uint64 // identifies the connection
 		FormatVersion level.Level
-		Build string
+		Build         string
 	}
-	// PeerDisconnected says that such a connection has ended.
+	// PeerDisconnected reports that such a connection was closed.
 	PeerDisconnected struct {
-		Box  event.BoxID
+		Box        event.BoxID
 		Connection uint64
 	}
-	// StopRequested says that the process is to end.
+	// StopRequested reports that the process is to stop.
 	StopRequested struct{}
 )
 
-func (*Tick) isEvent()         {}
-func (*MessageReceived) isEvent()       {}
-func (*LogSaved) isEvent()          {}
-func (*JoinRequested) isEvent()      {}
+func (*Tick) isEvent()                {}
+func (*MessageReceived) isEvent()     {}
+func (*LogSaved) isEvent()            {}
+func (*JoinRequested) isEvent()       {}
 func (*DocumentSubmitted) isEvent()   {}
 func (*DocumentRequested) isEvent()   {}
 func (*HeartbeatReceived) isEvent()   {}
-func (*EndpointRemoved) isEvent()   {}
+func (*EndpointRemoved) isEvent()     {}
 func (*HeartbeatsForwarded) isEvent() {}
 func (*CallCancelled) isEvent()       {}
-func (*SessionOpened) isEvent()   {}
-func (*PingReceived) isEvent()  {}
-func (*BatchReceived) isEvent()    {}
-func (*SessionClosed) isEvent()   {}
-func (*NodesRequested) isEvent()  {}
-func (*DocumentDecoded) isEvent()        {}
+func (*SessionOpened) isEvent()       {}
+func (*PingReceived) isEvent()        {}
+func (*BatchReceived) isEvent()       {}
+func (*SessionClosed) isEvent()       {}
+func (*NodesRequested) isEvent()      {}
+func (*DocumentDecoded) isEvent()     {}
 func (*PeerConnected) isEvent()       {}
-func (*PeerDisconnected) isEvent()       {}
-func (*StopRequested) isEvent()      {}
+func (*PeerDisconnected) isEvent()    {}
+func (*StopRequested) isEvent()       {}
 
-// Status says how a call ended.
+// Status is the result of a call.
 type Status uint8
 
-// The ends of a call.
+// The results of a call.
 const (
-	// StatusDone: it was done, or had been done before.
+	// StatusDone: the call was done, now or before.
 	StatusDone Status = iota + 1
-	// StatusElsewhere: another box leads; Answer.Leader says which, if known.
+	// StatusNotLeader: another box leads; Answer.LeaderAddress has its address, if known.
 	StatusElsewhere
-	// StatusUnknown: it may or may not have been done.
+	// StatusUnknown: the call may or may not have been done.
 	StatusUnknown
-	// StatusUnknownService: an endpoint is of a service that the configuration does not have.
+	// StatusUnknownService: the configuration does not have the endpoint's service.
 	StatusUnknownService
 )
 
-// Answer ends a call.
+// Answer is the answer to a call.
 type Answer struct {
-	Call  CallID
+	CallID CallID
 	Status Status
-	Leader string // operators' address of the leader
-	// Next is the operators' address to which an endpoint is to send its next words; empty if it is to choose
-	// a box by itself.
+	Leader string // operator address of the leader
+	// HeartbeatAddress is the operator address for an endpoint's next heartbeats; empty if the endpoint
+	// is to choose a box.
 	Next     string
 	Document Document
-	// ValidUntil is when the lease ends on which the answer rests.
+	// ValidUntil is the end of the lease under which the answer was given.
 	ValidUntil event.Time
 }
 
@@ -159,31 +159,31 @@
 	Message *message.Envelope
 }
 
-// Effects is what the world is asked to do.
+// Effects are the actions that follow from an event.
 type Effects struct {
 	Ready   consensus.Ready
 	Answers []Answer
 	Sends   []Send
 	Closes  []SessionID
-	// Heartbeats are endpoints of which Leader is to be told that they live.
-	Heartbeats  []string
-	Leader consensus.ID
-	// Decode is a document that is to be decoded beside the loop; a Decoded answers. A later one
-	// may take the place of one that is not begun. Version 0 is none.
+	// Heartbeats are the ids of live endpoints, to be forwarded to Leader.
+	Heartbeats []string
+	Leader     consensus.ID
+	// Decode is a document to decode outside the event loop; a DocumentDecoded follows. A later
+	// document may replace one that is not started. Version 0 is none.
 	Decode Document
-	// Fatal says why the process must end: it met what only a later build reads. Nothing else of
-	// these effects is to be carried out then.
-	Fatal  error
+	// Fatal is set if the process must stop because it found data that only a later build can
+	// read. The other effects must be ignored then.
+	Fatal      error
 	LogRecords []LogRecord
 }
 
-// LogRecord is a line for the log: a belief that changed.
+// LogRecord is a line for the log file: a change of state.
 type LogRecord struct {
-	Message   string
-	Fields []Field
+	Message string
+	Fields  []Field
 }
 
-// Field is a named value of a Note.
+// Field is a named value of a LogRecord.
 type Field struct {
 	Name  string
 	Value any
--- a/cluster/fleet_sim_test.go
+++ b/cluster/fleet_sim_test.go
@@ -333,7 +333,7 @@
 		case m.Batch != nil:
 			f.step(b, &BatchReceived{Session: l.session, Batch: m.Batch})
 		case m.Want != nil:
-			f.step(b, &NodesRequested{Session: l.session, Request: m.Want})
+			f.step(b, &NodesRequested{Session: l.session, Want: m.Want})
 		}
 	}
 	for _, m := range f.sends[l.session][l.taken:] {
--- a/cluster/growth_sim_test.go
+++ b/cluster/growth_sim_test.go
@@ -139,7 +139,7 @@
 		}
 		g.token++
 		token := g.token
-		g.step(owner, &DocumentSubmitted{Call: token, Document: Document{Version: g.table.Version, Data: data}})
+		g.step(owner, &DocumentSubmitted{CallID: token, Document: Document{Version: g.table.Version, Data: data}})
 		for sent := g.now; g.now.Sub(sent) < event.Second && g.answers[token].Status == 0; {
 			g.runFleet(simStep)
 		}
--- a/cluster/incoming.go
+++ b/cluster/incoming.go
@@ -13,16 +13,16 @@
 	"lynxramp.org/message"
 )
 
-// inboundConn is a connection that another control box or an entry made to this one.
+// inboundConn is a connection from another control box or an entry.
 type inboundConn struct {
-	server  *Server
-	conn    *link.Conn[message.Envelope]
-	peer    message.Peer
-	id  uint64
-	session SessionID   // of an entry; 0 for a control box
-	box     event.BoxID // a control box, once it is known which
-	reportedVersion    level.Level // what the loop was last told that the control box reads
-	build   string
+	server          *Server
+	conn            *link.Conn[message.Envelope]
+	peer            message.Peer
+	id              uint64
+	session         SessionID   // of an entry; 0 for a control box
+	box             event.BoxID // of a control box; empty until known
+	reportedVersion level.Level // format version that the loop was last sent
+	build           string
 }
 
 // serve serves one connection until it ends.
@@ -31,19 +31,19 @@
 	c.SetForms(in.peer.Answering())
 	err := c.Serve(in.receive)
 	if errors.Is(err, link.ErrTooLong) || errors.Is(err, link.ErrBehind) {
-		// Other ends are seen by the other side too, which connects again.
-		s.log.Warn("link given up", zap.String("peer", c.Remote()), logx.Err(err))
+		// On other errors the peer sees the loss too, and reconnects.
+		s.log.Warn("closed a connection: message too long or peer too slow", zap.String("peer", c.Remote()), logx.Err(err))
 	}
 	if in.session != 0 {
 		s.removeSession(in.session)
 		s.events <- &SessionClosed{Session: in.session}
 	}
 	if in.box != "" {
-		s.logEvents <- &PeerDisconnected{Box: in.box, Connection: in.id} // after its PeerTold, by the same queue
+		s.logEvents <- &PeerDisconnected{Box: in.box, Connection: in.id} // after its PeerConnected, in the same queue
 	}
 }
 
-// receive takes one message.
+// receive dispatches one message.
 func (in *inboundConn) receive(m *message.Envelope) {
 	s := in.server
 	if m.Build != "" {
@@ -58,7 +58,7 @@
 	case m.Batch != nil && in.session != 0:
 		s.events <- &BatchReceived{Session: in.session, Batch: m.Batch}
 	case m.Want != nil && in.session != 0:
-		s.events <- &NodesRequested{Session: in.session, Request: m.Want}
+		s.events <- &NodesRequested{Session: in.session, Want: m.Want}
 	case m.Consensus != nil && m.Consensus.Valid():
 		in.reportPeer(m.Consensus.From.Box())
 		s.logEvents <- &MessageReceived{Message: *m.Consensus}
@@ -73,11 +73,11 @@
 	}
 }
 
-// reportPeer tells the loop which control box made the connection and what it reads, before anything
-// that the box says of the log.
+// reportPeer sends the loop the box of the connection and its format version, before any log message
+// of that box.
 func (in *inboundConn) reportPeer(box event.BoxID) {
-	if reads := in.peer.Reads(); in.box != box || in.reportedVersion != reads {
-		in.box, in.reportedVersion = box, reads
-		in.server.logEvents <- &PeerConnected{Box: box, Connection: in.id, FormatVersion: reads, Build: in.build}
+	if version := in.peer.Reads(); in.box != box || in.reportedVersion != version {
+		in.box, in.reportedVersion = box, version
+		in.server.logEvents <- &PeerConnected{Box: box, Connection: in.id, FormatVersion: version, Build: in.build}
 	}
 }
--- a/cluster/level_meters.go
+++ b/cluster/level_meters.go
@@ -11,18 +11,18 @@
 	"lynxramp.org/level"
 )
 
-// formatGaugesInterval is how often the figures of boxes' levels are made anew, if any changed: an owner tells
-// of each entry, and hundreds of them may connect within a second.
+// formatGaugesInterval is how often the gauges are updated: hundreds of entries may connect within a
+// second, and an owner has one gauge for each.
 const formatGaugesInterval = time.Second
 
-// formatGauges are the figures of what boxes read. What they are of comes and goes.
+// formatGauges are the gauges of the format versions of boxes. Boxes come and go, and their gauges with them.
 type formatGauges struct {
-	set  *metrics.Set
+	set       *metrics.Set
 	updatedAt time.Time
-	values  map[string]float64 // by name and labels
+	values    map[string]float64 // by name and labels
 }
 
-// update makes the figures what a state says, now and then.
+// update sets the gauges to a state, at most once per interval.
 func (m *formatGauges) update(now time.Time, s *State) {
 	if now.Sub(m.updatedAt) < formatGaugesInterval {
 		return
@@ -42,18 +42,18 @@
 	m.values = next
 }
 
-// formatGaugeValues returns what this box knows of levels: the group's, its own, those of control boxes that
-// are connected to it and of its entries, and who holds the group's below its own.
+// formatGaugeValues returns the known format versions: of the group, of this box, of connected control boxes
+// and of the owner's entries, and what prevents the group from having this box's version.
 func (s *State) formatGaugeValues() map[string]float64 {
-	figures := map[string]float64{
+	gauges := map[string]float64{
 		"lynxramp_control_level": float64(s.machine.formatVersion),
 		fmt.Sprintf("lynxramp_control_level_held{by=%q}", s.blockedBy()): 0,
 	}
 	if s.blockedBy() != "" {
-		figures[fmt.Sprintf("lynxramp_control_level_held{by=%q}", s.blockedBy())] = 1
+		gauges[fmt.Sprintf("lynxramp_control_level_held{by=%q}", s.blockedBy())] = 1
 	}
-	box := func(name, role, build string, reads level.Level) {
-		figures[fmt.Sprintf("lynxramp_control_box_level{box=%q,role=%q,build=%q}", name, role, build)] = float64(reads)
+	box := func(name, role, build string, formatVersion level.Level) {
+		gauges[fmt.Sprintf("lynxramp_control_box_level{box=%q,role=%q,build=%q}", name, role, build)] = float64(formatVersion)
 	}
 	box(string(s.node.ID().Box()), "control", level.Build(), s.formats.own)
 	for name, p := range s.formats.peers {
@@ -62,15 +62,15 @@
 		}
 	}
 	if s.owner == nil {
-		return figures
+		return gauges
 	}
-	for _, one := range s.owner.sessions {
-		box(string(one.entry), "entry", one.build, one.formatVersion)
+	for _, sess := range s.owner.sessions {
+		box(string(sess.entry), "entry", sess.build, sess.formatVersion)
 	}
-	return figures
+	return gauges
 }
 
-// blockedBy returns who holds the group's level below that of this box, by an owner's word.
+// blockedBy returns what prevents the owner from raising the group's format version to that of this box.
 func (s *State) blockedBy() string {
 	if s.owner == nil {
 		return ""
--- a/cluster/levels.go
+++ b/cluster/levels.go
@@ -11,27 +11,27 @@
 	"lynxramp.org/level"
 )
 
-// This file is a control box's part in package level: what other boxes read, which forms an owner
-// writes, and when the group's level is raised.
+// This file tracks the format versions of other boxes, chooses the format that an owner writes, and raises
+// the group's format version. See package level.
 
-// peerBox is what is known of another control box.
+// peerBox is another control box.
 type peerBox struct {
 	formatVersion level.Level
-	build string
-	// connections are the connections that it has to this box.
+	build         string
+	// connections are the open connections from it to this box.
 	connections map[uint64]bool
-	// connectOrder orders the boxes by when their present processes were first heard: the larger the later.
+	// connectOrder is larger the later the box's process first connected.
 	connectOrder uint64
 }
 
-// formatVersions is what a box knows of the formatVersions of others.
+// formatVersions tracks the format versions of this box and of the other control boxes.
 type formatVersions struct {
-	// own is what this box reads.
-	own   level.Level
-	peers map[event.BoxID]*peerBox
-	connects  uint64 // counts peers as they came
-	// raiseIndex is the index of the command that raises the level, 0 for none, and heldBy what
-	// was last said to hold it back.
+	// own is the format version that this box supports.
+	own      level.Level
+	peers    map[event.BoxID]*peerBox
+	connects uint64 // count of peers that connected; source of connectOrder
+	// raiseIndex is the index of the last command that raises the group's version, 0 for none;
+	// blockedBy is the last logged reason why it can't be raised.
 	raiseIndex consensus.Index
 	blockedBy  string
 }
@@ -43,36 +43,36 @@
 	return formatVersions{own: own, peers: make(map[event.BoxID]*peerBox)}
 }
 
-// peerConnected takes what another control box says of itself at the beginning of a connection.
+// peerConnected records a peer's format version at the beginning of a connection.
 func (s *State) peerConnected(e *PeerConnected, out *Effects) {
 	p, ok := s.formats.peers[e.Box]
 	if !ok {
 		if !s.makeRoomFor(e.Box) {
-			out.logInfo("too many control boxes are connected: one is not remembered", Field{"peer", string(e.Box)}, Field{"most", maxPeers})
+			out.logInfo("too many control boxes connected; ignoring one", Field{"peer", string(e.Box)}, Field{"most", maxPeers})
 			return
 		}
 		p = &peerBox{connections: make(map[uint64]bool)}
 		s.formats.peers[e.Box] = p
 	}
-	isBack := len(p.connections) == 0
-	if isBack {
+	isReconnected := len(p.connections) == 0
+	if isReconnected {
 		s.formats.connects++
 		p.connectOrder = s.formats.connects
 	}
 	p.connections[e.Connection] = true
-	if !isBack && p.formatVersion == e.FormatVersion && p.build == e.Build {
+	if !isReconnected && p.formatVersion == e.FormatVersion && p.build == e.Build {
 		return
 	}
 	p.formatVersion, p.build = e.FormatVersion, e.Build
-	out.logInfo("level of a control box", Field{"peer", string(e.Box)}, Field{"level", uint8(e.FormatVersion)}, Field{"build", e.Build})
+	out.logInfo("format version of a control box", Field{"peer", string(e.Box)}, Field{"level", uint8(e.FormatVersion)}, Field{"build", e.Build})
 	s.setPeerEncoding(e.Box, p, out)
 	if s.owner != nil {
 		s.owner.useFormatVersion(s)
 	}
 }
 
-// makeRoomFor reports whether another control box may be remembered: its name is what it says of itself, so
-// that the names must be bounded. Boxes that are gone make room, and members always have it.
+// makeRoomFor reports whether another control box may be tracked. Peers choose their own names, so the number
+// of names is bounded. It evicts a disconnected box that is no member; members always have room.
 func (s *State) makeRoomFor(box event.BoxID) bool {
 	if len(s.formats.peers) < maxPeers {
 		return true
@@ -90,8 +90,8 @@
 	return isMember(box)
 }
 
-// peerDisconnected takes note that a connection of another control box has ended. If it was the last one, the
-// box may come back with another build: no entries of the log go to it until it has said what it reads.
+// peerDisconnected records that a connection of a peer was closed. After its last connection the peer may return
+// with another build: it is sent no log entries until it reports its format version again.
 func (s *State) peerDisconnected(e *PeerDisconnected, out *Effects) {
 	p, ok := s.formats.peers[e.Box]
 	if !ok {
@@ -101,48 +101,47 @@
 	s.setPeerEncoding(e.Box, p, out)
 }
 
-// setPeerEncoding has the log's messages go to a box in forms that it reads. One that does not read what
-// the log has is sent nothing: it would pass commands over, and differ from the others from then on.
+// setPeerEncoding selects the encoding of log messages to a box. A box that does not support the group's format
+// version is sent nothing: it would skip commands and its state would diverge.
 func (s *State) setPeerEncoding(box event.BoxID, p *peerBox, out *Effects) {
-	held, ignored := len(p.connections) == 0, s.isBelowGroup(p.formatVersion)
-	if ignored && !held {
-		out.logInfo("a control box does not read what the group writes: it is sent nothing", Field{"peer", string(box)},
+	disconnected, excluded := len(p.connections) == 0, s.isBelowGroup(p.formatVersion)
+	if excluded && !disconnected {
+		out.logInfo("control box does not support the group's format version; sending it nothing", Field{"peer", string(box)},
 			Field{"level", uint8(p.formatVersion)}, Field{"group_level", uint8(s.machine.formatVersion)}, Field{"build", p.build})
 	}
-	s.node.SetForms(box, consensus.Forms{Whole: p.formatVersion < level.Parts, Ignored: ignored && !held, Held: held})
+	s.node.SetForms(box, consensus.Forms{Whole: p.formatVersion < level.Parts, Ignored: excluded && !disconnected, Held: disconnected})
 }
 
-// isBelowGroup reports whether a box reads less than the group's level, which the log tells from
-// level.Told on.
-func (s *State) isBelowGroup(reads level.Level) bool {
-	return reads > 0 && s.machine.formatVersion >= level.Told && reads < s.machine.formatVersion
+// isBelowGroup reports whether a box does not support the group's format version. It is false while the
+// log has only formats of builds without format versions.
+func (s *State) isBelowGroup(formatVersion level.Level) bool {
+	return formatVersion > 0 && s.machine.formatVersion >= level.Told && formatVersion < s.machine.formatVersion
 }
 
-// canJoin reports whether a box that asks to be a member reads what the log has.
+// canJoin reports whether a box that asks to join supports the group's format version.
 func (s *State) canJoin(e *JoinRequested, out *Effects) bool {
 	p, ok := s.formats.peers[e.Member.ID.Box()]
 	if !ok || p.formatVersion >= s.machine.formatVersion {
 		return true
 	}
-	out.logInfo("a box that does not read what the group writes asks to join", Field{"member", string(e.Member.ID)},
+	out.logInfo("rejected a join: box does not support the group's format version", Field{"member", string(e.Member.ID)},
 		Field{"level", uint8(p.formatVersion)}, Field{"group_level", uint8(s.machine.formatVersion)}, Field{"build", p.build})
 	return false
 }
 
-// canServe reports whether an entry that connects reads what the group writes. One of an earlier build, after
-// the group's level was raised, would name endpoints by ids that they don't know: it gets no answer, so that
-// it asks again twice a second, and serves nothing.
+// canServe reports whether a connecting entry supports the group's format version. An older entry would use ids of
+// endpoints that the group does not know: it gets no answer, so that it serves nothing and keeps retrying.
 func (s *State) canServe(b *SessionOpened, out *Effects) bool {
 	if s.machine.formatVersion < level.Told || !level.ReadBy(level.Entries, b.FormatVersion, s.machine.formatVersion) {
 		return true
 	}
-	out.logInfo("an entry does not read what the group writes: it is sent nothing", Field{"entry", string(b.Hello.Entry)},
+	out.logInfo("entry does not support the group's format version; sending it nothing", Field{"entry", string(b.Hello.Entry)},
 		Field{"level", uint8(b.FormatVersion)}, Field{"group_level", uint8(s.machine.formatVersion)}, Field{"build", b.Build})
 	return false
 }
 
-// writeVersion returns the level of the forms that an owner puts into the log; 0 while it is not known what
-// a member reads of which neither a connection nor the log tells.
+// writeVersion returns the format version that an owner writes to the log. It is 0 while the version of some
+// member is known neither from a connection nor from the log.
 func (s *State) writeVersion() level.Level {
 	if s.machine.formatVersion >= level.Told {
 		return s.machine.formatVersion
@@ -154,7 +153,7 @@
 	return least
 }
 
-// minMemberVersion returns what all members read that are known, and whether all are known.
+// minMemberVersion returns the lowest known format version of the members, and whether all are known.
 func (s *State) minMemberVersion() (least level.Level, all bool) {
 	least, all = s.formats.own, true
 	for _, m := range s.allMembers() {
@@ -171,8 +170,8 @@
 	return least, all
 }
 
-// raiseFormatVersion raises the group's level once all members that are connected read more, and entries
-// where the forms concern them.
+// raiseFormatVersion raises the group's format version once all members are connected and support a newer one,
+// and all entries too if the change concerns them.
 func (o *owner) raiseFormatVersion(now event.Time, s *State, out *Effects) {
 	if s.formats.raiseIndex > s.node.Applied() || !s.owns(now) {
 		return
@@ -180,26 +179,26 @@
 	next, by := s.nextFormatVersion(now)
 	if by != s.formats.blockedBy {
 		s.formats.blockedBy = by
-		out.logInfo("the group's level is held back", Field{"level", uint8(s.machine.formatVersion)}, Field{"own", uint8(s.formats.own)}, Field{"by", by})
+		out.logInfo("blocker of the group's next format version changed", Field{"level", uint8(s.machine.formatVersion)}, Field{"own", uint8(s.formats.own)}, Field{"by", by})
 	}
 	if next <= s.machine.formatVersion || next < level.Told {
 		return
 	}
 	index, err := s.node.Propose(now, encodeFormatVersion(next), &out.Ready)
 	if err != nil {
-		return // it does not lead any more; the next owner sees to it
+		return // no longer the leader; the next owner retries
 	}
 	s.formats.raiseIndex = index
-	out.logInfo("raises the group's level", Field{"from", uint8(s.machine.formatVersion)}, Field{"to", uint8(next)})
+	out.logInfo("raising the group's format version", Field{"from", uint8(s.machine.formatVersion)}, Field{"to", uint8(next)})
 }
 
-// nextFormatVersion returns the level that the group may have, and who holds it below this box's; empty if
-// nobody does.
-func (s *State) nextFormatVersion(now event.Time) (next level.Level, heldBy string) {
+// nextFormatVersion returns the format version that the group may have, and what prevents that of this box; empty
+// if nothing does.
+func (s *State) nextFormatVersion(now event.Time) (next level.Level, blockedBy string) {
 	next = s.formats.own
-	hold := func(who string, reads level.Level) {
-		if reads < next {
-			next, heldBy = reads, who
+	limit := func(who string, formatVersion level.Level) {
+		if formatVersion < next {
+			next, blockedBy = formatVersion, who
 		}
 	}
 	for _, m := range s.allMembers() {
@@ -208,42 +207,42 @@
 		}
 		p, ok := s.formats.peers[m.ID.Box()]
 		if !ok || len(p.connections) == 0 {
-			hold("member "+string(m.ID)+", which is not connected", s.machine.formatVersion)
+			limit("member "+string(m.ID)+", which is not connected", s.machine.formatVersion)
 			continue
 		}
-		hold("member "+string(m.ID)+" of build "+p.build, p.formatVersion)
+		limit("member "+string(m.ID)+" of build "+p.build, p.formatVersion)
 	}
 	if !level.ReadBy(level.Entries, s.machine.formatVersion, next) {
-		return next, heldBy
+		return next, blockedBy
 	}
-	// Entries that are away for a moment count, too: they would come back to a group that they can't read.
+	// Disconnected entries count, too: they could not return to a group whose format they don't support.
 	o := s.owner
 	for _, name := range slices.Sorted(maps.Keys(o.entries)) {
-		hold("entry "+string(name)+" of build "+o.entries[name].build, o.entries[name].formatVersion)
+		limit("entry "+string(name)+" of build "+o.entries[name].build, o.entries[name].formatVersion)
 	}
 	if now.Sub(o.startedAt) <= o.entryRetention {
-		hold("entries that may not have been heard yet", s.machine.formatVersion)
+		limit("entries that may not have been heard yet", s.machine.formatVersion)
 	}
-	return next, heldBy
+	return next, blockedBy
 }
 
-// formatVersionRaised takes note that the log has another level.
+// formatVersionRaised applies a new format version of the group.
 func (s *State) formatVersionRaised(out *Effects) {
-	out.logInfo("level of the group", Field{"level", uint8(s.machine.formatVersion)})
+	out.logInfo("format version of the group changed", Field{"level", uint8(s.machine.formatVersion)})
 	for _, box := range slices.Sorted(maps.Keys(s.formats.peers)) {
 		s.setPeerEncoding(box, s.formats.peers[box], out)
 	}
 	if s.owner != nil {
-		clear(s.owner.packed) // in the form of the level before
+		clear(s.owner.packed) // packed in the previous format
 		s.owner.useFormatVersion(s)
 	}
 }
 
-// useFormatVersion has the owner's books make records that all members read.
+// useFormatVersion selects a format of budget and poison records that all members support.
 func (o *owner) useFormatVersion(s *State) {
-	writes := s.writeVersion()
-	o.budgets.RecordWhole(writes < level.Parts)
-	if isLogged := writes >= level.Suspects; isLogged != o.poisonLogged {
+	version := s.writeVersion()
+	o.budgets.RecordWhole(version < level.Parts)
+	if isLogged := version >= level.Suspects; isLogged != o.poisonLogged {
 		o.poisonLogged = isLogged
 		if isLogged {
 			o.poison.TellAll()
@@ -251,9 +250,8 @@
 	}
 }
 
-// transferRank ranks members for the end of this box: the one whose process is the youngest comes
-// first. While boxes are replaced one after the other it was replaced already, so that the lead does
-// not move on with the next one.
+// transferRank ranks the members for a leadership transfer: the one with the youngest process is first. In a
+// rolling restart that one was restarted already, so that leadership moves once.
 func (s *State) transferRank(id consensus.ID) int {
 	if p, ok := s.formats.peers[id.Box()]; ok && len(p.connections) > 0 {
 		return int(p.connectOrder)
@@ -261,13 +259,13 @@
 	return 0
 }
 
-// checkReadable reports whether this box reads a command of the log.
+// checkReadable returns an error if this box can't read a command of the log.
 func (s *State) checkReadable(command []byte) error { return checkReadable(command, s.formats.own) }
 
-// restore makes the machine what a snapshot says.
+// restore replaces the state by that of a snapshot.
 func (s *State) restore(data []byte) error { return s.machine.restore(data, s.formats.own) }
 
-// bootstrapState returns the state of a group that is founded now: all its boxes are of this build.
+// bootstrapState returns the state of a new group, whose boxes all have this build.
 func bootstrapState() []byte {
 	m := stateMachine{formatVersion: level.Newest}
 	return m.snapshot()
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -15,21 +15,21 @@
 	"lynxramp.org/registry"
 )
 
-// stateMachine is the replicated state: what the log's commands make.
+// stateMachine is the replicated state, which the commands of the log change.
 type stateMachine struct {
-	// formatVersion is what the log says of which forms all members read: from formatVersion.Told on by a command
-	// of its own, before by the forms that it has; 0 where it has none that tells.
-	formatVersion    level.Level
-	document Document
-	upload   upload
-	registry registry.State
-	// spending is what the records of the budgets say.
+	// formatVersion is the format version that all members support according to the log. A command sets it;
+	// in logs of older builds it is inferred from the formats in use. 0 if unknown.
+	formatVersion level.Level
+	document      Document
+	upload        upload
+	registry      registry.State
+	// spending holds the budget records of the log.
 	spending budget.Ledger
-	// poison is what the records of requests that end endpoints say.
+	// poison holds the records of poison requests in the log.
 	poison poison.Ledger
 }
 
-// The first byte of a command says what it is.
+// The first byte of a command is its kind.
 const (
 	commandDocument byte = iota + 1
 	commandEndpoint
@@ -37,20 +37,20 @@
 	commandSpending
 	commandPoison
 	commandFormatVersion
-	commandEndpointInstance // an endpoint's word that tells when it started
-	lastCommand  = commandEndpointInstance
+	commandEndpointInstance // commandEndpoint with the endpoint's start time
+	lastCommand             = commandEndpointInstance
 )
 
-// encodeFormatVersion returns the command that raises the group's level. It is a form of level.Told, so that
-// builds before it must not be sent it.
+// encodeFormatVersion returns the command that raises the group's format version. It must not
+// be sent to builds without format versions, which can't read it.
 func encodeFormatVersion(l level.Level) []byte { return []byte{commandFormatVersion, byte(l)} }
 
-// formatOf returns the level of a command's form: who reads that reads the command. Where it isn't
-// known, because the kind of command is not, it is false.
+// formatOf returns the format version needed to read a command; false if the kind of command is
+// unknown.
 func formatOf(command []byte) (level.Level, bool) {
 	switch {
 	case len(command) == 0 || command[0] == 0:
-		return level.Listed, true // it does nothing, on every box alike
+		return level.Listed, true // skipped on all boxes
 	case command[0] > lastCommand:
 		return 0, false
 	case command[0] == commandDocument && !isWholeDocument(command[1:]):
@@ -65,26 +65,26 @@
 	return level.Listed, true
 }
 
-// checkReadable reports whether a box that reads a level reads a command: an error names what it does not
-// read.
-func checkReadable(command []byte, reads level.Level) error {
+// checkReadable returns an error if a box that supports a format version can't read a command. The
+// error names what was found and what is supported.
+func checkReadable(command []byte, supported level.Level) error {
 	l, known := formatOf(command)
 	switch {
 	case !known:
 		return &level.Above{
 			What: "the log", Found: fmt.Sprintf("a command of kind %d", command[0]),
-			Reads: fmt.Sprintf("kinds up to %d (level %d)", lastCommand, reads),
+			Reads: fmt.Sprintf("kinds up to %d (level %d)", lastCommand, supported),
 		}
-	case l > reads:
-		return level.TooNew("the log", l, reads)
+	case l > supported:
+		return level.TooNew("the log", l, supported)
 	}
 	return nil
 }
 
-// observeFormat takes note that the log has a form of a level, which all members read then.
+// observeFormat records that the log contains a format version, so that all members support it.
 func (m *stateMachine) observeFormat(l level.Level) { m.formatVersion = max(m.formatVersion, l) }
 
-// encodeEndpoint returns the command that takes an endpoint's word on itself.
+// encodeEndpoint returns the command that stores the state reported by an endpoint.
 func encodeEndpoint(e registry.Endpoint) []byte {
 	data, err := json.Marshal(e)
 	if err != nil {
@@ -113,21 +113,21 @@
 	return append([]byte{commandPoison}, data...)
 }
 
-// encodeRemove returns the command that takes an endpoint's word that it ends. Its id is its name alone where it
-// does not tell when it started, or not all members read that.
+// encodeRemove returns the command that removes an endpoint instance. The id is the endpoint's name alone
+// if its start time is unknown or not all members support instances.
 func encodeRemove(id string) []byte { return append([]byte{commandRemoveEndpoint}, id...) }
 
 // change is what a command changed.
 type change struct {
-	document bool
-	formatVersion    bool
-	spending *budget.Record
-	poison   *poison.Record
-	updated     []registry.Endpoint
-	removed     []string
+	document      bool
+	formatVersion bool
+	spending      *budget.Record
+	poison        *poison.Record
+	updated       []registry.Endpoint
+	removed       []string
 }
 
-// apply carries out the command of an entry of the log.
+// apply applies the command of a log entry.
 func (m *stateMachine) apply(index consensus.Index, command []byte) (change, error) {
 	if len(command) == 0 {
 		return change{}, errors.New("empty command")
@@ -139,10 +139,10 @@
 	case commandEndpoint, commandEndpointInstance:
 		var e registry.Endpoint
 		if err := json.Unmarshal(body, &e); err != nil {
-			return change{}, errors.Wrap(err, "endpoint")
+			return change{}, errors.Wrap(err, "decode endpoint")
 		}
 		if command[0] == commandEndpoint {
-			e.Born = 0 // builds that read no starts pass it over
+			e.Born = 0 // builds that don't support instances ignore it
 		}
 		return m.putEndpoint(index, e), nil
 	case commandRemoveEndpoint:
@@ -152,7 +152,7 @@
 	case commandSpending:
 		var r budget.Record
 		if err := json.Unmarshal(body, &r); err != nil {
-			return change{}, errors.Wrap(err, "record of budgets")
+			return change{}, errors.Wrap(err, "decode budget record")
 		}
 		if r.Part {
 			m.observeFormat(level.Parts)
@@ -162,27 +162,27 @@
 	case commandPoison:
 		var r poison.Record
 		if err := json.Unmarshal(body, &r); err != nil {
-			return change{}, errors.Wrap(err, "record of requests that end endpoints")
+			return change{}, errors.Wrap(err, "decode poison record")
 		}
 		m.observeFormat(level.Suspects)
 		m.poison.Apply(r)
 		return change{poison: &r}, nil
 	case commandFormatVersion:
 		if len(body) != 1 {
-			return change{}, errors.New("level of another length")
+			return change{}, errors.New("format version command has the wrong length")
 		}
 		raised := level.Level(body[0]) > m.formatVersion
 		m.observeFormat(level.Level(body[0]))
 		return change{formatVersion: raised}, nil
 	default:
-		return change{}, errors.Errorf("command of kind %d", command[0])
+		return change{}, errors.Errorf("unknown command kind %d", command[0])
 	}
 }
 
-// putEndpoint takes an endpoint's word on itself.
-func (m *stateMachine) putEndpoint(index consensus.Index, told registry.Endpoint) change {
-	e, counts := m.registry.Start(told)
-	if !counts || !m.registry.Accepts(e) {
+// putEndpoint stores the state reported by an endpoint, unless it is outdated.
+func (m *stateMachine) putEndpoint(index consensus.Index, reported registry.Endpoint) change {
+	e, valid := m.registry.Start(reported)
+	if !valid || !m.registry.Accepts(e) {
 		return change{}
 	}
 	return change{removed: m.registry.Put(e, uint64(index)), updated: []registry.Endpoint{e}}
--- a/cluster/meters.go
+++ b/cluster/meters.go
@@ -8,8 +8,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// meters are the figures of a control box; docs/METRICS.md lists them. Those that
-// the loop sets are told as it left them.
+// meters are the metrics of a control box, listed in docs/METRICS.md. The loop sets the gauges after each
+// step.
 type meters struct {
 	set      *metrics.Set
 	owner    *metrics.Gauge
@@ -18,11 +18,11 @@
 	voters   *metrics.Gauge
 	sessions *metrics.Gauge
 	suspects *metrics.Gauge
-	feedback   *metrics.Gauge
+	feedback *metrics.Gauge
 	grants   *metrics.Counter
 	refusals *metrics.Counter
 	steps    *metrics.Histogram
-	formats   *formatGauges
+	formats  *formatGauges
 }
 
 func newMeters() meters {
@@ -35,41 +35,41 @@
 		voters:   set.NewGauge("lynxramp_control_voters", nil),
 		sessions: set.NewGauge("lynxramp_control_sessions", nil),
 		suspects: set.NewGauge("lynxramp_control_suspects", nil),
-		feedback:   set.NewGauge("lynxramp_control_asking_endpoints", nil),
+		feedback: set.NewGauge("lynxramp_control_asking_endpoints", nil),
 		grants:   set.NewCounter("lynxramp_control_grants_total"),
 		refusals: set.NewCounter("lynxramp_control_refusals_total"),
 		steps:    set.NewHistogram("lynxramp_control_step_seconds"),
-		formats:   &formatGauges{set: set},
+		formats:  &formatGauges{set: set},
 	}
 	metrics.RegisterSet(set)
 	return m
 }
 
-// recordStep takes what a step took and left.
+// recordStep records the duration of a step and the state after it.
 func (m *meters) recordStep(began time.Time, s *State, out *Effects) {
 	m.steps.UpdateDuration(began)
 	m.formats.update(began, s)
-	owner, sessions, suspects, asking := 0.0, 0.0, 0.0, 0.0
+	owner, sessions, suspects, feedback := 0.0, 0.0, 0.0, 0.0
 	if s.owner != nil {
 		owner, sessions, suspects = 1, float64(len(s.owner.sessions)), float64(len(s.owner.suspects))
-		asking = float64(len(s.owner.feedback.active))
+		feedback = float64(len(s.owner.feedback.active))
 	}
 	m.suspects.Set(suspects)
-	m.feedback.Set(asking)
+	m.feedback.Set(feedback)
 	m.owner.Set(owner)
 	m.sessions.Set(sessions)
 	m.term.Set(float64(s.node.Term()))
 	m.version.Set(float64(s.machine.document.Version))
 	m.voters.Set(float64(len(s.node.Members().Voters)))
-	for _, one := range out.Sends {
-		if d := one.Message.Decisions; d != nil {
+	for _, send := range out.Sends {
+		if d := send.Message.Decisions; d != nil {
 			m.grants.Add(len(d.Grants))
 			m.refusals.Add(len(d.Refusals))
 		}
 	}
 }
 
-// recordCall takes how long a call of an operator or an endpoint took.
+// recordCall records the duration of a call of an operator or an endpoint.
 func (m *meters) recordCall(began time.Time, status Status) {
 	name := map[Status]string{StatusDone: "done", StatusElsewhere: "elsewhere", StatusUnknown: "unclear", StatusUnknownService: "unknown_service"}[status]
 	m.set.GetOrCreateHistogram(`lynxramp_control_call_seconds{status="` + name + `"}`).UpdateDuration(began)
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -15,69 +15,68 @@
 	"lynxramp.org/registry"
 )
 
-// entryTimeout is how long an entry may be away before what it had running is
-// taken as ended.
+// entryTimeout is how long an entry may be disconnected before its running requests are taken as
+// terminated.
 const entryTimeout = 4 * event.Second
 
-// owner is what the owner of the pools knows beside the replicated state. It is
-// soft, but for the book: a new owner learns it from entries and endpoints.
+// owner is the state that the owner keeps beside the replicated state. A new owner rebuilds it from
+// entries and endpoints, except for budgets and poison requests, which are recorded in the log.
 type owner struct {
 	term      consensus.Term
 	admission *admission.State
 	sessions  map[SessionID]*session
-	// unsupported are sessions of entries that do not read what the group writes.
-	unsupported  map[SessionID]bool
-	entries map[event.BoxID]*entry
-	lastHeartbeat   map[string]event.Time // endpoints, by id
-	down    map[string]bool
-	effects event.Effects
-	// expectedEntries is how many entries there were by the word of an entry, which
-	// counts for keepTime from began on.
-	expectedEntries int
-	startedAt    event.Time
-	entryRetention event.Span
-	budgets     *budget.Book
-	recordIndex   consensus.Index           // of the last record of the book in the log
-	poison   *poison.Book              // of requests that end endpoints
-	changedEndpoints     map[string]bool           // endpoints, by id, of which the entries are not yet told
-	pieces   map[uint64]registry.Piece // by what they come after, at the revision piecesAt
-	piecesRevision uint64
-	packed   map[pieceKey]packedPiece
-	budgetsLoggedAt   event.Time // when the log was last told of budgets
-	// poisonIndex is the index of the last record of poison in the log.
+	// unsupported has the sessions of entries that don't support the group's format version.
+	unsupported   map[SessionID]bool
+	entries       map[event.BoxID]*entry
+	lastHeartbeat map[string]event.Time // by endpoint id
+	down          map[string]bool
+	effects       event.Effects
+	// expectedEntries is the number of entries reported by the entries themselves; it counts for
+	// entryRetention from startedAt on.
+	expectedEntries  int
+	startedAt        event.Time
+	entryRetention   event.Span
+	budgets          *budget.Book
+	recordIndex      consensus.Index           // of the last budget record in the log
+	poison           *poison.Book              // poison requests
+	changedEndpoints map[string]bool           // ids of endpoints whose change is not yet sent to the entries
+	pieces           map[uint64]registry.Piece // by the preceding revision, valid at piecesRevision
+	piecesRevision   uint64
+	packed           map[pieceKey]packedPiece
+	budgetsLoggedAt  event.Time // when high budgets were last logged
+	// poisonIndex is the index of the last poison record in the log.
 	poisonIndex consensus.Index
-	// poisonLogged says that the log is told of requests that end endpoints.
-	poisonLogged bool
-	suspects     []poison.Print // as entries were last told, and their revision
+	// poisonLogged reports whether poison records are written to the log.
+	poisonLogged     bool
+	suspects         []poison.Print // as last sent to entries, with their revision
 	suspectsRevision uint64
-	feedback       feedbackTracker // endpoints
+	feedback         feedbackTracker // of endpoints
 }
 
-// maxForgetPerTick is of how many absent entries a tick takes what they had running as ended.
+// maxForgetPerTick bounds the disconnected entries whose requests one tick takes as terminated.
 const maxForgetPerTick = 16
 
-// reclaimAfterHeartbeats is how many times its own rhythm an endpoint must be silent before the one
-// whose address it took has it back: two beats, and what they vary.
+// reclaimAfterHeartbeats is the number of heartbeat intervals without a heartbeat of an endpoint after
+// which the previous endpoint at its address may take it back: two intervals and some jitter.
 const reclaimAfterHeartbeats = 2.5
 
-// budgetLogInterval is how often the log is told of the budgets that are more than half
-// used.
+// budgetLogInterval is how often budgets that are more than half used are logged.
 const budgetLogInterval = event.Second
 
 func newOwner(now event.Time, s *State) *owner {
 	o := &owner{
-		term:     s.node.Term(),
-		budgets:     s.newBudgets(now),
-		sessions: make(map[SessionID]*session),
-		unsupported:   make(map[SessionID]bool),
-		entries:  make(map[event.BoxID]*entry),
+		term:             s.node.Term(),
+		budgets:          s.newBudgets(now),
+		sessions:         make(map[SessionID]*session),
+		unsupported:      make(map[SessionID]bool),
+		entries:          make(map[event.BoxID]*entry),
 		lastHeartbeat:    make(map[string]event.Time),
-		down:     make(map[string]bool),
-		startedAt:    now,
-		entryRetention: s.settings.Fresh + s.settings.Limits.QuotaWindow,
-		changedEndpoints:     make(map[string]bool),
-		pieces:   make(map[uint64]registry.Piece),
-		packed:   make(map[pieceKey]packedPiece),
+		down:             make(map[string]bool),
+		startedAt:        now,
+		entryRetention:   s.settings.Fresh + s.settings.Limits.QuotaWindow,
+		changedEndpoints: make(map[string]bool),
+		pieces:           make(map[uint64]registry.Piece),
+		packed:           make(map[pieceKey]packedPiece),
 	}
 	o.poison = poison.NewBook(now, &s.machine.poison)
 	o.suspects, o.suspectsRevision = o.poison.Suspects()
@@ -94,43 +93,42 @@
 	return o
 }
 
-// newBudgets returns the book of an owner that begins now, with what the log says of the
-// owners before.
+// newBudgets returns the budget book of a new owner, with the spending recorded in the log.
 func (s *State) newBudgets(now event.Time) *budget.Book {
 	if s.machine.document.Version == 0 {
-		return budget.NewBook(now, s.settings.Fresh) // without a configuration nothing was served
+		return budget.NewBook(now, s.settings.Fresh) // nothing was served without a configuration
 	}
 	return budget.InheritLedger(now, s.settings.Fresh, &s.machine.spending)
 }
 
-// leaseGracePeriod is how long the lease may lapse before an owner ends: some more than
-// consensus.HeartbeatEvery, after which a leader that was only slow has its next answers.
+// leaseGracePeriod is how long the lease may lapse before the owner ends. It exceeds
+// the heartbeat interval of the log, so that a slow leader can receive the next responses.
 const leaseGracePeriod = 150 * event.Millisecond
 
-// remainsOwner reports whether an owner goes on, perhaps to decide again when the lease does.
+// remainsOwner reports whether the owner stays; it may have to wait for the lease to be renewed.
 func (o *owner) remainsOwner(now event.Time, node *consensus.Node) bool {
 	return node.Leads() && !node.HandsOver() && o.term == node.Term() && now < node.LeaseEnd(now).Add(leaseGracePeriod)
 }
 
-// sessionIDs returns the sessions in the order in which they began, so that what follows from an
-// event does not hang on the order of a map.
+// sessionIDs returns the sessions in the order in which they began, so that effects don't
+// depend on map order.
 func (o *owner) sessionIDs() []SessionID { return slices.Sorted(maps.Keys(o.sessions)) }
 
-// closeSessions closes all sessions: the entries go to the next owner.
+// closeSessions redirects all entries to the next owner.
 func (o *owner) closeSessions(s *State, out *Effects) {
 	for _, id := range o.sessionIDs() {
 		s.redirect(id, out)
 	}
 }
 
-// step takes an event while this box owns the pools.
+// step applies an event while this box owns the pools.
 func (o *owner) step(now event.Time, e Event, s *State, out *Effects) {
 	switch e := e.(type) {
 	case *Tick:
 		o.tick(now, s, out)
 	case *HeartbeatReceived:
-		if told, counts := s.instanceOf(e.Endpoint); counts {
-			o.recordHeartbeat(now, told.ID, s, out)
+		if reported, valid := s.instanceOf(e.Endpoint); valid {
+			o.recordHeartbeat(now, reported.ID, s, out)
 		}
 	case *HeartbeatsForwarded:
 		for _, id := range e.IDs {
@@ -152,23 +150,23 @@
 	o.sendDecisions(now, s, out)
 }
 
-// recordBudgets puts a record of the book into the log when one is due.
+// recordBudgets proposes a budget record when one is due.
 func (o *owner) recordBudgets(now event.Time, s *State, out *Effects) {
 	if !o.budgets.Due() || !s.owns(now) {
 		return
 	}
 	index, err := s.node.Propose(now, encodeSpending(o.budgets.MakeRecord(now)), &out.Ready)
 	if err != nil {
-		// It does not lead any more, and will find out: nothing is spent until then that
-		// the record before does not cover.
-		out.logInfo("budgets not recorded", Field{"error", err.Error()})
+		// No longer the leader. Until this owner ends, nothing is spent beyond what the
+		// previous record covers.
+		out.logInfo("budget record not proposed: no longer the leader", Field{"error", err.Error()})
 		return
 	}
 	o.recordIndex = index
 }
 
-// recordCommitted takes note that an entry of this term is committed: if it is the last record of
-// the book, more may be spent.
+// recordCommitted records that an entry of this term is committed. If it is the last budget
+// record, requests that waited for it can go on.
 func (o *owner) recordCommitted(now event.Time, index consensus.Index, s *State, out *Effects) {
 	if index == o.poisonIndex {
 		o.poisonCommitted(now, s, out)
@@ -186,17 +184,17 @@
 	o.forgetAbsentEntries(now)
 	o.budgets.Tick(now)
 	limit := downAfterHeartbeats * s.settings.BeatEvery
-	fallen := make(map[event.EndpointID]event.Time)
+	lost := make(map[event.EndpointID]event.Time)
 	for id, at := range o.lastHeartbeat {
 		if down := now.Sub(at) > limit; down != o.down[id] {
 			o.setDown(now, id, down, s, out)
 			if down {
-				fallen[event.EndpointID(id)] = at
+				lost[event.EndpointID(id)] = at
 			}
 		}
 	}
-	if len(fallen) > 0 {
-		o.admission.Fallen(now, fallen, &o.effects)
+	if len(lost) > 0 {
+		o.admission.Fallen(now, lost, &o.effects)
 	}
 	o.updateLimitShare(now)
 	o.admission.Tick(now, &o.effects)
@@ -207,42 +205,42 @@
 	o.raiseFormatVersion(now, s, out)
 }
 
-// forgetAbsentEntries takes what entries had running as ended that are away for long, of some in
-// each tick: 130 of them at once, each looked for in 20,000 requests, were a step of 58 ms.
+// forgetAbsentEntries takes the requests of long disconnected entries as terminated. The number of
+// entries per tick is bounded to keep the step short: each scans all requests.
 func (o *owner) forgetAbsentEntries(now event.Time) {
-	var gone []event.BoxID
+	var expired []event.BoxID
 	for name, e := range o.entries {
 		if e.session != 0 {
 			continue
 		}
 		if away := now.Sub(e.disconnectedAt); away > entryTimeout && !e.isForgotten {
-			gone = append(gone, name)
+			expired = append(expired, name)
 		} else if away > o.entryRetention {
 			delete(o.entries, name)
 		}
 	}
-	slices.Sort(gone)
-	for _, name := range gone[:min(len(gone), maxForgetPerTick)] {
+	slices.Sort(expired)
+	for _, name := range expired[:min(len(expired), maxForgetPerTick)] {
 		o.entries[name].isForgotten = true
 		o.admission.EntryGone(now, name, &o.effects)
 		o.admission.EntryDied(now, name, &o.effects)
 	}
 }
 
-// logBudgets tells the log how the budgets stand that are more than half used.
+// logBudgets logs the budgets that are more than half used.
 func (o *owner) logBudgets(now event.Time, out *Effects) {
 	if now.Sub(o.budgetsLoggedAt) < budgetLogInterval {
 		return
 	}
 	o.budgetsLoggedAt = now
 	for _, u := range o.budgets.High(now) {
-		out.logInfo("budget", Field{"account", string(u.Account)}, Field{"spent", u.Spent}, Field{"lent", u.Lent},
+		out.logInfo("budget usage", Field{"account", string(u.Account)}, Field{"spent", u.Spent}, Field{"lent", u.Lent},
 			Field{"inherited", u.Inherited}, Field{"limit", u.Most}, Field{"owner_ms", now.Sub(o.startedAt).Milliseconds()})
 	}
 }
 
-// entryCount returns how many entries share the endpoints, those that are away included: they
-// may send to them alone until their configuration is too old.
+// entryCount returns how many entries share the endpoints. It includes disconnected ones: they may
+// send requests without an owner until their configuration expires.
 func (o *owner) entryCount(now event.Time) int {
 	if now.Sub(o.startedAt) > o.entryRetention {
 		return max(1, len(o.entries))
@@ -250,10 +248,10 @@
 	return max(1, o.expectedEntries, len(o.entries))
 }
 
-// isAddressTaken reports whether a message comes from an endpoint whose address another one took
-// that is heard: the message was long on its way, and its sender is dead. Where the other is
-// silent the message counts. An endpoint whose address was taken by a late message of a dead
-// one would else get no requests for the rest of its life.
+// isAddressTaken reports whether a heartbeat is from an endpoint whose address was taken by another
+// that is alive: then it was delayed and its sender is dead. If the other is overdue the heartbeat
+// counts; otherwise an endpoint whose address was taken by a delayed message of a dead one would
+// never get requests again.
 func (o *owner) isAddressTaken(now event.Time, e registry.Endpoint, s *State) bool {
 	other := s.machine.registry.Contests(e)
 	return other != "" && other != e.ID && now.Sub(o.lastHeartbeat[other]) < event.Span(reclaimAfterHeartbeats*float64(s.settings.BeatEvery))
@@ -269,7 +267,7 @@
 	}
 }
 
-// setDown changes what is believed of an endpoint's life.
+// setDown marks an endpoint up or down.
 func (o *owner) setDown(now event.Time, id string, down bool, s *State, out *Effects) {
 	e, ok := s.machine.registry.Endpoints[id]
 	if !ok {
@@ -278,14 +276,14 @@
 		return
 	}
 	o.down[id] = down
-	out.logInfo("endpoint silent", Field{"endpoint", id}, Field{"down", down}, Field{"heard_ms_ago", now.Sub(o.lastHeartbeat[id]).Milliseconds()})
+	out.logInfo("endpoint liveness changed", Field{"endpoint", id}, Field{"down", down}, Field{"heard_ms_ago", now.Sub(o.lastHeartbeat[id]).Milliseconds()})
 	o.publishEndpoint(now, e)
 }
 
-// applyChange takes what a command changed.
+// applyChange applies the endpoints that a command updated or removed.
 func (o *owner) applyChange(now event.Time, c change, s *State, out *Effects) {
 	for _, id := range c.removed {
-		if len(c.updated) > 0 { // another one has its address: it has ended without a word
+		if len(c.updated) > 0 { // replaced at its address, so it terminated without notice
 			o.admission.Fallen(now, map[event.EndpointID]event.Time{event.EndpointID(id): o.lastHeartbeat[id]}, &o.effects)
 		}
 		delete(o.lastHeartbeat, id)
@@ -297,12 +295,12 @@
 	}
 	for _, e := range c.updated {
 		o.lastHeartbeat[e.ID] = now
-		out.logInfo("endpoint", Field{"endpoint", e.ID}, Field{"service", e.Service}, Field{"address", e.Address}, Field{"leaving", e.Leaving}, Field{"sequence", e.Sequence})
+		out.logInfo("endpoint updated", Field{"endpoint", e.ID}, Field{"service", e.Service}, Field{"address", e.Address}, Field{"leaving", e.Leaving}, Field{"sequence", e.Sequence})
 		o.publishEndpoint(now, e)
 	}
 }
 
-// applyConfig takes a new configuration and tells all entries of it.
+// applyConfig applies a new configuration and announces it to all entries.
 func (o *owner) applyConfig(now event.Time, s *State, out *Effects) {
 	o.admission.SetTable(now, s.config.table)
 	for _, id := range o.sessionIDs() {
@@ -310,8 +308,8 @@
 	}
 }
 
-// sendDecisions sends the decisions that were made to their entries. While the lease has lapsed
-// they are held back: nobody else decides until this term is over, and with it this owner.
+// sendDecisions sends the pending decisions to their entries. While the lease has lapsed they are
+// kept: no other box decides before this term, and with it this owner, ends.
 func (o *owner) sendDecisions(now event.Time, s *State, out *Effects) {
 	if !s.owns(now) {
 		return
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -14,13 +14,13 @@
 	"lynxramp.org/message"
 )
 
-// redialInterval is how often a peer that can't be reached is dialled.
+// redialInterval is the least time between two dials of an unreachable peer.
 const redialInterval = 200 * time.Millisecond
 
-// maxPeers bounds how many boxes are remembered.
+// maxPeers bounds the number of known boxes.
 const maxPeers = 64
 
-// peers carries messages to the other control boxes. What can't be sent at once
+// peers sends messages to the other control boxes. A message that can't be sent at once
 // is dropped: the replicated log sends it again.
 type peers struct {
 	self string
@@ -31,39 +31,40 @@
 	members []string
 }
 
-// peer is the way to one other box.
+// peer is the connection to another box.
 type peer struct {
-	address string
-	conn    *link.Conn[message.Envelope] // nil while there is none
-	dialedAt  time.Time
-	dialing bool
+	address  string
+	conn     *link.Conn[message.Envelope] // nil while disconnected
+	dialedAt time.Time
+	dialing  bool
 }
 
 func newPeers(self string, log *zap.Logger) *peers {
 	return &peers{self: self, log: log, all: make(map[string]*peer)}
 }
 
-// add remembers a box.
+// add adds a box.
 func (p *peers) add(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.get(address)
 }
 
-// get returns the way to a box; nil for this box itself.
+// get returns the peer of an address and adds it if needed; nil for this box itself, or if there
+// are maxPeers already.
 func (p *peers) get(address string) *peer {
 	if address == p.self || address == "" {
 		return nil
 	}
-	one, ok := p.all[address]
+	remote, ok := p.all[address]
 	if !ok {
 		if len(p.all) >= maxPeers {
 			return nil
 		}
-		one = &peer{address: address}
-		p.all[address] = one
+		remote = &peer{address: address}
+		p.all[address] = remote
 	}
-	return one
+	return remote
 }
 
 // Send implements store.Sender.
@@ -74,44 +75,44 @@
 func (p *peers) send(address string, m *message.Envelope) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one := p.get(address)
+	remote := p.get(address)
 	switch {
-	case one == nil:
-	case one.conn != nil:
-		one.conn.Send(m)
-	case !one.dialing && time.Since(one.dialedAt) > redialInterval:
-		one.dialing = true
-		one.dialedAt = time.Now()
-		go p.dial(one, m)
+	case remote == nil:
+	case remote.conn != nil:
+		remote.conn.Send(m)
+	case !remote.dialing && time.Since(remote.dialedAt) > redialInterval:
+		remote.dialing = true
+		remote.dialedAt = time.Now()
+		go p.dial(remote, m)
 	}
 }
 
-// dial connects to a box, sends the message that asked for it, and holds the
-// connection until it ends.
-func (p *peers) dial(one *peer, first *message.Envelope) {
-	conn, err := link.Dial[message.Envelope](one.address)
+// dial connects to a box, sends the message that required the connection, and serves the
+// connection until it is closed.
+func (p *peers) dial(remote *peer, first *message.Envelope) {
+	conn, err := link.Dial[message.Envelope](remote.address)
 	var other message.Peer
 	if err == nil {
 		conn.SetForms(other.Asking())
 		conn.Send(first.Introduced())
 	}
 	p.mu.Lock()
-	one.dialing = false
-	one.conn = conn
+	remote.dialing = false
+	remote.conn = conn
 	p.mu.Unlock()
 	if err != nil {
-		p.log.Debug("control box not reached", zap.String("address", one.address), logx.Err(err))
+		p.log.Debug("can't connect to control box; retrying with a later message", zap.String("address", remote.address), logx.Err(err))
 		return
 	}
-	p.log.Info("control box reached", zap.String("address", one.address))
+	p.log.Info("connected to control box", zap.String("address", remote.address))
 	err = conn.Serve(func(*message.Envelope) {})
 	p.mu.Lock()
-	one.conn = nil
+	remote.conn = nil
 	p.mu.Unlock()
-	p.log.Info("control box lost", zap.String("address", one.address), logx.Err(err))
+	p.log.Info("connection to control box closed", zap.String("address", remote.address), logx.Err(err))
 }
 
-// setMembers takes the addresses of the group's members.
+// setMembers sets the addresses of the group's members.
 func (p *peers) setMembers(members []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,7 +122,7 @@
 	}
 }
 
-// sendMembers tells a box that asks to join whom it may ask.
+// sendMembers sends the members' addresses to a box that asks to join.
 func (p *peers) sendMembers(address string) {
 	p.mu.Lock()
 	members := p.members
@@ -131,7 +132,7 @@
 	}
 }
 
-// addMembers remembers the members that another box told of.
+// addMembers adds the members that another box sent.
 func (p *peers) addMembers(r *message.Redirect) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,7 +141,7 @@
 	}
 }
 
-// requestJoin asks all boxes that are known to take this one in.
+// requestJoin sends all known boxes a request to join.
 func (p *peers) requestJoin(self consensus.Member) {
 	p.mu.Lock()
 	addresses := make([]string, 0, len(p.all))
--- a/cluster/pieces_test.go
+++ b/cluster/pieces_test.go
@@ -105,7 +105,7 @@
 	first.Leaving, first.Sequence = true, 2
 	s.tell(s.mustOwner(), first)
 	s.token++
-	s.step(s.mustOwner(), &EndpointRemoved{Call: s.token, Name: largeEndpoint(1).ID})
+	s.step(s.mustOwner(), &EndpointRemoved{CallID: s.token, Name: largeEndpoint(1).ID})
 	s.run(200 * event.Millisecond)
 	s.stop(s.mustOwner().name)
 	s.run(2 * second)
--- a/cluster/poison.go
+++ b/cluster/poison.go
@@ -8,35 +8,35 @@
 	"lynxramp.org/poison"
 )
 
-// This file is an owner's part in what is known of requests that end endpoints: it takes in what
-// entries tell, puts it into the log, and tells the entries what must not run without an owner.
+// This file records poison requests, under which endpoints terminate: an owner receives the terminations
+// from entries, records them in the log, and sends entries the requests that must not run without an owner.
 
-// terminationProgress is how far the ends that an entry tells have come, by their numbers.
+// terminationProgress has the numbers up to which the terminations reported by an entry were processed.
 type terminationProgress struct {
-	received   uint64
-	pending uint64 // in the record on its way to the log, or before
-	saved   uint64
+	received uint64
+	pending  uint64 // in the last proposed record, or before
+	saved    uint64
 }
 
-// receiveTerminations takes in ends that an entry tells, those once that it tells again.
+// receiveTerminations applies the terminations that an entry reports, and skips repeated ones.
 func (o *owner) receiveTerminations(now event.Time, e *entry, b *message.Batch) {
-	var news []poison.End
+	var added []poison.End
 	for _, end := range b.Ends {
 		if end.Number > e.terminations.received {
 			e.terminations.received = end.Number
-			news = append(news, end)
+			added = append(added, end)
 		}
 	}
-	o.admission.Ended(now, news, &o.effects)
+	o.admission.Ended(now, added, &o.effects)
 	for _, p := range b.Well {
 		o.poison.Answered(now, p)
 	}
 }
 
-// recordPoison puts a record of the requests that end endpoints into the log when one is due.
+// recordPoison proposes a record of poison requests when one is due.
 func (o *owner) recordPoison(now event.Time, s *State, out *Effects) {
 	for _, c := range o.poison.TakeChanges() {
-		out.logInfo("request under which endpoints ended", Field{"what", c.What.String()}, Field{"print", c.Print.String()},
+		out.logInfo("suspected poison request changed state", Field{"what", c.What.String()}, Field{"print", c.Print.String()},
 			Field{"ends", c.Ends}, Field{"trials", c.Trials}, Field{"id", string(c.Request)})
 	}
 	if !o.poison.Due() || !s.owns(now) {
@@ -49,21 +49,21 @@
 		}
 	}
 	if !o.poisonLogged {
-		// Members that don't read it would pass it over and differ. What is known lasts as long as
-		// this owner.
+		// Members that can't read the record would skip it and diverge, so it is kept by this
+		// owner only.
 		o.poisonCommitted(now, s, out)
 		return
 	}
 	index, err := s.node.Propose(now, encodePoison(record), &out.Ready)
 	if err != nil {
-		// It does not lead any more, and will find out; entries tell the next owner again.
-		out.logInfo("requests that end endpoints not recorded", Field{"error", err.Error()})
+		// No longer the leader; the entries report again to the next owner.
+		out.logInfo("poison record not proposed: no longer the leader", Field{"error", err.Error()})
 		return
 	}
 	o.poisonIndex = index
 }
 
-// poisonCommitted takes note that the last record is committed: trials that waited for it run.
+// poisonCommitted releases the trials that waited for the last record to be committed.
 func (o *owner) poisonCommitted(now event.Time, s *State, out *Effects) {
 	o.poison.Committed()
 	for _, e := range o.entries {
@@ -73,7 +73,7 @@
 	o.sendDecisions(now, s, out)
 }
 
-// savedTerminations returns up to which number an entry's ends are in the log, or changed nothing.
+// savedTerminations returns the number up to which an entry's terminations need not be reported again.
 func (o *owner) savedTerminations(e *entry) uint64 {
 	if o.poison.IsSaved() {
 		e.terminations.saved = e.terminations.received
@@ -81,8 +81,8 @@
 	return e.terminations.saved
 }
 
-// sendSuspects tells all entries which requests must not run without an owner, if they are
-// others than at the last time.
+// sendSuspects sends all entries the requests that must not run without an owner, if the list
+// changed.
 func (o *owner) sendSuspects(out *Effects) {
 	list, revision := o.poison.Suspects()
 	if revision == o.suspectsRevision {
--- a/cluster/server.go
+++ b/cluster/server.go
@@ -24,30 +24,30 @@
 	"lynxramp.org/store"
 )
 
-// Times and bounds of a control box.
+// Intervals and bounds of a control box.
 const (
-	tickInterval  = 50 * time.Millisecond
-	joinInterval  = 300 * time.Millisecond
+	tickInterval   = 50 * time.Millisecond
+	joinInterval   = 300 * time.Millisecond
 	eventQueueSize = 1024
-	// leaderTimeout is how long a voter may be without a leader before it asks to
-	// join again: it may have been replaced.
+	// leaderTimeout is how long a voter may be without a leader before it asks to join
+	// again: it may have been replaced.
 	leaderTimeout = 2 * event.Second
 	// transferTimeout is how long a planned stop waits for another leader.
 	transferTimeout = 600 * time.Millisecond
 )
 
-// founderIncarnation is the incarnation of a founder's first disk. It is the same on all
-// founders, so that each knows the others' ids without asking.
+// founderIncarnation is the incarnation of the first disk of each founding member. It is the same
+// on all of them, so that each knows the ids of the others.
 const founderIncarnation = event.Incarnation(1)
 
-// Config says what a control box is and whom it knows.
+// Config is the configuration of a control box.
 type Config struct {
 	Link      string // its own link address, IP:port
-	LinkBind  string // where it listens for links, if that is not Link
-	Operators string // where operators and endpoints reach it, IP:port
-	// Seeds are operators' addresses of boxes of the group, perhaps old ones.
+	LinkBind  string // listen address for links, if that is not LinkAddress
+	Operators string // address for operators and endpoints, IP:port
+	// Seeds are operator addresses of boxes of the group; some may be outdated.
 	Seeds []string
-	// Found says that the seeds are to found a group, if the disk is empty.
+	// Bootstrap says that the seeds form a new group, if the disk is empty.
 	Found    bool
 	Data     string
 	Settings Settings
@@ -62,50 +62,50 @@
 	state  *State
 	writer *store.Keeper
 	peers  *peers
-	events  chan Event
-	// logEvents has the messages of the replicated log. They go before all else: a lease must not
-	// lapse, nor an election fail, because hundreds of entries speak at once.
-	logEvents chan Event
-	decoder  *decoder
-	meters   meters
-	lastCall   atomic.Uint64
-	lastConnection    atomic.Uint64 // connections that others made, counted
-	// fatal has why the process must end by itself.
+	events chan Event
+	// logEvents has the messages of the replicated log. They have priority over events: a burst of
+	// entries' messages must not make a lease lapse or an election fail.
+	logEvents      chan Event
+	decoder        *decoder
+	meters         meters
+	lastCall       atomic.Uint64
+	lastConnection atomic.Uint64 // number of the last inbound connection
+	// fatal receives the error for which the process must stop.
 	fatal chan error
 
-	mu       sync.Mutex
-	calls    map[CallID]chan Answer
-	sessions map[SessionID]*link.Conn[message.Envelope]
-	lastSession     SessionID
+	mu          sync.Mutex
+	calls       map[CallID]chan Answer
+	sessions    map[SessionID]*link.Conn[message.Envelope]
+	lastSession SessionID
 }
 
-// Open opens a box's data folder and makes its server.
+// Open opens a box's data directory and returns its server.
 func Open(c Config) (*Server, error) {
 	disk := event.Incarnation(random.Number())
-	founds := c.Found && slices.Contains(c.Seeds, c.Operators)
-	if founds {
+	bootstraps := c.Found && slices.Contains(c.Seeds, c.Operators)
+	if bootstraps {
 		disk = founderIncarnation
 	}
 	opened, identity, restored, err := store.Open(c.Data, event.BoxID(c.Link), disk)
 	if err != nil {
 		return nil, err
 	}
-	if founds && identity.Group == "" && restored.Snapshot.Index == 0 && identity.Disk == founderIncarnation {
+	if bootstraps && identity.Group == "" && restored.Snapshot.Index == 0 && identity.Disk == founderIncarnation {
 		if restored, err = bootstrap(c, opened, identity); err != nil {
 			return nil, err
 		}
 	}
 	s := &Server{
-		config:   c,
-		log:      c.Log,
-		clock:    event.NewClock(),
+		config:    c,
+		log:       c.Log,
+		clock:     event.NewClock(),
 		events:    make(chan Event, eventQueueSize),
 		logEvents: make(chan Event, eventQueueSize),
-		decoder:  newDecoder(c.Settings.Decode),
-		meters:   newMeters(),
-		fatal:  make(chan error, 1),
-		calls:    make(map[CallID]chan Answer),
-		sessions: make(map[SessionID]*link.Conn[message.Envelope]),
+		decoder:   newDecoder(c.Settings.Decode),
+		meters:    newMeters(),
+		fatal:     make(chan error, 1),
+		calls:     make(map[CallID]chan Answer),
+		sessions:  make(map[SessionID]*link.Conn[message.Envelope]),
 	}
 	c.Settings.Seed = random.Number()
 	s.state, err = NewState(s.clock.Now(), identity.Member(), restored, c.Settings)
@@ -114,13 +114,13 @@
 	}
 	s.peers = newPeers(c.Link, c.Log)
 	s.writer = store.NewKeeper(&store.Patient{Disk: opened, Context: context.Background(), Log: c.Log}, s.peers)
-	s.log.Info("control box starts", zap.String("member", string(identity.Member())), zap.Bool("founds", founds),
+	s.log.Info("control box starting", zap.String("member", string(identity.Member())), zap.Bool("founds", bootstraps),
 		zap.Uint64("last_entry", uint64(restored.Snapshot.Index)+uint64(len(restored.Entries))),
 		zap.Uint64("term", uint64(restored.HardState.Term)), zap.Uint64("version", s.state.Document().Version))
 	return s, nil
 }
 
-// bootstrap writes the first membership to an empty disk: the seeds, all of them.
+// bootstrap writes the first membership, all seeds, to an empty disk.
 func bootstrap(c Config, disk *store.Store, identity store.Identity) (consensus.Restored, error) {
 	var founders []consensus.Member
 	for _, seed := range c.Seeds {
@@ -140,8 +140,8 @@
 	return r, disk.SetIdentity(identity)
 }
 
-// LinkAddress returns the link address of a box by its operators' address: the
-// port is that of own, which is the same on all boxes.
+// LinkAddress returns the link address of the box with an operator address. The port is that of
+// own, as all boxes use the same one.
 func LinkAddress(operators, own string) string {
 	host, _, err := net.SplitHostPort(operators)
 	if err != nil {
@@ -154,37 +154,38 @@
 	return net.JoinHostPort(host, port)
 }
 
-// Run serves until ctx ends, then hands the lead to another box.
+// Run serves until ctx ends, then transfers leadership to another box. It returns an error if the
+// box found data that only a later build can read.
 func (s *Server) Run(ctx context.Context) error {
 	listener, err := link.Listen(cmp.Or(s.config.LinkBind, s.config.Link), s.serve)
 	if err != nil {
 		return err
 	}
 	defer listener.Close()
-	keep, stop := context.WithCancel(context.Background())
+	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
-		if err := s.writer.Run(keep); err != nil {
-			s.log.Error("keeper ended", zap.String("error", err.Error()))
+		if err := s.writer.Run(runCtx); err != nil {
+			s.log.Error("log writer stopped", zap.String("error", err.Error()))
 		}
 	}()
-	go s.maintainMembership(keep)
-	go s.decoder.run(keep, s.events)
-	go s.loop(keep)
+	go s.maintainMembership(runCtx)
+	go s.decoder.run(runCtx, s.events)
+	go s.loop(runCtx)
 	select {
 	case <-ctx.Done():
 	case err := <-s.fatal:
-		s.log.Error("control box stops: it met a form that it does not read", logx.Err(err),
+		s.log.Error("control box stopping: found a format that it does not support", logx.Err(err),
 			zap.Uint8("level", uint8(level.Newest)), zap.String("build", level.Build()))
 		return err
 	}
-	s.log.Info("control box stops: hands the lead over")
+	s.log.Info("control box stopping; transferring leadership")
 	s.events <- &StopRequested{}
 	time.Sleep(transferTimeout)
 	return nil
 }
 
-// SetSeeds takes note of other boxes that the settings now name.
+// AddSeeds adds boxes that the settings name.
 func (s *Server) SetSeeds(seeds []string) {
 	for _, seed := range seeds {
 		s.peers.add(LinkAddress(seed, s.config.Link))
@@ -216,7 +217,7 @@
 	}
 }
 
-// nextLogEvent returns an event that the replicated log waits for; nil if there is none.
+// nextLogEvent returns a pending event of the replicated log or a tick; nil if there is none.
 func (s *Server) nextLogEvent(ticker *time.Ticker) Event {
 	select {
 	case e := <-s.logEvents:
@@ -271,16 +272,16 @@
 	for _, id := range out.Closes {
 		if c, ok := s.sessions[id]; ok {
 			delete(s.sessions, id)
-			time.AfterFunc(tickInterval, c.Close) // what was sent goes first
+			time.AfterFunc(tickInterval, c.Close) // let queued messages go out first
 		}
 	}
 	if len(out.Heartbeats) > 0 {
 		s.peers.send(string(out.Leader.Box()), &message.Envelope{Heard: &message.Heard{Endpoints: out.Heartbeats}})
 	}
 	for _, a := range out.Answers {
-		if call, ok := s.calls[a.Call]; ok {
+		if call, ok := s.calls[a.CallID]; ok {
 			call <- a
-			delete(s.calls, a.Call)
+			delete(s.calls, a.CallID)
 		}
 	}
 }
@@ -299,8 +300,7 @@
 	delete(s.sessions, id)
 }
 
-// maintainMembership asks the group to take this box in while it has no vote or hears no
-// leader.
+// maintainMembership asks the group to add this box while it is no voter or hears no leader.
 func (s *Server) maintainMembership(ctx context.Context) {
 	s.SetSeeds(s.config.Seeds)
 	ticker := time.NewTicker(joinInterval)
@@ -311,9 +311,9 @@
 			return
 		case <-ticker.C:
 		}
-		asks, members := s.membership()
+		shouldJoin, members := s.membership()
 		s.peers.setMembers(members)
-		if asks {
+		if shouldJoin {
 			s.peers.requestJoin(s.self())
 		}
 	}
@@ -323,56 +323,55 @@
 	return consensus.Member{ID: s.state.node.ID(), Address: s.config.Operators}
 }
 
-// membership returns whether this box is to ask to join, and whom it knows.
+// membership reports whether this box should ask to join, and the known members' link addresses.
 func (s *Server) membership() (bool, []string) {
 	type result struct {
-		asks    bool
-		members []string
+		shouldJoin bool
+		members    []string
 	}
 	c := make(chan result, 1)
 	s.events <- inspect(func(now event.Time, state *State) {
-		quiet := now.Sub(state.node.HeardLeader()) > leaderTimeout && state.node.Leader() != state.node.ID()
-		c <- result{!state.node.IsVoter() || quiet, state.memberLinkAddresses()}
+		isLeaderless := now.Sub(state.node.HeardLeader()) > leaderTimeout && state.node.Leader() != state.node.ID()
+		c <- result{!state.node.IsVoter() || isLeaderless, state.memberLinkAddresses()}
 	})
 	r := <-c
-	return r.asks, r.members
+	return r.shouldJoin, r.members
 }
 
-// inspect is an event that looks at the state.
+// inspect is an event that reads the state.
 type inspect func(event.Time, *State)
 
 func (inspect) isEvent() {}
 
-// call passes an event with a token on and waits for the answer.
-func (s *Server) call(ctx context.Context, ask func(CallID) Event) Answer {
+// call sends an event with a new call id and waits for the answer.
+func (s *Server) call(ctx context.Context, newEvent func(CallID) Event) Answer {
 	began := time.Now()
-	a := s.await(ctx, ask)
+	a := s.await(ctx, newEvent)
 	s.meters.recordCall(began, a.Status)
 	return a
 }
 
-func (s *Server) await(ctx context.Context, ask func(CallID) Event) Answer {
-	token := CallID(s.lastCall.Add(1))
+func (s *Server) await(ctx context.Context, newEvent func(CallID) Event) Answer {
+	id := CallID(s.lastCall.Add(1))
 	answer := make(chan Answer, 1)
 	s.mu.Lock()
-	s.calls[token] = answer
+	s.calls[id] = answer
 	s.mu.Unlock()
-	s.events <- ask(token)
+	s.events <- newEvent(id)
 	select {
 	case a := <-answer:
 		return a
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
-	delete(s.calls, token)
+	delete(s.calls, id)
 	s.mu.Unlock()
-	s.events <- &CallCancelled{Call: token}
-	return Answer{Call: token, Status: StatusUnknown}
+	s.events <- &CallCancelled{CallID: id}
+	return Answer{CallID: id, Status: StatusUnknown}
 }
 
-// PutDocument replicates a configuration. When the answer is StatusDone, it or a
-// higher version is committed. One that is not sound goes nowhere: the error has all
-// findings.
+// PutDocument replicates a configuration. StatusDone means that it or a higher version is
+// committed. An invalid configuration is not replicated; the error has all findings.
 func (s *Server) PutDocument(ctx context.Context, data []byte) (Answer, error) {
 	table, err := s.decoder.decode(data)
 	if err != nil {
@@ -380,28 +379,28 @@
 	}
 	d := Document{Version: table.Version, Data: data}
 	d.pack()
-	return s.call(ctx, func(k CallID) Event { return &DocumentSubmitted{Call: k, Document: d} }), nil
+	return s.call(ctx, func(id CallID) Event { return &DocumentSubmitted{CallID: id, Document: d} }), nil
 }
 
-// ReadDocument returns the newest configuration. StatusDone is only answered while the
-// lease holds on which that rests, so the answer must be passed on at once.
+// ReadDocument returns the newest configuration. StatusDone is only returned while the lease
+// holds, so the answer must be passed on at once.
 func (s *Server) ReadDocument(ctx context.Context) Answer {
-	a := s.call(ctx, func(k CallID) Event { return &DocumentRequested{Call: k} })
+	a := s.call(ctx, func(id CallID) Event { return &DocumentRequested{CallID: id} })
 	if a.Status == StatusDone && (s.clock.Now() >= a.ValidUntil || a.Document.Version == 0) {
-		return Answer{Call: a.Call, Status: StatusUnknown}
+		return Answer{CallID: a.CallID, Status: StatusUnknown}
 	}
 	return a
 }
 
-// TellEndpoint takes an endpoint's word on itself.
+// Heartbeat stores the state that an endpoint reports.
 func (s *Server) TellEndpoint(ctx context.Context, e registry.Endpoint) Answer {
-	return s.call(ctx, func(k CallID) Event { return &HeartbeatReceived{Call: k, Endpoint: e} })
+	return s.call(ctx, func(id CallID) Event { return &HeartbeatReceived{CallID: id, Endpoint: e} })
 }
 
-// RemoveEndpoint takes note that an endpoint ends; born is as in registry.Endpoint.
+// RemoveEndpoint removes an endpoint that terminates; born is as in registry.Endpoint.
 func (s *Server) RemoveEndpoint(ctx context.Context, name string, born uint64) Answer {
-	return s.call(ctx, func(k CallID) Event { return &EndpointRemoved{Call: k, Name: name, Born: born} })
+	return s.call(ctx, func(id CallID) Event { return &EndpointRemoved{CallID: id, Name: name, Born: born} })
 }
 
-// Log returns the box's log.
+// Logger returns the logger of the box.
 func (s *Server) Log() *zap.Logger { return s.log }
--- a/cluster/server_test.go
+++ b/cluster/server_test.go
@@ -92,7 +92,7 @@
 	put := func(d Document) *Server {
 		for ctx.Err() == nil {
 			for _, s := range servers {
-				token := func(k CallID) Event { return &DocumentSubmitted{Call: k, Document: d} }
+				token := func(k CallID) Event { return &DocumentSubmitted{CallID: k, Document: d} }
 				if a := s.call(ctx, token); a.Status == StatusDone {
 					return s
 				}
--- a/cluster/sim_test.go
+++ b/cluster/sim_test.go
@@ -200,7 +200,7 @@
 	s.messages = append(s.messages, out.Ready.Early...)
 	b.waiting = append(b.waiting, out.Ready)
 	for _, a := range out.Answers {
-		s.answers[a.Call] = a
+		s.answers[a.CallID] = a
 	}
 	if to := s.boxes[string(out.Leader.Box())]; len(out.Heartbeats) > 0 && to != nil && !s.cut(b.name, to.name) {
 		defer s.step(to, &HeartbeatsForwarded{IDs: out.Heartbeats})
@@ -325,7 +325,7 @@
 // isBusy reports whether a box still works on events that it took before this step.
 func (s *sim) isBusy(b *simBox) bool { return s.charge > 0 && b.busy > s.now.Add(simStep) }
 
-// join does what Server.stayMember does.
+// join does what Server.maintainMembership does.
 func (s *sim) join(b *simBox) {
 	node := b.state.Node()
 	quiet := s.now.Sub(node.HeardLeader()) > leaderTimeout && node.Leader() != node.ID()
@@ -367,20 +367,20 @@
 // put sends a configuration to a box and returns its token.
 func (s *sim) put(b *simBox, version uint64) CallID {
 	s.token++
-	s.step(b, &DocumentSubmitted{Call: s.token, Document: Document{Version: version, Data: fmt.Appendf(nil, "v%d", version)}})
+	s.step(b, &DocumentSubmitted{CallID: s.token, Document: Document{Version: version, Data: fmt.Appendf(nil, "v%d", version)}})
 	return s.token
 }
 
 func (s *sim) tell(b *simBox, e registry.Endpoint) CallID {
 	s.token++
-	s.step(b, &HeartbeatReceived{Call: s.token, Endpoint: e})
+	s.step(b, &HeartbeatReceived{CallID: s.token, Endpoint: e})
 	return s.token
 }
 
 // read asks a box for the configuration.
 func (s *sim) read(b *simBox) Answer {
 	s.token++
-	s.step(b, &DocumentRequested{Call: s.token})
+	s.step(b, &DocumentRequested{CallID: s.token})
 	return s.answers[s.token]
 }
 
--- a/cluster/size_test.go
+++ b/cluster/size_test.go
@@ -160,7 +160,7 @@
 	}
 	s.tell(s.mustOwner(), manyEndpoint(40, 1))
 	s.token++
-	s.step(s.mustOwner(), &EndpointRemoved{Call: s.token, Name: manyEndpoint(7, 1).ID})
+	s.step(s.mustOwner(), &EndpointRemoved{CallID: s.token, Name: manyEndpoint(7, 1).ID})
 	s.run(second)
 	s.stop(s.mustOwner().name)
 	s.run(6 * second) // all fall silent
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -15,20 +15,20 @@
 	"lynxramp.org/registry"
 )
 
-// The first byte of a snapshot says how the rest is written: formatJSON up to level.Packed, then
-// formatParts, formatSuspects, and formatVersioned, which says the level itself behind it.
+// The first byte of a snapshot is its encoding: formatJSON for the oldest formats, formatParts,
+// formatSuspects, and formatVersioned, which is followed by the format version.
 const (
-	formatJSON     = '{'
-	formatParts    = 1
-	formatSuspects = 2
-	formatVersioned     = 3
-	lastFormat     = formatVersioned
+	formatJSON      = '{'
+	formatParts     = 1
+	formatSuspects  = 2
+	formatVersioned = 3
+	lastFormat      = formatVersioned
 )
 
-// errSnapshot says that a snapshot is not one.
-var errSnapshot = errors.New("snapshot can't be read")
+// errSnapshot is the error of a malformed snapshot.
+var errSnapshot = errors.New("malformed snapshot")
 
-// jsonState is the machine as JSON.
+// jsonState is the state in JSON.
 type jsonState struct {
 	Version  uint64         `json:"version"`
 	Data     []byte         `json:"data"`
@@ -36,9 +36,9 @@
 	Spending budget.Record  `json:"spending"`
 }
 
-// snapshot returns the machine as bytes, in the newest form that its level has: those of documents as
-// they are in the log, compressed. Equal machines have equal snapshots, so that a member that gets one
-// from several leaders can put it together.
+// snapshot encodes the state in the newest encoding of its format version. Documents are compressed, as
+// in the log. Equal states have equal snapshots, so that a member can assemble one from the chunks of
+// several leaders.
 func (m *stateMachine) snapshot() []byte {
 	var data []byte
 	switch {
@@ -98,9 +98,10 @@
 	return appendBytes(data, field)
 }
 
-// restore makes the machine what a snapshot says, of any level up to what the box reads; an empty one is
-// that of a new group of a build before level.Told. The error of one of a later build is a level.Above.
-func (m *stateMachine) restore(data []byte, reads level.Level) error {
+// restore replaces the state by a snapshot of any supported format version. An empty snapshot is that of a
+// new group of a build without format versions. The error for a snapshot of a later build is a
+// level.UnsupportedError.
+func (m *stateMachine) restore(data []byte, supported level.Level) error {
 	*m = stateMachine{}
 	if len(data) == 0 {
 		return nil
@@ -114,19 +115,19 @@
 	case formatSuspects:
 		m.formatVersion = level.Suspects
 	case formatVersioned:
-		if one := r.take(1); one != nil {
-			m.formatVersion = level.Level(one[0])
+		if version := r.take(1); version != nil {
+			m.formatVersion = level.Level(version[0])
 		}
 	default:
 		return unknownFormatError(data[0])
 	}
-	if m.formatVersion > reads {
-		return level.TooNew("a snapshot", m.formatVersion, reads)
+	if m.formatVersion > supported {
+		return level.TooNew("a snapshot", m.formatVersion, supported)
 	}
-	return errors.Wrap(m.restoreFields(r), "snapshot")
+	return errors.Wrap(m.restoreFields(r), "restore snapshot")
 }
 
-// unknownFormatError returns what a snapshot is that begins with no format of this build.
+// unknownFormatError returns the error for a snapshot with an unknown encoding.
 func unknownFormatError(format byte) error {
 	if format == 0 || format > lastFormat+maxFutureFormats {
 		return errSnapshot
@@ -137,8 +138,8 @@
 	}
 }
 
-// maxFutureFormats is how many formats later builds may have added, so that a snapshot of one of them is
-// told from bytes that are none.
+// maxFutureFormats is how many encodings later builds may add, so that their snapshots are distinguished
+// from corrupt data.
 const maxFutureFormats = 16
 
 func (m *stateMachine) restoreJSON(data []byte) error {
@@ -171,7 +172,7 @@
 	return r.err
 }
 
-// reader reads what appendParts and appendJSON wrote. After an error it reads nothing.
+// reader decodes the output of appendParts and appendJSON. After an error it reads nothing.
 type reader struct {
 	data []byte
 	err  error
--- a/cluster/starts_test.go
+++ b/cluster/starts_test.go
@@ -40,7 +40,7 @@
 	late := e
 	late.Sequence, late.Leaving = 901, true
 	s.tell(s.mustOwner(), late)
-	s.step(s.mustOwner(), &EndpointRemoved{Call: 99, Name: "e", Born: 1000})
+	s.step(s.mustOwner(), &EndpointRemoved{CallID: 99, Name: "e", Born: 1000})
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: &message.Batch{Finish: []message.Finish{
 		{Finished: event.Finished{ID: "a", Pool: "s"}, Endpoint: "e/1000", Suspect: true},
 		{Finished: event.Finished{ID: "b", Pool: "s"}, Endpoint: "e/2000", Ran: message.RanWell},
--- a/cluster/state.go
+++ b/cluster/state.go
@@ -14,77 +14,78 @@
 	"lynxramp.org/routing"
 )
 
-// Bounds of the log and of endpoints' silence.
+// Bounds of the log and of missed heartbeats.
 const (
-	// minCompactBytes is the least that is logged between snapshots, in bytes, and compactGrowth how
-	// many times the last snapshot: making one, and writing and sending it, must stay a part of
-	// the work that the log itself makes.
-	minCompactBytes  = 4 << 20
-	compactGrowth = 2
-	// entryOverhead is what an entry counts besides its command, so that a log of small entries
-	// has a snapshot after 512 of them.
+	// A snapshot is due when the log since the last one exceeds both minCompactBytes bytes
+	// and compactGrowth times the size of the last snapshot, so that the cost of snapshots
+	// stays proportional to the log traffic.
+	minCompactBytes = 4 << 20
+	compactGrowth   = 2
+	// entryOverhead is what an entry counts besides its command, in bytes, so that a log of
+	// small entries has a snapshot after 512 of them.
 	entryOverhead = minCompactBytes / 512
-	// downAfterHeartbeats is how many times its own rhythm an endpoint may be silent before
-	// it is taken for down.
+	// downAfterHeartbeats is the number of heartbeat intervals without a heartbeat after
+	// which an endpoint is marked down.
 	downAfterHeartbeats = 4
 )
 
-// Settings are what a State must know of its deployment.
+// Settings are the deployment settings of a State.
 type Settings struct {
 	Limits    admission.Limits
 	Members   consensus.Limits
 	BeatEvery event.Span
-	// Fresh is how long an entry serves without an owner.
+	// ConfigValidity is how long an entry serves requests without an owner.
 	Fresh event.Span
 	Seed  uint64
-	// Decode reads a configuration and checks it. It takes long for a large one, and is called
-	// beside the loop.
+	// Decode parses and validates a configuration. It is slow for a large one and runs
+	// outside the event loop.
 	Decode func([]byte) (*routing.Table, error)
-	// FormatVersion is the level that the box reads; 0 is the newest. Tests set it.
+	// FormatVersion is the newest format version that the box supports; 0 means the newest.
+	// Only tests set it.
 	FormatVersion level.Level
 }
 
 // State is the reducer of a control box. It is not safe for concurrent use.
 type State struct {
-	settings Settings
-	node     *consensus.Node
-	machine  stateMachine
-	config   decodedConfig
-	pendingCalls  map[consensus.Index]pendingCall
-	pendingHeartbeats    map[string]bool // endpoints that the leader is not yet told of
-	uploads  uploadQueue
-	snapshotIndex  consensus.Index // of the last snapshot
-	// snapshotBytes is the length of the last snapshot, loggedBytes what was loggedBytes since.
+	settings          Settings
+	node              *consensus.Node
+	machine           stateMachine
+	config            decodedConfig
+	pendingCalls      map[consensus.Index]pendingCall
+	pendingHeartbeats map[string]bool // endpoints with heartbeats not yet forwarded to the leader
+	uploads           uploadQueue
+	snapshotIndex     consensus.Index // of the last snapshot
+	// snapshotBytes is the size of the last snapshot, loggedBytes the size of the log since.
 	snapshotBytes, loggedBytes int
-	// compactThreshold is compactBytes, but for tests.
+	// compactThreshold is minCompactBytes, except in tests.
 	compactThreshold int
-	owner        *owner // nil while this box does not own the pools
-	// pendingSessions are sessions of entries that came while no leader was known.
-	pendingSessions   map[SessionID]*pendingSession
-	leader  consensus.ID
-	members consensus.Membership // as last told in the log
-	formats  formatVersions
+	owner            *owner // nil while this box does not own the pools
+	// pendingSessions are sessions of entries that were opened while no leader was known.
+	pendingSessions map[SessionID]*pendingSession
+	leader          consensus.ID
+	members         consensus.Membership // as last written to the log file
+	formats         formatVersions
 }
 
-// pendingCall is a call that waits for its command to be committed.
+// pendingCall is a call whose command is not committed yet.
 type pendingCall struct {
 	call CallID
-	term  consensus.Term
+	term consensus.Term
 }
 
-// NewState returns the state of a member with what its disk holds.
+// NewState returns the state of a member, restored from its disk.
 func NewState(now event.Time, id consensus.ID, r consensus.Restored, settings Settings) (*State, error) {
 	s := &State{
-		settings: settings,
-		node:     consensus.New(now, id, r, settings.Seed),
-		pendingCalls:  make(map[consensus.Index]pendingCall),
-		pendingHeartbeats:    make(map[string]bool),
-		pendingSessions:    make(map[SessionID]*pendingSession),
-		snapshotIndex:  r.Snapshot.Index,
+		settings:          settings,
+		node:              consensus.New(now, id, r, settings.Seed),
+		pendingCalls:      make(map[consensus.Index]pendingCall),
+		pendingHeartbeats: make(map[string]bool),
+		pendingSessions:   make(map[SessionID]*pendingSession),
+		snapshotIndex:     r.Snapshot.Index,
 
-		snapshotBytes: len(r.Snapshot.Data),
-		compactThreshold:  minCompactBytes,
-		formats:        newFormatVersions(settings.FormatVersion),
+		snapshotBytes:    len(r.Snapshot.Data),
+		compactThreshold: minCompactBytes,
+		formats:          newFormatVersions(settings.FormatVersion),
 	}
 	for _, e := range r.Entries {
 		if e.Kind != consensus.EntryCommand {
@@ -96,7 +97,7 @@
 	}
 	s.node.SetLimits(settings.Members)
 	if s.formats.own >= level.Told {
-		s.node.SetUsualForms(consensus.Forms{Held: true}) // until a box has said what it reads
+		s.node.SetUsualForms(consensus.Forms{Held: true}) // until the peer has reported its format version
 	}
 	if err := s.restore(r.Snapshot.Data); err != nil {
 		return nil, err
@@ -105,16 +106,16 @@
 	return s, nil
 }
 
-// Node returns the box's part in the replicated log.
+// Node returns the box's member of the replicated log.
 func (s *State) Node() *consensus.Node { return s.node }
 
-// Document returns the configuration as far as it is applied here.
+// Document returns the newest configuration applied on this box.
 func (s *State) Document() Document { return s.machine.document }
 
-// Step takes one event and adds to out what follows from it.
+// Step applies one event and appends its effects to out.
 func (s *State) Step(now event.Time, e Event, out *Effects) {
-	if look, ok := e.(inspect); ok {
-		look(now, s)
+	if read, ok := e.(inspect); ok {
+		read(now, s)
 		return
 	}
 	s.stepNode(now, e, out)
@@ -145,7 +146,7 @@
 		s.node.Saved(now, e.Index, e.Term, &out.Ready)
 	case *JoinRequested:
 		if s.canJoin(e, out) {
-			// A box that does not lead has no say; the joining box asks on.
+			// Only the leader can add a member; the joining box retries.
 			_, _ = s.node.Join(now, e.Member, &out.Ready)
 		}
 	case *PeerConnected:
@@ -157,72 +158,72 @@
 	}
 }
 
-// owns reports whether this box owns the pools at now: no other can.
+// owns reports whether this box owns the pools at now. The lease excludes any other owner.
 func (s *State) owns(now event.Time) bool { return s.node.HasLease(now) }
 
-// stepCalls takes the calls of operators and endpoints.
+// stepCalls applies the calls of operators and endpoints.
 func (s *State) stepCalls(now event.Time, e Event, out *Effects) {
 	switch e := e.(type) {
 	case *DocumentSubmitted:
 		s.submitDocument(now, e, out)
 	case *DocumentRequested:
 		if !s.owns(now) {
-			s.answerNotLeader(e.Call, out)
+			s.answerNotLeader(e.CallID, out)
 			return
 		}
 		out.Answers = append(out.Answers, Answer{
-			Call: e.Call, Status: StatusDone, Document: s.machine.document, ValidUntil: s.node.LeaseEnd(now),
+			CallID: e.CallID, Status: StatusDone, Document: s.machine.document, ValidUntil: s.node.LeaseEnd(now),
 		})
 	case *HeartbeatReceived:
 		s.receiveHeartbeat(now, e, out)
 	case *EndpointRemoved:
 		s.removeEndpoint(now, e, out)
 	case *CallCancelled:
-		s.uploads.cancelCall(e.Call)
+		s.uploads.cancelCall(e.CallID)
 		for i, p := range s.pendingCalls {
-			if p.call == e.Call {
+			if p.call == e.CallID {
 				delete(s.pendingCalls, i)
 			}
 		}
 	}
 }
 
-// propose puts a command into the log, unless it is known to change nothing; the
-// call is answered when it is committed.
-func (s *State) propose(now event.Time, token CallID, command []byte, known bool, out *Effects) {
+// propose appends a command to the log, unless isNoop says that it changes nothing. The call is
+// answered once the command is committed.
+func (s *State) propose(now event.Time, call CallID, command []byte, isNoop bool, out *Effects) {
 	if !s.owns(now) {
-		s.answerNotLeader(token, out)
+		s.answerNotLeader(call, out)
 		return
 	}
-	if known {
-		out.Answers = append(out.Answers, Answer{Call: token, Status: StatusDone, Next: s.ownAddress()})
+	if isNoop {
+		out.Answers = append(out.Answers, Answer{CallID: call, Status: StatusDone, Next: s.ownAddress()})
 		return
 	}
 	index, err := s.node.Propose(now, command, &out.Ready)
 	if err != nil {
-		s.answerNotLeader(token, out)
+		s.answerNotLeader(call, out)
 		return
 	}
-	s.pendingCalls[index] = pendingCall{call: token, term: s.node.Term()}
+	s.pendingCalls[index] = pendingCall{call: call, term: s.node.Term()}
 }
 
-// isLeaderActive reports whether another box leads and was heard a moment ago.
+// isLeaderActive reports whether another box leads and was heard within the election timeout.
 func (s *State) isLeaderActive(now event.Time) bool {
 	leader := s.node.Leader()
 	return leader != "" && leader != s.node.ID() && now.Sub(s.node.HeardLeader()) < consensus.ElectionMin
 }
 
-// leaderGracePeriod is how long a box goes on taking word of endpoints without news while it hears
-// no leader: an election takes 0.4 to 0.65 s, and each endpoint that is turned away tries
-// all boxes in turn. It is below the time after which an owner takes an endpoint for down.
+// leaderGracePeriod is how long a box without a leader goes on accepting heartbeats that change
+// nothing. It covers an election, as a rejected endpoint would retry at all boxes in turn, and is
+// shorter than the time after which an owner marks an endpoint down.
 const leaderGracePeriod = 2 * event.Second
 
-// sawLeaderRecently reports whether another box leads, or did a moment ago.
+// sawLeaderRecently reports whether another box leads, or did within leaderGracePeriod.
 func (s *State) sawLeaderRecently(now event.Time) bool {
 	return s.node.Leader() != s.node.ID() && now.Sub(s.node.HeardLeader()) < leaderGracePeriod
 }
 
-// forwardHeartbeats tells the leader which endpoints were heard here, once there is one.
+// forwardHeartbeats sends the leader, once there is one, the endpoints with heartbeats at this box.
 func (s *State) forwardHeartbeats(now event.Time, out *Effects) {
 	switch {
 	case len(s.pendingHeartbeats) == 0:
@@ -235,13 +236,12 @@
 	}
 }
 
-// answerNotLeader answers a call that this box can't serve.
-func (s *State) answerNotLeader(token CallID, out *Effects) {
-	out.Answers = append(out.Answers, Answer{Call: token, Status: StatusElsewhere, Leader: s.leaderAddress()})
+// answerNotLeader answers a call that only the leader can serve.
+func (s *State) answerNotLeader(call CallID, out *Effects) {
+	out.Answers = append(out.Answers, Answer{CallID: call, Status: StatusElsewhere, Leader: s.leaderAddress()})
 }
 
-// leaderAddress returns the operators' address of another box that leads; empty
-// if none is known.
+// leaderAddress returns the operator address of the leader; empty if it is unknown or this box.
 func (s *State) leaderAddress() string {
 	id := s.node.Leader()
 	if id == "" || id == s.node.ID() {
@@ -269,7 +269,7 @@
 	return list
 }
 
-// applyCommitted applies what was committed and takes up or lays down the ownership.
+// applyCommitted applies committed entries and updates the ownership of the pools.
 func (s *State) applyCommitted(now event.Time, out *Effects) {
 	if snap := out.Ready.Snapshot; snap != nil && snap.Index > s.snapshotIndex {
 		s.recordSnapshot(snap.Index, snap.Data)
@@ -294,18 +294,18 @@
 	s.proposeNextUpload(now, out)
 }
 
-// compactIfDue takes a snapshot at the entry that was just applied, if one is due. It is due at the
-// same entries on all boxes, whatever they apply together: see consensus.Node.Compact.
+// compactIfDue takes a snapshot at the entry just applied, if one is due. All boxes take it at the
+// same entries, however entries are batched: see consensus.Node.Compact.
 func (s *State) compactIfDue(index consensus.Index, out *Effects) {
 	if s.loggedBytes < max(s.compactThreshold, compactGrowth*s.snapshotBytes) || s.machine.formatVersion == 0 {
-		return // a log that does not tell which snapshots its members read has none yet
+		return // the log does not say yet which snapshot format all members support
 	}
 	data := s.machine.snapshot()
 	s.recordSnapshot(index, data)
 	s.node.Compact(index, data, &out.Ready)
 }
 
-// recordSnapshot takes note of the newest snapshot.
+// recordSnapshot records the newest snapshot.
 func (s *State) recordSnapshot(index consensus.Index, data []byte) {
 	s.snapshotIndex = index
 	s.snapshotBytes = len(data)
@@ -330,7 +330,7 @@
 	if p.term != entry.Term {
 		status = StatusUnknown
 	}
-	out.Answers = append(out.Answers, Answer{Call: p.call, Status: status})
+	out.Answers = append(out.Answers, Answer{CallID: p.call, Status: status})
 }
 
 func (s *State) applyCommand(now event.Time, entry consensus.Entry, out *Effects) {
@@ -340,9 +340,8 @@
 	}
 	c, err := s.machine.apply(entry.Index, entry.Data)
 	if err != nil {
-		// A command that no version of this program can read does nothing, on
-		// every box alike.
-		out.logInfo("command not applied", Field{"error", err.Error()})
+		// A command that no build can decode is skipped on all boxes alike.
+		out.logInfo("skipped a command that can't be decoded", Field{"error", err.Error()})
 		return
 	}
 	if c.spending != nil {
@@ -365,16 +364,16 @@
 	}
 }
 
-// updateOwnership begins to own when this box has come to lead, and ends when it leads no
-// more. A short lapse of the lease within a term is no end: a quorum that answers again in
-// this term has followed nobody else since. To end and begin anew at each lapse would send
-// all entries away and back, and the work of that can let the lease lapse again.
+// updateOwnership makes this box the owner when it becomes leader, and ends that when leadership is
+// lost. A short lapse of the lease within a term does not end it: a quorum that answers again in this
+// term has followed no other leader. Restarting on each lapse would make all entries reconnect, which
+// could make the lease lapse again.
 func (s *State) updateOwnership(now event.Time, out *Effects) {
 	owns := s.owns(now)
 	if s.owner != nil && !s.owner.remainsOwner(now, s.node) {
 		s.owner.closeSessions(s, out)
 		s.owner = nil
-		out.logInfo("owns the pools no more", Field{"term", uint64(s.node.Term())})
+		out.logInfo("no longer owns the pools", Field{"term", uint64(s.node.Term())})
 	}
 	if !owns && s.owner == nil {
 		s.config.requiredVersion = 0
@@ -393,7 +392,7 @@
 func (s *State) failPendingCalls(out *Effects) {
 	s.uploads.fail(out)
 	for index, p := range s.pendingCalls {
-		out.Answers = append(out.Answers, Answer{Call: p.call, Status: StatusUnknown})
+		out.Answers = append(out.Answers, Answer{CallID: p.call, Status: StatusUnknown})
 		delete(s.pendingCalls, index)
 	}
 }
@@ -409,11 +408,11 @@
 	out.Closes = append(out.Closes, session)
 }
 
-// logMembership notes changes of the leader and of the members.
+// logMembership logs changes of the leader and of the members.
 func (s *State) logMembership(out *Effects) {
 	if id := s.node.Leader(); id != s.leader {
 		s.leader = id
-		out.logInfo("leader", Field{"leader", string(id)}, Field{"term", uint64(s.node.Term())})
+		out.logInfo("leader changed", Field{"leader", string(id)}, Field{"term", uint64(s.node.Term())})
 	}
 	m := s.node.Members()
 	if !slices.Equal(m.Voters, s.members.Voters) || !slices.Equal(m.Learners, s.members.Learners) {
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -186,7 +186,7 @@
 	s.run(second)
 	s.token++
 	token := s.token
-	s.step(s.mustOwner(), &DocumentSubmitted{Call: token, Document: Document{Version: 6, Data: []byte("other")}})
+	s.step(s.mustOwner(), &DocumentSubmitted{CallID: token, Document: Document{Version: 6, Data: []byte("other")}})
 	older := s.put(s.mustOwner(), 5)
 	s.run(second)
 	for _, k := range []CallID{token, older} {
--- a/cluster/suspended_test.go
+++ b/cluster/suspended_test.go
@@ -28,7 +28,7 @@
 	leader := -1
 	for d := noiseDocument(1, 10); leader < 0 && ctx.Err() == nil; time.Sleep(tickInterval) {
 		for i, s := range servers {
-			if s.call(ctx, func(k CallID) Event { return &DocumentSubmitted{Call: k, Document: d} }).Status == StatusDone {
+			if s.call(ctx, func(k CallID) Event { return &DocumentSubmitted{CallID: k, Document: d} }).Status == StatusDone {
 				leader = i
 				break
 			}
--- a/cluster/upgrade_sim_test.go
+++ b/cluster/upgrade_sim_test.go
@@ -65,7 +65,7 @@
 		})
 	case n < 45 && owner != nil:
 		u.token++
-		u.step(owner, &EndpointRemoved{Call: u.token, Name: fmt.Sprint("e", u.random.IntN(9)), Born: u.random.Uint64N(3)})
+		u.step(owner, &EndpointRemoved{CallID: u.token, Name: fmt.Sprint("e", u.random.IntN(9)), Born: u.random.Uint64N(3)})
 	case n < 60 && owner != nil:
 		u.tellEnd(owner)
 	case n < 70 && u.down == nil:
--- a/cluster/upload.go
+++ b/cluster/upload.go
@@ -10,50 +10,50 @@
 	"lynxramp.org/level"
 )
 
-// uploadQueue are the documents that the leader was sent and has not committed. One is in the log;
-// the newest of those that came meanwhile waits, for all of them: a call is answered when its
-// document or a later one is committed. So no number of changes makes the log longer than
-// the links can take.
+// uploadQueue has the documents that the leader received and has not committed: one in the log,
+// and the newest of the others, which is proposed next and answers the calls of all of them. A call is
+// answered when its document or a later one is committed. So a series of changes can't make the log
+// grow without bound.
 type uploadQueue struct {
-	inLog  *pendingUpload
+	inLog   *pendingUpload
 	waiting *pendingUpload
 }
 
-// pendingUpload is a document and the calls that it is to answer.
+// pendingUpload is a document and the calls to answer when it is committed.
 type pendingUpload struct {
-	document Document
-	calls   []CallID
-	lastIndex     consensus.Index // of its last part
-	term     consensus.Term
+	document  Document
+	calls     []CallID
+	lastIndex consensus.Index // of its last part
+	term      consensus.Term
 }
 
-// submitDocument takes an operator's call. A document that is on its way already is not put into
-// the log again: operators send again each second what is not acknowledged, and each copy of
-// a large one would hold up the first.
+// submitDocument queues a document of an operator. A document in the queue already is not proposed
+// again: clients retry until a document is acknowledged, and each copy of a large one would delay
+// the first.
 func (s *State) submitDocument(now event.Time, e *DocumentSubmitted, out *Effects) {
 	u := &s.uploads
 	version := e.Document.Version
 	switch {
 	case !s.owns(now):
-		s.answerNotLeader(e.Call, out)
+		s.answerNotLeader(e.CallID, out)
 	case version <= s.machine.document.Version:
-		out.Answers = append(out.Answers, Answer{Call: e.Call, Status: StatusDone})
+		out.Answers = append(out.Answers, Answer{CallID: e.CallID, Status: StatusDone})
 	case u.inLog != nil && version <= u.inLog.document.Version:
-		u.inLog.calls = append(u.inLog.calls, e.Call)
+		u.inLog.calls = append(u.inLog.calls, e.CallID)
 	case u.waiting != nil && version <= u.waiting.document.Version:
-		u.waiting.calls = append(u.waiting.calls, e.Call)
+		u.waiting.calls = append(u.waiting.calls, e.CallID)
 	default:
-		next := &pendingUpload{document: e.Document, calls: []CallID{e.Call}}
+		next := &pendingUpload{document: e.Document, calls: []CallID{e.CallID}}
 		if u.waiting != nil {
-			next.calls = append(u.waiting.calls, e.Call)
+			next.calls = append(u.waiting.calls, e.CallID)
 		}
 		u.waiting = next
 		s.proposeNextUpload(now, out)
 	}
 }
 
-// proposeNextUpload puts the document that waits into the log once there is no other: those of its parts
-// that an earlier leader did not get committed.
+// proposeNextUpload proposes the waiting document once no other is in the log, without the parts that
+// an earlier leader got committed.
 func (s *State) proposeNextUpload(now event.Time, out *Effects) {
 	u := &s.uploads
 	if u.inLog != nil || u.waiting == nil || !s.owns(now) || s.writeVersion() == 0 {
@@ -73,8 +73,8 @@
 	u.inLog = next
 }
 
-// uploadCommands returns the commands that bring a document: its parts that an earlier leader did not get
-// committed, or all of it at once where members read no parts.
+// uploadCommands returns the commands for a document: the parts that are not committed yet, or the whole
+// document where some members don't support parts.
 func (s *State) uploadCommands(d *Document) [][]byte {
 	if s.writeVersion() < level.Parts {
 		return [][]byte{d.encodeWhole()}
@@ -91,7 +91,7 @@
 	return list
 }
 
-// uploadApplied takes note that an entry was applied.
+// uploadApplied answers the calls of an upload whose last part was applied.
 func (s *State) uploadApplied(entry consensus.Entry, out *Effects) {
 	d := s.uploads.inLog
 	if d == nil || d.lastIndex != entry.Index {
@@ -105,7 +105,7 @@
 	d.answer(status, out)
 }
 
-// fail answers all calls: their documents may or may not be committed.
+// fail answers all calls with StatusUnknown: their documents may or may not be committed.
 func (u *uploadQueue) fail(out *Effects) {
 	for _, d := range []*pendingUpload{u.inLog, u.waiting} {
 		if d != nil {
@@ -115,17 +115,17 @@
 	*u = uploadQueue{}
 }
 
-// cancelCall drops a call that does not wait any more. Its document goes on.
-func (u *uploadQueue) cancelCall(t CallID) {
+// cancelCall drops a call. Its document is still replicated.
+func (u *uploadQueue) cancelCall(id CallID) {
 	for _, d := range []*pendingUpload{u.inLog, u.waiting} {
 		if d != nil {
-			d.calls = slices.DeleteFunc(d.calls, func(other CallID) bool { return other == t })
+			d.calls = slices.DeleteFunc(d.calls, func(other CallID) bool { return other == id })
 		}
 	}
 }
 
 func (d *pendingUpload) answer(status Status, out *Effects) {
-	for _, t := range d.calls {
-		out.Answers = append(out.Answers, Answer{Call: t, Status: status})
+	for _, id := range d.calls {
+		out.Answers = append(out.Answers, Answer{CallID: id, Status: status})
 	}
 }
--- a/cluster/upload_property_test.go
+++ b/cluster/upload_property_test.go
@@ -51,7 +51,7 @@
 	b := c.boxes[c.order[c.random.IntN(len(c.order))]]
 	c.token++
 	c.calls[c.token] = version
-	c.step(b, &DocumentSubmitted{Call: c.token, Document: c.sent[version]})
+	c.step(b, &DocumentSubmitted{CallID: c.token, Document: c.sent[version]})
 }
 
 // happen lets one thing happen.
@@ -178,7 +178,7 @@
 		}
 		last := uint64(len(c.sent)) + 1
 		c.sent[last] = noiseDocument(last, 3*maxPartBytes)
-		c.step(c.mustOwner(), &DocumentSubmitted{Call: 1 << 40, Document: c.sent[last]})
+		c.step(c.mustOwner(), &DocumentSubmitted{CallID: 1 << 40, Document: c.sent[last]})
 		c.run(2 * second)
 		c.check()
 		for _, name := range c.order {
--- a/cluster/upload_test.go
+++ b/cluster/upload_test.go
@@ -21,7 +21,7 @@
 	before := owner.state.Node().LogBytes()
 	const calls = 5
 	for i := range CallID(calls) {
-		s.step(owner, &DocumentSubmitted{Call: 100 + i, Document: d})
+		s.step(owner, &DocumentSubmitted{CallID: 100 + i, Document: d})
 	}
 	if got, most := owner.state.Node().LogBytes()-before, 11*len(d.Data)/10; got > most {
 		t.Errorf("%d calls took %d bytes of the log, want %d at the most", calls, got, most)
@@ -53,9 +53,9 @@
 	owner := s.mustOwner()
 	versions := []uint64{2, 5, 3, 9, 1, 7}
 	for i, v := range versions {
-		s.step(owner, &DocumentSubmitted{Call: 100 + CallID(i), Document: noiseDocument(v, 1<<20)})
+		s.step(owner, &DocumentSubmitted{CallID: 100 + CallID(i), Document: noiseDocument(v, 1<<20)})
 	}
-	s.step(owner, &CallCancelled{Call: 101})
+	s.step(owner, &CallCancelled{CallID: 101})
 	if got, most := owner.state.Node().LogBytes(), 11<<20/10; got > most {
 		t.Errorf("the log took %d bytes, want %d at the most", got, most)
 	}
@@ -75,8 +75,8 @@
 	s.run(2 * second)
 	old := s.mustOwner()
 	s.cut = func(from, to string) bool { return from == old.name || to == old.name }
-	s.step(old, &DocumentSubmitted{Call: 100, Document: noiseDocument(1, 1<<20)})
-	s.step(old, &DocumentSubmitted{Call: 101, Document: noiseDocument(2, 1<<20)})
+	s.step(old, &DocumentSubmitted{CallID: 100, Document: noiseDocument(1, 1<<20)})
+	s.step(old, &DocumentSubmitted{CallID: 101, Document: noiseDocument(2, 1<<20)})
 	s.run(3 * second)
 	for token := CallID(100); token <= 101; token++ {
 		if a := s.answers[token]; a.Status != StatusUnknown {
@@ -85,7 +85,7 @@
 	}
 	s.cut = func(string, string) bool { return false }
 	next := s.mustOwner()
-	s.step(next, &DocumentSubmitted{Call: 102, Document: noiseDocument(3, 1<<20)})
+	s.step(next, &DocumentSubmitted{CallID: 102, Document: noiseDocument(3, 1<<20)})
 	s.run(2 * second)
 	for _, name := range s.order {
 		s.wantDocument(name, noiseDocument(3, 1<<20))
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -13,43 +13,42 @@
 	"lynxramp.org/registry"
 )
 
-// This file is what an owner tells entries of endpoints. It grows with what changes, not
-// with endpoints times entries, and goes in pieces: an owner's signs of life wait behind one
-// of them at the most.
+// This file sends entries the registry of endpoints: the changes since the revision that an entry has, in
+// bounded pieces, so that a pong of the owner waits for one piece at most.
 
 const (
-	// maxViewBytes bounds the endpoints in one message, before they are packed to half of that:
-	// 19 ms of a link of 1.25 MB/s.
+	// maxViewBytes bounds the endpoints in one message, in bytes before compression, which about halves
+	// them.
 	maxViewBytes = 48 << 10
-	// maxUnreachablePerMessage bounds the silent endpoints that one message names: 14 kB of ids.
+	// maxUnreachablePerMessage bounds the unreachable endpoints in one message, to about 14 kB of ids.
 	maxUnreachablePerMessage = 1000
-	// maxPackedPieces is how many packed pieces are kept for sessions that begin alike.
+	// maxPackedPieces bounds the packed pieces that are cached for new sessions.
 	maxPackedPieces = 64
 )
 
-// viewProgress is how far a session has been told what it begins with.
+// viewProgress tracks how much of the initial view a session was sent.
 type viewProgress struct {
-	revision     uint64 // revision
-	isIncomplete bool   // there is more
-	// isUnreachableListed says that silent was made: endpoints that the entry is to be told are silent.
+	revision     uint64 // of the registry
+	isIncomplete bool   // more is to be sent
+	// isUnreachableListed reports whether unreachable was set: the endpoints still to be sent as unreachable.
 	isUnreachableListed bool
-	unreachable   []string
+	unreachable         []string
 }
 
-// pieceKey names a piece of the registry. Changes only leave the revisions that are past, so
-// that its count tells one from what is left of it.
+// pieceKey identifies a piece of the registry. A later change can only remove endpoints from past
+// revisions, so the count distinguishes the versions of a piece.
 type pieceKey struct {
 	after, upTo uint64
 	count       int
 }
 
-// packedPiece has endpoints as entries of the group are sent them: one of its fields is set.
+// packedPiece has the encoded endpoints of a message: one field is set.
 type packedPiece struct {
 	packed message.Packed
 	listed message.Listing
 }
 
-// packEndpoints packs endpoints as all entries of the group read them.
+// packEndpoints encodes endpoints in the format of the group.
 func (s *State) packEndpoints(list []message.Endpoint) packedPiece {
 	switch {
 	case len(list) == 0:
@@ -62,21 +61,21 @@
 
 func (p packedPiece) addTo(v *message.View) { v.Endpoints, v.Listed = p.packed, p.listed }
 
-// publishEndpoint hands news of an endpoint to the scheduler, and with the next tick to all entries.
+// publishEndpoint passes a changed endpoint to the scheduler, and to all entries with the next tick.
 func (o *owner) publishEndpoint(now event.Time, e registry.Endpoint) {
 	o.admission.SetEndpoint(now, message.Endpoint{Endpoint: e, Down: o.down[e.ID]}, &o.effects)
 	o.changedEndpoints[e.ID] = true
 }
 
-// sendEndpointChanges tells all entries what changed of endpoints since the last tick, in one message:
-// one for each change and entry would be 900,000 while 3,000 endpoints come to 300 entries.
-// What one message has not room for waits for the next tick.
+// sendEndpointChanges sends all entries the endpoints that changed since the last tick, in one message.
+// One message for each change and entry would be too many when endpoints start in bulk. What exceeds the
+// size limit waits for the next tick.
 func (o *owner) sendEndpointChanges(s *State, out *Effects) {
 	if len(o.changedEndpoints) == 0 {
 		return
 	}
 	view := &message.View{}
-	var seen []message.Endpoint
+	var updated []message.Endpoint
 	size := 0
 	for _, id := range slices.Sorted(maps.Keys(o.changedEndpoints)) {
 		if size >= maxViewBytes {
@@ -84,19 +83,19 @@
 		}
 		delete(o.changedEndpoints, id)
 		if e, ok := s.machine.registry.Endpoints[id]; ok {
-			seen = append(seen, message.Endpoint{Endpoint: e, Down: o.down[id]})
+			updated = append(updated, message.Endpoint{Endpoint: e, Down: o.down[id]})
 			size += e.Size()
 		} else {
 			view.Gone = append(view.Gone, event.EndpointID(id))
 			size += len(id)
 		}
 	}
-	s.packEndpoints(seen).addTo(view)
+	s.packEndpoints(updated).addTo(view)
 	o.broadcastChanges(view, s, out)
 }
 
-// broadcastChanges sends news to all entries. Those that have all before it know the registry up to
-// its revision then; a session that is still told what it begins with does not.
+// broadcastChanges sends changes to all entries. Entries that have all earlier changes then have the
+// registry's revision; sessions that are still sent their initial view do not.
 func (o *owner) broadcastChanges(view *message.View, s *State, out *Effects) {
 	complete := *view
 	if len(o.changedEndpoints) == 0 {
@@ -112,29 +111,29 @@
 	}
 }
 
-// firstView returns what a session begins with: what has changed of endpoints since the
-// revision that its entry knows, and which of them are silent, or the first piece of that.
-func (o *owner) firstView(one *session, revision uint64, s *State) *message.View {
-	if one.formatVersion < level.Parts {
-		return o.wholeView(one, revision, s)
+// firstView returns the first piece of a session's initial view: the endpoints that changed since the
+// revision that the entry has, and the unreachable endpoints.
+func (o *owner) firstView(sess *session, revision uint64, s *State) *message.View {
+	if sess.formatVersion < level.Parts {
+		return o.wholeView(sess, revision, s)
 	}
 	reaches := s.machine.registry.Reaches(revision)
 	if !reaches {
 		revision = 0
 	}
-	one.view = viewProgress{revision: revision}
-	view := o.nextView(one, s)
+	sess.view = viewProgress{revision: revision}
+	view := o.nextView(sess, s)
 	view.Whole, view.Signs, view.Members = !reaches, true, s.memberLinkAddresses()
 	return view
 }
 
-// wholeView returns all that a session begins with at once, for an entry that knows no pieces.
-func (o *owner) wholeView(one *session, revision uint64, s *State) *message.View {
-	if one.formatVersion < level.Packed || !s.machine.registry.Reaches(revision) {
+// wholeView returns the initial view in one message, for an entry that does not support pieces.
+func (o *owner) wholeView(sess *session, revision uint64, s *State) *message.View {
+	if sess.formatVersion < level.Packed || !s.machine.registry.Reaches(revision) {
 		revision = 0
 	}
 	p := s.machine.registry.After(revision, math.MaxInt)
-	one.view = viewProgress{revision: p.UpTo}
+	sess.view = viewProgress{revision: p.UpTo}
 	list := toMessageEndpoints(p.Endpoints)
 	for i := range list {
 		list[i].Down = o.down[list[i].ID]
@@ -153,17 +152,17 @@
 	return view
 }
 
-// sendView sends the next piece of what a session begins with, when the last one is there.
-func (o *owner) sendView(p *PingReceived, one *session, s *State, out *Effects) {
-	if !one.view.isIncomplete || p.Ping.Revision < one.view.revision {
+// sendView sends the next piece of the initial view once the entry has received the previous one.
+func (o *owner) sendView(p *PingReceived, sess *session, s *State, out *Effects) {
+	if !sess.view.isIncomplete || p.Ping.Revision < sess.view.revision {
 		return
 	}
-	out.Sends = append(out.Sends, Send{p.Session, &message.Envelope{View: o.nextView(one, s)}})
+	out.Sends = append(out.Sends, Send{p.Session, &message.Envelope{View: o.nextView(sess, s)}})
 }
 
-// nextView returns the next piece for a session.
-func (o *owner) nextView(one *session, s *State) *message.View {
-	v := &one.view
+// nextView returns the next piece of a session's initial view.
+func (o *owner) nextView(sess *session, s *State) *message.View {
+	v := &sess.view
 	p := o.pieceAfter(v.revision, s)
 	view := &message.View{Revision: p.UpTo}
 	o.pack(v.revision, p, s).addTo(view)
@@ -179,7 +178,7 @@
 	return view
 }
 
-// nextUnreachable returns some of the silent endpoints that an entry is to be told of.
+// nextUnreachable returns the next unreachable endpoints to send.
 func (o *owner) nextUnreachable(v *viewProgress) (list []event.EndpointID) {
 	if !v.isUnreachableListed {
 		v.isUnreachableListed = true
@@ -194,9 +193,8 @@
 	return list
 }
 
-// pieceAfter returns the piece of the registry after a revision, made once for all sessions
-// that begin alike: 0.3 ms each for ten pieces of 10,000 endpoints and 300 entries are 0.9 s
-// after a change of owner.
+// pieceAfter returns the piece of the registry after a revision. It is cached, as all sessions need the
+// same pieces after a change of owner.
 func (o *owner) pieceAfter(revision uint64, s *State) registry.Piece {
 	if at := s.machine.registry.Revision; o.piecesRevision != at {
 		clear(o.pieces)
@@ -210,8 +208,7 @@
 	return p
 }
 
-// pack returns the endpoints of a piece, packed once for all sessions that begin alike: 10,000
-// endpoints for each of 300 entries would be packed 3,000,000 times after a change of owner.
+// pack returns the endpoints of a piece, encoded once for all sessions that need it.
 func (o *owner) pack(after uint64, p registry.Piece, s *State) packedPiece {
 	key := pieceKey{after, p.UpTo, len(p.Endpoints)}
 	packed, ok := o.packed[key]
