--- a/cluster/events.go
+++ b/cluster/events.go
@@ -12,145 +12,145 @@
 	"lynxramp.org/routing"
 )
 
-// SessionID names a connection of an entry.
+// SessionID identifies a connection of an entry.
 type SessionID uint64
 
-// Token names a call that waits for an answer.
-type Token uint64
+// CallID identifies a call that waits for an answer.
+type CallID uint64
 
-// Event is something that happened to a control box.
+// Event is an input of a State.
 type Event interface{ isEvent() }
 
 // The events.
 type (
-	// Ticked says that time passed.
-	Ticked struct{}
-	// Received brings a message of the replicated log.
-	Received struct{ Message consensus.Message }
-	// Saved says that the log is on disk up to an entry.
-	Saved struct {
+	// Tick is sent at a fixed interval.
+	Tick struct{}
+	// MessageReceived carries a message of the replicated log.
+	MessageReceived struct{ Message consensus.Message }
+	// LogSaved reports that the log is on disk up to an entry.
+	LogSaved struct {
 		Index consensus.Index
 		Term  consensus.Term
 	}
-	// JoinAsked says that a box wants to be a member.
-	JoinAsked struct{ Member consensus.Member }
-	// DocumentSent brings a configuration that was found sound.
-	DocumentSent struct {
-		Token    Token
+	// JoinRequested is a request of a box to become a member.
+	JoinRequested struct{ Member consensus.Member }
+	// DocumentSubmitted carries a validated configuration.
+	DocumentSubmitted struct {
+		CallID   CallID
 		Document Document
 	}
-	// DocumentRead asks for the newest configuration.
-	DocumentRead struct{ Token Token }
-	// EndpointTold brings an endpoint's word on itself; the ID in it is the endpoint's name.
-	EndpointTold struct {
-		Token    Token
+	// DocumentRequested asks for the newest configuration.
+	DocumentRequested struct{ CallID CallID }
+	// HeartbeatReceived carries the state reported by an endpoint; its ID is the endpoint's name.
+	HeartbeatReceived struct {
+		CallID   CallID
 		Endpoint registry.Endpoint
 	}
-	// EndpointLeft says that an endpoint says that it ends.
-	EndpointLeft struct {
-		Token Token
-		Name  string
-		Born  uint64 // as in registry.Endpoint
+	// EndpointRemoved reports that an endpoint announced its termination.
+	EndpointRemoved struct {
+		CallID CallID
+		Name   string
+		Born   uint64 // as in registry.Endpoint
 	}
-	// EndpointsHeard says that other boxes have heard endpoints that had no news.
-	EndpointsHeard struct{ IDs []string }
-	// CallGone says that a call does not wait any more.
-	CallGone struct{ Token Token }
-	// SessionBegan says that an entry connected.
-	SessionBegan struct {
+	// HeartbeatsForwarded carries the endpoints whose unchanged heartbeats another box received.
+	HeartbeatsForwarded struct{ IDs []string }
+	// CallCancelled reports that a caller no longer waits.
+	CallCancelled struct{ CallID CallID }
+	// SessionOpened reports that an entry connected.
+	SessionOpened struct {
 		Session SessionID
 		Hello   message.Hello
-		// Reads and Build are what the entry reads and is.
-		Reads level.Level
-		Build string
+		// FormatVersion and Build are those of the entry.
+		FormatVersion level.Level
+		Build         string
 	}
-	// SessionPinged brings an entry's question.
-	SessionPinged struct {
+	// PingReceived carries a ping of an entry.
+	PingReceived struct {
 		Session SessionID
 		Ping    message.Ping
 	}
-	// SessionTold brings what an entry says.
-	SessionTold struct {
+	// BatchReceived carries a batch of messages of an entry.
+	BatchReceived struct {
 		Session SessionID
 		Batch   *message.Batch
 	}
-	// SessionEnded says that an entry's connection is gone.
-	SessionEnded struct{ Session SessionID }
-	// SessionWanted brings an entry's question for nodes of the configuration.
-	SessionWanted struct {
+	// SessionClosed reports that the connection of an entry was closed.
+	SessionClosed struct{ Session SessionID }
+	// NodesRequested is an entry's request for nodes of the configuration tree.
+	NodesRequested struct {
 		Session SessionID
 		Want    *message.Want
 	}
-	// Decoded brings a document that Effects asked to decode.
-	Decoded struct {
+	// DocumentDecoded is the result of Effects.Decode.
+	DocumentDecoded struct {
 		Version  uint64
 		Document []byte
 		Table    *routing.Table
 		Tree     *hashtree.Tree
 		Err      error
 	}
-	// PeerTold says what another control box reads and is that has made a connection.
-	PeerTold struct {
-		Box   event.BoxID
-		Link  uint64 // names the connection
-		Reads level.Level
-		Build string
+	// PeerConnected reports a connection of another control box, or its changed format version.
+	PeerConnected struct {
+		Box           event.BoxID
+		Connection    uint64 // identifies the connection
+		FormatVersion level.Level
+		Build         string
 	}
-	// PeerLost says that such a connection has ended.
-	PeerLost struct {
-		Box  event.BoxID
-		Link uint64
+	// PeerDisconnected reports that such a connection was closed.
+	PeerDisconnected struct {
+		Box        event.BoxID
+		Connection uint64
 	}
-	// StopAsked says that the process is to end.
-	StopAsked struct{}
+	// StopRequested reports that the process is to stop.
+	StopRequested struct{}
 )
 
-func (*Ticked) isEvent()         {}
-func (*Received) isEvent()       {}
-func (*Saved) isEvent()          {}
-func (*JoinAsked) isEvent()      {}
-func (*DocumentSent) isEvent()   {}
-func (*DocumentRead) isEvent()   {}
-func (*EndpointTold) isEvent()   {}
-func (*EndpointLeft) isEvent()   {}
-func (*EndpointsHeard) isEvent() {}
-func (*CallGone) isEvent()       {}
-func (*SessionBegan) isEvent()   {}
-func (*SessionPinged) isEvent()  {}
-func (*SessionTold) isEvent()    {}
-func (*SessionEnded) isEvent()   {}
-func (*SessionWanted) isEvent()  {}
-func (*Decoded) isEvent()        {}
-func (*PeerTold) isEvent()       {}
-func (*PeerLost) isEvent()       {}
-func (*StopAsked) isEvent()      {}
-
-// Status says how a call ended.
+func (*Tick) isEvent()                {}
+func (*MessageReceived) isEvent()     {}
+func (*LogSaved) isEvent()            {}
+func (*JoinRequested) isEvent()       {}
+func (*DocumentSubmitted) isEvent()   {}
+func (*DocumentRequested) isEvent()   {}
+func (*HeartbeatReceived) isEvent()   {}
+func (*EndpointRemoved) isEvent()     {}
+func (*HeartbeatsForwarded) isEvent() {}
+func (*CallCancelled) isEvent()       {}
+func (*SessionOpened) isEvent()       {}
+func (*PingReceived) isEvent()        {}
+func (*BatchReceived) isEvent()       {}
+func (*SessionClosed) isEvent()       {}
+func (*NodesRequested) isEvent()      {}
+func (*DocumentDecoded) isEvent()     {}
+func (*PeerConnected) isEvent()       {}
+func (*PeerDisconnected) isEvent()    {}
+func (*StopRequested) isEvent()       {}
+
+// Status is the result of a call.
 type Status uint8
 
-// The ends of a call.
+// The results of a call.
 const (
-	// StatusDone: it was done, or had been done before.
+	// StatusDone: the call was done, now or before.
 	StatusDone Status = iota + 1
-	// StatusElsewhere: another box leads; Answer.Leader says which, if known.
+	// StatusNotLeader: another box leads; Answer.LeaderAddress has its address, if known.
 	StatusElsewhere
-	// StatusUnclear: it may or may not have been done.
-	StatusUnclear
-	// StatusUnknownService: an endpoint is of a service that the configuration does not have.
+	// StatusUnknown: the call may or may not have been done.
+	StatusUnknown
+	// StatusUnknownService: the configuration does not have the endpoint's service.
 	StatusUnknownService
 )
 
-// Answer ends a call.
+// Answer is the answer to a call.
 type Answer struct {
-	Token  Token
+	CallID CallID
 	Status Status
-	Leader string // operators' address of the leader
-	// Next is the operators' address to which an endpoint is to send its next words; empty if it is to choose
-	// a box by itself.
+	Leader string // operator address of the leader
+	// HeartbeatAddress is the operator address for an endpoint's next heartbeats; empty if the endpoint
+	// is to choose a box.
 	Next     string
 	Document Document
-	// Until is when the lease ends on which the answer rests.
-	Until event.Time
+	// ValidUntil is the end of the lease under which the answer was given.
+	ValidUntil event.Time
 }
 
 // Send is a message for a session.
@@ -159,38 +159,38 @@
 	Message *message.Envelope
 }
 
-// Effects is what the world is asked to do.
+// Effects are the actions that follow from an event.
 type Effects struct {
 	Ready   consensus.Ready
 	Answers []Answer
 	Sends   []Send
 	Closes  []SessionID
-	// Heard are endpoints of which Leader is to be told that they live.
-	Heard  []string
-	Leader consensus.ID
-	// Decode is a document that is to be decoded beside the loop; a Decoded answers. A later one
-	// may take the place of one that is not begun. Version 0 is none.
+	// Heartbeats are the ids of live endpoints, to be forwarded to Leader.
+	Heartbeats []string
+	Leader     consensus.ID
+	// Decode is a document to decode outside the event loop; a DocumentDecoded follows. A later
+	// document may replace one that is not started. Version 0 is none.
 	Decode Document
-	// Stop says why the process must end: it met what only a later build reads. Nothing else of
-	// these effects is to be carried out then.
-	Stop  error
-	Notes []Note
+	// Fatal is set if the process must stop because it found data that only a later build can
+	// read. The other effects must be ignored then.
+	Fatal      error
+	LogRecords []LogRecord
 }
 
-// Note is a line for the log: a belief that changed.
-type Note struct {
-	Text   string
-	Fields []Field
+// LogRecord is a line for the log file: a change of state.
+type LogRecord struct {
+	Message string
+	Fields  []Field
 }
 
-// Field is a named value of a Note.
+// Field is a named value of a LogRecord.
 type Field struct {
 	Name  string
 	Value any
 }
 
-func (e *Effects) note(text string, fields ...Field) {
-	e.Notes = append(e.Notes, Note{Text: text, Fields: fields})
+func (e *Effects) logInfo(text string, fields ...Field) {
+	e.LogRecords = append(e.LogRecords, LogRecord{Message: text, Fields: fields})
 }
 
 func (e *Effects) reset() {
@@ -198,8 +198,8 @@
 	e.Answers = e.Answers[:0]
 	e.Sends = e.Sends[:0]
 	e.Closes = e.Closes[:0]
-	e.Heard = nil
+	e.Heartbeats = nil
 	e.Decode = Document{}
-	e.Stop = nil
-	e.Notes = e.Notes[:0]
+	e.Fatal = nil
+	e.LogRecords = e.LogRecords[:0]
 }
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -15,304 +15,302 @@
 	"lynxramp.org/registry"
 )
 
-// entryPatience is how long an entry may be away before what it had running is
-// taken as ended.
-const entryPatience = 4 * event.Second
+// entryTimeout is how long an entry may be disconnected before its running requests are taken as
+// terminated.
+const entryTimeout = 4 * event.Second
 
-// owner is what the owner of the pools knows beside the replicated state. It is
-// soft, but for the book: a new owner learns it from entries and endpoints.
+// owner is the state that the owner keeps beside the replicated state. A new owner rebuilds it from
+// entries and endpoints, except for budgets and poison requests, which are recorded in the log.
 type owner struct {
 	term      consensus.Term
 	admission *admission.State
 	sessions  map[SessionID]*session
-	// unread are sessions of entries that do not read what the group writes.
-	unread  map[SessionID]bool
-	entries map[event.BoxID]*entry
-	heard   map[string]event.Time // endpoints, by id
-	down    map[string]bool
-	effects event.Effects
-	// expected is how many entries there were by the word of an entry, which
-	// counts for keepTime from began on.
-	expected int
-	began    event.Time
-	keepTime event.Span
-	book     *budget.Book
-	record   consensus.Index           // of the last record of the book in the log
-	poison   *poison.Book              // of requests that end endpoints
-	news     map[string]bool           // endpoints, by id, of which the entries are not yet told
-	pieces   map[uint64]registry.Piece // by what they come after, at the revision piecesAt
-	piecesAt uint64
-	packed   map[pieceKey]packedPiece
-	toldAt   event.Time // when the log was last told of budgets
-	// poisonRecord is the index of the last record of poison in the log.
-	poisonRecord consensus.Index
-	// poisonLogged says that the log is told of requests that end endpoints.
-	poisonLogged bool
-	suspects     []poison.Print // as entries were last told, and their revision
-	suspectsTold uint64
-	asking       asking // endpoints
+	// unsupported has the sessions of entries that don't support the group's format version.
+	unsupported   map[SessionID]bool
+	entries       map[event.BoxID]*entry
+	lastHeartbeat map[string]event.Time // by endpoint id
+	down          map[string]bool
+	effects       event.Effects
+	// expectedEntries is the number of entries reported by the entries themselves; it counts for
+	// entryRetention from startedAt on.
+	expectedEntries  int
+	startedAt        event.Time
+	entryRetention   event.Span
+	budgets          *budget.Book
+	recordIndex      consensus.Index           // of the last budget record in the log
+	poison           *poison.Book              // poison requests
+	changedEndpoints map[string]bool           // ids of endpoints whose change is not yet sent to the entries
+	pieces           map[uint64]registry.Piece // by the preceding revision, valid at piecesRevision
+	piecesRevision   uint64
+	packed           map[pieceKey]packedPiece
+	budgetsLoggedAt  event.Time // when high budgets were last logged
+	// poisonIndex is the index of the last poison record in the log.
+	poisonIndex consensus.Index
+	// poisonLogged reports whether poison records are written to the log.
+	poisonLogged     bool
+	suspects         []poison.Print // as last sent to entries, with their revision
+	suspectsRevision uint64
+	feedback         feedbackTracker // of endpoints
 }
 
-// forgetMost is of how many absent entries a tick takes what they had running as ended.
-const forgetMost = 16
+// maxForgetPerTick bounds the disconnected entries whose requests one tick takes as terminated.
+const maxForgetPerTick = 16
 
-// contestBeats is how many times its own rhythm an endpoint must be silent before the one
-// whose address it took has it back: two beats, and what they vary.
-const contestBeats = 2.5
+// reclaimAfterHeartbeats is the number of heartbeat intervals without a heartbeat of an endpoint after
+// which the previous endpoint at its address may take it back: two intervals and some jitter.
+const reclaimAfterHeartbeats = 2.5
 
-// tellBudgetsEvery is how often the log is told of the budgets that are more than half
-// used.
-const tellBudgetsEvery = event.Second
+// budgetLogInterval is how often budgets that are more than half used are logged.
+const budgetLogInterval = event.Second
 
 func newOwner(now event.Time, s *State) *owner {
 	o := &owner{
-		term:     s.node.Term(),
-		book:     s.newBook(now),
-		sessions: make(map[SessionID]*session),
-		unread:   make(map[SessionID]bool),
-		entries:  make(map[event.BoxID]*entry),
-		heard:    make(map[string]event.Time),
-		down:     make(map[string]bool),
-		began:    now,
-		keepTime: s.settings.Fresh + s.settings.Limits.QuotaWindow,
-		news:     make(map[string]bool),
-		pieces:   make(map[uint64]registry.Piece),
-		packed:   make(map[pieceKey]packedPiece),
+		term:             s.node.Term(),
+		budgets:          s.newBudgets(now),
+		sessions:         make(map[SessionID]*session),
+		unsupported:      make(map[SessionID]bool),
+		entries:          make(map[event.BoxID]*entry),
+		lastHeartbeat:    make(map[string]event.Time),
+		down:             make(map[string]bool),
+		startedAt:        now,
+		entryRetention:   s.settings.Fresh + s.settings.Limits.QuotaWindow,
+		changedEndpoints: make(map[string]bool),
+		pieces:           make(map[uint64]registry.Piece),
+		packed:           make(map[pieceKey]packedPiece),
 	}
 	o.poison = poison.NewBook(now, &s.machine.poison)
-	o.suspects, o.suspectsTold = o.poison.Suspects()
-	o.useForms(s)
-	o.admission = admission.New(s.settings.Limits, s.settings.Seed, o.book, o.poison)
+	o.suspects, o.suspectsRevision = o.poison.Suspects()
+	o.useFormatVersion(s)
+	o.admission = admission.New(s.settings.Limits, s.settings.Seed, o.budgets, o.poison)
 	o.admission.SetPart(now, 0, &o.effects) // until entries are connected
 	if s.config.table != nil {
 		o.admission.SetTable(now, s.config.table)
 	}
 	for _, e := range s.machine.registry.List() {
-		o.heard[e.ID] = now
+		o.lastHeartbeat[e.ID] = now
 		o.admission.SetEndpoint(now, message.Endpoint{Endpoint: e}, &o.effects)
 	}
 	return o
 }
 
-// newBook returns the book of an owner that begins now, with what the log says of the
-// owners before.
-func (s *State) newBook(now event.Time) *budget.Book {
+// newBudgets returns the budget book of a new owner, with the spending recorded in the log.
+func (s *State) newBudgets(now event.Time) *budget.Book {
 	if s.machine.document.Version == 0 {
-		return budget.NewBook(now, s.settings.Fresh) // without a configuration nothing was served
+		return budget.NewBook(now, s.settings.Fresh) // nothing was served without a configuration
 	}
 	return budget.InheritLedger(now, s.settings.Fresh, &s.machine.spending)
 }
 
-// lapsePatience is how long the lease may lapse before an owner ends: some more than
-// consensus.HeartbeatEvery, after which a leader that was only slow has its next answers.
-const lapsePatience = 150 * event.Millisecond
+// leaseGracePeriod is how long the lease may lapse before the owner ends. It exceeds
+// the heartbeat interval of the log, so that a slow leader can receive the next responses.
+const leaseGracePeriod = 150 * event.Millisecond
 
-// remains reports whether an owner goes on, perhaps to decide again when the lease does.
-func (o *owner) remains(now event.Time, node *consensus.Node) bool {
-	return node.Leads() && !node.HandsOver() && o.term == node.Term() && now < node.LeaseEnd(now).Add(lapsePatience)
+// remainsOwner reports whether the owner stays; it may have to wait for the lease to be renewed.
+func (o *owner) remainsOwner(now event.Time, node *consensus.Node) bool {
+	return node.Leads() && !node.HandsOver() && o.term == node.Term() && now < node.LeaseEnd(now).Add(leaseGracePeriod)
 }
 
-// inOrder returns the sessions in the order in which they began, so that what follows from an
-// event does not hang on the order of a map.
-func (o *owner) inOrder() []SessionID { return slices.Sorted(maps.Keys(o.sessions)) }
+// sessionIDs returns the sessions in the order in which they began, so that effects don't
+// depend on map order.
+func (o *owner) sessionIDs() []SessionID { return slices.Sorted(maps.Keys(o.sessions)) }
 
-// end closes all sessions: the entries go to the next owner.
-func (o *owner) end(s *State, out *Effects) {
-	for _, id := range o.inOrder() {
+// closeSessions redirects all entries to the next owner.
+func (o *owner) closeSessions(s *State, out *Effects) {
+	for _, id := range o.sessionIDs() {
 		s.redirect(id, out)
 	}
 }
 
-// step takes an event while this box owns the pools.
+// step applies an event while this box owns the pools.
 func (o *owner) step(now event.Time, e Event, s *State, out *Effects) {
 	switch e := e.(type) {
-	case *Ticked:
+	case *Tick:
 		o.tick(now, s, out)
-	case *EndpointTold:
-		if told, counts := s.startOf(e.Endpoint); counts {
-			o.hear(now, told.ID, s, out)
+	case *HeartbeatReceived:
+		if reported, valid := s.instanceOf(e.Endpoint); valid {
+			o.recordHeartbeat(now, reported.ID, s, out)
 		}
-	case *EndpointsHeard:
+	case *HeartbeatsForwarded:
 		for _, id := range e.IDs {
-			o.hear(now, id, s, out)
+			o.recordHeartbeat(now, id, s, out)
 		}
-	case *SessionBegan:
-		o.begin(now, e, s, out)
-	case *SessionPinged:
-		o.ping(now, e, s, out)
-	case *SessionTold:
-		o.told(now, e, s, out)
-	case *SessionWanted:
-		o.wanted(e, s, out)
-	case *SessionEnded:
-		o.ended(now, e.Session)
+	case *SessionOpened:
+		o.openSession(now, e, s, out)
+	case *PingReceived:
+		o.receivePing(now, e, s, out)
+	case *BatchReceived:
+		o.receiveBatch(now, e, s, out)
+	case *NodesRequested:
+		o.sendNodes(e, s, out)
+	case *SessionClosed:
+		o.closeSession(now, e.Session)
 	}
-	o.keepRecord(now, s, out)
-	o.keepPoisonRecord(now, s, out)
-	o.decide(now, s, out)
+	o.recordBudgets(now, s, out)
+	o.recordPoison(now, s, out)
+	o.sendDecisions(now, s, out)
 }
 
-// keepRecord puts a record of the book into the log when one is due.
-func (o *owner) keepRecord(now event.Time, s *State, out *Effects) {
-	if !o.book.Due() || !s.owns(now) {
+// recordBudgets proposes a budget record when one is due.
+func (o *owner) recordBudgets(now event.Time, s *State, out *Effects) {
+	if !o.budgets.Due() || !s.owns(now) {
 		return
 	}
-	index, err := s.node.Propose(now, encodeSpending(o.book.MakeRecord(now)), &out.Ready)
+	index, err := s.node.Propose(now, encodeSpending(o.budgets.MakeRecord(now)), &out.Ready)
 	if err != nil {
-		// It does not lead any more, and will find out: nothing is spent until then that
-		// the record before does not cover.
-		out.note("budgets not recorded", Field{"error", err.Error()})
+		// No longer the leader. Until this owner ends, nothing is spent beyond what the
+		// previous record covers.
+		out.logInfo("budget record not proposed: no longer the leader", Field{"error", err.Error()})
 		return
 	}
-	o.record = index
+	o.recordIndex = index
 }
 
-// recorded takes note that an entry of this term is committed: if it is the last record of
-// the book, more may be spent.
-func (o *owner) recorded(now event.Time, index consensus.Index, s *State, out *Effects) {
-	if index == o.poisonRecord {
-		o.poisonRecorded(now, s, out)
+// recordCommitted records that an entry of this term is committed. If it is the last budget
+// record, requests that waited for it can go on.
+func (o *owner) recordCommitted(now event.Time, index consensus.Index, s *State, out *Effects) {
+	if index == o.poisonIndex {
+		o.poisonCommitted(now, s, out)
 		return
 	}
-	if index != o.record {
+	if index != o.recordIndex {
 		return
 	}
-	o.book.Committed()
+	o.budgets.Committed()
 	o.admission.Unpark(now, &o.effects)
-	o.decide(now, s, out)
+	o.sendDecisions(now, s, out)
 }
 
 func (o *owner) tick(now event.Time, s *State, out *Effects) {
-	o.forgetAbsent(now)
-	o.book.Tick(now)
-	limit := downBeats * s.settings.BeatEvery
-	fallen := make(map[event.EndpointID]event.Time)
-	for id, at := range o.heard {
+	o.forgetAbsentEntries(now)
+	o.budgets.Tick(now)
+	limit := downAfterHeartbeats * s.settings.BeatEvery
+	lost := make(map[event.EndpointID]event.Time)
+	for id, at := range o.lastHeartbeat {
 		if down := now.Sub(at) > limit; down != o.down[id] {
 			o.setDown(now, id, down, s, out)
 			if down {
-				fallen[event.EndpointID(id)] = at
+				lost[event.EndpointID(id)] = at
 			}
 		}
 	}
-	if len(fallen) > 0 {
-		o.admission.Fallen(now, fallen, &o.effects)
+	if len(lost) > 0 {
+		o.admission.Fallen(now, lost, &o.effects)
 	}
-	o.sharePart(now)
+	o.updateLimitShare(now)
 	o.admission.Tick(now, &o.effects)
-	o.tellNews(s, out)
-	o.tellAsked(now, out)
-	o.tellSuspects(out)
-	o.tellBudgets(now, out)
-	o.raiseLevel(now, s, out)
+	o.sendEndpointChanges(s, out)
+	o.sendFeedback(now, out)
+	o.sendSuspects(out)
+	o.logBudgets(now, out)
+	o.raiseFormatVersion(now, s, out)
 }
 
-// forgetAbsent takes what entries had running as ended that are away for long, of some in
-// each tick: 130 of them at once, each looked for in 20,000 requests, were a step of 58 ms.
-func (o *owner) forgetAbsent(now event.Time) {
-	var gone []event.BoxID
+// forgetAbsentEntries takes the requests of long disconnected entries as terminated. The number of
+// entries per tick is bounded to keep the step short: each scans all requests.
+func (o *owner) forgetAbsentEntries(now event.Time) {
+	var expired []event.BoxID
 	for name, e := range o.entries {
 		if e.session != 0 {
 			continue
 		}
-		if away := now.Sub(e.left); away > entryPatience && !e.isForgotten {
-			gone = append(gone, name)
-		} else if away > o.keepTime {
+		if away := now.Sub(e.disconnectedAt); away > entryTimeout && !e.isForgotten {
+			expired = append(expired, name)
+		} else if away > o.entryRetention {
 			delete(o.entries, name)
 		}
 	}
-	slices.Sort(gone)
-	for _, name := range gone[:min(len(gone), forgetMost)] {
+	slices.Sort(expired)
+	for _, name := range expired[:min(len(expired), maxForgetPerTick)] {
 		o.entries[name].isForgotten = true
 		o.admission.EntryGone(now, name, &o.effects)
 		o.admission.EntryDied(now, name, &o.effects)
 	}
 }
 
-// tellBudgets tells the log how the budgets stand that are more than half used.
-func (o *owner) tellBudgets(now event.Time, out *Effects) {
-	if now.Sub(o.toldAt) < tellBudgetsEvery {
+// logBudgets logs the budgets that are more than half used.
+func (o *owner) logBudgets(now event.Time, out *Effects) {
+	if now.Sub(o.budgetsLoggedAt) < budgetLogInterval {
 		return
 	}
-	o.toldAt = now
-	for _, u := range o.book.High(now) {
-		out.note("budget", Field{"account", string(u.Account)}, Field{"spent", u.Spent}, Field{"lent", u.Lent},
-			Field{"inherited", u.Inherited}, Field{"limit", u.Most}, Field{"owner_ms", now.Sub(o.began).Milliseconds()})
+	o.budgetsLoggedAt = now
+	for _, u := range o.budgets.High(now) {
+		out.logInfo("budget usage", Field{"account", string(u.Account)}, Field{"spent", u.Spent}, Field{"lent", u.Lent},
+			Field{"inherited", u.Inherited}, Field{"limit", u.Most}, Field{"owner_ms", now.Sub(o.startedAt).Milliseconds()})
 	}
 }
 
-// count returns how many entries share the endpoints, those that are away included: they
-// may send to them alone until their configuration is too old.
-func (o *owner) count(now event.Time) int {
-	if now.Sub(o.began) > o.keepTime {
+// entryCount returns how many entries share the endpoints. It includes disconnected ones: they may
+// send requests without an owner until their configuration expires.
+func (o *owner) entryCount(now event.Time) int {
+	if now.Sub(o.startedAt) > o.entryRetention {
 		return max(1, len(o.entries))
 	}
-	return max(1, o.expected, len(o.entries))
+	return max(1, o.expectedEntries, len(o.entries))
 }
 
-// hearsOther reports whether a message comes from an endpoint whose address another one took
-// that is heard: the message was long on its way, and its sender is dead. Where the other is
-// silent the message counts. An endpoint whose address was taken by a late message of a dead
-// one would else get no requests for the rest of its life.
-func (o *owner) hearsOther(now event.Time, e registry.Endpoint, s *State) bool {
+// isAddressTaken reports whether a heartbeat is from an endpoint whose address was taken by another
+// that is alive: then it was delayed and its sender is dead. If the other is overdue the heartbeat
+// counts; otherwise an endpoint whose address was taken by a delayed message of a dead one would
+// never get requests again.
+func (o *owner) isAddressTaken(now event.Time, e registry.Endpoint, s *State) bool {
 	other := s.machine.registry.Contests(e)
-	return other != "" && other != e.ID && now.Sub(o.heard[other]) < event.Span(contestBeats*float64(s.settings.BeatEvery))
+	return other != "" && other != e.ID && now.Sub(o.lastHeartbeat[other]) < event.Span(reclaimAfterHeartbeats*float64(s.settings.BeatEvery))
 }
 
-func (o *owner) hear(now event.Time, id string, s *State, out *Effects) {
+func (o *owner) recordHeartbeat(now event.Time, id string, s *State, out *Effects) {
 	if _, ok := s.machine.registry.Endpoints[id]; !ok {
 		return
 	}
-	o.heard[id] = now
+	o.lastHeartbeat[id] = now
 	if o.down[id] {
 		o.setDown(now, id, false, s, out)
 	}
 }
 
-// setDown changes what is believed of an endpoint's life.
+// setDown marks an endpoint up or down.
 func (o *owner) setDown(now event.Time, id string, down bool, s *State, out *Effects) {
 	e, ok := s.machine.registry.Endpoints[id]
 	if !ok {
-		delete(o.heard, id)
+		delete(o.lastHeartbeat, id)
 		delete(o.down, id)
 		return
 	}
 	o.down[id] = down
-	out.note("endpoint silent", Field{"endpoint", id}, Field{"down", down}, Field{"heard_ms_ago", now.Sub(o.heard[id]).Milliseconds()})
-	o.show(now, e)
+	out.logInfo("endpoint liveness changed", Field{"endpoint", id}, Field{"down", down}, Field{"heard_ms_ago", now.Sub(o.lastHeartbeat[id]).Milliseconds()})
+	o.publishEndpoint(now, e)
 }
 
-// applied takes what a command changed.
-func (o *owner) applied(now event.Time, c change, s *State, out *Effects) {
-	for _, id := range c.gone {
-		if len(c.seen) > 0 { // another one has its address: it has ended without a word
-			o.admission.Fallen(now, map[event.EndpointID]event.Time{event.EndpointID(id): o.heard[id]}, &o.effects)
+// applyChange applies the endpoints that a command updated or removed.
+func (o *owner) applyChange(now event.Time, c change, s *State, out *Effects) {
+	for _, id := range c.removed {
+		if len(c.updated) > 0 { // replaced at its address, so it terminated without notice
+			o.admission.Fallen(now, map[event.EndpointID]event.Time{event.EndpointID(id): o.lastHeartbeat[id]}, &o.effects)
 		}
-		delete(o.heard, id)
+		delete(o.lastHeartbeat, id)
 		delete(o.down, id)
 		o.admission.RemoveEndpoint(now, event.EndpointID(id), &o.effects)
-		o.asking.gone(event.EndpointID(id))
-		out.note("endpoint gone", Field{"endpoint", id})
-		o.news[id] = true
+		o.feedback.remove(event.EndpointID(id))
+		out.logInfo("endpoint gone", Field{"endpoint", id})
+		o.changedEndpoints[id] = true
 	}
-	for _, e := range c.seen {
-		o.heard[e.ID] = now
-		out.note("endpoint", Field{"endpoint", e.ID}, Field{"service", e.Service}, Field{"address", e.Address}, Field{"leaving", e.Leaving}, Field{"sequence", e.Sequence})
-		o.show(now, e)
+	for _, e := range c.updated {
+		o.lastHeartbeat[e.ID] = now
+		out.logInfo("endpoint updated", Field{"endpoint", e.ID}, Field{"service", e.Service}, Field{"address", e.Address}, Field{"leaving", e.Leaving}, Field{"sequence", e.Sequence})
+		o.publishEndpoint(now, e)
 	}
 }
 
-// takeConfig takes a new configuration and tells all entries of it.
-func (o *owner) takeConfig(now event.Time, s *State, out *Effects) {
+// applyConfig applies a new configuration and announces it to all entries.
+func (o *owner) applyConfig(now event.Time, s *State, out *Effects) {
 	o.admission.SetTable(now, s.config.table)
-	for _, id := range o.inOrder() {
-		o.tellConfig(id, o.sessions[id], s, out)
+	for _, id := range o.sessionIDs() {
+		o.sendConfig(id, o.sessions[id], s, out)
 	}
 }
 
-// decide sends the decisions that were made to their entries. While the lease has lapsed
-// they are held back: nobody else decides until this term is over, and with it this owner.
-func (o *owner) decide(now event.Time, s *State, out *Effects) {
+// sendDecisions sends the pending decisions to their entries. While the lease has lapsed they are
+// kept: no other box decides before this term, and with it this owner, ends.
+func (o *owner) sendDecisions(now event.Time, s *State, out *Effects) {
 	if !s.owns(now) {
 		return
 	}
--- a/cluster/upload.go
+++ b/cluster/upload.go
@@ -10,73 +10,73 @@
 	"lynxramp.org/level"
 )
 
-// uploads are the documents that the leader was sent and has not committed. One is in the log;
-// the newest of those that came meanwhile waits, for all of them: a call is answered when its
-// document or a later one is committed. So no number of changes makes the log longer than
-// the links can take.
-type uploads struct {
-	logged  *sending
-	waiting *sending
+// uploadQueue has the documents that the leader received and has not committed: one in the log,
+// and the newest of the others, which is proposed next and answers the calls of all of them. A call is
+// answered when its document or a later one is committed. So a series of changes can't make the log
+// grow without bound.
+type uploadQueue struct {
+	inLog   *pendingUpload
+	waiting *pendingUpload
 }
 
-// sending is a document and the calls that it is to answer.
-type sending struct {
-	document Document
-	tokens   []Token
-	last     consensus.Index // of its last part
-	term     consensus.Term
+// pendingUpload is a document and the calls to answer when it is committed.
+type pendingUpload struct {
+	document  Document
+	calls     []CallID
+	lastIndex consensus.Index // of its last part
+	term      consensus.Term
 }
 
-// sendDocument takes an operator's call. A document that is on its way already is not put into
-// the log again: operators send again each second what is not acknowledged, and each copy of
-// a large one would hold up the first.
-func (s *State) sendDocument(now event.Time, e *DocumentSent, out *Effects) {
+// submitDocument queues a document of an operator. A document in the queue already is not proposed
+// again: clients retry until a document is acknowledged, and each copy of a large one would delay
+// the first.
+func (s *State) submitDocument(now event.Time, e *DocumentSubmitted, out *Effects) {
 	u := &s.uploads
 	version := e.Document.Version
 	switch {
 	case !s.owns(now):
-		s.elsewhere(e.Token, out)
+		s.answerNotLeader(e.CallID, out)
 	case version <= s.machine.document.Version:
-		out.Answers = append(out.Answers, Answer{Token: e.Token, Status: StatusDone})
-	case u.logged != nil && version <= u.logged.document.Version:
-		u.logged.tokens = append(u.logged.tokens, e.Token)
+		out.Answers = append(out.Answers, Answer{CallID: e.CallID, Status: StatusDone})
+	case u.inLog != nil && version <= u.inLog.document.Version:
+		u.inLog.calls = append(u.inLog.calls, e.CallID)
 	case u.waiting != nil && version <= u.waiting.document.Version:
-		u.waiting.tokens = append(u.waiting.tokens, e.Token)
+		u.waiting.calls = append(u.waiting.calls, e.CallID)
 	default:
-		next := &sending{document: e.Document, tokens: []Token{e.Token}}
+		next := &pendingUpload{document: e.Document, calls: []CallID{e.CallID}}
 		if u.waiting != nil {
-			next.tokens = append(u.waiting.tokens, e.Token)
+			next.calls = append(u.waiting.calls, e.CallID)
 		}
 		u.waiting = next
-		s.logNext(now, out)
+		s.proposeNextUpload(now, out)
 	}
 }
 
-// logNext puts the document that waits into the log once there is no other: those of its parts
-// that an earlier leader did not get committed.
-func (s *State) logNext(now event.Time, out *Effects) {
+// proposeNextUpload proposes the waiting document once no other is in the log, without the parts that
+// an earlier leader got committed.
+func (s *State) proposeNextUpload(now event.Time, out *Effects) {
 	u := &s.uploads
-	if u.logged != nil || u.waiting == nil || !s.owns(now) || s.writes() == 0 {
+	if u.inLog != nil || u.waiting == nil || !s.owns(now) || s.writeVersion() == 0 {
 		return
 	}
 	next := u.waiting
 	u.waiting = nil
-	for _, command := range s.commandsOf(&next.document) {
+	for _, command := range s.uploadCommands(&next.document) {
 		index, err := s.node.Propose(now, command, &out.Ready)
 		if err != nil {
-			next.answer(StatusUnclear, out)
+			next.answer(StatusUnknown, out)
 			return
 		}
-		next.last = index
+		next.lastIndex = index
 	}
 	next.term = s.node.Term()
-	u.logged = next
+	u.inLog = next
 }
 
-// commandsOf returns the commands that bring a document: its parts that an earlier leader did not get
-// committed, or all of it at once where members read no parts.
-func (s *State) commandsOf(d *Document) [][]byte {
-	if s.writes() < level.Parts {
+// uploadCommands returns the commands for a document: the parts that are not committed yet, or the whole
+// document where some members don't support parts.
+func (s *State) uploadCommands(d *Document) [][]byte {
+	if s.writeVersion() < level.Parts {
 		return [][]byte{d.encodeWhole()}
 	}
 	d.pack()
@@ -91,41 +91,41 @@
 	return list
 }
 
-// uploaded takes note that an entry was applied.
-func (s *State) uploaded(entry consensus.Entry, out *Effects) {
-	d := s.uploads.logged
-	if d == nil || d.last != entry.Index {
+// uploadApplied answers the calls of an upload whose last part was applied.
+func (s *State) uploadApplied(entry consensus.Entry, out *Effects) {
+	d := s.uploads.inLog
+	if d == nil || d.lastIndex != entry.Index {
 		return
 	}
-	s.uploads.logged = nil
+	s.uploads.inLog = nil
 	status := StatusDone
 	if d.term != entry.Term {
-		status = StatusUnclear
+		status = StatusUnknown
 	}
 	d.answer(status, out)
 }
 
-// fail answers all calls: their documents may or may not be committed.
-func (u *uploads) fail(out *Effects) {
-	for _, d := range []*sending{u.logged, u.waiting} {
+// fail answers all calls with StatusUnknown: their documents may or may not be committed.
+func (u *uploadQueue) fail(out *Effects) {
+	for _, d := range []*pendingUpload{u.inLog, u.waiting} {
 		if d != nil {
-			d.answer(StatusUnclear, out)
+			d.answer(StatusUnknown, out)
 		}
 	}
-	*u = uploads{}
+	*u = uploadQueue{}
 }
 
-// forget drops a call that does not wait any more. Its document goes on.
-func (u *uploads) forget(t Token) {
-	for _, d := range []*sending{u.logged, u.waiting} {
+// cancelCall drops a call. Its document is still replicated.
+func (u *uploadQueue) cancelCall(id CallID) {
+	for _, d := range []*pendingUpload{u.inLog, u.waiting} {
 		if d != nil {
-			d.tokens = slices.DeleteFunc(d.tokens, func(other Token) bool { return other == t })
+			d.calls = slices.DeleteFunc(d.calls, func(other CallID) bool { return other == id })
 		}
 	}
 }
 
-func (d *sending) answer(status Status, out *Effects) {
-	for _, t := range d.tokens {
-		out.Answers = append(out.Answers, Answer{Token: t, Status: status})
+func (d *pendingUpload) answer(status Status, out *Effects) {
+	for _, id := range d.calls {
+		out.Answers = append(out.Answers, Answer{CallID: id, Status: status})
 	}
 }
--- a/sched/class.go
+++ b/sched/class.go
@@ -8,67 +8,70 @@
 	"lynxramp.org/event"
 )
 
-// RanksOfTeam is how many ranks lie within one of a team: ranks whose numbers
-// divided by it, rounded down, are equal are of one tier of teams.
+// TeamRankStride is the distance between adjacent team ranks. Ranks that give
+// the same team rank when divided by it and rounded belong to one team tier.
 const RanksOfTeam = 1000
 
-// classMemory is the time over which the shares of classes are averaged.
-const classMemory = 10 * event.Second
+// classDecayTime is the time constant of the class counters.
+const classDecayTime = 10 * event.Second
 
-// cheapPart is the most work, as a part of that of the class above, with which a
-// class may be served beside it.
-const cheapPart = 0.25
+// cheapWorkRatio is the largest ratio of a class's mean work to that of the
+// next higher class at which it may be promoted.
+const cheapWorkRatio = 0.25
 
-// fading is a count whose older parts fade. The zero value is ready.
-type fading struct {
-	value float64
-	at    event.Time
+// decayingCounter is an exponentially decaying count. The zero value is ready
+// to use.
+type decayingCounter struct {
+	value   float64
+	updated event.Time
 }
 
-func (f *fading) get(now event.Time) float64 {
-	return f.value * math.Exp(-now.Sub(f.at).Seconds()/classMemory.Seconds())
+func (c *decayingCounter) get(now event.Time) float64 {
+	return c.value * math.Exp(-now.Sub(c.updated).Seconds()/classDecayTime.Seconds())
 }
 
-func (f *fading) add(now event.Time, amount float64) {
-	f.value = f.get(now) + amount
-	f.at = now
+func (c *decayingCounter) add(now event.Time, amount float64) {
+	c.value = c.get(now) + amount
+	c.updated = now
 }
 
-// class is what is known of the requests of one rank.
+// class has the statistics of requests submitted with one rank.
 type class struct {
-	rank    int
-	asked   fading
-	refused fading
-	work    float64 // mean seconds at speed 1
-	held    holding // of places
+	rank      int
+	submitted decayingCounter
+	refused   decayingCounter
+	meanWork  float64     // in seconds at speed 1
+	runTime   meanRunTime // how long its requests run
 }
 
-// classes are by rank.
+// classes maps a rank to its class.
 type classes map[int]*class
 
-func (c classes) at(rank int) *class {
-	one, ok := c[rank]
+func (c classes) forRank(rank int) *class {
+	cl, ok := c[rank]
 	if !ok {
-		one = &class{rank: rank}
-		c[rank] = one
+		cl = &class{rank: rank}
+		c[rank] = cl
 	}
-	return one
+	return cl
 }
 
-// served returns which part of the class was lately not refused.
-func (c *class) served(now event.Time) float64 {
-	asked := c.asked.get(now)
-	if asked < 1 {
+// servedFraction returns the recent fraction of the class's requests that were
+// not refused.
+func (c *class) servedFraction(now event.Time) float64 {
+	submitted := c.submitted.get(now)
+	if submitted < 1 {
 		return 1
 	}
-	return 1 - min(1, c.refused.get(now)/asked)
+	return 1 - min(1, c.refused.get(now)/submitted)
 }
 
-// above returns the next higher rank of the same tier of teams that asked lately.
-func (c classes) above(now event.Time, rank int) (int, bool) {
+// nextHigher returns the next higher rank in the same team tier with recent
+// requests.
+func (c classes) nextHigher(now event.Time, rank int) (int, bool) {
 	found, ok := 0, false
-	for other, one := range c {
-		if other <= rank || teamTier(other) != teamTier(rank) || one.asked.get(now) < 1 {
+	for other, cl := range c {
+		if other <= rank || teamTier(other) != teamTier(rank) || cl.submitted.get(now) < 1 {
 			continue
 		}
 		if !ok || other < found {
@@ -80,31 +83,32 @@
 
 func teamTier(rank int) int { return int(math.Floor(float64(rank)/RanksOfTeam + 0.5)) }
 
-// promote returns the rank at which a request waits: its own, or the one above
-// while its class is so cheap that it takes next to nothing from that one and is
-// served less.
+// promote updates the class statistics of k and returns the rank at which k is
+// queued. That is its own rank, or the next higher one while k's class is much
+// cheaper than that one and a smaller fraction of it is served.
 func (s *State) promote(now event.Time, k *ticket) int {
 	own := k.class
-	own.asked.add(now, 1)
-	work := s.seconds(k)
-	own.work += (work - own.work) * workWeight
-	s.meanWork += (work - s.meanWork) * workWeight
-	rank, ok := s.classes.above(now, k.Rank)
+	own.submitted.add(now, 1)
+	work := s.profileWork(k)
+	own.meanWork += (work - own.meanWork) * meanWorkWeight
+	s.meanWork += (work - s.meanWork) * meanWorkWeight
+	rank, ok := s.classes.nextHigher(now, k.Rank)
 	if !ok {
 		return k.Rank
 	}
 	higher := s.classes[rank]
-	if own.work < cheapPart*higher.work && own.served(now) < higher.served(now) {
+	if own.meanWork < cheapWorkRatio*higher.meanWork && own.servedFraction(now) < higher.servedFraction(now) {
 		return rank
 	}
 	return k.Rank
 }
 
-// workWeight is the weight of a request in its class's mean work.
-const workWeight = 0.05
+// meanWorkWeight is the weight of a new request in a moving average of work.
+const meanWorkWeight = 0.05
 
-// seconds is the work of a request at speed 1 by the pool's profile.
-func (s *State) seconds(k *ticket) float64 {
+// profileWork returns the estimated work of k in seconds at speed 1, by the
+// pool's profile.
+func (s *State) profileWork(k *ticket) float64 {
 	profile := s.profile()
-	return float64(k.PromptTokens)/profile.PrefillRate + profile.TokenGap.Seconds()*float64(k.expected)
+	return float64(k.PromptTokens)/profile.PrefillRate + profile.TokenGap.Seconds()*float64(k.expectedTokens)
 }
--- a/sched/length.go
+++ b/sched/length.go
@@ -2,55 +2,55 @@
 
 package sched
 
-// How the lengths of answers are learned.
+// Parameters of the output length estimate.
 const (
-	lengthWeight  = 0.05
-	lengthSamples = 20
-	// maxLengthShare bounds what one answer teaches: where callers only guess, some
-	// answers are much longer.
-	maxLengthShare = 3.0
+	lengthWeight     = 0.05
+	minLengthSamples = 20
+	// maxLengthRatio caps a sample: where callers only guess, some answers are
+	// much longer than expected.
+	maxLengthRatio = 3.0
 )
 
-// answerLength learns which part of the tokens that callers allow a service's
-// answers really have. The zero value knows nothing and expects all of them.
-type answerLength struct {
-	share   float64
+// lengthRatio estimates the ratio of a service's output tokens to those its
+// callers request. The zero value expects a ratio of 1.
+type lengthRatio struct {
+	ratio   float64
 	samples int
 }
 
-// length returns what is known of a service's answers.
-func (s *State) length(service string) *answerLength {
-	l, ok := s.lengths[service]
+// outputLength returns the output length estimate of a service.
+func (s *State) outputLength(service string) *lengthRatio {
+	l, ok := s.outputLengths[service]
 	if !ok {
-		l = &answerLength{}
-		s.lengths[service] = l
+		l = &lengthRatio{}
+		s.outputLengths[service] = l
 	}
 	return l
 }
 
-// learn takes note of an answer's tokens, of those allowed. An answer whose
-// tokens are not known teaches nothing.
-func (l *answerLength) learn(tokens, allowed int) {
-	if tokens == 0 || allowed == 0 {
+// observe adds an answer with its tokens and the requested number. It ignores
+// answers for which either is unknown.
+func (l *lengthRatio) observe(tokens, requested int) {
+	if tokens == 0 || requested == 0 {
 		return
 	}
-	share := min(maxLengthShare, float64(tokens)/float64(allowed))
+	ratio := min(maxLengthRatio, float64(tokens)/float64(requested))
 	l.samples++
 	if l.samples == 1 {
-		l.share = share
+		l.ratio = ratio
 		return
 	}
-	l.share += lengthWeight * (share - l.share)
+	l.ratio += lengthWeight * (ratio - l.ratio)
 }
 
-// known reports whether enough answers were seen to give up a request on what
-// they had.
-func (l *answerLength) known() bool { return l.samples >= lengthSamples }
+// hasEnoughSamples reports whether the estimate is good enough to refuse
+// requests by it.
+func (l *lengthRatio) hasEnoughSamples() bool { return l.samples >= minLengthSamples }
 
-// expect returns the tokens that an answer will have.
-func (l *answerLength) expect(allowed int) int {
-	if !l.known() || allowed == 0 {
-		return allowed
+// estimate returns the expected output tokens of an answer.
+func (l *lengthRatio) estimate(requested int) int {
+	if !l.hasEnoughSamples() || requested == 0 {
+		return requested
 	}
-	return max(1, int(l.share*float64(allowed)))
+	return max(1, int(l.ratio*float64(requested)))
 }
--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -10,46 +10,46 @@
 
 // Bounds of the prefix index.
 const (
-	// prefixMarks is how many marks are remembered of an endpoint.
-	prefixMarks = 384
-	// maxHolders is how many holders of a prompt are weighed.
+	// maxEndpointMarks is how many marks are kept per endpoint.
+	maxEndpointMarks = 384
+	// maxHolders is how many holders of a prompt a search returns.
 	maxHolders = 16
-	// commonHolders is from how many holders on a mark counts as held by all:
-	// to look at them would cost more than it saves.
+	// commonHolders is the number of holders from which a mark is treated as
+	// held by every endpoint: considering each would cost more than it saves.
 	commonHolders = 64
 )
 
-// prefixIndex guesses which endpoints hold which prompt marks: those of the
-// requests that they were granted lately. It is kept from the mark to its
-// holders, so that the search for a prompt's holders does not grow with the
-// number of endpoints.
+// prefixIndex estimates which prompt prefixes endpoints have in their cache, from
+// the requests recently granted to them. It maps marks, hashes of prefixes at
+// each engine.MarkTokens, to endpoints, so the cost of a search does not grow
+// with the number of endpoints.
 type prefixIndex struct {
 	holders map[uint64][]*endpoint
-	found   []holder // of the last search
+	results []holder // result buffer of search
 }
 
-// holder is an endpoint that is thought to hold a part of a prompt.
+// holder is an endpoint that probably has part of a prompt in its cache.
 type holder struct {
 	endpoint *endpoint
 	cached   int // tokens
 }
 
-// memory is what one endpoint is thought to hold. Two generations of a set
-// stand in for an exact order of use: when the young one is full it becomes the
-// old one, and the old one is forgotten.
-type memory struct {
+// cachedMarks has the marks that one endpoint probably has in its cache. Two
+// generations approximate an LRU order: when the young one is full it becomes
+// the old one, and the previous old one is discarded.
+type cachedMarks struct {
 	young, old map[uint64]struct{}
 }
 
-// add notes that e was granted a request with these marks.
+// add records that e was granted a request with these marks.
 func (p *prefixIndex) add(e *endpoint, marks []uint64) {
-	m := &e.memory
+	m := &e.cachedMarks
 	for _, mark := range marks {
 		if _, ok := m.young[mark]; ok {
 			continue
 		}
-		if m.young == nil || len(m.young) >= prefixMarks/2 {
-			p.turn(e)
+		if m.young == nil || len(m.young) >= maxEndpointMarks/2 {
+			p.rotate(e)
 		}
 		if _, ok := m.old[mark]; !ok {
 			p.holders[mark] = append(p.holders[mark], e)
@@ -58,23 +58,23 @@
 	}
 }
 
-// turn forgets the endpoint's old generation and begins a young one.
-func (p *prefixIndex) turn(e *endpoint) {
-	m := &e.memory
+// rotate discards the endpoint's old generation and starts a new young one.
+func (p *prefixIndex) rotate(e *endpoint) {
+	m := &e.cachedMarks
 	for mark := range m.old {
 		if _, ok := m.young[mark]; !ok {
-			p.forget(mark, e)
+			p.remove(mark, e)
 		}
 	}
-	forgotten := m.old
-	if forgotten == nil {
-		forgotten = make(map[uint64]struct{}, prefixMarks/2)
+	recycled := m.old
+	if recycled == nil {
+		recycled = make(map[uint64]struct{}, maxEndpointMarks/2)
 	}
-	clear(forgotten)
-	m.young, m.old = forgotten, m.young
+	clear(recycled)
+	m.young, m.old = recycled, m.young
 }
 
-func (p *prefixIndex) forget(mark uint64, e *endpoint) {
+func (p *prefixIndex) remove(mark uint64, e *endpoint) {
 	list := p.holders[mark]
 	i := slices.Index(list, e)
 	if i < 0 {
@@ -89,31 +89,31 @@
 	p.holders[mark] = list
 }
 
-// search returns the endpoints that hold most of a prompt, the longest part
-// first. The list is good until the next search.
+// search returns endpoints that have part of a prompt cached, longest prefix
+// first. The result is valid until the next search.
 func (p *prefixIndex) search(marks []uint64, promptTokens int) []holder {
-	p.found = p.found[:0]
+	p.results = p.results[:0]
 	for i := len(marks) - 1; i >= 0; i-- {
 		list := p.holders[marks[i]]
 		if len(list) >= commonHolders {
 			break
 		}
-		// The prefix ends somewhere before the next mark.
+		// The cached prefix ends somewhere before the next mark.
 		cached := min(promptTokens, (i+1)*engine.MarkTokens+engine.MarkTokens/2)
 		for _, e := range list {
-			if len(p.found) == maxHolders {
-				return p.found
+			if len(p.results) == maxHolders {
+				return p.results
 			}
 			if !p.isFound(e) {
-				p.found = append(p.found, holder{endpoint: e, cached: cached})
+				p.results = append(p.results, holder{endpoint: e, cached: cached})
 			}
 		}
 	}
-	return p.found
+	return p.results
 }
 
 func (p *prefixIndex) isFound(e *endpoint) bool {
-	for _, h := range p.found {
+	for _, h := range p.results {
 		if h.endpoint == e {
 			return true
 		}
--- a/sched/view.go
+++ b/sched/view.go
@@ -8,129 +8,130 @@
 	"lynxramp.org/event"
 )
 
-// view is what a placement looks at of an endpoint. The views of all endpoints
-// lie side by side, so that looking at a thousand of them costs microseconds.
+// view has the fields of an endpoint that placement reads. The views are
+// contiguous in memory so that scanning a thousand of them takes microseconds.
 type view struct {
-	endpoint *endpoint
-	slowness float64 // 1 / speed
-	reading  float64 // slowness at reading prompts
-	// The prompts that it has to read first: firstWork seconds of the one that it
-	// reads since readSince, and moreWork of those behind it, both at speed 1.
-	firstWork, moreWork float64
-	readSince           event.Time
-	readUntil           event.Time // by plan, where beginnings are not told
-	dataCentre          string
-	free                int32 // places for the highest tier; 0 if it does not serve
-	reserve             int32 // of these, not for lower tiers
-	places              int32 // in all, in thousandths; 0 if it does not serve
-	isResting           bool  // it wants nothing of some entries
-	isLimited           bool  // by requests a second
+	endpoint        *endpoint
+	slowness        float64 // 1 / speed
+	prefillSlowness float64 // 1 / speed of prefill
+	// Pending prefill: headWork seconds of the prompt processed since
+	// headSince, and queuedWork seconds of those behind it, both at speed 1.
+	headWork, queuedWork float64
+	headSince            event.Time
+	plannedUntil         event.Time // planned end, for pools without Begun events
+	dataCentre           string
+	free                 int32 // free capacity for the highest rank; 0 if unavailable
+	reserved             int32 // part of free that lower ranks may not use
+	capacityUnits        int32 // capacity in units; 0 if unavailable
+	hasCooldowns         bool  // some entries are in cooldown
+	isRateLimited        bool  // limited in requests per second
 }
 
-// refresh makes an endpoint's view fit what is known of it at now.
-func (s *State) refresh(now event.Time, e *endpoint) {
+// refreshView recomputes the view of an endpoint at now.
+func (s *State) refreshView(now event.Time, e *endpoint) {
 	v := &s.views[e.index]
-	s.takeOut(v)
-	first := e.reading.first()
+	s.subtractView(v)
+	headWork := e.prefillQueue.headWork()
 	*v = view{
-		endpoint: e, slowness: 1 / e.speed(), reading: e.pace.get(now) / e.speed(), dataCentre: e.DataCentre,
-		firstWork: first, moreWork: e.reading.work - first, readSince: e.reading.since, readUntil: e.reading.until,
+		endpoint: e, slowness: 1 / e.speed(), prefillSlowness: e.prefillSlowdown.get(now) / e.speed(), dataCentre: e.DataCentre,
+		headWork: headWork, queuedWork: e.prefillQueue.work - headWork, headSince: e.prefillQueue.headSince, plannedUntil: e.prefillQueue.plannedUntil,
 	}
-	if e.Concurrency > 0 && e.serves(now) {
-		free, places := max(0, e.room()-e.inflight), e.room()*thousandths
-		if e.limit.isSet {
-			v.isLimited = true
-			free = min(free, e.limit.pacer.Room(now))
-			places = min(places, s.limitedPlaces(now, &e.limit))
+	if e.Concurrency > 0 && e.isAvailable(now) {
+		free, units := max(0, e.capacity()-e.inflight), e.capacity()*unitsPerRequest
+		if e.rateLimit.isSet {
+			v.isRateLimited = true
+			free = min(free, e.rateLimit.pacer.Room(now))
+			units = min(units, s.limitedCapacity(now, &e.rateLimit))
 		}
-		if len(e.rests) > 0 {
-			e.endRests(now)
-			v.isResting = len(e.rests) > 0
+		if len(e.cooldowns) > 0 {
+			e.expireCooldowns(now)
+			v.hasCooldowns = len(e.cooldowns) > 0
 		}
-		if v.isResting {
-			s.resting++
-			places = s.restedPlaces(e, places)
+		if v.hasCooldowns {
+			s.cooldownEndpoints++
+			units = s.capacityOutsideCooldown(e, units)
 		}
-		v.free, v.places = narrow(free), narrow(places)
-		s.places += int(v.places)
+		v.free, v.capacityUnits = clampInt32(free), clampInt32(units)
+		s.capacityUnits += int(v.capacityUnits)
 		if !s.pool.Discovered {
-			v.reserve = narrow(e.Concurrency / reservePart)
+			v.reserved = clampInt32(e.Concurrency / reserveDivisor)
 		}
 	}
 }
 
-// narrow makes a count fit a view, which is small so that many are looked at fast.
-func narrow(n int) int32 { return int32(min(n, math.MaxInt32)) }
+// clampInt32 converts a count for a view, which is kept small for fast scans.
+func clampInt32(n int) int32 { return int32(min(n, math.MaxInt32)) }
 
-// takeOut takes a view out of the pool's sums.
-func (s *State) takeOut(v *view) {
-	s.places -= int(v.places)
-	if v.isResting {
-		s.resting--
+// subtractView removes a view from the pool's sums.
+func (s *State) subtractView(v *view) {
+	s.capacityUnits -= int(v.capacityUnits)
+	if v.hasCooldowns {
+		s.cooldownEndpoints--
 	}
 }
 
-// refreshAll makes all views fit. Time alone can change whether an endpoint
-// serves, so it is done at each tick.
-func (s *State) refreshAll(now event.Time) {
+// refreshViews recomputes all views. An endpoint can become unavailable by the
+// passage of time alone, so this is done at each tick.
+func (s *State) refreshViews(now event.Time) {
 	for _, e := range s.endpoints {
-		s.refresh(now, e)
+		s.refreshView(now, e)
 	}
-	s.findFastest(now)
+	s.updateMaxSpeed(now)
 }
 
-// findFastest finds the speed of the fastest endpoint that serves.
-func (s *State) findFastest(now event.Time) {
-	s.fastest = 0
+// updateMaxSpeed recomputes the speed of the fastest available endpoint.
+func (s *State) updateMaxSpeed(now event.Time) {
+	s.maxSpeed = 0
 	for _, e := range s.endpoints {
-		if e.Concurrency > 0 && e.serves(now) {
-			s.fastest = max(s.fastest, e.speed())
+		if e.Concurrency > 0 && e.isAvailable(now) {
+			s.maxSpeed = max(s.maxSpeed, e.speed())
 		}
 	}
 }
 
-// price is what a request costs at endpoints that differ in speed and in what
-// they have to fill first. Times are in seconds at speed 1.
-type price struct {
-	now    event.Time
-	left   float64 // until the deadline
-	weight float64 // of prefill
-	fill   float64
-	decode float64
-	// first says that left counts to the answer's beginning, not to its end.
-	first      bool
-	rate       float64 // prompt tokens a second
-	end        float64 // until the answer's end is of no use
-	dataCentre string
-	limited    float64 // what an endpoint that names a limit costs more
+// costModel computes the cost of a request at endpoints that differ in speed
+// and pending prefill. Times are in seconds at speed 1.
+type costModel struct {
+	now           event.Time
+	timeLeft      float64 // to the target or the deadline
+	prefillWeight float64 // of prefill time in the cost
+	prefill       float64
+	decode        float64
+	// toFirstToken says that timeLeft is to the first token, not to the end of
+	// the answer.
+	toFirstToken  bool
+	prefillRate   float64 // prompt tokens per second
+	deadlineLeft  float64 // time left to the deadline
+	dataCentre    string
+	rateLimitCost float64 // extra cost of a rate-limited endpoint
 }
 
-// farCost is what an endpoint in another data centre costs: as much as so many seconds of
-// waiting. It decides between endpoints that are about as good.
-const farCost = 0.12
+// crossDataCentreCost is the extra cost of an endpoint in another data centre,
+// in seconds. It decides only between endpoints of similar cost.
+const crossDataCentreCost = 0.12
 
-func (s *State) price(now event.Time, k *ticket) price {
+func (s *State) costModel(now event.Time, k *ticket) costModel {
 	profile := s.profile()
-	left := k.deadline.Sub(now).Seconds()
-	p := price{now: now, left: left, end: left, weight: s.pool.PrefillWeight, rate: profile.PrefillRate, dataCentre: k.DataCentre}
+	timeLeft := k.deadline.Sub(now).Seconds()
+	p := costModel{now: now, timeLeft: timeLeft, deadlineLeft: timeLeft, prefillWeight: s.pool.PrefillWeight, prefillRate: profile.PrefillRate, dataCentre: k.DataCentre}
 	if k.Target > 0 {
-		p.left = (k.Target - now.Sub(k.arrived)).Seconds()
-		p.first = true
+		p.timeLeft = (k.Target - now.Sub(k.arrived)).Seconds()
+		p.toFirstToken = true
 	}
-	if p.weight == 0 {
-		p.weight = 1
+	if p.prefillWeight == 0 {
+		p.prefillWeight = 1
 	}
 	if k.OutputTokens == 0 {
 		p.decode = profile.CallTime.Seconds()
 		return p
 	}
-	p.fill = float64(k.PromptTokens) / p.rate
-	p.decode = profile.TokenGap.Seconds() * float64(k.expected)
-	p.limited = s.limitedPrice(p.fill + p.decode)
+	p.prefill = float64(k.PromptTokens) / p.prefillRate
+	p.decode = profile.TokenGap.Seconds() * float64(k.expectedTokens)
+	p.rateLimitCost = s.rateLimitCostOf(p.prefill + p.decode)
 	return p
 }
 
-// profile returns the speed of an endpoint of speed 1.
+// profile returns the speeds of an endpoint of speed 1.
 func (s *State) profile() event.Profile {
 	p := s.pool.Profile
 	if rate := s.prefill.rate(); rate > 0 {
@@ -148,130 +149,132 @@
 	return p
 }
 
-// at returns what the request costs at an endpoint that holds so many tokens of
-// its prompt, and how long it takes there.
-func (p *price) at(v *view, cached int) (cost float64, est estimate) {
-	work := p.fill - float64(cached)/p.rate
-	fill := work * v.reading
-	total := fill + p.decode*v.slowness
-	begin := fill
-	if p.fill == 0 {
-		begin = total
+// costAt returns the cost of the request at an endpoint that has so many prompt
+// tokens cached, and the estimated times there.
+func (p *costModel) costAt(v *view, cached int) (cost float64, est estimate) {
+	prefillWork := p.prefill - float64(cached)/p.prefillRate
+	prefill := prefillWork * v.prefillSlowness
+	total := prefill + p.decode*v.slowness
+	firstToken := prefill
+	if p.prefill == 0 {
+		firstToken = total
 	}
-	ahead := v.ahead(p.now)
-	total += ahead
-	begin += ahead
+	prefillAhead := v.prefillAhead(p.now)
+	total += prefillAhead
+	firstToken += prefillAhead
 	cost = total * timeWeight
 	if p.dataCentre != "" && v.dataCentre != "" && p.dataCentre != v.dataCentre {
-		cost += farCost
+		cost += crossDataCentreCost
 	}
-	if p.first {
-		// What is before the answer's beginning counts in full: it also holds up
-		// the streams beside it.
-		cost += begin
+	if p.toFirstToken {
+		// Time to first token counts in full, because prefill also delays the
+		// streams that run on the endpoint.
+		cost += firstToken
 	} else {
-		cost += p.weight * fill
+		cost += p.prefillWeight * prefill
 	}
-	if v.isLimited {
-		cost += p.limited
+	if v.isRateLimited {
+		cost += p.rateLimitCost
 	}
-	needed := total
-	if p.first {
-		needed = begin
+	latency := total
+	if p.toFirstToken {
+		latency = firstToken
 	}
-	if late := needed*margin - p.left; late > 0 {
+	if late := latency*estimateMargin - p.timeLeft; late > 0 {
 		cost += latePenalty * late
 	}
-	if late := total*margin - p.end; p.first && late > 0 {
+	if late := total*estimateMargin - p.deadlineLeft; p.toFirstToken && late > 0 {
 		cost += latePenalty * late
 	}
-	return cost, estimate{fill: fill, work: work, total: total, needed: needed, cached: cached}
+	return cost, estimate{prefill: prefill, prefillWork: prefillWork, total: total, latency: latency, cached: cached}
 }
 
-// ahead returns how many seconds the endpoint reads other prompts first.
-func (v *view) ahead(now event.Time) float64 {
-	first := v.firstWork*v.reading - now.Sub(v.readSince).Seconds()
-	planned := v.readUntil.Sub(now).Seconds()
-	return max(0, first) + v.moreWork*v.reading + max(0, planned)
+// prefillAhead returns the seconds until the endpoint has processed its pending
+// prompts.
+func (v *view) prefillAhead(now event.Time) float64 {
+	first := v.headWork*v.prefillSlowness - now.Sub(v.headSince).Seconds()
+	planned := v.plannedUntil.Sub(now).Seconds()
+	return max(0, first) + v.queuedWork*v.prefillSlowness + max(0, planned)
 }
 
-// choice is what choose finds for a request. Times are in seconds.
+// choice is the result of chooseEndpoint. Times are in seconds.
 type choice struct {
-	room    *endpoint // with room, where it costs least; nil if none has room
-	est     estimate  // there
-	cost    float64   // there
-	left    float64   // until the deadline
-	fastest float64   // what the fastest endpoint needs at the least
-	hold    bool      // it is better to wait for a full endpoint
-	rests   bool      // one with room wants nothing of its entry
+	best          *endpoint // with free capacity and the least cost; nil if none has free capacity
+	est           estimate  // there
+	cost          float64   // there
+	timeLeft      float64   // to the target or the deadline
+	minTime       float64   // least time at the fastest endpoint
+	waitForHolder bool      // a full endpoint with the prompt cached is worth the wait
+	inCooldown    bool      // an endpoint with free capacity is in cooldown for the entry
 }
 
-// choose finds the endpoint with room where k costs least: a little for its
-// time, more for prompt work by the pool's weight, much for being late. Those
-// with room are weighed as if they held nothing of the prompt, and its holders
-// once more.
-func (s *State) choose(now event.Time, k *ticket) choice {
-	p := s.price(now, k)
-	c := choice{left: p.left, cost: math.Inf(1), fastest: p.decode / s.fastest}
-	higher := k.Rank < s.top && now.Sub(s.topSeen) < topMemory
+// chooseEndpoint finds the endpoint with free capacity where k costs least: run
+// time counts little, prefill by the pool's weight, and lateness much.
+// Endpoints are first considered as if they had nothing of the prompt cached,
+// then the likely holders of the prompt again with their cache.
+func (s *State) chooseEndpoint(now event.Time, k *ticket) choice {
+	p := s.costModel(now, k)
+	c := choice{timeLeft: p.timeLeft, cost: math.Inf(1), minTime: p.decode / s.maxSpeed}
+	belowTop := k.Rank < s.topRank && now.Sub(s.topRankAt) < reserveTime
 	if s.pool.LeastOutstanding {
-		s.chooseLeast(now, k, &c)
+		s.chooseLeastOutstanding(now, k, &c)
 		return c
 	}
 	for i := range s.views {
 		v := &s.views[i]
-		if v.free == 0 || higher && v.free <= v.reserve || k.avoids(v.endpoint) {
+		if v.free == 0 || belowTop && v.free <= v.reserved || k.avoids(v.endpoint) {
 			continue
 		}
-		if v.isResting && v.restsFrom(now, k.entry) {
-			c.rests = true
+		if v.hasCooldowns && v.inCooldownFor(now, k.entry) {
+			c.inCooldown = true
 			continue
 		}
-		c.take(&p, v, 0)
+		c.consider(&p, v, 0)
 	}
-	s.weighHolders(&p, k, higher, &c, now)
+	s.considerHolders(&p, k, belowTop, &c, now)
 	return c
 }
 
-// chooseLeast finds the endpoint with room that has the fewest requests.
-func (s *State) chooseLeast(now event.Time, k *ticket, c *choice) {
+// chooseLeastOutstanding finds the endpoint with free capacity that runs the
+// fewest requests.
+func (s *State) chooseLeastOutstanding(now event.Time, k *ticket, c *choice) {
 	for i := range s.views {
 		v := &s.views[i]
 		if v.free == 0 || k.avoids(v.endpoint) {
 			continue
 		}
-		if v.isResting && v.restsFrom(now, k.entry) {
-			c.rests = true
+		if v.hasCooldowns && v.inCooldownFor(now, k.entry) {
+			c.inCooldown = true
 			continue
 		}
-		if c.room == nil || v.endpoint.inflight < c.room.inflight {
-			c.room = v.endpoint
+		if c.best == nil || v.endpoint.inflight < c.best.inflight {
+			c.best = v.endpoint
 		}
 	}
 }
 
-// take takes an endpoint with room if it costs less than what c has.
-func (c *choice) take(p *price, v *view, cached int) {
-	if cost, est := p.at(v, cached); cost < c.cost {
-		c.room, c.est, c.cost = v.endpoint, est, cost
+// consider takes an endpoint if it costs less than the current choice.
+func (c *choice) consider(p *costModel, v *view, cached int) {
+	if cost, est := p.costAt(v, cached); cost < c.cost {
+		c.best, c.est, c.cost = v.endpoint, est, cost
 	}
 }
 
-// weighHolders weighs the endpoints that hold a part of the prompt. A full one
-// may be worth a short wait.
-func (s *State) weighHolders(p *price, k *ticket, higher bool, c *choice, now event.Time) {
-	leastFull := math.Inf(1)
+// considerHolders considers the endpoints that probably have part of the prompt
+// cached. A full one may be worth a short wait.
+func (s *State) considerHolders(p *costModel, k *ticket, belowTop bool, c *choice, now event.Time) {
+	minFullCost := math.Inf(1)
 	for _, h := range s.prefix.search(k.Prefix, k.PromptTokens) {
 		v := &s.views[h.endpoint.index]
 		switch {
-		case v.isResting && v.restsFrom(now, k.entry):
-		case v.free > 0 && !(higher && v.free <= v.reserve):
-			c.take(p, v, h.cached)
-		case h.endpoint.serves(now):
-			cost, _ := p.at(v, h.cached)
-			leastFull = min(leastFull, cost)
+		case v.hasCooldowns && v.inCooldownFor(now, k.entry):
+		case v.free > 0 && !(belowTop && v.free <= v.reserved):
+			c.consider(p, v, h.cached)
+		case h.endpoint.isAvailable(now):
+			cost, _ := p.costAt(v, h.cached)
+			minFullCost = min(minFullCost, cost)
 		}
 	}
-	mayHold := now.Sub(k.arrived) < holdTime && c.est.total*margin+holdTime.Seconds() < c.left
-	c.hold = mayHold && leastFull+holdCost < c.cost
+	mayWait := now.Sub(k.arrived) < holderWaitTime && c.est.total*estimateMargin+holderWaitTime.Seconds() < c.timeLeft
+	c.waitForHolder = mayWait && minFullCost+holderMinSaving < c.cost
 }
