--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -28,23 +28,23 @@
 }
 
 // recordedBook is an owner's Allocator whose records are committed at once.
-type recordedBook struct{ *budget.Book }
+type recordedBook struct{ *budget.Allocator }
 
 func (b recordedBook) Spend(now event.Time, entry event.BoxID, a budget.Account, amount int) bool {
-	if b.Book.Spend(now, entry, a, amount) {
+	if b.Allocator.Spend(now, entry, a, amount) {
 		return true
 	}
 	b.MakeRecord(now)
 	b.Committed()
-	return b.Book.Spend(now, entry, a, amount)
+	return b.Allocator.Spend(now, entry, a, amount)
 }
 
 // emptyPoisonTracker returns the tracker of an owner without a history.
-func emptyPoisonTracker() *poison.Book { return poison.NewBook(0, &poison.Ledger{}) }
+func emptyPoisonTracker() *poison.Tracker { return poison.NewTracker(0, &poison.Ledger{}) }
 
 // newTestState returns a State with one endpoint that has a large capacity.
 func newTestState(now event.Time) *State {
-	s := New(testLimits, 1, recordedBook{budget.NewBook(now, 5*event.Second)}, emptyPoisonTracker())
+	s := New(testLimits, 1, recordedBook{budget.NewAllocator(now, 5*event.Second)}, emptyPoisonTracker())
 	s.SetTable(now, testTable())
 	var out event.Effects
 	s.SetEndpoint(now, message.Endpoint{Endpoint: registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 1 << 20, Sequence: 1}}, &out)
@@ -86,7 +86,7 @@
 			}
 		}
 		if float64(sum) > limit {
-			t.Fatalf("%d in 8 s from %v, limit %v", sum, event.Span(from), limit)
+			t.Fatalf("%d in 8 s from %v, limit %v", sum, event.Duration(from), limit)
 		}
 	}
 }
@@ -176,9 +176,9 @@
 		var out event.Effects
 		s.Submit(0, "entry", submission(9, 700, false), &out)
 		s.Submit(0, "entry", submission(1, 500, c.repeat), &out)
-		quota, retries := spentOf(s, 0, budget.Team("t")), spentOf(s, 0, budget.Repeats("s"))
+		quota, retries := spentOf(s, 0, budget.Team("t")), spentOf(s, 0, budget.Retries("s"))
 		finish(s, c.unsent)
-		gotQuota, gotRetries := quota-spentOf(s, 0, budget.Team("t")), retries-spentOf(s, 0, budget.Repeats("s"))
+		gotQuota, gotRetries := quota-spentOf(s, 0, budget.Team("t")), retries-spentOf(s, 0, budget.Retries("s"))
 		wantQuota, wantRetries := 0, 0
 		switch {
 		case c.unsent && c.repeat:
@@ -248,8 +248,8 @@
 		"withdrawn before its grant was seen": {false, func(s *State, out *event.Effects) {
 			s.Withdraw(0, "entry", message.Withdrawal{ID: "1", Service: "s"}, out)
 		}, 0},
-		"entry removed while it waited": {true, func(s *State, out *event.Effects) { s.EntryGone(0, "entry", out) }, 0},
-		"entry removed while it ran":    {false, func(s *State, out *event.Effects) { s.EntryGone(0, "entry", out) }, 500},
+		"entry removed while it waited": {true, func(s *State, out *event.Effects) { s.EntryRemoved(0, "entry", out) }, 0},
+		"entry removed while it ran":    {false, func(s *State, out *event.Effects) { s.EntryRemoved(0, "entry", out) }, 500},
 		"it has run": {false, func(s *State, out *event.Effects) {
 			s.Finish(0, &message.Finish{Finished: event.Finished{ID: "1", Pool: "s"}, Endpoint: "e"}, out)
 		}, 500},
@@ -278,7 +278,7 @@
 // TestRequestsWaitForBudgetRecord: a new owner receives waiting requests before its first record is
 // committed; they must not be refused for their quota, however long they have waited.
 func TestRequestsWaitForBudgetRecord(t *testing.T) {
-	book := budget.NewBook(0, 5*event.Second)
+	book := budget.NewAllocator(0, 5*event.Second)
 	s := New(testLimits, 1, book, emptyPoisonTracker())
 	s.SetTable(0, testTable())
 	var out event.Effects
--- a/admission/asked.go
+++ b/admission/asked.go
@@ -11,12 +11,12 @@
 
 // ObserveFeedback records feedback of an endpoint that an entry received, and reports whether the state of the
 // endpoint changed for all entries.
-func (s *State) Hear(now event.Time, entry event.BoxID, h *backpressure.Heard, out *event.Effects) bool {
+func (s *State) ObserveFeedback(now event.Time, entry event.BoxID, h *backpressure.Report, out *event.Effects) bool {
 	k, ok := s.endpoints[h.Endpoint]
 	if ok && h.Word.Rest > 0 {
-		s.step(now, s.service(now, k.Service), &event.Rested{Entry: entry, Endpoint: h.Endpoint, For: h.Word.Rest}, out)
+		s.step(now, s.service(now, k.Service), &event.CooldownRequested{Entry: entry, Endpoint: h.Endpoint, For: h.Word.Rest}, out)
 	}
-	if !ok || !k.feedback.Hear(now, s.service(now, k.Service).pool.GrantedAt(h.Request), h.Word) {
+	if !ok || !k.feedback.Observe(now, s.service(now, k.Service).pool.GrantedAt(h.Request), h.Word) {
 		return false
 	}
 	s.updatePool(now, k, out)
@@ -24,14 +24,14 @@
 }
 
 // ApplyFeedbackState applies the feedback state of an endpoint that another scheduler observed.
-func (s *State) Learn(now event.Time, b backpressure.State, out *event.Effects) {
-	if k, ok := s.endpoints[b.Endpoint]; ok && k.feedback.Learn(now, b) {
+func (s *State) ApplyFeedbackState(now event.Time, b backpressure.State, out *event.Effects) {
+	if k, ok := s.endpoints[b.Endpoint]; ok && k.feedback.Apply(now, b) {
 		s.updatePool(now, k, out)
 	}
 }
 
 // FeedbackState returns the state of an endpoint according to its feedback.
-func (s *State) Asked(id event.EndpointID) backpressure.State {
+func (s *State) FeedbackState(id event.EndpointID) backpressure.State {
 	if k, ok := s.endpoints[id]; ok {
 		return k.feedback.State(id)
 	}
@@ -39,12 +39,12 @@
 }
 
 // SetLimitShare sets the share of the endpoints' rate limits that is used here, from 0 to 1.
-func (s *State) SetPart(now event.Time, limitShare float64, out *event.Effects) {
+func (s *State) SetLimitShare(now event.Time, limitShare float64, out *event.Effects) {
 	if limitShare == s.limitShare {
 		return
 	}
 	s.limitShare = limitShare
 	for _, v := range s.services {
-		s.step(now, v, &event.PartChanged{Part: limitShare}, out)
+		s.step(now, v, &event.LimitShareChanged{Share: limitShare}, out)
 	}
 }
--- a/admission/asked_test.go
+++ b/admission/asked_test.go
@@ -45,8 +45,8 @@
 	s := twoEndpointState()
 	var out event.Effects
 	now := event.Time(event.Second)
-	s.Hear(now, "entry", &backpressure.Heard{Endpoint: "a/1", Word: backpressure.Word{Limited: true, Rate: 0.2, Leaving: true}}, &out)
-	s.Hear(now, "entry", &backpressure.Heard{Endpoint: "b/1", Word: backpressure.Word{Rest: 10 * event.Second}}, &out)
+	s.ObserveFeedback(now, "entry", &backpressure.Report{Endpoint: "a/1", Word: backpressure.Feedback{Limited: true, Rate: 0.2, Leaving: true}}, &out)
+	s.ObserveFeedback(now, "entry", &backpressure.Report{Endpoint: "b/1", Word: backpressure.Feedback{Rest: 10 * event.Second}}, &out)
 	if at := grantsOf(s, now, "entry", 0, 5); len(at) != 0 {
 		t.Fatalf("granted %v", at)
 	}
@@ -62,7 +62,7 @@
 func TestDrainingByFeedbackOutlastsRegistration(t *testing.T) {
 	s := twoEndpointState()
 	var out event.Effects
-	s.Hear(1, "entry", &backpressure.Heard{Endpoint: "a/1", Word: backpressure.Word{Leaving: true}}, &out)
+	s.ObserveFeedback(1, "entry", &backpressure.Report{Endpoint: "a/1", Word: backpressure.Feedback{Leaving: true}}, &out)
 	s.SetEndpoint(2, message.Endpoint{Endpoint: registry.Endpoint{ID: "a/1", Service: "s", Address: "10.0.0.1:80", Slots: 4, Sequence: 2}}, &out)
 	if at := grantsOf(s, 3, "entry", 0, 8); at["a/1"] != 0 || at["b/1"] == 0 {
 		t.Errorf("granted %v", at)
@@ -73,8 +73,8 @@
 func TestCooldownAppliesToOneEntry(t *testing.T) {
 	s := twoEndpointState()
 	var out event.Effects
-	s.Hear(1, "one", &backpressure.Heard{Endpoint: "a/1", Word: backpressure.Word{Rest: 10 * event.Second}}, &out)
-	s.Hear(1, "one", &backpressure.Heard{Endpoint: "b/1", Word: backpressure.Word{Rest: 10 * event.Second}}, &out)
+	s.ObserveFeedback(1, "one", &backpressure.Report{Endpoint: "a/1", Word: backpressure.Feedback{Rest: 10 * event.Second}}, &out)
+	s.ObserveFeedback(1, "one", &backpressure.Report{Endpoint: "b/1", Word: backpressure.Feedback{Rest: 10 * event.Second}}, &out)
 	if at := grantsOf(s, 2, "one", 0, 4); len(at) != 0 {
 		t.Errorf("granted %v to the entry in cooldown", at)
 	}
@@ -91,7 +91,7 @@
 	s.RemoveEndpoint(0, "b/1", &out)
 	now := event.Time(event.Second)
 	id := 0
-	answer := func(w backpressure.Word) {
+	answer := func(w backpressure.Feedback) {
 		t.Helper()
 		for range 100 { // until the limit allows a grant
 			now = now.Add(50 * event.Millisecond)
@@ -111,12 +111,12 @@
 		}
 		g := out.Grants[0]
 		now = now.Add(event.Millisecond)
-		s.Hear(now, "entry", &backpressure.Heard{Endpoint: "a/1", Request: g.ID, Word: w}, &out)
+		s.ObserveFeedback(now, "entry", &backpressure.Report{Endpoint: "a/1", Request: g.ID, Word: w}, &out)
 		s.Finish(now, &message.Finish{Finished: event.Finished{ID: g.ID, Pool: "s"}, Endpoint: "a/1"}, &out)
 	}
-	for _, w := range []backpressure.Word{{Limited: true, Rate: 2}, {Limited: true, Rate: 5}, {Limited: true, Rate: 1}, {}} {
+	for _, w := range []backpressure.Feedback{{Limited: true, Rate: 2}, {Limited: true, Rate: 5}, {Limited: true, Rate: 1}, {}} {
 		answer(w)
-		if b := s.Asked("a/1"); b.Limited != w.Limited || b.Rate != w.Rate {
+		if b := s.FeedbackState("a/1"); b.Limited != w.Limited || b.Rate != w.Rate {
 			t.Errorf("after %+v the state is %+v", w, b)
 		}
 	}
--- a/admission/counted.go
+++ b/admission/counted.go
@@ -65,10 +65,10 @@
 	}
 	s.removeCharge(id)
 	if c.repeat {
-		s.budget.GiveBack(now, budget.Repeats(c.service), c.chargedAt, 1)
+		s.budget.Refund(now, budget.Retries(c.service), c.chargedAt, 1)
 		return
 	}
-	s.budget.GiveBack(now, budget.Team(c.team), c.chargedAt, c.quota)
+	s.budget.Refund(now, budget.Team(c.team), c.chargedAt, c.quota)
 }
 
 // refundSubmission is refund for a request that will be submitted again: it also stops counting towards
--- a/admission/park.go
+++ b/admission/park.go
@@ -32,7 +32,7 @@
 	// Time that it waited before, also with another scheduler, is subtracted.
 	timeout := (m.Ticket.Target+m.Ticket.Waited)/quotaWaitDivisor - m.Ticket.Waited
 	switch available := s.quotaAvailableIn(now, m); {
-	case s.budget.IsLent() && s.quotaOf(m.Ticket.Team) != nil:
+	case s.budget.IsLeased() && s.quotaOf(m.Ticket.Team) != nil:
 		timeout = waitTimeout(&m.Ticket)
 	case available == 0:
 		timeout = max(timeout, recordTimeout)
@@ -47,7 +47,7 @@
 
 // waitTimeout returns how much longer a request may wait. Time it waited before, also with another
 // scheduler, is subtracted.
-func waitTimeout(t *event.Ticket) event.Span {
+func waitTimeout(t *event.Ticket) event.Duration {
 	if t.Patience == 0 {
 		return t.Target
 	}
@@ -63,11 +63,11 @@
 }
 
 // quotaAvailableIn returns how long it takes until a team's quota suffices for a request.
-func (s *State) quotaAvailableIn(now event.Time, m *message.Submission) event.Span {
+func (s *State) quotaAvailableIn(now event.Time, m *message.Submission) event.Duration {
 	if s.quotaOf(m.Ticket.Team) == nil {
 		return 0
 	}
-	return s.budget.Room(now, budget.Team(m.Ticket.Team), m.Quota)
+	return s.budget.AvailableIn(now, budget.Team(m.Ticket.Team), m.Quota)
 }
 
 // Unpark retries the requests that wait for a quota, oldest first.
--- a/admission/park_test.go
+++ b/admission/park_test.go
@@ -16,8 +16,8 @@
 func TestRequestsWaitForOwner(t *testing.T) {
 	const leased, short, long = 3000, 100, 5000
 	const timeout = 720 * event.Millisecond
-	allowances := &budget.Allowances{}
-	allowances.Take(budget.Lent{Number: 1, UpTo: []budget.Holding{{Account: budget.Team("t"), UpTo: leased}}})
+	allowances := &budget.Leases{}
+	allowances.Apply(budget.LeaseUpdate{Number: 1, UpTo: []budget.Lease{{Account: budget.Team("t"), UpTo: leased}}})
 	s := New(testLimits, 1, allowances, emptyPoisonTracker())
 	s.SetTable(0, testTable())
 	var out event.Effects
--- a/admission/poison.go
+++ b/admission/poison.go
@@ -36,12 +36,12 @@
 	return false
 }
 
-func (s *State) poisonVerdict(now event.Time, entry event.BoxID, m *message.Submission) (poison.Verdict, event.Span) {
+func (s *State) poisonVerdict(now event.Time, entry event.BoxID, m *message.Submission) (poison.Verdict, event.Duration) {
 	t := &m.Ticket
-	return s.poison.Ask(now, &poison.Call{Print: m.Print, Entry: entry, Request: t.ID, Attempt: t.Attempt, Left: t.Deadline})
+	return s.poison.Check(now, &poison.Call{Fingerprint: m.Print, Entry: entry, Request: t.ID, Attempt: t.Attempt, Remaining: t.Deadline})
 }
 
-func (s *State) refuseHeld(entry event.BoxID, id event.RequestID, after event.Span, out *event.Effects) {
+func (s *State) refuseHeld(entry event.BoxID, id event.RequestID, after event.Duration, out *event.Effects) {
 	s.poison.RecordUnsent(id)
 	out.Refusals = append(out.Refusals, event.Refused{Entry: entry, ID: id, Reason: event.ReasonPoison, RetryAfter: after})
 }
@@ -63,7 +63,7 @@
 }
 
 // RecordEnds records endpoints that terminated during runs.
-func (s *State) Ended(now event.Time, ends []poison.End, out *event.Effects) {
+func (s *State) RecordEnds(now event.Time, ends []poison.End, out *event.Effects) {
 	for i := range ends {
 		delete(s.runs, ends[i].Request)
 		s.poison.RecordEnd(now, &ends[i])
@@ -88,9 +88,9 @@
 }
 
 // EntryTerminated records that an entry terminated and will not report the outcome of its runs.
-func (s *State) EntryDied(now event.Time, entry event.BoxID, out *event.Effects) {
+func (s *State) EntryTerminated(now event.Time, entry event.BoxID, out *event.Effects) {
 	s.poison.EntryTerminated(now, entry)
-	s.Release(now, out)
+	s.ReleaseHeld(now, out)
 }
 
 // recordOutcome records the outcome of a run for its request.
@@ -100,16 +100,16 @@
 	case f.Unsent:
 		s.poison.RecordUnsent(f.ID)
 	case f.Ran == message.RanWell:
-		s.poison.Answered(now, f.Print)
+		s.poison.RecordSuccess(now, f.Print)
 	}
 	s.poison.RecordFinish(now, f.ID, f.Ran == message.RanAlive)
 	if s.poison.TakeUnblocked() {
-		s.Release(now, out)
+		s.ReleaseHeld(now, out)
 	}
 }
 
 // ReleaseHeld checks the held calls again, oldest first.
-func (s *State) Release(now event.Time, out *event.Effects) {
+func (s *State) ReleaseHeld(now event.Time, out *event.Effects) {
 	held := s.held
 	s.held = nil
 	for _, p := range held {
@@ -131,7 +131,7 @@
 }
 
 // afterWait returns a submission with its times adjusted for a further wait.
-func afterWait(m *message.Submission, waited event.Span) message.Submission {
+func afterWait(m *message.Submission, waited event.Duration) message.Submission {
 	adjusted := *m
 	adjusted.Ticket.Waited += waited
 	adjusted.Ticket.Deadline -= waited
--- a/admission/poison_test.go
+++ b/admission/poison_test.go
@@ -13,13 +13,13 @@
 	"lynxramp.org/registry"
 )
 
-const badPrint = poison.Print("a request")
+const badPrint = poison.Fingerprint("a request")
 
 // poisonRig is a State with some endpoints, and the log of its tracker.
 type poisonRig struct {
 	*State
 	t      *testing.T
-	book   *poison.Book
+	book   *poison.Tracker
 	ledger poison.Ledger
 	now    event.Time
 	out    event.Effects
@@ -27,8 +27,8 @@
 
 func newPoisonRig(t *testing.T, endpoints, slots int) *poisonRig {
 	r := &poisonRig{t: t, now: event.Time(event.Second)}
-	r.book = poison.NewBook(r.now, &r.ledger)
-	r.State = New(testLimits, 1, recordedBook{budget.NewBook(r.now, 5*event.Second)}, r.book)
+	r.book = poison.NewTracker(r.now, &r.ledger)
+	r.State = New(testLimits, 1, recordedBook{budget.NewAllocator(r.now, 5*event.Second)}, r.book)
 	r.SetTable(r.now, testTable())
 	for i := range endpoints {
 		r.SetEndpoint(r.now, message.Endpoint{Endpoint: registry.Endpoint{
@@ -45,10 +45,10 @@
 		r.ledger.Apply(record)
 		r.book.Committed()
 	}
-	r.Release(r.now, &r.out)
+	r.ReleaseHeld(r.now, &r.out)
 }
 
-func (r *poisonRig) submit(id int, p poison.Print) {
+func (r *poisonRig) submit(id int, p poison.Fingerprint) {
 	m := submission(id, 100, false)
 	m.Print = p
 	m.Ticket.Patience = 700 * event.Millisecond
@@ -75,13 +75,13 @@
 }
 
 // endRun reports that the endpoint of a call terminated.
-func (r *poisonRig) endRun(id int, p poison.Print) {
+func (r *poisonRig) endRun(id int, p poison.Fingerprint) {
 	request, endpoint := event.RequestID(fmt.Sprint(id)), r.granted(id)
-	r.Ended(r.now, []poison.End{{Print: p, Endpoint: endpoint, Request: request, Ran: event.Millisecond}}, &r.out)
+	r.RecordEnds(r.now, []poison.End{{Print: p, Endpoint: endpoint, Request: request, Ran: event.Millisecond}}, &r.out)
 	r.Finish(r.now, &message.Finish{Finished: event.Finished{ID: request, Pool: "s", Failed: true}, Endpoint: endpoint, Print: p}, &r.out)
 }
 
-func (r *poisonRig) succeed(id int, p poison.Print) {
+func (r *poisonRig) succeed(id int, p poison.Fingerprint) {
 	r.Finish(r.now, &message.Finish{
 		Finished: event.Finished{ID: event.RequestID(fmt.Sprint(id)), Pool: "s"}, Endpoint: r.granted(id), Print: p, Ran: message.RanWell,
 	}, &r.out)
@@ -206,10 +206,10 @@
 	r.submit(2, "finished before")
 	r.Finish(r.now, &message.Finish{Finished: event.Finished{ID: "2", Pool: "s"}, Endpoint: r.granted(2), Print: "finished before"}, &r.out)
 	lastHeard := r.now.Add(event.Second)
-	r.EntryGone(r.now, "entry", &r.out)
+	r.EntryRemoved(r.now, "entry", &r.out)
 	r.now = lastHeard.Add(4 * event.Second)
-	r.Fallen(r.now, map[event.EndpointID]event.Time{"e1": lastHeard, "e2": lastHeard, "e3": lastHeard}, &r.out)
-	for id, p := range []poison.Print{badPrint, "finished before"} {
+	r.EndpointsLost(r.now, map[event.EndpointID]event.Time{"e1": lastHeard, "e2": lastHeard, "e3": lastHeard}, &r.out)
+	for id, p := range []poison.Fingerprint{badPrint, "finished before"} {
 		r.submit(10+id, p)
 	}
 	if r.granted(10) != "" {
@@ -224,9 +224,9 @@
 func TestTrialAvoidsEndpointsOfOtherTrials(t *testing.T) {
 	for endpoints, isSeparate := range map[int]bool{1: false, 2: true} {
 		r := newPoisonRig(t, endpoints, 4)
-		for _, p := range []poison.Print{badPrint, "another"} {
+		for _, p := range []poison.Fingerprint{badPrint, "another"} {
 			for _, endpoint := range []event.EndpointID{"x1", "x2"} {
-				r.Ended(r.now, []poison.End{{Print: p, Endpoint: endpoint, Ran: event.Millisecond}}, &r.out)
+				r.RecordEnds(r.now, []poison.End{{Print: p, Endpoint: endpoint, Ran: event.Millisecond}}, &r.out)
 			}
 		}
 		r.submit(1, badPrint)
@@ -246,9 +246,9 @@
 func TestRunsAreRemoved(t *testing.T) {
 	r := newPoisonRig(t, 6, 100)
 	for id := range 200 {
-		r.submit(id, poison.Print(fmt.Sprint("p", id)))
+		r.submit(id, poison.Fingerprint(fmt.Sprint("p", id)))
 		if id%2 == 0 {
-			r.succeed(id, poison.Print(fmt.Sprint("p", id)))
+			r.succeed(id, poison.Fingerprint(fmt.Sprint("p", id)))
 		}
 	}
 	if len(r.runs) == 0 || len(r.runs) > 100 {
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -14,16 +14,16 @@
 type Budget interface {
 	// Spend spends an amount for an entry and reports whether it was available.
 	Spend(now event.Time, entry event.BoxID, a budget.Account, amount int) bool
-	// GiveBack refunds an amount that was spent at a given time and that no endpoint received.
-	GiveBack(now event.Time, a budget.Account, at event.Time, amount int)
+	// Refund refunds an amount that was spent at a given time and that no endpoint received.
+	Refund(now event.Time, a budget.Account, at event.Time, amount int)
 	SetLimit(now event.Time, a budget.Account, l budget.Limit)
 	// DropLimit removes the limit of an account, which will not be spent from again.
 	DropLimit(a budget.Account)
-	// Room returns how long it takes until an amount may be available.
-	Room(now event.Time, a budget.Account, amount int) event.Span
-	// IsLent reports whether the budget was leased by an owner that is lost: a new owner may have more
+	// AvailableIn returns how long it takes until an amount may be available.
+	AvailableIn(now event.Time, a budget.Account, amount int) event.Duration
+	// IsLeased reports whether the budget was leased by an owner that is lost: a new owner may have more
 	// available at any time.
-	IsLent() bool
+	IsLeased() bool
 	// State returns the amount spent from an account and its limit, for the log.
 	State(now event.Time, a budget.Account) (spent, limit int)
 }
@@ -37,7 +37,7 @@
 func (s *State) setQuotaLimit(now event.Time, team *routing.Team) {
 	quota := team.Rate*s.limits.QuotaWindow.Seconds() + team.Burst
 	most := int(quota*(1+s.limits.QuotaOvershoot) + s.limits.QuotaSlack)
-	s.budget.SetLimit(now, budget.Team(team.Name), budget.Limit{Window: s.limits.QuotaWindow, Most: most, Base: most})
+	s.budget.SetLimit(now, budget.Team(team.Name), budget.Limit{Window: s.limits.QuotaWindow, Max: most, Base: most})
 }
 
 // dropLimits drops the limits of teams and services that are in the old table but not in the new one,
@@ -50,7 +50,7 @@
 	}
 	for i := range old.Services {
 		if name := old.Services[i].Name; s.table.Service(name) == nil {
-			s.budget.DropLimit(budget.Repeats(name))
+			s.budget.DropLimit(budget.Retries(name))
 		}
 	}
 }
@@ -59,15 +59,15 @@
 // message.RepeatLife after its decision, so the window is extended by that.
 func (s *State) setRetryLimit(now event.Time, name string, v *service) {
 	most := s.limits.RetryMin + int(s.limits.RetryRatio*float64(v.requests.Total(now)))
-	s.budget.SetLimit(now, budget.Repeats(name), budget.Limit{
-		Window: s.limits.RetryWindow + message.RepeatLife, Most: most, Base: s.limits.RetryMin,
+	s.budget.SetLimit(now, budget.Retries(name), budget.Limit{
+		Window: s.limits.RetryWindow + message.RepeatLife, Max: most, Base: s.limits.RetryMin,
 	})
 }
 
 // spendRetry spends one retry of a service and reports whether it was available.
 func (s *State) spendRetry(now event.Time, entry event.BoxID, name string) bool {
 	s.setRetryLimit(now, name, s.service(now, name))
-	return s.budget.Spend(now, entry, budget.Repeats(name), 1)
+	return s.budget.Spend(now, entry, budget.Retries(name), 1)
 }
 
 // spendQuota spends an amount of a team's quota and reports whether it was available. A team that is
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -23,7 +23,7 @@
 // run is a granted call. If its endpoint is found to have terminated, the run counts as a termination
 // even if the entry terminated too and cannot report it.
 type run struct {
-	fingerprint poison.Print
+	fingerprint poison.Fingerprint
 	endpoint    event.EndpointID
 	attempt     int
 	startedAt   event.Time
@@ -58,7 +58,7 @@
 
 // EndpointsLost records that endpoints terminated or became unreachable, with the time when each was
 // last heard from. Runs that were in progress then, or started since, count as terminations.
-func (s *State) Fallen(now event.Time, lastHeard map[event.EndpointID]event.Time, out *event.Effects) {
+func (s *State) EndpointsLost(now event.Time, lastHeard map[event.EndpointID]event.Time, out *event.Effects) {
 	var ids []event.RequestID
 	for id, r := range s.runs {
 		if at, ok := lastHeard[r.endpoint]; ok && (r.finishedAt == 0 || r.finishedAt >= at) {
@@ -71,7 +71,7 @@
 		r := s.runs[id]
 		ends = append(ends, poison.End{Print: r.fingerprint, Endpoint: r.endpoint, Request: id, Attempt: r.attempt, Ran: now.Sub(r.startedAt)})
 	}
-	s.Ended(now, ends, out)
+	s.RecordEnds(now, ends, out)
 }
 
 // sweepRuns removes expired runs.
@@ -84,8 +84,8 @@
 }
 
 // queuedCalls returns the calls of requests that are queued for an endpoint, oldest first.
-func (s *State) queuedCalls(fingerprints []poison.Print) []*charge {
-	wanted := make(map[poison.Print]bool, len(fingerprints))
+func (s *State) queuedCalls(fingerprints []poison.Fingerprint) []*charge {
+	wanted := make(map[poison.Fingerprint]bool, len(fingerprints))
 	for _, p := range fingerprints {
 		wanted[p] = true
 	}
--- a/admission/size_test.go
+++ b/admission/size_test.go
@@ -18,7 +18,7 @@
 	for i := range n {
 		name := fmt.Sprintf("team-%s-%05d", generation, i)
 		t.Teams = append(t.Teams, routing.Team{Name: name, Keys: []string{"key-" + name}, Rate: 1000, Burst: 1000})
-		t.Routes = append(t.Routes, routing.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Split: []routing.Share{{Service: "s", Weight: 1}}})
+		t.Routes = append(t.Routes, routing.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Split: []routing.WeightedService{{Service: "s", Weight: 1}}})
 	}
 	t.Index()
 	return t
@@ -28,7 +28,7 @@
 func inheritedState() *State {
 	var past budget.Ledger
 	past.Apply(budget.Record{})
-	past.Heard(0)
+	past.MarkReceived(0)
 	return New(testLimits, 1, recordedBook{budget.InheritLedger(0, 5*event.Second, &past)}, emptyPoisonTracker())
 }
 
@@ -105,7 +105,7 @@
 	next := &routing.Table{Services: []routing.Service{{Name: "other"}}}
 	next.Index()
 	s.SetTable(0, next)
-	if _, limit := s.budget.State(0, budget.Repeats("s")); limit > 0 {
+	if _, limit := s.budget.State(0, budget.Retries("s")); limit > 0 {
 		t.Errorf("a limit of %d for the retries of a removed service", limit)
 	}
 }
--- a/admission/state.go
+++ b/admission/state.go
@@ -29,13 +29,13 @@
 
 // Limits bound the quotas and retries of a deployment.
 type Limits struct {
-	QuotaWindow event.Span
+	QuotaWindow event.Duration
 	// A quota may be exceeded by the fraction QuotaOvershoot plus QuotaSlack tokens.
 	QuotaOvershoot float64
 	QuotaSlack     float64
 	// In each RetryWindow, RetryMin plus the fraction RetryRatio of a service's requests may be
 	// retried.
-	RetryWindow event.Span
+	RetryWindow event.Duration
 	RetryRatio  float64
 	RetryMin    int
 	// LeastOutstanding selects the baseline policy; see event.Pool.
@@ -57,7 +57,7 @@
 	services  map[string]*service
 	endpoints map[event.EndpointID]*endpointState
 	parked    []parked // waiting for a quota, in order of arrival
-	poison    *poison.Book
+	poison    *poison.Tracker
 	held      []parked // waiting for the outcome of another run, in order of arrival
 	charges   map[event.RequestID]*charge
 	// chargesByEntry indexes charges by entry, of which an owner has hundreds.
@@ -70,16 +70,16 @@
 // endpointState is an endpoint as registered, with its feedback and failures.
 type endpointState struct {
 	message.Endpoint
-	feedback     backpressure.Asked
+	feedback     backpressure.Tracker
 	suspectUntil event.Time
 	failures     int
 }
 
 // isDraining reports whether an endpoint takes no new requests, by its registration or its feedback.
-func (k *endpointState) isDraining() bool { return k.Leaving || k.feedback.Leaving }
+func (k *endpointState) isDraining() bool { return k.Leaving || k.feedback.Draining }
 
 // New returns an empty State that spends from b and asks p which requests may run.
-func New(limits Limits, seed uint64, b Budget, p *poison.Book) *State {
+func New(limits Limits, seed uint64, b Budget, p *poison.Tracker) *State {
 	return &State{
 		limits:         limits,
 		seed:           seed,
@@ -118,9 +118,9 @@
 		pool := event.Pool{Name: name, MaxWaiting: maxWaiting, Discovered: true, Profile: defaultProfile, LeastOutstanding: s.limits.LeastOutstanding}
 		v = &service{
 			pool:     sched.New(now, pool, s.seed),
-			requests: budget.NewWindow(event.Span(float64(s.limits.RetryWindow) * requestWindowRatio)),
+			requests: budget.NewWindow(event.Duration(float64(s.limits.RetryWindow) * requestWindowRatio)),
 		}
-		v.pool.SetPart(now, s.limitShare)
+		v.pool.SetLimitShare(now, s.limitShare)
 		s.services[name] = v
 	}
 	return v
@@ -143,15 +143,15 @@
 
 // updatePool sends the state of an endpoint to its pool.
 func (s *State) updatePool(now event.Time, k *endpointState, out *event.Effects) {
-	s.step(now, s.service(now, k.Service), &event.EndpointSeen{
+	s.step(now, s.service(now, k.Service), &event.EndpointUpdated{
 		Endpoint: event.Endpoint{
-			ID: event.EndpointID(k.ID), Concurrency: k.Slots, Speed: 1, Leaving: k.isDraining(), DataCentre: k.DataCentre,
+			ID: event.EndpointID(k.ID), Concurrency: k.Slots, Speed: 1, Draining: k.isDraining(), DataCentre: k.DataCentre,
 		},
-		Address: k.Address,
-		Down:    k.Down || now < k.suspectUntil,
-		Unsure:  k.failures > 0,
-		Limited: k.feedback.Limited,
-		Limit:   k.feedback.Rate,
+		Address:  k.Address,
+		Down:     k.Down || now < k.suspectUntil,
+		HalfOpen: k.failures > 0,
+		Limited:  k.feedback.Limited,
+		Limit:    k.feedback.Rate,
 	}, out)
 }
 
@@ -162,7 +162,7 @@
 		return
 	}
 	delete(s.endpoints, id)
-	s.step(now, s.service(now, k.Service), &event.EndpointGone{ID: id}, out)
+	s.step(now, s.service(now, k.Service), &event.EndpointRemoved{ID: id}, out)
 }
 
 // Submit registers a request of an entry.
@@ -232,7 +232,7 @@
 		// The only endpoint of its service stays in use: it was reached, and may serve the next request.
 	case f.Suspect:
 		k.failures = min(k.failures+1, 4)
-		k.suspectUntil = now.Add(suspectBackoff * event.Span(k.failures))
+		k.suspectUntil = now.Add(suspectBackoff * event.Duration(k.failures))
 		s.updatePool(now, k, out)
 	case !f.Failed && !f.Void && k.failures > 0:
 		k.failures = 0
@@ -258,14 +258,14 @@
 }
 
 // EntryHeartbeat records that an entry is alive.
-func (s *State) EntrySeen(now event.Time, entry event.BoxID, out *event.Effects) {
+func (s *State) EntryHeartbeat(now event.Time, entry event.BoxID, out *event.Effects) {
 	for _, v := range s.services {
-		s.step(now, v, &event.EntrySeen{Entry: entry}, out)
+		s.step(now, v, &event.EntryHeartbeat{Entry: entry}, out)
 	}
 }
 
 // EntryRemoved removes the requests of an entry.
-func (s *State) EntryGone(now event.Time, entry event.BoxID, out *event.Effects) {
+func (s *State) EntryRemoved(now event.Time, entry event.BoxID, out *event.Effects) {
 	isOfEntry := func(p parked) bool { return p.entry == entry }
 	for _, p := range slices.Concat(s.parked, s.held) {
 		if isOfEntry(p) {
@@ -275,7 +275,7 @@
 	s.parked, s.held = slices.DeleteFunc(s.parked, isOfEntry), slices.DeleteFunc(s.held, isOfEntry)
 	s.removeCharges(now, entry)
 	for _, v := range s.services {
-		s.step(now, v, &event.EntryGone{Entry: entry}, out)
+		s.step(now, v, &event.EntryRemoved{Entry: entry}, out)
 	}
 }
 
@@ -284,7 +284,7 @@
 	s.poison.Tick(now)
 	s.holdQueued(now, out)
 	s.sweepRuns(now)
-	s.Release(now, out)
+	s.ReleaseHeld(now, out)
 	s.Unpark(now, out)
 	for _, k := range s.endpoints {
 		if k.suspectUntil != 0 && now >= k.suspectUntil {
--- a/backpressure/asked.go
+++ b/backpressure/asked.go
@@ -5,12 +5,12 @@
 import "lynxramp.org/event"
 
 // Tracker holds the last observed feedback of one endpoint instance. The zero Tracker has observed none.
-type Asked struct {
+type Tracker struct {
 	// Limited is true while the endpoint sets a rate limit: Rate requests a second from all boxes together.
 	Limited bool
 	Rate    float64
 	// Draining is true once the endpoint accepts no new requests. It is never reset for the same instance.
-	Leaving bool
+	Draining bool
 	// limitedAt is when feedback with a limit was last received.
 	limitedAt event.Time
 }
@@ -18,9 +18,9 @@
 // Observe applies feedback from the response to a request sent at the given time, and reports whether the state
 // changed. Responses arrive out of order: only the response to a request that was sent after the limit was last
 // received may raise or lift it. A lower limit takes effect at once.
-func (a *Asked) Hear(now, sent event.Time, f Word) bool {
+func (a *Tracker) Observe(now, sent event.Time, f Feedback) bool {
 	before := *a
-	a.Leaving = a.Leaving || f.Leaving
+	a.Draining = a.Draining || f.Leaving
 	isNewer := sent > a.limitedAt
 	switch {
 	case f.Unread:
@@ -36,22 +36,22 @@
 }
 
 // Apply takes over the state published by another box, and reports whether it changed anything.
-func (a *Asked) Learn(now event.Time, s State) bool {
+func (a *Tracker) Apply(now event.Time, s State) bool {
 	before := *a
-	a.Limited, a.Rate, a.Leaving = s.Limited, s.Rate, a.Leaving || s.Leaving
+	a.Limited, a.Rate, a.Draining = s.Limited, s.Rate, a.Draining || s.Leaving
 	if s.Limited {
 		a.limitedAt = now
 	}
 	return a.differs(before)
 }
 
-func (a *Asked) differs(b Asked) bool {
-	return a.Limited != b.Limited || a.Rate != b.Rate || a.Leaving != b.Leaving
+func (a *Tracker) differs(b Tracker) bool {
+	return a.Limited != b.Limited || a.Rate != b.Rate || a.Draining != b.Draining
 }
 
 // State returns the state to publish to other boxes.
-func (a *Asked) State(endpoint event.EndpointID) State {
-	return State{Endpoint: endpoint, Limited: a.Limited, Rate: a.Rate, Leaving: a.Leaving}
+func (a *Tracker) State(endpoint event.EndpointID) State {
+	return State{Endpoint: endpoint, Limited: a.Limited, Rate: a.Rate, Leaving: a.Draining}
 }
 
 // State is the feedback of an endpoint as boxes publish it to each other. A State without restrictions lifts
@@ -64,13 +64,13 @@
 }
 
 // Restricts reports whether the endpoint limits or stops requests.
-func (s State) Asks() bool { return s.Limited || s.Leaving }
+func (s State) Restricts() bool { return s.Limited || s.Leaving }
 
 // Report is feedback of an endpoint as an entry reports it.
-type Heard struct {
+type Report struct {
 	Endpoint event.EndpointID
 	// Request is the request whose response carried the feedback. It is empty for a report of the entry's last
 	// observed state, which can't lift a limit.
 	Request event.RequestID
-	Word    Word
+	Word    Feedback
 }
--- a/backpressure/gate.go
+++ b/backpressure/gate.go
@@ -26,11 +26,11 @@
 
 const (
 	// PermitNoLimit: the granter knew of no limit.
-	PermitPlain Permit = iota
+	PermitNoLimit Permit = iota
 	// PermitPaced: the granter spent it from the endpoint's limit, or knows that the limit was lifted.
 	PermitPaced
 	// PermitLegacy: the owner runs a build that doesn't support limits.
-	PermitBlind
+	PermitLegacy
 )
 
 // Gate checks each request before an entry sends it. The zero Gate stops nothing. It is safe for concurrent use.
@@ -42,7 +42,7 @@
 
 // endpointState is the state that an entry keeps of an endpoint.
 type endpointState struct {
-	Asked
+	Tracker
 	observedAt    event.Time // when the entry itself last received a limit or draining; 0 for never
 	cooldownUntil event.Time // the entry sends nothing before
 	probedAt      event.Time // when a PermitLegacy grant was last used
@@ -50,12 +50,12 @@
 }
 
 // IsTracking reports whether the gate holds state of any endpoint.
-func (g *Gate) IsAsked() bool { return g.count.Load() > 0 }
+func (g *Gate) IsTracking() bool { return g.count.Load() > 0 }
 
 // IsLimited reports whether an endpoint is known to set a limit. Each of its responses must then be observed, also
 // one without feedback.
 func (g *Gate) IsLimited(endpoint event.EndpointID) bool {
-	if !g.IsAsked() {
+	if !g.IsTracking() {
 		return false
 	}
 	g.mu.Lock()
@@ -67,7 +67,7 @@
 // Observe applies feedback from the response to a request sent at the given time, and reports whether the state
 // changed. If the owner keeps the limit (byOwner), only the owner raises or lifts it, through Apply: it may have
 // received the limit from other entries since, and every response must be reported to it until it lifts the limit.
-func (g *Gate) Hear(now, sent event.Time, endpoint event.EndpointID, f Word, byOwner bool) bool {
+func (g *Gate) Observe(now, sent event.Time, endpoint event.EndpointID, f Feedback, byOwner bool) bool {
 	if byOwner {
 		sent = 0
 	}
@@ -77,7 +77,7 @@
 	if f.Limited || f.Leaving {
 		e.observedAt = now
 	}
-	changed := e.Hear(now, sent, f)
+	changed := e.Observe(now, sent, f)
 	if until := now.Add(f.Rest); f.Rest > 0 && until > e.cooldownUntil {
 		changed = changed || now >= e.cooldownUntil
 		e.cooldownUntil = until
@@ -99,33 +99,33 @@
 }
 
 // Apply takes over the state published by an owner.
-func (g *Gate) Learn(now event.Time, s State) {
+func (g *Gate) Apply(now event.Time, s State) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.at(now, s.Endpoint).Learn(now, s)
+	g.at(now, s.Endpoint).Apply(now, s)
 }
 
 // StopReason is why a request must not be sent.
-type Stopped uint8
+type StopReason uint8
 
 const (
-	StoppedNot Stopped = iota
+	NotStopped StopReason = iota
 	// StoppedByLimit: the endpoint sets a limit, and the grant was not spent from it.
 	StoppedByLimit
 	// StoppedByDrain: the endpoint is draining.
-	StoppedByLeaving
+	StoppedByDrain
 	// StoppedByCooldown: the endpoint asked this entry to send nothing for a while.
-	StoppedByRest
+	StoppedByCooldown
 )
 
 // String returns the reason as used in logs and metrics.
-func (s Stopped) String() string {
+func (s StopReason) String() string {
 	switch s {
 	case StoppedByLimit:
 		return "limit"
-	case StoppedByLeaving:
+	case StoppedByDrain:
 		return "leaving"
-	case StoppedByRest:
+	case StoppedByCooldown:
 		return "rest"
 	default:
 		return "not"
@@ -134,30 +134,30 @@
 
 // Check returns why a request must not be sent to an endpoint now, or NotStopped. A PermitLegacy grant that passes
 // counts as a probe.
-func (g *Gate) Stops(now event.Time, endpoint event.EndpointID, p Permit) Stopped {
-	if !g.IsAsked() {
-		return StoppedNot
+func (g *Gate) Check(now event.Time, endpoint event.EndpointID, p Permit) StopReason {
+	if !g.IsTracking() {
+		return NotStopped
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e, ok := g.endpoints[endpoint]
 	if !ok {
-		return StoppedNot
+		return NotStopped
 	}
 	switch {
-	case e.Leaving:
-		return StoppedByLeaving
+	case e.Draining:
+		return StoppedByDrain
 	case now < e.cooldownUntil:
-		return StoppedByRest
+		return StoppedByCooldown
 	case e.Limited && p != PermitPaced && !e.allowProbe(now, p):
 		return StoppedByLimit
 	}
-	return StoppedNot
+	return NotStopped
 }
 
 // allowProbe reports whether a PermitLegacy grant may be used as a probe, and records the probe if so.
 func (e *endpointState) allowProbe(now event.Time, p Permit) bool {
-	if p != PermitBlind || now.Sub(max(e.probedAt, e.limitedAt)) < probeInterval {
+	if p != PermitLegacy || now.Sub(max(e.probedAt, e.limitedAt)) < probeInterval {
 		return false
 	}
 	e.probedAt = now
@@ -165,29 +165,29 @@
 }
 
 // LastReport returns the last observed state of an endpoint, for an owner that granted it without knowing that state.
-func (g *Gate) Belief(now event.Time, endpoint event.EndpointID) Heard {
+func (g *Gate) LastReport(now event.Time, endpoint event.EndpointID) Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e, ok := g.endpoints[endpoint]
 	if !ok {
-		return Heard{Endpoint: endpoint, Word: Word{Unread: true}}
+		return Report{Endpoint: endpoint, Word: Feedback{Unread: true}}
 	}
 	return e.report(now, endpoint)
 }
 
-func (e *endpointState) report(now event.Time, endpoint event.EndpointID) Heard {
-	return Heard{Endpoint: endpoint, Word: Word{Limited: e.Limited, Rate: e.Rate, Unread: !e.Limited, Leaving: e.Leaving, Rest: max(0, e.cooldownUntil.Sub(now))}}
+func (e *endpointState) report(now event.Time, endpoint event.EndpointID) Report {
+	return Report{Endpoint: endpoint, Word: Feedback{Limited: e.Limited, Rate: e.Rate, Unread: !e.Limited, Leaving: e.Draining, Rest: max(0, e.cooldownUntil.Sub(now))}}
 }
 
 // RecentReports returns what to report to a new owner: the state of up to limit endpoints that the entry itself
 // received lately. The others are reported when the owner grants them.
-func (g *Gate) Own(now event.Time, limit int) []Heard {
-	if !g.IsAsked() {
+func (g *Gate) RecentReports(now event.Time, limit int) []Report {
+	if !g.IsTracking() {
 		return nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var list []Heard
+	var list []Report
 	for id, e := range g.endpoints {
 		if e.isRecent(now) {
 			list = append(list, e.report(now, id))
@@ -198,21 +198,21 @@
 }
 
 func (e *endpointState) restricts(now event.Time) bool {
-	return e.Limited || e.Leaving || now < e.cooldownUntil
+	return e.Limited || e.Draining || now < e.cooldownUntil
 }
 
 func (e *endpointState) isRecent(now event.Time) bool {
-	return now < e.cooldownUntil || (e.Limited || e.Leaving) && e.observedAt != 0 && now.Sub(e.observedAt) < recentSpan
+	return now < e.cooldownUntil || (e.Limited || e.Draining) && e.observedAt != 0 && now.Sub(e.observedAt) < recentSpan
 }
 
 // Cooldowns returns the cooldowns that have not ended.
-func (g *Gate) Rests(now event.Time) []Heard {
-	if !g.IsAsked() {
+func (g *Gate) Cooldowns(now event.Time) []Report {
+	if !g.IsTracking() {
 		return nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var list []Heard
+	var list []Report
 	for id, e := range g.endpoints {
 		if now < e.cooldownUntil {
 			list = append(list, e.report(now, id))
@@ -222,13 +222,13 @@
 	return list
 }
 
-func sortReports(list []Heard) {
-	slices.SortFunc(list, func(a, b Heard) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
+func sortReports(list []Report) {
+	slices.SortFunc(list, func(a, b Report) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 }
 
 // States returns the state of all tracked endpoints, ordered by id.
 func (g *Gate) States() []State {
-	if !g.IsAsked() {
+	if !g.IsTracking() {
 		return nil
 	}
 	g.mu.Lock()
@@ -244,7 +244,7 @@
 // Sweep removes endpoints without restrictions, and those that have not been registered for the retention time: an
 // endpoint may reappear after a short absence.
 func (g *Gate) Sweep(now event.Time, isRegistered func(event.EndpointID) bool) {
-	if !g.IsAsked() {
+	if !g.IsTracking() {
 		return
 	}
 	g.mu.Lock()
--- a/backpressure/pacer.go
+++ b/backpressure/pacer.go
@@ -23,7 +23,7 @@
 }
 
 // SetRate sets the rate to a share of a limit. Accumulated tokens are kept, up to the new burst.
-func (p *Pacer) Set(now event.Time, limit, share float64) {
+func (p *Pacer) SetRate(now event.Time, limit, share float64) {
 	p.refill(now)
 	p.rate = min(max(limit, minRate), maxRate) * share
 	p.tokens = min(p.tokens, p.burst())
@@ -43,7 +43,7 @@
 }
 
 // Available returns how many requests may be sent now.
-func (p *Pacer) Room(now event.Time) int {
+func (p *Pacer) Available(now event.Time) int {
 	p.refill(now)
 	return int(p.tokens + roundingSlack)
 }
@@ -58,4 +58,4 @@
 }
 
 // Refund returns the token of a request that was not sent.
-func (p *Pacer) GiveBack() { p.tokens = min(p.burst(), p.tokens+1) }
+func (p *Pacer) Refund() { p.tokens = min(p.burst(), p.tokens+1) }
--- a/backpressure/word.go
+++ b/backpressure/word.go
@@ -6,7 +6,7 @@
 
 // Feedback is what an endpoint asks for in one response. The zero Feedback asks for nothing, and lifts an earlier
 // limit.
-type Word struct {
+type Feedback struct {
 	// Limited is true if the endpoint sets a rate limit: it accepts Rate requests a second from all boxes
 	// together, for as long as its responses say so.
 	Limited bool
@@ -16,10 +16,10 @@
 	Unread bool
 	// Rest is the cooldown: how long an endpoint that rejected the request wants none from the entry that received
 	// the response; 0 for none.
-	Rest event.Span
+	Rest event.Duration
 	// Leaving is true if the endpoint is draining: it accepts no new requests from any box.
 	Leaving bool
 }
 
 // Restricts reports whether the feedback limits or stops requests.
-func (f Word) Asks() bool { return f.Limited || f.Rest > 0 || f.Leaving }
+func (f Feedback) Restricts() bool { return f.Limited || f.Rest > 0 || f.Leaving }
--- a/box/control.go
+++ b/box/control.go
@@ -45,7 +45,7 @@
 	clock    event.Clock
 	platform string // URL of the platform's list; empty if there is none
 	disk     *store.Store
-	restored consensus.Restored
+	restored consensus.PersistentState
 	peers    *control.Peers
 	server   *server
 	handler  atomic.Pointer[http.Handler]
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	keeper := store.NewKeeper(p.disk, p.peers)
+	keeper := store.NewWriter(p.disk, p.peers)
 	boxes := control.NewOutboxes(keeper)
 	loop := control.NewLoop(state, p.clock, boxes)
 	p.peers.Start(loop, boxes)
@@ -151,7 +151,7 @@
 	for ctx.Err() == nil {
 		leaving, err := member.Fetch(ctx, client, p.platform)
 		if err == nil {
-			_, err = loop.Post(ctx, &event.PlatformListed{Leaving: leaving})
+			_, err = loop.Post(ctx, &event.DrainListUpdated{Draining: leaving})
 		}
 		if err != nil {
 			p.log.Warn("platform list not read", logx.Err(err))
--- a/budget/account.go
+++ b/budget/account.go
@@ -11,14 +11,14 @@
 func Team(name string) Account { return Account("team/" + name) }
 
 // Retries returns the account of a service's retry budget.
-func Repeats(service string) Account { return Account("repeats/" + service) }
+func Retries(service string) Account { return Account("repeats/" + service) }
 
 // Limit is the limit of an account.
 type Limit struct {
-	Window event.Span
+	Window event.Duration
 	// Max is how much may be spent in a window. Base is the least value of Max while the
 	// configuration is the same: a retry budget grows with the service's requests.
-	Most, Base int
+	Max, Base int
 }
 
 const (
@@ -105,7 +105,7 @@
 // reserved is the part of the limit that the owner may not spend itself: what is
 // outstanding, or the least that is reserved for leases.
 func (a *account) reserved() int {
-	return max(a.outstanding(), int(float64(a.limit.Most)*minLeaseFraction))
+	return max(a.outstanding(), int(float64(a.limit.Max)*minLeaseFraction))
 }
 
 // unrecordedMax is what may be spent and leased without a Record.
--- a/budget/allowances.go
+++ b/budget/allowances.go
@@ -17,8 +17,8 @@
 // Leases is what a degraded entry (one without an owner) may spend: the shares that owners
 // leased to it. It is a reducer and not safe for concurrent use. The zero value has no
 // leases.
-type Allowances struct {
-	leases     map[Account]*Holding
+type Leases struct {
+	leases     map[Account]*Lease
 	unreported map[Account]bool // spent from since the last report, or leased when the session began
 	reported   map[Account]int  // Spent as last reported to an owner
 	lastUpdate uint64           // number of the last LeaseUpdate
@@ -26,7 +26,7 @@
 }
 
 // Spend spends an amount and reports whether the lease covers it.
-func (s *Allowances) Spend(_ event.Time, _ event.BoxID, name Account, amount int) bool {
+func (s *Leases) Spend(_ event.Time, _ event.BoxID, name Account, amount int) bool {
 	if amount == 0 {
 		return true
 	}
@@ -38,37 +38,37 @@
 	return true
 }
 
-func (s *Allowances) add(l *Holding, amount int) {
+func (s *Leases) add(l *Lease, amount int) {
 	l.Spent += amount
 	s.markUnreported(l)
 }
 
 // markUnreported marks an account to be reported.
-func (s *Allowances) markUnreported(l *Holding) {
+func (s *Leases) markUnreported(l *Lease) {
 	if s.unreported == nil {
 		s.unreported = make(map[Account]bool)
 	}
 	s.unreported[l.Account] = true
 }
 
-// GiveBack returns an amount that was spent and reached no endpoint. What was already
+// Refund returns an amount that was spent and reached no endpoint. What was already
 // reported to an owner stays spent: the owner has counted it at that time, and would count
 // the same amount too early if it were spent again.
-func (s *Allowances) GiveBack(_ event.Time, name Account, _ event.Time, amount int) {
+func (s *Leases) Refund(_ event.Time, name Account, _ event.Time, amount int) {
 	if l := s.leases[name]; l != nil {
 		l.Spent = max(s.reported[name], l.Spent-amount)
 	}
 }
 
 // report returns the lease of an account and marks it as reported.
-func (s *Allowances) report(name Account) Holding {
+func (s *Leases) report(name Account) Lease {
 	l := s.leases[name]
 	s.setReported(l)
 	delete(s.unreported, name)
 	return *l
 }
 
-func (s *Allowances) setReported(l *Holding) {
+func (s *Leases) setReported(l *Lease) {
 	if s.reported == nil {
 		s.reported = make(map[Account]int)
 	}
@@ -76,20 +76,20 @@
 }
 
 // SetLimit does nothing: limits are enforced by the owner.
-func (s *Allowances) SetLimit(event.Time, Account, Limit) {}
+func (s *Leases) SetLimit(event.Time, Account, Limit) {}
 
 // DropLimit does nothing.
-func (s *Allowances) DropLimit(Account) {}
+func (s *Leases) DropLimit(Account) {}
 
-// Room returns how long it takes until an owner with free quota may be available.
-func (s *Allowances) Room(event.Time, Account, int) event.Span { return ownerRecoveryTime }
+// AvailableIn returns how long it takes until an owner with free quota may be available.
+func (s *Leases) AvailableIn(event.Time, Account, int) event.Duration { return ownerRecoveryTime }
 
-// IsLent returns true.
-func (s *Allowances) IsLent() bool { return true }
+// IsLeased returns true.
+func (s *Leases) IsLeased() bool { return true }
 
 // State returns what was spent of an account and the total up to which it may be spent, for
 // the log.
-func (s *Allowances) State(_ event.Time, name Account) (spent, limit int) {
+func (s *Leases) State(_ event.Time, name Account) (spent, limit int) {
 	if l := s.leases[name]; l != nil {
 		return l.Spent, l.UpTo
 	}
@@ -97,9 +97,9 @@
 }
 
 // Apply applies an update from an owner.
-func (s *Allowances) Take(u Lent) {
+func (s *Leases) Apply(u LeaseUpdate) {
 	if s.leases == nil {
-		s.leases = make(map[Account]*Holding)
+		s.leases = make(map[Account]*Lease)
 	}
 	if u.Whole {
 		for _, l := range s.leases {
@@ -115,7 +115,7 @@
 // applyLease applies an owner's lease of an account. A lease without a remainder, all of
 // whose spending the owner knows, is removed: otherwise the report at the beginning of each
 // session would grow with every account that was ever leased.
-func (s *Allowances) applyLease(update Holding) {
+func (s *Leases) applyLease(update Lease) {
 	l, ok := s.leases[update.Account]
 	switch {
 	case update.UpTo <= update.Spent && (!ok || l.Spent == update.Spent):
@@ -124,7 +124,7 @@
 		delete(s.unreported, update.Account)
 		return
 	case !ok:
-		l = &Holding{Account: update.Account, Spent: update.Spent}
+		l = &Lease{Account: update.Account, Spent: update.Spent}
 		s.leases[update.Account] = l
 		s.setReported(l)
 	}
@@ -133,7 +133,7 @@
 
 // Expire ends all leases: what is not spent may not be used any more. Owners count it as
 // spent.
-func (s *Allowances) Drop() {
+func (s *Leases) Expire() {
 	for _, l := range s.leases {
 		l.UpTo = min(l.UpTo, l.Spent)
 	}
@@ -142,7 +142,7 @@
 // BeginSession returns the leases to report to an owner at the beginning of a session, as
 // many as fit in one message. Changes returns the rest; HasMore reports whether there is
 // more.
-func (s *Allowances) Greet() []Holding {
+func (s *Leases) BeginSession() []Lease {
 	s.lastUpdate = 0
 	for _, l := range s.leases {
 		s.markUnreported(l)
@@ -153,20 +153,20 @@
 // Changes returns the number of the last update applied in this session, and the leases
 // that were spent from since the last report, as many as fit in one message. The number is
 // 0 until all is reported, because the owner releases by it what was not spent.
-func (s *Allowances) Changes() (uint64, []Holding) {
+func (s *Leases) Changes() (uint64, []Lease) {
 	list := s.reportSome()
-	if s.More() {
+	if s.HasMore() {
 		return 0, list
 	}
 	return s.lastUpdate, list
 }
 
 // HasMore reports whether there are leases left to report.
-func (s *Allowances) More() bool { return len(s.unreported) > 0 }
+func (s *Leases) HasMore() bool { return len(s.unreported) > 0 }
 
 // reportSome returns unreported leases by name, as many as fit in one message.
-func (s *Allowances) reportSome() []Holding {
-	var list []Holding
+func (s *Leases) reportSome() []Lease {
+	var list []Lease
 	bytes, maxBytes := 0, cmp.Or(s.maxBytes, defaultBounds.messageBytes)
 	for _, name := range slices.Sorted(maps.Keys(s.unreported)) {
 		if bytes >= maxBytes {
--- a/budget/bench_test.go
+++ b/budget/bench_test.go
@@ -12,13 +12,13 @@
 
 // benchAllocator returns an Allocator whose accounts are used at two fifths of their limits by
 // all entries.
-func benchAllocator(accounts, entries int) (*Book, event.Time) {
-	b := NewBook(0, testLeaseTTL)
+func benchAllocator(accounts, entries int) (*Allocator, event.Time) {
+	b := NewAllocator(0, testLeaseTTL)
 	for i := range accounts {
-		b.SetLimit(0, Team(fmt.Sprintf("team-%d", i)), Limit{Window: 8 * event.Second, Most: 1_600_000, Base: 1_600_000})
+		b.SetLimit(0, Team(fmt.Sprintf("team-%d", i)), Limit{Window: 8 * event.Second, Max: 1_600_000, Base: 1_600_000})
 	}
 	for i := range entries {
-		b.Greet(0, event.BoxID(fmt.Sprint(i)), 1, nil)
+		b.BeginSession(0, event.BoxID(fmt.Sprint(i)), 1, nil)
 	}
 	b.MakeRecord(0)
 	b.Committed()
@@ -76,11 +76,11 @@
 			book, now := benchAllocator(size.accounts, size.entries)
 			sent := 0
 			for i := 0; b.Loop(); i++ {
-				now = now.Add(time200ms / event.Span(size.entries))
+				now = now.Add(time200ms / event.Duration(size.entries))
 				name := event.BoxID(fmt.Sprint(i % size.entries))
-				update := book.Lend(now, name, size.entries)
+				update := book.UpdateLeases(now, name, size.entries)
 				sent += len(update.UpTo)
-				book.Hear(now, name, update.Number, nil)
+				book.ApplyReport(now, name, update.Number, nil)
 			}
 			b.ReportMetric(float64(sent)/float64(b.N), "accounts/op")
 		})
--- a/budget/book.go
+++ b/budget/book.go
@@ -19,17 +19,17 @@
 // Allocator holds the accounts of an owner: it spends for connected entries and leases
 // shares to them. It is a reducer and not safe for concurrent use. Its work and memory grow
 // with the accounts in use, not with those that have a limit.
-type Book struct {
+type Allocator struct {
 	limits    map[Account]Limit
 	accounts  map[Account]*account // in use
 	holders   map[event.BoxID]*holder
 	bounds    bounds
-	maxWindow event.Span // longest window of a limit
+	maxWindow event.Duration // longest window of a limit
 	// limitsVersion increases whenever an account gets or loses its limit.
 	limitsVersion uint64
 	// leaseTTL is how long an entry may use a lease without hearing from an owner, plus
 	// leaseMargin.
-	leaseTTL event.Span
+	leaseTTL event.Duration
 	// startedAt is when this owner started, prior the lines of earlier owners. isFirst is
 	// true if no earlier owner can have spent anything.
 	startedAt event.Time
@@ -47,10 +47,10 @@
 	isThrottled           bool
 }
 
-// NewBook returns the Allocator of the first owner of a deployment: nothing was spent
+// NewAllocator returns the Allocator of the first owner of a deployment: nothing was spent
 // before. leaseTTL is how long an entry may use its leases without hearing from an owner.
-func NewBook(now event.Time, leaseTTL event.Span) *Book {
-	return &Book{
+func NewAllocator(now event.Time, leaseTTL event.Duration) *Allocator {
+	return &Allocator{
 		limits: make(map[Account]Limit), accounts: make(map[Account]*account),
 		holders:  make(map[event.BoxID]*holder),
 		prior:    make(map[Account]*datedLine),
@@ -60,8 +60,8 @@
 
 // InheritLedger returns the Allocator of an owner that succeeds others, with the state in
 // the log. Every earlier owner must have ceased by now.
-func InheritLedger(now event.Time, leaseTTL event.Span, l *Ledger) *Book {
-	b := NewBook(now, leaseTTL)
+func InheritLedger(now event.Time, leaseTTL event.Duration, l *Ledger) *Allocator {
+	b := NewAllocator(now, leaseTTL)
 	b.isFirst = false
 	b.prior = l.copy()
 	// Sized in advance: growing the maps would take much of a new owner's first step.
@@ -71,7 +71,7 @@
 }
 
 // SetLimit sets the limit of an account.
-func (b *Book) SetLimit(now event.Time, name Account, l Limit) {
+func (b *Allocator) SetLimit(now event.Time, name Account, l Limit) {
 	if _, ok := b.limits[name]; !ok {
 		b.limitsVersion++
 	}
@@ -91,7 +91,7 @@
 
 // DropLimit removes the limit of an account. What was spent of it counts until it leaves
 // the window.
-func (b *Book) DropLimit(name Account) {
+func (b *Allocator) DropLimit(name Account) {
 	if _, ok := b.limits[name]; ok {
 		delete(b.limits, name)
 		b.limitsVersion++
@@ -102,7 +102,7 @@
 }
 
 // account returns an account, and creates it on first use; nil if it has no limit.
-func (b *Book) account(now event.Time, name Account) *account {
+func (b *Allocator) account(now event.Time, name Account) *account {
 	if a, ok := b.accounts[name]; ok {
 		return a
 	}
@@ -121,14 +121,14 @@
 	return a
 }
 
-func (b *Book) drop(a *account) {
+func (b *Allocator) drop(a *account) {
 	a.isDropped = true
 	delete(b.accounts, a.name)
 }
 
 // Spend spends an amount for an entry and reports whether it fits. An account without a
 // limit fits any amount.
-func (b *Book) Spend(now event.Time, entry event.BoxID, name Account, amount int) bool {
+func (b *Allocator) Spend(now event.Time, entry event.BoxID, name Account, amount int) bool {
 	if amount == 0 {
 		return true
 	}
@@ -136,7 +136,7 @@
 	if a == nil {
 		return true
 	}
-	if a.spent.Total(now)+a.reserved()+amount > a.limit.Most {
+	if a.spent.Total(now)+a.reserved()+amount > a.limit.Max {
 		return false
 	}
 	if !b.isCovered(now, a, amount) {
@@ -157,47 +157,47 @@
 
 // isCovered reports whether the Records cover an amount: the committed one, and the pending
 // one.
-func (b *Book) isCovered(now event.Time, a *account, amount int) bool {
+func (b *Allocator) isCovered(now event.Time, a *account, amount int) bool {
 	return b.isRecorded && !a.isStale && a.maySpend(now, &a.committed, amount) &&
 		(!a.isPending || a.maySpend(now, &a.pending, amount))
 }
 
-// GiveBack returns an amount that was spent at the given time and reached no endpoint.
-func (b *Book) GiveBack(now event.Time, name Account, at event.Time, amount int) {
+// Refund returns an amount that was spent at the given time and reached no endpoint.
+func (b *Allocator) Refund(now event.Time, name Account, at event.Time, amount int) {
 	if a, ok := b.accounts[name]; ok {
 		a.spent.Remove(now, at, amount)
 	}
 }
 
-// IsLent returns false: an owner spends from its own accounts.
-func (b *Book) IsLent() bool { return false }
+// IsLeased returns false: an owner spends from its own accounts.
+func (b *Allocator) IsLeased() bool { return false }
 
-// Room returns how long it takes until an amount fits, if nothing more is spent. It is 0 if
+// AvailableIn returns how long it takes until an amount fits, if nothing more is spent. It is 0 if
 // only a Record is missing.
-func (b *Book) Room(now event.Time, name Account, amount int) event.Span {
+func (b *Allocator) AvailableIn(now event.Time, name Account, amount int) event.Duration {
 	a := b.account(now, name)
 	if a == nil {
 		return 0
 	}
-	return a.spent.TimeUntilAtMost(now, float64(a.limit.Most-a.reserved()-amount))
+	return a.spent.TimeUntilAtMost(now, float64(a.limit.Max-a.reserved()-amount))
 }
 
 // State returns what counts as spent of an account and how much may be, for the log.
-func (b *Book) State(now event.Time, name Account) (spent, limit int) {
+func (b *Allocator) State(now event.Time, name Account) (spent, limit int) {
 	a := b.account(now, name)
 	if a == nil {
 		return 0, 0
 	}
-	return a.spent.Total(now), a.limit.Most - a.reserved()
+	return a.spent.Total(now), a.limit.Max - a.reserved()
 }
 
 // checkRecord sets isDue if an account needs a new Record.
-func (b *Book) checkRecord(now event.Time, a *account) {
+func (b *Allocator) checkRecord(now event.Time, a *account) {
 	b.isDue = b.isDue || a.needsRecord(now)
 }
 
 // Tick counts leases as spent that can't be used any more.
-func (b *Book) Tick(now event.Time) {
+func (b *Allocator) Tick(now event.Time) {
 	if now >= b.startedAt.Add(b.leaseTTL) {
 		for _, a := range b.inheriting {
 			a.expire(now)
@@ -219,7 +219,7 @@
 
 // dropIdle drops idle accounts. It keeps them while earlier owners' spending may count: an
 // account that is created again would inherit it a second time.
-func (b *Book) dropIdle(now event.Time) {
+func (b *Allocator) dropIdle(now event.Time) {
 	for _, a := range b.accounts {
 		if a.isIdle(now) && (b.isFirst || now >= b.startedAt.Add(b.leaseTTL).Add(a.limit.Window)) {
 			b.drop(a)
@@ -232,11 +232,11 @@
 
 // HighUsage returns the accounts with more than half of their limit used, for the log. Of
 // more than maxHighUsage it returns those with the highest fraction used.
-func (b *Book) High(now event.Time) []Usage {
+func (b *Allocator) HighUsage(now event.Time) []Usage {
 	var list []Usage
 	for name, a := range b.accounts {
-		if a.total(now) > a.limit.Most/2 {
-			list = append(list, Usage{name, a.spent.Total(now), a.leased, a.inherited, a.limit.Most})
+		if a.total(now) > a.limit.Max/2 {
+			list = append(list, Usage{name, a.spent.Total(now), a.leased, a.inherited, a.limit.Max})
 		}
 	}
 	if len(list) > maxHighUsage {
@@ -251,11 +251,11 @@
 
 // Usage is the usage of an account.
 type Usage struct {
-	Account                      Account
-	Spent, Lent, Inherited, Most int
+	Account                       Account
+	Spent, Leased, Inherited, Max int
 }
 
 // fraction is the fraction of the limit that is used.
 func (u Usage) fraction() float64 {
-	return float64(u.Spent+u.Lent+u.Inherited) / float64(max(1, u.Most))
+	return float64(u.Spent+u.Leased+u.Inherited) / float64(max(1, u.Max))
 }
--- a/budget/book_test.go
+++ b/budget/book_test.go
@@ -14,17 +14,17 @@
 	testMax      = 9600
 )
 
-var testLimit = Limit{Window: 8 * event.Second, Most: testMax, Base: testMax}
+var testLimit = Limit{Window: 8 * event.Second, Max: testMax, Base: testMax}
 
 // newTestAllocator returns the Allocator of a first owner, with a committed Record.
-func newTestAllocator(now event.Time) *Book {
-	b := NewBook(now, testLeaseTTL)
+func newTestAllocator(now event.Time) *Allocator {
+	b := NewAllocator(now, testLeaseTTL)
 	b.SetLimit(now, worldAccount, testLimit)
 	commit(now, b)
 	return b
 }
 
-func commit(now event.Time, b *Book) Record {
+func commit(now event.Time, b *Allocator) Record {
 	r := b.MakeRecord(now)
 	b.Committed()
 	return r
@@ -32,7 +32,7 @@
 
 // spendAll spends in small amounts until nothing fits, commits Records when due, and
 // returns the sum.
-func spendAll(now event.Time, b *Book) int {
+func spendAll(now event.Time, b *Allocator) int {
 	const amount = 16
 	sum := 0
 	for {
@@ -47,13 +47,13 @@
 	}
 }
 
-func at(span event.Span) event.Time { return event.Time(span) }
+func at(span event.Duration) event.Time { return event.Time(span) }
 
 // TestSpendNeedsCoveringRecord: an owner must spend nothing before its first Record is
 // committed, only the unrecorded part if the Record has no line of the account, and
 // otherwise at most the headroom of the line.
 func TestSpendNeedsCoveringRecord(t *testing.T) {
-	b := NewBook(0, testLeaseTTL)
+	b := NewAllocator(0, testLeaseTTL)
 	b.SetLimit(0, worldAccount, testLimit)
 	if b.Spend(0, "entry", worldAccount, 1) {
 		t.Error("spent before a Record was committed")
@@ -110,7 +110,7 @@
 	b := newTestAllocator(0)
 	usual := 0
 	for ms := 0; ms < 8000; ms += 100 {
-		now := at(event.Span(ms) * event.Millisecond)
+		now := at(event.Duration(ms) * event.Millisecond)
 		if !b.Spend(now, "entry", worldAccount, testMax*4/10/80) {
 			commit(now, b)
 			continue
@@ -151,24 +151,24 @@
 // of a quota, the degraded entries must not exceed the rest.
 func TestDegradedEntriesStayWithinLimit(t *testing.T) {
 	b := newTestAllocator(0)
-	entries := make([]*Allowances, 4)
+	entries := make([]*Leases, 4)
 	for i := range entries {
-		entries[i] = &Allowances{}
+		entries[i] = &Leases{}
 	}
 	names := []event.BoxID{"a", "b", "c", "d"}
 	ping := func(now event.Time) {
 		for i, e := range entries {
 			acked, changes := e.Changes()
-			b.Hear(now, names[i], acked, changes)
-			e.Take(b.Lend(now, names[i], len(entries)))
+			b.ApplyReport(now, names[i], acked, changes)
+			e.Apply(b.UpdateLeases(now, names[i], len(entries)))
 		}
 	}
 	for i, e := range entries {
-		b.Greet(0, names[i], 1, e.Greet())
+		b.BeginSession(0, names[i], 1, e.BeginSession())
 	}
 	spent := 0
 	for ms := 0; ms < 4000; ms += 200 {
-		now := at(event.Span(ms) * event.Millisecond)
+		now := at(event.Duration(ms) * event.Millisecond)
 		ping(now)
 		spent += spendAll(now, b)
 	}
@@ -187,11 +187,11 @@
 // each entry some.
 func TestLeasesFollowUsage(t *testing.T) {
 	b := newTestAllocator(0)
-	b.Greet(0, "busy", 1, nil)
-	b.Greet(0, "idle", 2, nil)
+	b.BeginSession(0, "busy", 1, nil)
+	b.BeginSession(0, "idle", 2, nil)
 	b.Spend(0, "busy", worldAccount, 500)
 	leased := func(name event.BoxID) int {
-		l := b.Lend(0, name, 2)
+		l := b.UpdateLeases(0, name, 2)
 		if !l.Whole || len(l.UpTo) != 1 {
 			t.Fatalf("update for %s: %+v", name, l)
 		}
@@ -207,19 +207,19 @@
 // it less, the owner must count the larger lease.
 func TestLeaseShrinksOnlyWhenAcknowledged(t *testing.T) {
 	b := newTestAllocator(0)
-	b.Greet(0, "a", 1, nil)
-	first := b.Lend(0, "a", 1)
-	b.Hear(0, "a", first.Number, nil)
+	b.BeginSession(0, "a", 1, nil)
+	first := b.UpdateLeases(0, "a", 1)
+	b.ApplyReport(0, "a", first.Number, nil)
 	have := b.accounts[worldAccount].leased
 	spendAll(0, b)
-	less := b.Lend(0, "a", 1)
+	less := b.UpdateLeases(0, "a", 1)
 	if len(less.UpTo) != 1 || less.UpTo[0].UpTo >= first.UpTo[0].UpTo {
 		t.Fatalf("leased %+v after %+v, want less", less, first)
 	}
 	if got := b.accounts[worldAccount].leased; got != have {
 		t.Errorf("%d leased before the entry acknowledged the update, want %d", got, have)
 	}
-	b.Hear(0, "a", less.Number, nil)
+	b.ApplyReport(0, "a", less.Number, nil)
 	if got := b.accounts[worldAccount].leased; got != less.UpTo[0].UpTo {
 		t.Errorf("%d leased, want %d", got, less.UpTo[0].UpTo)
 	}
@@ -228,12 +228,12 @@
 // TestNoLeaseBeforeFirstRecord: an owner without a committed Record must not extend the
 // leases of the owner before.
 func TestNoLeaseBeforeFirstRecord(t *testing.T) {
-	e := &Allowances{}
-	e.Take(Lent{Number: 3, Whole: true, UpTo: []Holding{{Account: worldAccount, UpTo: 100}}})
+	e := &Leases{}
+	e.Apply(LeaseUpdate{Number: 3, Whole: true, UpTo: []Lease{{Account: worldAccount, UpTo: 100}}})
 	b := inheritAllocator(0, testLeaseTTL, Record{}, 0)
 	b.SetLimit(0, worldAccount, testLimit)
-	b.Greet(0, "a", 1, e.Greet())
-	e.Take(b.Lend(0, "a", 1))
+	b.BeginSession(0, "a", 1, e.BeginSession())
+	e.Apply(b.UpdateLeases(0, "a", 1))
 	if e.Spend(0, "a", worldAccount, 1) {
 		t.Error("spent an earlier owner's lease that was extended by an owner without a Record")
 	}
@@ -243,18 +243,18 @@
 // a whole window, whatever the rounding of bins and the difference of the boxes' clocks.
 func TestRecordNeverOverstatesAge(t *testing.T) {
 	for ms := 0; ms < 600; ms += 7 {
-		spent := at(20*event.Second + event.Span(ms)*event.Millisecond)
+		spent := at(20*event.Second + event.Duration(ms)*event.Millisecond)
 		b := newTestAllocator(spent)
 		b.Spend(spent, "a", worldAccount, 100)
-		for late := event.Span(0); late < 2*event.Second; late += 30 * event.Millisecond {
+		for late := event.Duration(0); late < 2*event.Second; late += 30 * event.Millisecond {
 			line := Line{Account: worldAccount, Spent: b.accounts[worldAccount].spentByAge(spent.Add(late))}
-			for clock := event.Span(0); clock < 50*event.Millisecond; clock += 9 * event.Millisecond {
+			for clock := event.Duration(0); clock < 50*event.Millisecond; clock += 9 * event.Millisecond {
 				received := spent.Add(late + clock)
 				next := inheritAllocator(received, testLeaseTTL, Record{Lines: []Line{line}}, received)
 				next.SetLimit(received, worldAccount, testLimit)
 				last := spent.Add(clock + testLimit.Window - event.Millisecond)
 				if got := next.accounts[worldAccount].spent.Total(last); got != 100 {
-					t.Fatalf("spent at %v, recorded %v later: %d of 100 count at the end of the window", event.Span(spent), late, got)
+					t.Fatalf("spent at %v, recorded %v later: %d of 100 count at the end of the window", event.Duration(spent), late, got)
 				}
 			}
 		}
@@ -265,10 +265,10 @@
 // spent, and expire with the window.
 func TestNewInstanceLosesLeases(t *testing.T) {
 	b := newTestAllocator(0)
-	b.Greet(0, "a", 1, nil)
-	leased := b.Lend(0, "a", 1).UpTo[0].UpTo
+	b.BeginSession(0, "a", 1, nil)
+	leased := b.UpdateLeases(0, "a", 1).UpTo[0].UpTo
 	now := at(event.Second)
-	b.Greet(now, "a", 2, nil)
+	b.BeginSession(now, "a", 2, nil)
 	a := b.accounts[worldAccount]
 	if a.leased != 0 || a.spent.Total(now) != leased {
 		t.Errorf("%d leased and %d spent, want 0 and %d", a.leased, a.spent.Total(now), leased)
@@ -281,12 +281,12 @@
 // TestNewOwnerLeasesAtOnce: an owner must lease what is free beside the leases of earlier
 // owners without waiting for those to expire.
 func TestNewOwnerLeasesAtOnce(t *testing.T) {
-	last := Record{Lines: []Line{{Account: worldAccount, Spent: []int{testMax / 4}, Mark: testMax / 16, Lent: testMax / 4}}}
+	last := Record{Lines: []Line{{Account: worldAccount, Spent: []int{testMax / 4}, Headroom: testMax / 16, Leased: testMax / 4}}}
 	b := inheritAllocator(0, testLeaseTTL, last, 0)
 	b.SetLimit(0, worldAccount, testLimit)
 	commit(0, b)
-	b.Greet(0, "a", 1, nil)
-	if l := b.Lend(0, "a", 1); len(l.UpTo) != 1 || l.UpTo[0].UpTo < int(testMax*minLeaseFraction) {
+	b.BeginSession(0, "a", 1, nil)
+	if l := b.UpdateLeases(0, "a", 1); len(l.UpTo) != 1 || l.UpTo[0].UpTo < int(testMax*minLeaseFraction) {
 		t.Errorf("leased %+v, want a share of what is left", l)
 	}
 }
@@ -294,19 +294,19 @@
 // TestReportedSpendingIsNotReturned: an owner counts spending when it is reported. If an
 // entry returned it and spent it again, the owner would count it too early.
 func TestReportedSpendingIsNotReturned(t *testing.T) {
-	e := &Allowances{}
-	e.Take(Lent{Number: 1, Whole: true, UpTo: []Holding{{Account: worldAccount, UpTo: 300}}})
+	e := &Leases{}
+	e.Apply(LeaseUpdate{Number: 1, Whole: true, UpTo: []Lease{{Account: worldAccount, UpTo: 300}}})
 	e.Spend(0, "", worldAccount, 100)
-	e.GiveBack(0, worldAccount, 0, 100)
+	e.Refund(0, worldAccount, 0, 100)
 	if spent, _ := e.State(0, worldAccount); spent != 0 {
 		t.Errorf("%d spent after all unreported spending was returned", spent)
 	}
 	e.Spend(0, "", worldAccount, 100)
-	e.Greet()
+	e.BeginSession()
 	e.Spend(0, "", worldAccount, 50)
-	e.GiveBack(0, worldAccount, 0, 100)
+	e.Refund(0, worldAccount, 0, 100)
 	e.Spend(0, "", worldAccount, 100)
-	if held := e.Greet(); held[0].Spent != 200 {
+	if held := e.BeginSession(); held[0].Spent != 200 {
 		t.Errorf("%d reported as spent, want the 100 reported before and the 100 spent since", held[0].Spent)
 	}
 }
@@ -315,31 +315,31 @@
 // owners only until the entries that hold them acknowledge its first update. What an entry
 // spent of them, and what unreachable entries hold, stays withheld.
 func TestReturnedInheritedLeasesAreFree(t *testing.T) {
-	last := Record{Lines: []Line{{Account: worldAccount, Spent: []int{0}, Mark: 0, Lent: testMax / 4}}}
+	last := Record{Lines: []Line{{Account: worldAccount, Spent: []int{0}, Headroom: 0, Leased: testMax / 4}}}
 	b := inheritAllocator(0, testLeaseTTL, last, 0)
 	b.SetLimit(0, worldAccount, testLimit)
 	commit(0, b)
 	inherited := func() int { return b.accounts[worldAccount].inherited }
-	held := []Holding{{Account: worldAccount, Spent: 100, UpTo: 100 + testMax/10}}
-	b.Greet(0, "one", 1, held)
-	first := b.Lend(0, "one", 2)
+	held := []Lease{{Account: worldAccount, Spent: 100, UpTo: 100 + testMax/10}}
+	b.BeginSession(0, "one", 1, held)
+	first := b.UpdateLeases(0, "one", 2)
 	if got := inherited(); got != testMax/4 || !first.Whole {
 		t.Fatalf("%d withheld before the entry acknowledged the new owner's update, want %d", got, testMax/4)
 	}
 	spent := testMax / 40 // not yet reported
-	b.Hear(0, "one", 0, []Holding{{Account: worldAccount, Spent: 100 + spent, UpTo: 100 + testMax/10}})
+	b.ApplyReport(0, "one", 0, []Lease{{Account: worldAccount, Spent: 100 + spent, UpTo: 100 + testMax/10}})
 	if got := inherited(); got != testMax/4 {
 		t.Errorf("%d withheld after the entry spent without acknowledging, want %d", got, testMax/4)
 	}
 	want := testMax/4 - (testMax/10 - spent)
 	for range 2 { // a repeated report must release nothing more
-		b.Hear(0, "one", first.Number, nil)
+		b.ApplyReport(0, "one", first.Number, nil)
 		if got := inherited(); got != want {
 			t.Errorf("%d withheld after the acknowledgment, want %d", got, want)
 		}
 	}
-	b.Greet(0, "one", 1, held)
-	b.Hear(0, "one", b.Lend(0, "one", 2).Number, nil)
+	b.BeginSession(0, "one", 1, held)
+	b.ApplyReport(0, "one", b.UpdateLeases(0, "one", 2).Number, nil)
 	if got := inherited(); got != want {
 		t.Errorf("%d withheld after the entry began another session, want %d", got, want)
 	}
@@ -348,23 +348,23 @@
 // TestExpiredLeasesAreNotReported: the rest of an expired lease must be neither spent nor
 // reported as held.
 func TestExpiredLeasesAreNotReported(t *testing.T) {
-	var s Allowances
-	s.Take(Lent{Number: 1, UpTo: []Holding{{Account: worldAccount, UpTo: 50}}})
+	var s Leases
+	s.Apply(LeaseUpdate{Number: 1, UpTo: []Lease{{Account: worldAccount, UpTo: 50}}})
 	s.Spend(0, "e", worldAccount, 20)
-	s.Drop()
+	s.Expire()
 	if s.Spend(0, "e", worldAccount, 1) {
 		t.Error("spent from an expired lease")
 	}
-	if held := s.Greet(); len(held) != 1 || held[0].UpTo != held[0].Spent {
+	if held := s.BeginSession(); len(held) != 1 || held[0].UpTo != held[0].Spent {
 		t.Errorf("reported %+v, want nothing left", held)
 	}
 }
 
 // inheritAllocator returns the Allocator of an owner that succeeds others, whose last Record was
 // received at the given time. Every earlier owner has ceased by now.
-func inheritAllocator(now event.Time, leaseTTL event.Span, last Record, received event.Time) *Book {
+func inheritAllocator(now event.Time, leaseTTL event.Duration, last Record, received event.Time) *Allocator {
 	var l Ledger
 	l.Apply(last)
-	l.Heard(received)
+	l.MarkReceived(received)
 	return InheritLedger(now, leaseTTL, &l)
 }
--- a/budget/bounds.go
+++ b/budget/bounds.go
@@ -11,7 +11,7 @@
 	// one continues from there. With no more limits than that, and few entries, each entry
 	// is leased a share of every account; otherwise of those that it used within useSpan.
 	scans   int
-	useSpan event.Span
+	useSpan event.Duration
 	// maxLeases is the most leases (accounts times entries) with which each entry is leased
 	// a share of every account.
 	maxLeases int
--- a/budget/ledger.go
+++ b/budget/ledger.go
@@ -25,10 +25,10 @@
 
 // Apply applies a Record of the log.
 func (l *Ledger) Apply(r Record) {
-	if !r.Part || l.lines == nil {
+	if !r.Partial || l.lines == nil {
 		l.lines = make(map[Account]*datedLine, len(r.Lines))
 	}
-	for _, name := range r.Gone {
+	for _, name := range r.Removed {
 		delete(l.lines, name)
 	}
 	for _, line := range r.Lines {
@@ -39,7 +39,7 @@
 }
 
 // MarkReceived sets now as the receive time of what was applied since the last call.
-func (l *Ledger) Heard(now event.Time) {
+func (l *Ledger) MarkReceived(now event.Time) {
 	for _, d := range l.undated {
 		d.at = now
 	}
--- a/budget/lend.go
+++ b/budget/lend.go
@@ -17,14 +17,14 @@
 
 // Lease is an entry's share of an account: how much the entry has spent without an owner
 // since it started, and the total up to which it may spend.
-type Holding struct {
+type Lease struct {
 	Account Account
 	Spent   int
 	UpTo    int
 }
 
 // bytes returns the largest size of the lease in a message.
-func (l *Holding) bytes() int { return len(l.Account) + leaseOverhead }
+func (l *Lease) bytes() int { return len(l.Account) + leaseOverhead }
 
 // evenFraction is the fraction of what is leased that is split evenly among entries; the
 // rest is split by usage.
@@ -96,7 +96,7 @@
 // BeginSession takes in an entry at the beginning of a session, with the leases that it
 // reports. A new instance of the entry has lost the leases of the one before, which then
 // count as spent.
-func (b *Book) Greet(now event.Time, entry event.BoxID, instance uint64, reported []Holding) {
+func (b *Allocator) BeginSession(now event.Time, entry event.BoxID, instance uint64, reported []Lease) {
 	h, ok := b.holders[entry]
 	if ok && h.instance != instance {
 		b.settle(now, h)
@@ -112,7 +112,7 @@
 
 // AwaitReport must be called if the entry has more leases to report. It is leased nothing
 // until CompleteReport is called, because what it spent before must be known first.
-func (b *Book) Await(entry event.BoxID) {
+func (b *Allocator) AwaitReport(entry event.BoxID) {
 	if h, ok := b.holders[entry]; ok {
 		h.isReporting = true
 	}
@@ -121,7 +121,7 @@
 // KeepAllLeases must be called for an entry of an earlier build, which never forgets an
 // account. Its leases are not revoked: when an account was leased again, its earlier
 // spending would count a second time.
-func (b *Book) Remembers(entry event.BoxID) {
+func (b *Allocator) KeepAllLeases(entry event.BoxID) {
 	if h, ok := b.holders[entry]; ok {
 		h.keepsAll = true
 	}
@@ -129,7 +129,7 @@
 
 // CompleteReport must be called when the entry has reported all leases that it held when
 // the session began.
-func (b *Book) Complete(entry event.BoxID) {
+func (b *Allocator) CompleteReport(entry event.BoxID) {
 	if h, ok := b.holders[entry]; ok {
 		h.isReporting = false
 	}
@@ -137,7 +137,7 @@
 
 // ApplyReport applies an entry's report: what it has spent, and the number of the last
 // update that it applied.
-func (b *Book) Hear(now event.Time, entry event.BoxID, applied uint64, reported []Holding) {
+func (b *Allocator) ApplyReport(now event.Time, entry event.BoxID, applied uint64, reported []Lease) {
 	h, ok := b.holders[entry]
 	if !ok {
 		return
@@ -158,7 +158,7 @@
 	}
 }
 
-func (b *Book) applySpent(now event.Time, h *holder, reported []Holding) {
+func (b *Allocator) applySpent(now event.Time, h *holder, reported []Lease) {
 	for _, r := range reported {
 		l, known := h.leases[r.Account]
 		if !known {
@@ -183,7 +183,7 @@
 }
 
 // inheritLease initializes a lease from what an entry spent and holds of earlier owners.
-func (b *Book) inheritLease(now event.Time, h *holder, l *leaseState, r Holding) {
+func (b *Allocator) inheritLease(now event.Time, h *holder, l *leaseState, r Lease) {
 	l.spent, l.acked, l.offered = r.Spent, r.Spent, r.Spent
 	h.prior[r.Account] = max(0, r.UpTo-r.Spent)
 	if r.UpTo > r.Spent {
@@ -195,7 +195,7 @@
 // has the update that replaces it. This is safe because inherited bounds the sum of all
 // entries' leases, so no other entry can spend what this one returned. Without it that part
 // of the quota would be withheld until the leases expire.
-func (b *Book) releaseInherited(now event.Time, h *holder) {
+func (b *Allocator) releaseInherited(now event.Time, h *holder) {
 	for name, outstanding := range h.prior {
 		if outstanding == 0 {
 			continue
@@ -208,7 +208,7 @@
 }
 
 // accountOf returns the account of a lease; nil if it is not in use.
-func (b *Book) accountOf(l *leaseState) *account {
+func (b *Allocator) accountOf(l *leaseState) *account {
 	if l.account == nil || l.account.isDropped {
 		l.account = b.accounts[l.name]
 	}
@@ -216,7 +216,7 @@
 }
 
 // update changes a lease and adjusts the account's sum of leased amounts.
-func (b *Book) update(l *leaseState, change func()) {
+func (b *Allocator) update(l *leaseState, change func()) {
 	before := l.outstanding()
 	change()
 	if a := b.accountOf(l); a != nil {
@@ -226,7 +226,7 @@
 
 // settle counts all leases of an entry as spent, once it can't use them any more. The next
 // update replaces them.
-func (b *Book) settle(now event.Time, h *holder) {
+func (b *Allocator) settle(now event.Time, h *holder) {
 	h.replaceAll = true
 	h.isSettled = true
 	for _, l := range h.leases {
@@ -244,25 +244,25 @@
 
 // LeaseUpdate is a message with leases to an entry. If Whole is true, the entry's leases
 // that are not listed end.
-type Lent struct {
+type LeaseUpdate struct {
 	Number uint64
 	Whole  bool
-	UpTo   []Holding
+	UpTo   []Lease
 }
 
 // UpdateLeases returns the next update for an entry; entries is the number of entries. It
 // checks some of the entry's accounts, and the next call continues after them.
-func (b *Book) Lend(now event.Time, entry event.BoxID, entries int) Lent {
+func (b *Allocator) UpdateLeases(now event.Time, entry event.BoxID, entries int) LeaseUpdate {
 	h, ok := b.holders[entry]
 	if !ok || !b.isRecorded || h.isReporting {
 		// The answer that carries this update extends the time for which the entry may use
 		// its leases. Those of earlier owners must not be extended.
-		return Lent{Whole: true}
+		return LeaseUpdate{Whole: true}
 	}
 	h.renewedAt = now
 	h.isSettled = false
 	b.leaseAll(h)
-	out := Lent{Whole: h.replaceAll}
+	out := LeaseUpdate{Whole: h.replaceAll}
 	if h.replaceAll {
 		b.revokeAll(h)
 	}
@@ -290,7 +290,7 @@
 }
 
 // leaseAll creates a lease of every account, if there are few.
-func (b *Book) leaseAll(h *holder) {
+func (b *Allocator) leaseAll(h *holder) {
 	if !b.leasesAll() || h.limitsVersion == b.limitsVersion {
 		return
 	}
@@ -301,7 +301,7 @@
 }
 
 // leasesAll reports whether each entry is leased a share of every account.
-func (b *Book) leasesAll() bool {
+func (b *Allocator) leasesAll() bool {
 	return len(b.limits) <= b.bounds.scans && len(b.limits)*len(b.holders) <= b.bounds.maxLeases
 }
 
@@ -323,7 +323,7 @@
 // revokeAll revokes all leases of an entry with the next update, except those that the
 // update lists. Until the entry acknowledges it, the entry may still hold what it was
 // leased before.
-func (b *Book) revokeAll(h *holder) {
+func (b *Allocator) revokeAll(h *holder) {
 	h.unacked = h.unacked[:0]
 	for _, l := range h.ring {
 		if l.isRevoked {
@@ -339,9 +339,9 @@
 
 // updateLease moves a lease towards its target. A change waits until the entry has
 // acknowledged the one before.
-func (b *Book) updateLease(now event.Time, h *holder, l *leaseState, entries int) (Holding, bool) {
+func (b *Allocator) updateLease(now event.Time, h *holder, l *leaseState, entries int) (Lease, bool) {
 	if l.isRevoking || (l.offered != l.acked && !h.replaceAll) {
-		return Holding{}, false
+		return Lease{}, false
 	}
 	if !b.isWanted(now, l) && !h.keepsAll {
 		return b.revoke(h, l), true
@@ -351,14 +351,14 @@
 		a = b.account(now, l.name)
 	}
 	if a == nil {
-		return Holding{}, false // no limit any more
+		return Lease{}, false // no limit any more
 	}
 	want := a.share(now, l, entries)
 	if more := want - l.outstanding(); more > 0 {
 		want = l.outstanding() + max(0, min(more, b.leasable(now, a)))
 	}
 	if isNear(want, l.outstanding()) && !h.replaceAll {
-		return Holding{}, false
+		return Lease{}, false
 	}
 	isUnacked := l.offered != l.acked
 	b.update(l, func() { l.offered = l.spent + want })
@@ -366,11 +366,11 @@
 	if !isUnacked && l.acked != l.offered {
 		h.trackUnacked(l)
 	}
-	return Holding{Account: l.name, Spent: l.spent, UpTo: l.offered}, want > 0 || l.acked != l.offered
+	return Lease{Account: l.name, Spent: l.spent, UpTo: l.offered}, want > 0 || l.acked != l.offered
 }
 
 // isWanted reports whether an entry should have a lease of an account.
-func (b *Book) isWanted(now event.Time, l *leaseState) bool {
+func (b *Allocator) isWanted(now event.Time, l *leaseState) bool {
 	if !b.leasesAll() && now >= l.wantedUntil {
 		return false
 	}
@@ -383,11 +383,11 @@
 
 // revoke revokes a lease. The entry forgets the account if it has spent no more than the
 // owner knows.
-func (b *Book) revoke(h *holder, l *leaseState) Holding {
+func (b *Allocator) revoke(h *holder, l *leaseState) Lease {
 	b.update(l, func() { l.offered = l.spent })
 	l.isRevoking = true
 	h.trackUnacked(l)
-	return Holding{Account: l.name, Spent: l.spent, UpTo: l.spent}
+	return Lease{Account: l.name, Spent: l.spent, UpTo: l.spent}
 }
 
 // isNear reports whether a change of a lease is too small for a message.
@@ -410,14 +410,14 @@
 // leaseTarget returns how much of an account should be on lease in total: half of what is
 // left, less what may be spent before the next Record, and never less than the reserve.
 func (a *account) leaseTarget(now event.Time) int {
-	maxSpend := float64(a.limit.Most)
+	maxSpend := float64(a.limit.Max)
 	left := maxSpend - float64(a.spent.Total(now)+a.inherited)
 	return int(min(maxLeaseFraction*maxSpend, max(minLeaseFraction*maxSpend, left/2-headroomFraction*maxSpend)))
 }
 
 // leasable returns how much more of an account may be leased.
-func (b *Book) leasable(now event.Time, a *account) int {
-	free := min(a.limit.Most-a.total(now), a.leasable(now, &a.committed))
+func (b *Allocator) leasable(now event.Time, a *account) int {
+	free := min(a.limit.Max-a.total(now), a.leasable(now, &a.committed))
 	if a.isPending {
 		free = min(free, a.leasable(now, &a.pending))
 	}
--- a/budget/pieces_test.go
+++ b/budget/pieces_test.go
@@ -12,19 +12,19 @@
 // not acknowledge an update before the last of them, because the owner then counts as free
 // what was not reported as spent.
 func TestUpdateNumberWaitsForWholeReport(t *testing.T) {
-	s := Allowances{maxBytes: 1}
+	s := Leases{maxBytes: 1}
 	for _, name := range tightAccounts {
-		s.Take(Lent{Number: 7, UpTo: []Holding{{Account: name, UpTo: 10}}})
+		s.Apply(LeaseUpdate{Number: 7, UpTo: []Lease{{Account: name, UpTo: 10}}})
 		s.Spend(0, "", name, 1)
 	}
-	s.Greet()
-	s.Take(Lent{Number: 1, Whole: true})
+	s.BeginSession()
+	s.Apply(LeaseUpdate{Number: 1, Whole: true})
 	for range len(tightAccounts) - 2 {
-		if acked, reported := s.Changes(); acked != 0 || len(reported) != 1 || !s.More() {
+		if acked, reported := s.Changes(); acked != 0 || len(reported) != 1 || !s.HasMore() {
 			t.Fatalf("acknowledged update %d and reported %+v while there is more to report", acked, reported)
 		}
 	}
-	if acked, _ := s.Changes(); acked != 1 || s.More() {
+	if acked, _ := s.Changes(); acked != 1 || s.HasMore() {
 		t.Errorf("acknowledged update %d after the whole report, want 1", acked)
 	}
 }
@@ -33,14 +33,14 @@
 // its next lease, and count neither as spent now nor against the lease.
 func TestNoLeaseBeforeWholeReport(t *testing.T) {
 	b := newTestAllocator(0)
-	b.Greet(0, "a", 1, nil)
-	b.Await("a")
-	if l := b.Lend(0, "a", 1); !l.Whole || len(l.UpTo) != 0 || l.Number != 0 {
+	b.BeginSession(0, "a", 1, nil)
+	b.AwaitReport("a")
+	if l := b.UpdateLeases(0, "a", 1); !l.Whole || len(l.UpTo) != 0 || l.Number != 0 {
 		t.Errorf("leased %+v while there is more to report, want nothing", l)
 	}
-	b.Hear(0, "a", 0, []Holding{{Account: worldAccount, Spent: 500, UpTo: 500}})
-	b.Complete("a")
-	l := b.Lend(0, "a", 1)
+	b.ApplyReport(0, "a", 0, []Lease{{Account: worldAccount, Spent: 500, UpTo: 500}})
+	b.CompleteReport("a")
+	l := b.UpdateLeases(0, "a", 1)
 	if len(l.UpTo) != 1 || l.UpTo[0].Spent != 500 || l.UpTo[0].UpTo <= 500 {
 		t.Errorf("leased %+v, want more than the 500 that were spent before", l)
 	}
@@ -53,12 +53,12 @@
 // earlier leases of an entry, which may still be spent until the entry has the update.
 func TestReplacedLeaseCountsUntilAcknowledged(t *testing.T) {
 	b := newTestAllocator(0)
-	b.Greet(0, "a", 1, nil)
-	b.Hear(0, "a", b.Lend(0, "a", 1).Number, nil)
+	b.BeginSession(0, "a", 1, nil)
+	b.ApplyReport(0, "a", b.UpdateLeases(0, "a", 1).Number, nil)
 	have := b.accounts[worldAccount].leased
 	spendAll(0, b)
-	b.Greet(0, "a", 1, []Holding{{Account: worldAccount, UpTo: have}})
-	less := b.Lend(0, "a", 1)
+	b.BeginSession(0, "a", 1, []Lease{{Account: worldAccount, UpTo: have}})
+	less := b.UpdateLeases(0, "a", 1)
 	if !less.Whole || len(less.UpTo) != 1 || less.UpTo[0].UpTo >= have {
 		t.Fatalf("leased %+v, want all to be replaced by less than %d", less, have)
 	}
@@ -71,16 +71,16 @@
 // forgot it starts with what the owner knows as spent. If that were returned, it could be
 // spent twice.
 func TestForgottenSpendingIsNotReturned(t *testing.T) {
-	var s Allowances
-	s.Take(Lent{Number: 1, UpTo: []Holding{{Account: worldAccount, UpTo: 50}}})
+	var s Leases
+	s.Apply(LeaseUpdate{Number: 1, UpTo: []Lease{{Account: worldAccount, UpTo: 50}}})
 	s.Spend(0, "", worldAccount, 50)
 	s.Changes()
-	s.Take(Lent{Number: 2, UpTo: []Holding{{Account: worldAccount, Spent: 50, UpTo: 50}}})
-	if held := s.Greet(); len(held) != 0 {
+	s.Apply(LeaseUpdate{Number: 2, UpTo: []Lease{{Account: worldAccount, Spent: 50, UpTo: 50}}})
+	if held := s.BeginSession(); len(held) != 0 {
 		t.Fatalf("reported %+v of an account that was revoked", held)
 	}
-	s.Take(Lent{Number: 3, UpTo: []Holding{{Account: worldAccount, Spent: 50, UpTo: 60}}})
-	s.GiveBack(0, worldAccount, 0, 50)
+	s.Apply(LeaseUpdate{Number: 3, UpTo: []Lease{{Account: worldAccount, Spent: 50, UpTo: 60}}})
+	s.Refund(0, worldAccount, 0, 50)
 	if !s.Spend(0, "", worldAccount, 10) || s.Spend(0, "", worldAccount, 1) {
 		t.Error("want exactly 10 to be available")
 	}
@@ -89,10 +89,10 @@
 // TestUnreportedSpendingIsNotForgotten: a lease that the owner revokes before it received
 // the last spending must still be reported.
 func TestUnreportedSpendingIsNotForgotten(t *testing.T) {
-	var s Allowances
-	s.Take(Lent{Number: 1, UpTo: []Holding{{Account: worldAccount, UpTo: 50}}})
+	var s Leases
+	s.Apply(LeaseUpdate{Number: 1, UpTo: []Lease{{Account: worldAccount, UpTo: 50}}})
 	s.Spend(0, "", worldAccount, 20)
-	s.Take(Lent{Number: 2, UpTo: []Holding{{Account: worldAccount}}})
+	s.Apply(LeaseUpdate{Number: 2, UpTo: []Lease{{Account: worldAccount}}})
 	if _, reported := s.Changes(); len(reported) != 1 || reported[0].Spent != 20 {
 		t.Errorf("reported %+v, want 20 spent", reported)
 	}
@@ -103,19 +103,19 @@
 // until its own Records have replaced their lines, however many Records that takes, because
 // the next owner reads them from the log.
 func TestForeignRecordHoldsUntilReplaced(t *testing.T) {
-	b := NewBook(0, testLeaseTTL)
+	b := NewAllocator(0, testLeaseTTL)
 	b.bounds = tightBounds
 	late := tightAccounts[:3]
 	var r Record
 	for i, name := range tightAccounts {
 		b.SetLimit(0, name, testLimit)
 		if i < len(late) {
-			r.Lines = append(r.Lines, Line{Account: name, Mark: 10, Lent: 10})
+			r.Lines = append(r.Lines, Line{Account: name, Headroom: 10, Leased: 10})
 			continue
 		}
 		b.Spend(0, "a", name, 1) // blocked until the next Record, which therefore has no room for all
 	}
-	b.Foreign(0, r)
+	b.ApplyForeign(0, r)
 	named := make(map[Account]bool)
 	for range tightAccounts {
 		if !b.Due() {
@@ -125,7 +125,7 @@
 		for _, line := range r.Lines {
 			named[line.Account] = true
 		}
-		for _, name := range r.Gone {
+		for _, name := range r.Removed {
 			named[name] = true
 		}
 		for _, name := range late {
@@ -145,7 +145,7 @@
 // Record must not be dropped. Created again, it would be spent from as if the log had no
 // line of it.
 func TestAccountOfPendingRecordIsKept(t *testing.T) {
-	b := NewBook(0, testLeaseTTL)
+	b := NewAllocator(0, testLeaseTTL)
 	b.SetLimit(0, worldAccount, testLimit)
 	b.Spend(0, "a", worldAccount, 1) // blocked until a Record
 	r := b.MakeRecord(0)
@@ -155,7 +155,7 @@
 	for b.Spend(at(2*event.Second), "a", worldAccount, 10) {
 		sum += 10
 	}
-	if most := r.Lines[0].Mark; sum > most {
+	if most := r.Lines[0].Headroom; sum > most {
 		t.Errorf("%d spent of a headroom of %d", sum, most)
 	}
 }
@@ -174,7 +174,7 @@
 			commit(now, b)
 		}
 		for _, name := range []event.BoxID{"0", "1"} {
-			b.Hear(now, name, b.Lend(now, name, 2).Number, nil)
+			b.ApplyReport(now, name, b.UpdateLeases(now, name, 2).Number, nil)
 		}
 	}
 	if len(b.accounts) != 0 || len(b.limits) != 0 {
--- a/budget/property_test.go
+++ b/budget/property_test.go
@@ -42,14 +42,14 @@
 // worldReply is a reply on its way to an entry, with the time when its ping was sent.
 type worldReply struct {
 	sentAt event.Time
-	leases Lent
+	leases LeaseUpdate
 }
 
 // worldEntry is an entry. Its clock is that of the simulation.
 type worldEntry struct {
 	name        event.BoxID
 	instance    uint64
-	leases      *Allowances
+	leases      *Leases
 	leaseUntil  event.Time // until when it may spend its leases
 	isConnected bool       // has a session with the owner
 	isDegraded  bool       // has no reply of the owner and decides by itself
@@ -64,7 +64,7 @@
 	random    *rand.Rand
 	faultRate float64 // probability of a fault
 	now       event.Time
-	book      *Book // nil while there is no owner
+	book      *Allocator // nil while there is no owner
 	log       Ledger
 	entries   []*worldEntry
 	spent     []worldSpent
@@ -96,7 +96,7 @@
 		w.restart(e)
 		w.entries = append(w.entries, e)
 	}
-	w.book = NewBook(w.now, worldLeaseTTL)
+	w.book = NewAllocator(w.now, worldLeaseTTL)
 	w.setLimits()
 	return w
 }
@@ -106,13 +106,13 @@
 		w.book.bounds = w.bounds
 	}
 	for _, name := range w.accounts {
-		w.book.SetLimit(w.now, name, Limit{Window: worldWindow, Most: worldMax, Base: worldMax})
+		w.book.SetLimit(w.now, name, Limit{Window: worldWindow, Max: worldMax, Base: worldMax})
 	}
 }
 
 func (w *world) restart(e *worldEntry) {
 	w.instances++
-	e.instance, e.leases, e.leaseUntil = w.instances, &Allowances{}, 0
+	e.instance, e.leases, e.leaseUntil = w.instances, &Leases{}, 0
 	e.disconnect()
 	if w.isTight {
 		e.leases.maxBytes = w.bounds.messageBytes
@@ -168,7 +168,7 @@
 	if w.random.IntN(4) == 0 {
 		step = 4 * event.Second
 	}
-	w.now = w.now.Add(event.Span(w.random.Int64N(int64(step))))
+	w.now = w.now.Add(event.Duration(w.random.Int64N(int64(step))))
 	if w.book != nil {
 		w.book.Tick(w.now)
 	}
@@ -182,7 +182,7 @@
 	name := w.randomAccount()
 	for amount := 1 + w.random.IntN(worldMax/10); w.random.IntN(30) > 0 && w.book.Spend(w.now, e.name, name, amount); {
 		if w.random.IntN(20) == 0 { // reached no endpoint
-			w.book.GiveBack(w.now, name, w.now, amount)
+			w.book.Refund(w.now, name, w.now, amount)
 			continue
 		}
 		w.count(name, amount)
@@ -200,7 +200,7 @@
 	name := w.randomAccount()
 	for amount := 1 + w.random.IntN(worldMax/40); w.random.IntN(30) > 0 && e.leases.Spend(w.now, e.name, name, amount); {
 		if w.isTight && w.random.IntN(20) == 0 { // reached no endpoint
-			e.leases.GiveBack(w.now, name, w.now, amount)
+			e.leases.Refund(w.now, name, w.now, amount)
 			continue
 		}
 		w.count(name, amount)
@@ -215,15 +215,15 @@
 	sent := w.now
 	if !e.isConnected {
 		if w.now >= e.leaseUntil {
-			e.leases.Drop()
+			e.leases.Expire()
 		}
-		reported := e.leases.Greet()
+		reported := e.leases.BeginSession()
 		if w.random.IntN(3) == 0 { // it spends on until the owner replies
 			w.spendDegraded(e)
 		}
-		w.book.Greet(w.now, e.name, e.instance, reported)
-		if e.leases.More() {
-			w.book.Await(e.name)
+		w.book.BeginSession(w.now, e.name, e.instance, reported)
+		if e.leases.HasMore() {
+			w.book.AwaitReport(e.name)
 		}
 		e.isConnected = true
 	}
@@ -232,11 +232,11 @@
 		e.disconnect()
 		return
 	}
-	w.book.Hear(w.now, e.name, acked, changes)
-	if !e.leases.More() {
-		w.book.Complete(e.name)
+	w.book.ApplyReport(w.now, e.name, acked, changes)
+	if !e.leases.HasMore() {
+		w.book.CompleteReport(e.name)
 	}
-	leases := w.book.Lend(w.now, e.name, len(w.entries))
+	leases := w.book.UpdateLeases(w.now, e.name, len(w.entries))
 	if w.random.IntN(4) == 0 {
 		w.spendDegraded(e)
 	}
@@ -252,7 +252,7 @@
 // next ping.
 func (w *world) deliver(e *worldEntry) {
 	for len(e.inFlight) > 0 && (!w.isTight || w.random.IntN(3) > 0) {
-		e.leases.Take(e.inFlight[0].leases)
+		e.leases.Apply(e.inFlight[0].leases)
 		e.leaseUntil = e.inFlight[0].sentAt.Add(worldLeaseTTL)
 		e.isDegraded = false
 		e.inFlight = e.inFlight[1:]
@@ -280,14 +280,14 @@
 	w.changeOwner()
 	if late { // it is committed after the owner has restarted
 		w.applyRecord(r)
-		w.book.Foreign(w.now, r)
+		w.book.ApplyForeign(w.now, r)
 	}
 }
 
 // applyRecord applies a Record to the log.
 func (w *world) applyRecord(r Record) {
 	w.log.Apply(r)
-	w.log.Heard(w.now)
+	w.log.MarkReceived(w.now)
 }
 
 // changeOwner terminates the owner; another starts at once or later.
--- a/budget/record.go
+++ b/budget/record.go
@@ -30,10 +30,10 @@
 // Record is an entry of the replicated log. A Record that is not partial replaces all
 // before. A partial one replaces the lines of the accounts that it names.
 type Record struct {
-	Lines []Line `json:"lines"`
-	Part  bool   `json:"part,omitempty"`
+	Lines   []Line `json:"lines"`
+	Partial bool   `json:"part,omitempty"`
 	// Removed are accounts whose lines a partial Record removes.
-	Gone []Account `json:"gone,omitempty"`
+	Removed []Account `json:"gone,omitempty"`
 }
 
 // Line is the state of one account in a Record.
@@ -44,13 +44,13 @@
 	Spent []int `json:"spent"`
 	// Headroom is how much may be spent, and Leased how much may be on lease at any time,
 	// until a newer Record is committed.
-	Mark int `json:"mark"`
-	Lent int `json:"lent"`
+	Headroom int `json:"mark"`
+	Leased   int `json:"lent"`
 }
 
 // bytes returns the largest size of the line in a Record.
 func (l *Line) bytes() int {
-	n := lineOverhead + nameBytes(l.Account) + digits(l.Mark) + digits(l.Lent)
+	n := lineOverhead + nameBytes(l.Account) + digits(l.Headroom) + digits(l.Leased)
 	for _, amount := range l.Spent {
 		n += 2 + digits(amount)
 	}
@@ -82,7 +82,7 @@
 
 // Due reports whether a new Record should be made. It is false while one is pending, and
 // for a while after a large one.
-func (b *Book) Due() bool { return !b.isPending && !b.isThrottled && (b.isDue || !b.isRecorded) }
+func (b *Allocator) Due() bool { return !b.isPending && !b.isThrottled && (b.isDue || !b.isRecorded) }
 
 // isHighUsage reports whether so much of an account is used that it must be recorded.
 func (a *account) isHighUsage(now event.Time) bool {
@@ -94,7 +94,7 @@
 
 // SetWholeRecords sets whether all Records are whole, whatever their size. It must be true
 // while a box of the group reads no partial Records: such a box takes each for a whole one.
-func (b *Book) RecordWhole(whole bool) {
+func (b *Allocator) SetWholeRecords(whole bool) {
 	b.bounds.recordBytes = defaultBounds.recordBytes
 	if whole {
 		b.bounds.recordBytes = math.MaxInt
@@ -103,7 +103,7 @@
 
 // MakeRecord returns a Record to propose to the log. Until Committed is called, both the
 // last committed Record and this one are respected.
-func (b *Book) MakeRecord(now event.Time) Record {
+func (b *Allocator) MakeRecord(now event.Time) Record {
 	b.isPending, b.isDue = true, false
 	b.recording = b.recording[:0]
 	r, bytes := b.makeWhole(now)
@@ -111,7 +111,7 @@
 		r, bytes = b.makePartial(now)
 	}
 	if bytes > smallRecordBytes {
-		b.throttledUntil = now.Add(event.Second * event.Span(bytes) / recordRate)
+		b.throttledUntil = now.Add(event.Second * event.Duration(bytes) / recordRate)
 		b.isThrottled = true
 	}
 	return r
@@ -119,7 +119,7 @@
 
 // makeWhole returns a Record of all recordable accounts and its size. The Record is empty
 // if the size exceeds the bound.
-func (b *Book) makeWhole(now event.Time) (r Record, bytes int) {
+func (b *Allocator) makeWhole(now event.Time) (r Record, bytes int) {
 	var list []*account
 	for _, a := range b.accounts {
 		if !a.isRecordable(now) {
@@ -155,9 +155,9 @@
 
 // makePartial returns a Record of the accounts that need one most. The log keeps the lines
 // of the others.
-func (b *Book) makePartial(now event.Time) (r Record, bytes int) {
-	r.Part = true
-	r.Gone, bytes = b.removeUnused(now)
+func (b *Allocator) makePartial(now event.Time) (r Record, bytes int) {
+	r.Partial = true
+	r.Removed, bytes = b.removeUnused(now)
 	for _, a := range b.byNeed(now) {
 		if bytes >= b.bounds.recordBytes {
 			b.isDue = b.isDue || a.awaited > 0 || a.isStale || a.needsRecord(now)
@@ -166,12 +166,12 @@
 		a.isPending, a.pending = true, allotment{}
 		b.recording = append(b.recording, a)
 		if !a.isRecordable(now) {
-			r.Gone = append(r.Gone, a.name)
+			r.Removed = append(r.Removed, a.name)
 			bytes += removedBytes(a.name)
 			continue
 		}
 		line := a.line(now)
-		line.Mark = max(line.Mark, int(partialHeadroom*float64(a.limit.Most-a.total(now))))
+		line.Headroom = max(line.Headroom, int(partialHeadroom*float64(a.limit.Max-a.total(now))))
 		a.setPending(&line)
 		r.Lines = append(r.Lines, line)
 		bytes += line.bytes()
@@ -182,7 +182,7 @@
 func removedBytes(name Account) int { return 3 + nameBytes(name) }
 
 // byNeed returns the accounts that need a Record, those with the greatest need first.
-func (b *Book) byNeed(now event.Time) []*account {
+func (b *Allocator) byNeed(now event.Time) []*account {
 	type candidate struct {
 		account *account
 		need    float64
@@ -231,14 +231,14 @@
 const minNeed = 0.25
 
 // priorMayCount reports whether what earlier owners recorded may still count.
-func (b *Book) priorMayCount(now event.Time) bool {
+func (b *Allocator) priorMayCount(now event.Time) bool {
 	return !b.isFirst && (len(b.limits) == 0 || now < b.startedAt.Add(b.leaseTTL).Add(b.maxWindow))
 }
 
 // linesWithoutLimit returns the lines of earlier owners for accounts that have no limit
 // here. A whole Record must repeat them while they count: a team that is missing from this
 // owner's configuration would otherwise get its quota again from the next owner.
-func (b *Book) linesWithoutLimit(now event.Time) []Line {
+func (b *Allocator) linesWithoutLimit(now event.Time) []Line {
 	if !b.priorMayCount(now) {
 		return nil
 	}
@@ -253,7 +253,7 @@
 
 // removeUnused returns some of the accounts that earlier owners recorded and that are no
 // longer used, and their size in a Record.
-func (b *Book) removeUnused(now event.Time) (names []Account, bytes int) {
+func (b *Allocator) removeUnused(now event.Time) (names []Account, bytes int) {
 	if b.priorMayCount(now) {
 		return nil, 0
 	}
@@ -276,20 +276,20 @@
 func (a *account) line(now event.Time) Line {
 	return Line{
 		Account: a.name, Spent: a.spentByAge(now),
-		Mark: max(int(float64(a.limit.Base)*headroomFraction), minHeadroom, a.awaited),
-		Lent: a.inherited + max(a.leased, a.leaseTarget(now)),
+		Headroom: max(int(float64(a.limit.Base)*headroomFraction), minHeadroom, a.awaited),
+		Leased:   a.inherited + max(a.leased, a.leaseTarget(now)),
 	}
 }
 
 // setPending sets the allotment of a Line that was proposed and is not yet committed.
 func (a *account) setPending(line *Line) {
 	a.isPending = true
-	a.pending = allotment{recorded: true, headroom: line.Mark, leased: line.Lent}
+	a.pending = allotment{recorded: true, headroom: line.Headroom, leased: line.Leased}
 	a.awaited = 0
 }
 
 // Committed must be called when the last Record made is committed.
-func (b *Book) Committed() {
+func (b *Allocator) Committed() {
 	for _, a := range b.recording {
 		a.committed, a.isPending, a.isStale = a.pending, false, false
 		delete(b.prior, a.name)
@@ -301,7 +301,7 @@
 // ApplyForeign must be called for a committed Record that was not made by this Allocator:
 // its owner proposed it in an earlier run of the same term. The Record holds for its
 // accounts until a Record of this Allocator replaces their lines.
-func (b *Book) Foreign(now event.Time, r Record) {
+func (b *Allocator) ApplyForeign(now event.Time, r Record) {
 	for _, line := range r.Lines {
 		if a := b.account(now, line.Account); a != nil {
 			a.isStale = true
@@ -316,7 +316,7 @@
 func (a *account) spentByAge(now event.Time) []int {
 	list := make([]int, recordBins)
 	used := 0
-	a.spent.each(now, func(age event.Span, amount int) {
+	a.spent.each(now, func(age event.Duration, amount int) {
 		bin := min(int(age*recordBins/a.limit.Window), recordBins-1)
 		list[bin] += amount
 		used = max(used, bin+1)
@@ -326,7 +326,7 @@
 
 // inherit initializes an account from the log: what its line has as spent, and all that the
 // line allowed and that may have been spent since.
-func (a *account) inherit(now event.Time, b *Book, line *datedLine) {
+func (a *account) inherit(now event.Time, b *Allocator, line *datedLine) {
 	a.inheritedUntil = b.startedAt.Add(b.leaseTTL)
 	if line == nil {
 		a.inherited = a.unrecordedMax()
@@ -336,10 +336,10 @@
 	a.isStale = true
 	a.spent.slide(now)
 	for i, amount := range line.Spent {
-		age := a.limit.Window * event.Span(i) / recordBins
+		age := a.limit.Window * event.Duration(i) / recordBins
 		a.spent.put(line.at.Add(-age), amount)
 	}
-	a.spent.put(b.startedAt, line.Mark)
-	a.inherited = line.Lent
+	a.spent.put(b.startedAt, line.Headroom)
+	a.inherited = line.Leased
 	a.expire(now)
 }
--- a/budget/size_test.go
+++ b/budget/size_test.go
@@ -30,18 +30,18 @@
 
 // newLargeAllocator returns an Allocator of many teams and some entries. Some of the teams are
 // used by all entries, at two fifths of their limits.
-func newLargeAllocator(teams, entries, used int) (*Book, event.Time) {
-	b := NewBook(0, testLeaseTTL)
+func newLargeAllocator(teams, entries, used int) (*Allocator, event.Time) {
+	b := NewAllocator(0, testLeaseTTL)
 	for i := range teams {
 		b.SetLimit(0, manyTeam(i), testLimit)
 	}
 	for i := range entries {
-		b.Greet(0, event.BoxID(fmt.Sprint(i)), 1, nil)
+		b.BeginSession(0, event.BoxID(fmt.Sprint(i)), 1, nil)
 	}
 	commit(0, b)
 	now := event.Time(0)
 	for step := range 80 {
-		now = at(event.Span(step) * 100 * event.Millisecond)
+		now = at(event.Duration(step) * 100 * event.Millisecond)
 		for i := range used {
 			spendOrRecord(now, b, event.BoxID(fmt.Sprint((step+i)%entries)), manyTeam(i), testMax*2/5/80)
 		}
@@ -50,7 +50,7 @@
 }
 
 // spendOrRecord spends an amount, after a new Record if it needs one.
-func spendOrRecord(now event.Time, b *Book, entry event.BoxID, name Account, amount int) {
+func spendOrRecord(now event.Time, b *Allocator, entry event.BoxID, name Account, amount int) {
 	if !b.Spend(now, entry, name, amount) {
 		commit(now, b)
 		b.Spend(now, entry, name, amount)
@@ -73,8 +73,8 @@
 	leased := make(map[Account]bool)
 	for range 50 {
 		now = now.Add(200 * event.Millisecond)
-		l := b.Lend(now, "1", 4)
-		b.Hear(now, "1", l.Number, nil)
+		l := b.UpdateLeases(now, "1", 4)
+		b.ApplyReport(now, "1", l.Number, nil)
 		if got := gobBytes(t, l); got > maxMessageBytes {
 			t.Fatalf("update of %d bytes and %d accounts, want at most %d bytes", got, len(l.UpTo), maxMessageBytes)
 		}
@@ -103,7 +103,7 @@
 		for i := range questions {
 			now = now.Add(event.Second / questions)
 			name := event.BoxID(fmt.Sprint(i % 30))
-			b.Hear(now, name, b.Lend(now, name, 30).Number, nil)
+			b.ApplyReport(now, name, b.UpdateLeases(now, name, 30).Number, nil)
 		}
 		for range 20 {
 			b.Tick(now)
@@ -152,17 +152,17 @@
 // TestReportIsBounded: an entry's report must not grow with the number of accounts that it
 // holds, and in the end all must be reported.
 func TestReportIsBounded(t *testing.T) {
-	var s Allowances
-	update := Lent{Number: 1, Whole: true}
+	var s Leases
+	update := LeaseUpdate{Number: 1, Whole: true}
 	for i := range manyTeams {
-		update.UpTo = append(update.UpTo, Holding{Account: manyTeam(i), UpTo: 100})
+		update.UpTo = append(update.UpTo, Lease{Account: manyTeam(i), UpTo: 100})
 	}
-	s.Take(update)
+	s.Apply(update)
 	for i := range manyTeams {
 		s.Spend(0, "", manyTeam(i), 10)
 	}
 	reported := make(map[Account]bool)
-	leases := s.Greet()
+	leases := s.BeginSession()
 	for range 100 {
 		if got := gobBytes(t, leases); got > maxMessageBytes {
 			t.Fatalf("reported %d accounts in %d bytes at once, want at most %d bytes", len(leases), got, maxMessageBytes)
@@ -181,7 +181,7 @@
 func fullLedger(teams int) *Ledger {
 	var r Record
 	for i := range teams {
-		line := Line{Account: manyTeam(i), Mark: 600, Lent: 800}
+		line := Line{Account: manyTeam(i), Headroom: 600, Leased: 800}
 		for range recordBins {
 			line.Spent = append(line.Spent, 300)
 		}
@@ -189,7 +189,7 @@
 	}
 	var l Ledger
 	l.Apply(r)
-	l.Heard(0)
+	l.MarkReceived(0)
 	return &l
 }
 
@@ -205,7 +205,7 @@
 	inherit, record := time.Hour, time.Hour
 	for range 5 {
 		now := at(event.Second)
-		var b *Book
+		var b *Allocator
 		inherit = min(inherit, cputime.Of(func() {
 			b = InheritLedger(now, testLeaseTTL, l)
 			for i := range manyTeams {
@@ -224,18 +224,18 @@
 // entry and team.
 func TestLeaseCountIsBounded(t *testing.T) {
 	const teams, entries = 500, 1000
-	b := NewBook(0, testLeaseTTL)
+	b := NewAllocator(0, testLeaseTTL)
 	for i := range teams {
 		b.SetLimit(0, manyTeam(i), testLimit)
 	}
 	commit(0, b)
 	for i := range entries {
-		b.Greet(0, event.BoxID(fmt.Sprint(i)), 1, nil)
+		b.BeginSession(0, event.BoxID(fmt.Sprint(i)), 1, nil)
 	}
 	for range 3 {
 		for i := range entries {
 			name := event.BoxID(fmt.Sprint(i))
-			b.Hear(0, name, b.Lend(0, name, entries).Number, nil)
+			b.ApplyReport(0, name, b.UpdateLeases(0, name, entries).Number, nil)
 		}
 	}
 	leases := 0
--- a/budget/unclaimed_test.go
+++ b/budget/unclaimed_test.go
@@ -14,16 +14,16 @@
 // quota again in the same window.
 func TestRecordKeepsLinesWithoutLimit(t *testing.T) {
 	const leaseTTL = 5 * event.Second
-	limit := Limit{Window: 8 * event.Second, Most: 10000, Base: 10000}
+	limit := Limit{Window: 8 * event.Second, Max: 10000, Base: 10000}
 	team := Team("u")
 	var log Ledger
-	commitRecord := func(now event.Time, b *Book) {
+	commitRecord := func(now event.Time, b *Allocator) {
 		log.Apply(b.MakeRecord(now))
-		log.Heard(now)
+		log.MarkReceived(now)
 		b.Committed()
 	}
 
-	first := NewBook(0, leaseTTL)
+	first := NewAllocator(0, leaseTTL)
 	first.SetLimit(0, team, limit)
 	commitRecord(0, first)
 	spent := 0
@@ -54,7 +54,7 @@
 		}
 		third.Tick(now)
 	}
-	if spent > limit.Most {
-		t.Errorf("%d spent within a window, limit is %d", spent, limit.Most)
+	if spent > limit.Max {
+		t.Errorf("%d spent within a window, limit is %d", spent, limit.Max)
 	}
 }
--- a/budget/window.go
+++ b/budget/window.go
@@ -10,14 +10,14 @@
 // Window is a sliding sum over the last span of time. Amounts expire bin by bin, never
 // early. The zero value is not usable; see NewWindow.
 type Window struct {
-	bin    event.Span
+	bin    event.Duration
 	bins   [binsPerWindow + 1]int
 	newest int64 // number of the newest bin
 	sum    int
 }
 
 // NewWindow returns a window over a span.
-func NewWindow(span event.Span) *Window { return &Window{bin: span / binsPerWindow} }
+func NewWindow(span event.Duration) *Window { return &Window{bin: span / binsPerWindow} }
 
 // slide removes the bins that have expired at now.
 func (w *Window) slide(now event.Time) {
@@ -81,24 +81,24 @@
 
 // TimeUntilAtMost returns how long it takes until the sum is at most limit, if nothing is
 // added.
-func (w *Window) TimeUntilAtMost(now event.Time, limit float64) event.Span {
+func (w *Window) TimeUntilAtMost(now event.Time, limit float64) event.Duration {
 	left := float64(w.Total(now))
 	for back := int64(len(w.bins)) - 1; back >= 0; back-- {
 		if left <= limit {
-			return max(0, event.Span(int64(len(w.bins))-1-back)*w.bin)
+			return max(0, event.Duration(int64(len(w.bins))-1-back)*w.bin)
 		}
 		left -= float64(w.bins[w.slot(w.newest-back)])
 	}
-	return event.Span(len(w.bins)) * w.bin
+	return event.Duration(len(w.bins)) * w.bin
 }
 
 // each calls f for each bin that is not empty, oldest first, with the least age that the
 // amount may have.
-func (w *Window) each(now event.Time, f func(age event.Span, amount int)) {
+func (w *Window) each(now event.Time, f func(age event.Duration, amount int)) {
 	w.slide(now)
 	for back := int64(len(w.bins)) - 1; back >= 0; back-- {
 		if amount := w.bins[w.slot(w.newest-back)]; amount > 0 {
-			f(event.Span(max(0, back-1))*w.bin, amount)
+			f(event.Duration(max(0, back-1))*w.bin, amount)
 		}
 	}
 }
--- a/budget/window_test.go
+++ b/budget/window_test.go
@@ -20,7 +20,7 @@
 		want int
 	}{{5 * second, 30}, {8*second + second/2, 30}, {10 * second, 20}, {20 * second, 0}} {
 		if got := w.Total(c.at); got != c.want {
-			t.Errorf("total at %v: %d, want %d", event.Span(c.at), got, c.want)
+			t.Errorf("total at %v: %d, want %d", event.Duration(c.at), got, c.want)
 		}
 	}
 	w.Add(20*second, 5)
@@ -41,7 +41,7 @@
 	for at, want := range map[event.Time]int{6 * second: 20, 10 * second: 20, 12*second + second/2: 20} {
 		v := *w
 		if got := v.Total(at); got != want {
-			t.Errorf("total at %v: %d, want %d", event.Span(at), got, want)
+			t.Errorf("total at %v: %d, want %d", event.Duration(at), got, want)
 		}
 	}
 	w.Remove(20*second, 5*second, 20)
@@ -60,7 +60,7 @@
 		var all []spent
 		now := event.Time(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now = now.Add(event.Span(rapid.IntRange(0, 2000).Draw(t, "gap")) * event.Millisecond)
+			now = now.Add(event.Duration(rapid.IntRange(0, 2000).Draw(t, "gap")) * event.Millisecond)
 			amount := rapid.IntRange(0, 100).Draw(t, "amount")
 			w.Add(now, amount)
 			all = append(all, spent{now, amount})
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -115,7 +115,7 @@
 		if speed == 0 {
 			speed = 1
 		}
-		q.Endpoints = append(q.Endpoints, event.Endpoint{ID: e.Name, Concurrency: e.Concurrency, Speed: speed, Leaving: e.Leaving})
+		q.Endpoints = append(q.Endpoints, event.Endpoint{ID: e.Name, Concurrency: e.Concurrency, Speed: speed, Draining: e.Leaving})
 	}
 	return q
 }
--- a/cluster/asked.go
+++ b/cluster/asked.go
@@ -43,13 +43,13 @@
 }
 
 // receiveFeedback applies endpoint feedback that an entry received in responses.
-func (o *owner) receiveFeedback(now event.Time, entry event.BoxID, reports []backpressure.Heard) {
+func (o *owner) receiveFeedback(now event.Time, entry event.BoxID, reports []backpressure.Report) {
 	for i := range reports {
 		id := reports[i].Endpoint
-		if !o.admission.Hear(now, entry, &reports[i], &o.effects) {
+		if !o.admission.ObserveFeedback(now, entry, &reports[i], &o.effects) {
 			continue
 		}
-		o.feedback.update(id, o.admission.Asked(id).Asks())
+		o.feedback.update(id, o.admission.FeedbackState(id).Restricts())
 	}
 }
 
@@ -84,7 +84,7 @@
 			break
 		}
 		delete(o.feedback.unsent, id)
-		state := o.admission.Asked(id)
+		state := o.admission.FeedbackState(id)
 		list = append(list, state)
 		if o.feedback.allowLogLine(now, out) {
 			out.logInfo("endpoint feedback changed", Field{"endpoint", string(id)}, Field{"limited", state.Limited}, Field{"limit_per_s", state.Rate}, Field{"leaving", state.Leaving})
@@ -92,7 +92,7 @@
 	}
 	m := &message.Envelope{View: &message.View{Asked: list}}
 	for _, id := range o.sessionIDs() {
-		if o.sessions[id].formatVersion >= level.Asked {
+		if o.sessions[id].formatVersion >= level.Feedback {
 			out.Sends = append(out.Sends, Send{id, m})
 		}
 	}
@@ -122,7 +122,7 @@
 	}
 	list := make([]backpressure.State, n)
 	for i, endpoint := range sess.pendingFeedback[:n] {
-		list[i] = o.admission.Asked(endpoint)
+		list[i] = o.admission.FeedbackState(endpoint)
 	}
 	sess.pendingFeedback = sess.pendingFeedback[n:]
 	out.Sends = append(out.Sends, Send{id, &message.Envelope{View: &message.View{Asked: list}}})
@@ -135,7 +135,7 @@
 // receiveOwned records whether a ping says that the entry leaves decisions to this owner. An entry whose format
 // version has no rate limits uses no share of them, so it counts as well.
 func (e *entry) receiveOwned(now event.Time, p *message.Ping) {
-	if p.Owned || e.formatVersion < level.Asked {
+	if p.Owned || e.formatVersion < level.Feedback {
 		e.deferredAt = now
 	}
 }
@@ -153,5 +153,5 @@
 			deferring++
 		}
 	}
-	o.admission.SetPart(now, float64(deferring)/float64(o.entryCount(now)), &o.effects)
+	o.admission.SetLimitShare(now, float64(deferring)/float64(o.entryCount(now)), &o.effects)
 }
--- a/cluster/asked_test.go
+++ b/cluster/asked_test.go
@@ -46,8 +46,8 @@
 func (s *askingSim) heard(id SessionID, from, to int, rate float64) {
 	b := &message.Batch{}
 	for i := from; i < to; i++ {
-		b.Heard = append(b.Heard, backpressure.Heard{
-			Endpoint: event.EndpointID(fmt.Sprintf("i-%08x", i)), Word: backpressure.Word{Limited: true, Rate: rate},
+		b.Heard = append(b.Heard, backpressure.Report{
+			Endpoint: event.EndpointID(fmt.Sprintf("i-%08x", i)), Word: backpressure.Feedback{Limited: true, Rate: rate},
 		})
 	}
 	s.step(s.owner, &BatchReceived{Session: id, Batch: b})
@@ -73,7 +73,7 @@
 func TestAllEntriesAreToldWhatEndpointsAskFor(t *testing.T) {
 	const endpoints = 1000
 	s := newAskingSim(t, endpoints, 3, level.Newest)
-	s.connect(4, level.Starts)
+	s.connect(4, level.Instances)
 	for i := range 3 {
 		s.heard(1, i*400, min(endpoints, (i+1)*400), 2.5)
 	}
--- a/cluster/bulk_sim_test.go
+++ b/cluster/bulk_sim_test.go
@@ -126,7 +126,7 @@
 		from := s.box(string(m.From.Box()))
 		size := from.size(m)
 		s.sent += size
-		from.free = max(from.free, s.now).Add(event.Span(float64(event.Second) * float64(size) / slowLink))
+		from.free = max(from.free, s.now).Add(event.Duration(float64(event.Second) * float64(size) / slowLink))
 		s.flying = append(s.flying, flying{m, from.free.Add(slowLatency)})
 	}
 	s.messages = nil
@@ -183,7 +183,7 @@
 	}
 	slow.savedAt = s.now
 	if must {
-		slow.savedAt = s.now.Add(slowSync + event.Span(float64(event.Second)*float64(size)/slowDisk))
+		slow.savedAt = s.now.Add(slowSync + event.Duration(float64(event.Second)*float64(size)/slowDisk))
 	}
 }
 
@@ -202,7 +202,7 @@
 }
 
 // run lets time go on.
-func (s *slowSim) run(span event.Span) {
+func (s *slowSim) run(span event.Duration) {
 	for end := s.now.Add(span); s.now < end; {
 		s.now = s.now.Add(slowStep)
 		s.deliver()
@@ -260,7 +260,7 @@
 func (s *slowSim) checkOwner(term consensus.Term) {
 	s.t.Helper()
 	if got := s.mustOwner().state.Node().Term(); got != term {
-		s.t.Fatalf("term %d at %v, was %d", got, event.Span(s.now), term)
+		s.t.Fatalf("term %d at %v, was %d", got, event.Duration(s.now), term)
 	}
 }
 
@@ -277,7 +277,7 @@
 // testLargeConfiguration sends a large configuration to three founders and so many boxes that join.
 func testLargeConfiguration(t *testing.T, joining int) {
 	s := newSlowSim(t, 3, joining)
-	s.run(event.Span(6+joining) * second)
+	s.run(event.Duration(6+joining) * second)
 	term := s.mustOwner().state.Node().Term()
 	d := routesDocument(1, manyRoutes)
 	o := s.operator(d)
--- a/cluster/document.go
+++ b/cluster/document.go
@@ -196,7 +196,7 @@
 	}
 	c, err := m.applyPart(body)
 	if err == nil {
-		m.observeFormat(level.Parts)
+		m.observeFormat(level.Chunked)
 	}
 	return c, err
 }
--- a/cluster/endpoints.go
+++ b/cluster/endpoints.go
@@ -18,7 +18,7 @@
 
 // toGroupFormat drops the fields of a reported endpoint that some boxes of the group don't support.
 func (s *State) toGroupFormat(reported registry.Endpoint) registry.Endpoint {
-	if s.machine.formatVersion < level.Starts {
+	if s.machine.formatVersion < level.Instances {
 		reported.Born = 0
 	}
 	return reported
@@ -35,7 +35,7 @@
 		if valid {
 			s.pendingHeartbeats[e.ID] = true
 		}
-		out.Answers = append(out.Answers, Answer{CallID: t.CallID, Status: StatusDone, Next: s.ownAddress()})
+		out.Answers = append(out.Answers, Answer{CallID: t.CallID, Status: StatusDone, HeartbeatAddress: s.ownAddress()})
 	case !isNoop && s.hasUnknownService(e):
 		out.Answers = append(out.Answers, Answer{CallID: t.CallID, Status: StatusUnknownService})
 	default:
--- a/cluster/events.go
+++ b/cluster/events.go
@@ -133,7 +133,7 @@
 	// StatusDone: the call was done, now or before.
 	StatusDone Status = iota + 1
 	// StatusNotLeader: another box leads; Answer.LeaderAddress has its address, if known.
-	StatusElsewhere
+	StatusNotLeader
 	// StatusUnknown: the call may or may not have been done.
 	StatusUnknown
 	// StatusUnknownService: the configuration does not have the endpoint's service.
@@ -142,13 +142,13 @@
 
 // Answer is the answer to a call.
 type Answer struct {
-	CallID CallID
-	Status Status
-	Leader string // operator address of the leader
+	CallID        CallID
+	Status        Status
+	LeaderAddress string // operator address of the leader
 	// HeartbeatAddress is the operator address for an endpoint's next heartbeats; empty if the endpoint
 	// is to choose a box.
-	Next     string
-	Document Document
+	HeartbeatAddress string
+	Document         Document
 	// ValidUntil is the end of the lease under which the answer was given.
 	ValidUntil event.Time
 }
--- a/cluster/fleet_harm_test.go
+++ b/cluster/fleet_harm_test.go
@@ -8,7 +8,7 @@
 
 // harm draws one trouble and begins it.
 func (f *fleetSim) harm() {
-	span := func(most int) event.Span { return event.Span(1+f.random.IntN(most)) * event.Millisecond }
+	span := func(most int) event.Duration { return event.Duration(1+f.random.IntN(most)) * event.Millisecond }
 	box := f.order[f.random.IntN(len(f.order))]
 	if owner := f.owner(); owner != nil && f.random.IntN(2) == 0 {
 		box = owner.name
@@ -58,7 +58,7 @@
 	}
 }
 
-func (f *fleetSim) killBox(name string, off event.Span) {
+func (f *fleetSim) killBox(name string, off event.Duration) {
 	if f.boxes[name].state == nil {
 		return
 	}
--- a/cluster/fleet_sim_test.go
+++ b/cluster/fleet_sim_test.go
@@ -71,7 +71,7 @@
 	repeat   bool
 	decision chan gateway.Decision
 	leaves   event.Time // when its caller leaves; 0 is never
-	print    poison.Print
+	print    poison.Fingerprint
 	attempt  int // how often it was sent before
 }
 
@@ -169,7 +169,7 @@
 }
 
 // killEntry ends an entry's process; what it has under way runs on at the endpoints.
-func (f *fleetSim) killEntry(e *fleetEntry, off event.Span) {
+func (f *fleetSim) killEntry(e *fleetEntry, off event.Duration) {
 	f.dropLink(e)
 	e.client = nil
 	e.off = f.now.Add(off)
@@ -194,7 +194,7 @@
 func (e *fleetEntry) now(now event.Time) event.Time { return event.Time(now.Sub(e.origin)) }
 
 // runFleet lets time go on for all.
-func (f *fleetSim) runFleet(span event.Span) {
+func (f *fleetSim) runFleet(span event.Duration) {
 	for end := f.now.Add(span); f.now < end; {
 		f.run(simStep)
 		f.comeBack()
@@ -306,7 +306,7 @@
 // delay draws how long a message takes: a moment, now and then much longer.
 func (f *fleetSim) delay() event.Time {
 	if f.random.IntN(200) == 0 {
-		return f.now.Add(event.Span(f.random.IntN(400)) * event.Millisecond)
+		return f.now.Add(event.Duration(f.random.IntN(400)) * event.Millisecond)
 	}
 	return f.now
 }
@@ -401,7 +401,7 @@
 		decision: make(chan gateway.Decision, 1),
 	}
 	if f.random.IntN(30) == 0 {
-		c.leaves = f.now.Add(event.Span(f.random.IntN(60)) * event.Millisecond)
+		c.leaves = f.now.Add(event.Duration(f.random.IntN(60)) * event.Millisecond)
 	}
 	if !repeat {
 		f.asked = append(f.asked, f.now)
@@ -447,7 +447,7 @@
 	}
 	arrived := f.now
 	if f.random.IntN(50) == 0 {
-		arrived = arrived.Add(event.Span(f.random.IntN(3000)) * event.Millisecond)
+		arrived = arrived.Add(event.Duration(f.random.IntN(3000)) * event.Millisecond)
 	}
 	if c.repeat && arrived.Sub(c.sent) > message.RepeatLife {
 		end.Void, end.Unused, end.Unsent = true, true, true
@@ -455,5 +455,5 @@
 		return
 	}
 	f.arrivals = append(f.arrivals, fleetArrival{sent: c.sent, arrived: arrived, amount: c.amount, repeat: c.repeat})
-	e.ends = append(e.ends, fleetEnd{at: arrived.Add(event.Span(f.random.IntN(800)) * event.Millisecond), f: end})
+	e.ends = append(e.ends, fleetEnd{at: arrived.Add(event.Duration(f.random.IntN(800)) * event.Millisecond), f: end})
 }
--- a/cluster/folders_test.go
+++ b/cluster/folders_test.go
@@ -17,8 +17,8 @@
 
 // folderLevels are the builds whose folders are kept, and the level that the forms in them have.
 var folderLevels = map[string]level.Level{
-	"d61e540": level.Listed, "50d3523": level.Listed, "e994de1": level.Parts, "53e223b": level.Parts, "de049ca": level.Suspects,
-	"9c63b0b": level.Told, "a229638": level.Starts,
+	"d61e540": level.Listed, "50d3523": level.Listed, "e994de1": level.Chunked, "53e223b": level.Chunked, "de049ca": level.Suspects,
+	"9c63b0b": level.Negotiated, "a229638": level.Instances,
 }
 
 // openRecorded opens a copy of a folder that the build of a commit has written.
@@ -98,7 +98,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err = NewState(0, id.Member(), restored, simSettings(1)); !level.IsAbove(err) {
+	if _, err = NewState(0, id.Member(), restored, simSettings(1)); !level.IsUnsupported(err) {
 		t.Errorf("%v, want that a later build is needed", err)
 	}
 	if after := contentsOf(t, later); !slices.Equal(before, after) {
--- a/cluster/growth_sim_test.go
+++ b/cluster/growth_sim_test.go
@@ -60,7 +60,7 @@
 	if e.pace == 0 {
 		return now
 	}
-	took := event.Span(float64(l.size.of(m)) / e.pace * float64(event.Second))
+	took := event.Duration(float64(l.size.of(m)) / e.pace * float64(event.Second))
 	e.linkFree = max(e.linkFree, now).Add(took)
 	return e.linkFree
 }
@@ -72,7 +72,7 @@
 		do()
 		return
 	}
-	e.busy = max(e.busy, now).Add(event.Span(float64(cputime.Of(do)) / e.share))
+	e.busy = max(e.busy, now).Add(event.Duration(float64(cputime.Of(do)) / e.share))
 }
 
 // growthSim is a deployment of small boxes whose configuration grows.
@@ -117,7 +117,7 @@
 			Name: fmt.Sprintf("r-%07x", g.random.Uint32()), Host: fmt.Sprintf("%05x%d.example", g.random.IntN(1<<20), number%97),
 			Prefix: fmt.Sprintf("/%x-%d/", g.random.Uint64()>>36, number), Kind: routing.KindStream,
 			Timeout: 12 * time.Second, Target: time.Second, Gap: 600 * time.Millisecond, Rank: -(number % 3),
-			Split: []routing.Share{{Service: "s", Weight: 1}}, MaxAttempts: 2,
+			Split: []routing.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 2,
 		})
 	}
 }
@@ -168,7 +168,7 @@
 
 // mustBeInForce waits until the newest configuration is in force at all entries, for some time
 // after its acknowledgement at the most.
-func (g *growthSim) mustBeInForce(within event.Span) {
+func (g *growthSim) mustBeInForce(within event.Duration) {
 	g.t.Helper()
 	end := g.acked.Add(within)
 	for g.now < end && g.behind() > 0 {
--- a/cluster/levels.go
+++ b/cluster/levels.go
@@ -83,7 +83,7 @@
 	for _, name := range slices.Sorted(maps.Keys(s.formats.peers)) {
 		if len(s.formats.peers[name].connections) == 0 && !isMember(name) {
 			delete(s.formats.peers, name)
-			s.node.ForgetForms(name)
+			s.node.ClearPeerMode(name)
 			return true
 		}
 	}
@@ -109,13 +109,13 @@
 		out.logInfo("control box does not support the group's format version; sending it nothing", Field{"peer", string(box)},
 			Field{"level", uint8(p.formatVersion)}, Field{"group_level", uint8(s.machine.formatVersion)}, Field{"build", p.build})
 	}
-	s.node.SetForms(box, consensus.Forms{Whole: p.formatVersion < level.Parts, Ignored: excluded && !disconnected, Held: disconnected})
+	s.node.SetPeerMode(box, consensus.PeerMode{WholeSnapshots: p.formatVersion < level.Chunked, Excluded: excluded && !disconnected, HeartbeatsOnly: disconnected})
 }
 
 // isBelowGroup reports whether a box does not support the group's format version. It is false while the
 // log has only formats of builds without format versions.
 func (s *State) isBelowGroup(formatVersion level.Level) bool {
-	return formatVersion > 0 && s.machine.formatVersion >= level.Told && formatVersion < s.machine.formatVersion
+	return formatVersion > 0 && s.machine.formatVersion >= level.Negotiated && formatVersion < s.machine.formatVersion
 }
 
 // canJoin reports whether a box that asks to join supports the group's format version.
@@ -132,7 +132,7 @@
 // canServe reports whether a connecting entry supports the group's format version. An older entry would use ids of
 // endpoints that the group does not know: it gets no answer, so that it serves nothing and keeps retrying.
 func (s *State) canServe(b *SessionOpened, out *Effects) bool {
-	if s.machine.formatVersion < level.Told || !level.ReadBy(level.Entries, b.FormatVersion, s.machine.formatVersion) {
+	if s.machine.formatVersion < level.Negotiated || !level.Affects(level.Entries, b.FormatVersion, s.machine.formatVersion) {
 		return true
 	}
 	out.logInfo("entry does not support the group's format version; sending it nothing", Field{"entry", string(b.Hello.Entry)},
@@ -143,7 +143,7 @@
 // writeVersion returns the format version that an owner writes to the log. It is 0 while the version of some
 // member is known neither from a connection nor from the log.
 func (s *State) writeVersion() level.Level {
-	if s.machine.formatVersion >= level.Told {
+	if s.machine.formatVersion >= level.Negotiated {
 		return s.machine.formatVersion
 	}
 	least, all := s.minMemberVersion()
@@ -181,7 +181,7 @@
 		s.formats.blockedBy = by
 		out.logInfo("blocker of the group's next format version changed", Field{"level", uint8(s.machine.formatVersion)}, Field{"own", uint8(s.formats.own)}, Field{"by", by})
 	}
-	if next <= s.machine.formatVersion || next < level.Told {
+	if next <= s.machine.formatVersion || next < level.Negotiated {
 		return
 	}
 	index, err := s.node.Propose(now, encodeFormatVersion(next), &out.Ready)
@@ -212,7 +212,7 @@
 		}
 		limit("member "+string(m.ID)+" of build "+p.build, p.formatVersion)
 	}
-	if !level.ReadBy(level.Entries, s.machine.formatVersion, next) {
+	if !level.Affects(level.Entries, s.machine.formatVersion, next) {
 		return next, blockedBy
 	}
 	// Disconnected entries count, too: they could not return to a group whose format they don't support.
@@ -241,11 +241,11 @@
 // useFormatVersion selects a format of budget and poison records that all members support.
 func (o *owner) useFormatVersion(s *State) {
 	version := s.writeVersion()
-	o.budgets.RecordWhole(version < level.Parts)
+	o.budgets.SetWholeRecords(version < level.Chunked)
 	if isLogged := version >= level.Suspects; isLogged != o.poisonLogged {
 		o.poisonLogged = isLogged
 		if isLogged {
-			o.poison.TellAll()
+			o.poison.MarkAllDirty()
 		}
 	}
 }
--- a/cluster/levels_test.go
+++ b/cluster/levels_test.go
@@ -27,21 +27,21 @@
 		encodeEndpoint(registry.Endpoint{ID: "e", Service: "s", Address: "127.0.0.1:1", Sequence: 1}),
 		encodeEndpoint(registry.Endpoint{ID: "f", Service: "s", Address: "127.0.0.1:2", Sequence: 1}),
 		encodeRemove("f"),
-		encodeSpending(budget.Record{Lines: []budget.Line{{Account: "team/t", Spent: []int{1, 2}, Mark: 7, Lent: 8}}}),
+		encodeSpending(budget.Record{Lines: []budget.Line{{Account: "team/t", Spent: []int{1, 2}, Headroom: 7, Leased: 8}}}),
 		d.encodeWhole(),
 	}
-	if l >= level.Parts {
+	if l >= level.Chunked {
 		d.pack()
 		commands[len(commands)-1] = d.packed.encodePart(0)
-		commands = append(commands, encodeSpending(budget.Record{Part: true, Lines: []budget.Line{{Account: "team/u", Mark: 1}}}))
+		commands = append(commands, encodeSpending(budget.Record{Partial: true, Lines: []budget.Line{{Account: "team/u", Headroom: 1}}}))
 	}
 	if l >= level.Suspects {
-		commands = append(commands, encodePoison(poison.Record{Lines: []poison.Line{{Print: "0123456789abcdef", Ends: []uint64{7}}}}))
+		commands = append(commands, encodePoison(poison.Record{Lines: []poison.Line{{Fingerprint: "0123456789abcdef", Ends: []uint64{7}}}}))
 	}
-	if l >= level.Told {
+	if l >= level.Negotiated {
 		commands = append(commands, encodeFormatVersion(l))
 	}
-	if l >= level.Starts {
+	if l >= level.Instances {
 		commands = append(commands, encodeEndpoint(registry.Endpoint{ID: "g", Born: 7, Service: "s", Address: "127.0.0.1:3", Sequence: 1}))
 	}
 	for i, c := range commands {
@@ -69,7 +69,7 @@
 // build before had written. Each form that was ever written is read, and written by a group whose
 // members read no other.
 func TestSnapshotsOfAllLevels(t *testing.T) {
-	for _, l := range []level.Level{level.Listed, level.Parts, level.Suspects, level.Told, level.Starts} {
+	for _, l := range []level.Level{level.Listed, level.Chunked, level.Suspects, level.Negotiated, level.Instances} {
 		m := fullMachine(t, l)
 		var again stateMachine
 		if err := again.restore(m.snapshot(), level.Newest); err != nil {
@@ -89,7 +89,7 @@
 // is damaged: an operator would take its disk for lost.
 func TestSnapshotAboveIsTold(t *testing.T) {
 	var m stateMachine
-	later := append([]byte{formatVersioned, byte(level.Newest + 2)}, fullMachine(t, level.Told).snapshot()[2:]...)
+	later := append([]byte{formatVersioned, byte(level.Newest + 2)}, fullMachine(t, level.Negotiated).snapshot()[2:]...)
 	for name, c := range map[string]struct {
 		data []byte
 		says string
@@ -98,12 +98,12 @@
 		"a later format": {[]byte{lastFormat + 1, 0, 0}, "format 4"},
 	} {
 		err := m.restore(c.data, level.Newest)
-		if !level.IsAbove(err) || !strings.Contains(err.Error(), c.says) || !strings.Contains(err.Error(), fmt.Sprint(level.Newest)) {
+		if !level.IsUnsupported(err) || !strings.Contains(err.Error(), c.says) || !strings.Contains(err.Error(), fmt.Sprint(level.Newest)) {
 			t.Errorf("%s: %v, want what was found and what is read", name, err)
 		}
 	}
 	for name, data := range map[string][]byte{"no snapshot": []byte("?"), "JSON that is cut": []byte(`{"version":`), "a format alone": {formatVersioned}} {
-		if err := m.restore(data, level.Newest); level.IsAbove(err) || !errors.Is(err, errSnapshot) {
+		if err := m.restore(data, level.Newest); level.IsUnsupported(err) || !errors.Is(err, errSnapshot) {
 			t.Errorf("%s: %v, want that it can't be read", name, err)
 		}
 	}
@@ -130,7 +130,7 @@
 // differed from the others from there on, and might lead next.
 func TestCommandsAboveAreTold(t *testing.T) {
 	for name, command := range map[string][]byte{"a later kind": {lastCommand + 1, 1}, "a later level": encodeFormatVersion(level.Newest + 1)} {
-		if err := checkReadable(command, level.Newest); !level.IsAbove(err) {
+		if err := checkReadable(command, level.Newest); !level.IsUnsupported(err) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -147,7 +147,7 @@
 	f.Add(d.encodeWhole())
 	d.pack()
 	f.Add(d.packed.encodePart(0))
-	f.Add(encodeFormatVersion(level.Told))
+	f.Add(encodeFormatVersion(level.Negotiated))
 	f.Add(encodeRemove("e"))
 	f.Fuzz(func(t *testing.T, command []byte) {
 		var m stateMachine
--- a/cluster/limit_sim_test.go
+++ b/cluster/limit_sim_test.go
@@ -30,14 +30,14 @@
 // simLimit is an endpoint that names a limit.
 type simLimit struct {
 	random   *rand.Rand
-	word     backpressure.Word
+	word     backpressure.Feedback
 	named    event.Time // when it first did; 0 before
 	arrivals []event.Time
 	all      int // arrivals, of entries that do not know of the limit too
 	told     map[*gateway.OwnerClient]event.Time
 	answers  []simAnswer
 	stopped  int
-	longest  event.Span // time to an answer's head; 0.8 s if it is not set
+	longest  event.Duration // time to an answer's head; 0.8 s if it is not set
 }
 
 // simAnswer is an answer on its way to an entry.
@@ -49,7 +49,7 @@
 	alone    bool
 	// began is what the endpoint asked for when it took the request: some answers have that, others what it asks
 	// for when they come.
-	began *backpressure.Word
+	began *backpressure.Feedback
 }
 
 // dispatch sends a request that was granted, unless the gate stops it.
@@ -60,9 +60,9 @@
 		e.client.Finish(now, end) // its caller left
 		return
 	}
-	if gate.Stops(now, d.Endpoint, d.Permit) != backpressure.StoppedNot {
+	if gate.Check(now, d.Endpoint, d.Permit) != backpressure.NotStopped {
 		l.stopped++
-		e.client.Heard(now, gate.Belief(now, d.Endpoint))
+		e.client.Heard(now, gate.LastReport(now, d.Endpoint))
 		e.client.Finish(now, end)
 		return
 	}
@@ -72,9 +72,9 @@
 	}
 	end.Void, end.Unused, end.Unsent = false, false, false
 	longest := cmp.Or(l.longest, 800*event.Millisecond)
-	run := event.Span(l.random.IntN(int(longest/event.Millisecond))) * event.Millisecond
+	run := event.Duration(l.random.IntN(int(longest/event.Millisecond))) * event.Millisecond
 	e.ends = append(e.ends, fleetEnd{at: f.now.Add(run), f: end})
-	a := simAnswer{at: f.now.Add(run * event.Span(l.random.IntN(100)) / 100), sent: now, entry: e, client: e.client, id: c.id, alone: d.Alone}
+	a := simAnswer{at: f.now.Add(run * event.Duration(l.random.IntN(100)) / 100), sent: now, entry: e, client: e.client, id: c.id, alone: d.Alone}
 	if word := l.word; l.random.IntN(2) == 0 {
 		a.began = &word
 	}
@@ -96,7 +96,7 @@
 		if a.began != nil {
 			word = *a.began
 		}
-		if !word.Asks() && !gate.IsLimited("e") {
+		if !word.Restricts() && !gate.IsLimited("e") {
 			continue
 		}
 		if word.Limited {
@@ -107,8 +107,8 @@
 				l.told[e.client] = f.now
 			}
 		}
-		gate.Hear(now, a.sent, "e", word, !a.alone)
-		e.client.Heard(now, backpressure.Heard{Endpoint: "e", Request: a.id, Word: word})
+		gate.Observe(now, a.sent, "e", word, !a.alone)
+		e.client.Heard(now, backpressure.Report{Endpoint: "e", Request: a.id, Word: word})
 	}
 	l.answers = left
 }
@@ -158,10 +158,10 @@
 	f.limiting = l
 	f.runFleet(4 * event.Second)
 	rate := 0.5 * math.Exp2(6*l.random.Float64())
-	l.word = backpressure.Word{Limited: true, Rate: rate}
+	l.word = backpressure.Feedback{Limited: true, Rate: rate}
 	between := []int{1800, 6000}[(c.seed-1)%2] // ms at the most: much harm, or time to use the limit in full
 	for range 25 {
-		f.runFleet(event.Span(f.random.IntN(between)) * event.Millisecond / 10 * 10)
+		f.runFleet(event.Duration(f.random.IntN(between)) * event.Millisecond / 10 * 10)
 		f.harm()
 		f.demand = 1000 * (20 + 4*rate) // that many requests a second, and others come elsewhere
 	}
@@ -169,9 +169,9 @@
 	allowed := rate*limitWindow.Seconds()*limitPart + limitSlack
 	t.Logf("limit %.1f: %d in a window, allowed %.1f; %d in all, %d grants stopped", rate, most, allowed, l.all, l.stopped)
 	if float64(most) > allowed {
-		t.Errorf("%d requests in %v to %v, %.1f are allowed", most, limitWindow, event.Span(at), allowed)
+		t.Errorf("%d requests in %v to %v, %.1f are allowed", most, limitWindow, event.Duration(at), allowed)
 	}
-	l.word = backpressure.Word{}
+	l.word = backpressure.Feedback{}
 	f.demand = 3 * fleetTeam.Rate
 	f.runFleet(12 * event.Second) // what is harmed comes back, and a request hears the end
 	before := l.all
@@ -193,9 +193,9 @@
 				f.limiting = l
 				f.runFleet(2 * event.Second)
 				for range 2 {
-					l.word = backpressure.Word{Limited: true, Rate: 2 + 6*l.random.Float64()}
+					l.word = backpressure.Feedback{Limited: true, Rate: 2 + 6*l.random.Float64()}
 					f.runFleet(9 * event.Second)
-					l.word = backpressure.Word{}
+					l.word = backpressure.Feedback{}
 					f.runFleet(6 * event.Second) // two answers of the longest
 					before := l.all
 					f.runFleet(4 * event.Second)
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -54,13 +54,13 @@
 	case command[0] > lastCommand:
 		return 0, false
 	case command[0] == commandDocument && !isWholeDocument(command[1:]):
-		return level.Parts, true
+		return level.Chunked, true
 	case command[0] == commandPoison:
 		return level.Suspects, true
 	case command[0] == commandEndpointInstance || command[0] == commandRemoveEndpoint && registry.Name(string(command[1:])) != string(command[1:]):
-		return level.Starts, true
+		return level.Instances, true
 	case command[0] == commandFormatVersion && len(command) == 2:
-		return max(level.Told, level.Level(command[1])), true
+		return max(level.Negotiated, level.Level(command[1])), true
 	}
 	return level.Listed, true
 }
@@ -71,12 +71,12 @@
 	l, known := formatOf(command)
 	switch {
 	case !known:
-		return &level.Above{
-			What: "the log", Found: fmt.Sprintf("a command of kind %d", command[0]),
-			Reads: fmt.Sprintf("kinds up to %d (level %d)", lastCommand, supported),
+		return &level.UnsupportedError{
+			Source: "the log", Found: fmt.Sprintf("a command of kind %d", command[0]),
+			Supported: fmt.Sprintf("kinds up to %d (level %d)", lastCommand, supported),
 		}
 	case l > supported:
-		return level.TooNew("the log", l, supported)
+		return level.Unsupported("the log", l, supported)
 	}
 	return nil
 }
@@ -154,8 +154,8 @@
 		if err := json.Unmarshal(body, &r); err != nil {
 			return change{}, errors.Wrap(err, "decode budget record")
 		}
-		if r.Part {
-			m.observeFormat(level.Parts)
+		if r.Partial {
+			m.observeFormat(level.Chunked)
 		}
 		m.spending.Apply(r)
 		return change{spending: &r}, nil
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -35,10 +35,10 @@
 	// entryRetention from startedAt on.
 	expectedEntries  int
 	startedAt        event.Time
-	entryRetention   event.Span
-	budgets          *budget.Book
+	entryRetention   event.Duration
+	budgets          *budget.Allocator
 	recordIndex      consensus.Index           // of the last budget record in the log
-	poison           *poison.Book              // poison requests
+	poison           *poison.Tracker           // poison requests
 	changedEndpoints map[string]bool           // ids of endpoints whose change is not yet sent to the entries
 	pieces           map[uint64]registry.Piece // by the preceding revision, valid at piecesRevision
 	piecesRevision   uint64
@@ -48,7 +48,7 @@
 	poisonIndex consensus.Index
 	// poisonLogged reports whether poison records are written to the log.
 	poisonLogged     bool
-	suspects         []poison.Print // as last sent to entries, with their revision
+	suspects         []poison.Fingerprint // as last sent to entries, with their revision
 	suspectsRevision uint64
 	feedback         feedbackTracker // of endpoints
 }
@@ -73,16 +73,16 @@
 		lastHeartbeat:    make(map[string]event.Time),
 		down:             make(map[string]bool),
 		startedAt:        now,
-		entryRetention:   s.settings.Fresh + s.settings.Limits.QuotaWindow,
+		entryRetention:   s.settings.ConfigValidity + s.settings.Limits.QuotaWindow,
 		changedEndpoints: make(map[string]bool),
 		pieces:           make(map[uint64]registry.Piece),
 		packed:           make(map[pieceKey]packedPiece),
 	}
-	o.poison = poison.NewBook(now, &s.machine.poison)
+	o.poison = poison.NewTracker(now, &s.machine.poison)
 	o.suspects, o.suspectsRevision = o.poison.Suspects()
 	o.useFormatVersion(s)
 	o.admission = admission.New(s.settings.Limits, s.settings.Seed, o.budgets, o.poison)
-	o.admission.SetPart(now, 0, &o.effects) // until entries are connected
+	o.admission.SetLimitShare(now, 0, &o.effects) // until entries are connected
 	if s.config.table != nil {
 		o.admission.SetTable(now, s.config.table)
 	}
@@ -94,11 +94,11 @@
 }
 
 // newBudgets returns the budget book of a new owner, with the spending recorded in the log.
-func (s *State) newBudgets(now event.Time) *budget.Book {
+func (s *State) newBudgets(now event.Time) *budget.Allocator {
 	if s.machine.document.Version == 0 {
-		return budget.NewBook(now, s.settings.Fresh) // nothing was served without a configuration
+		return budget.NewAllocator(now, s.settings.ConfigValidity) // nothing was served without a configuration
 	}
-	return budget.InheritLedger(now, s.settings.Fresh, &s.machine.spending)
+	return budget.InheritLedger(now, s.settings.ConfigValidity, &s.machine.spending)
 }
 
 // leaseGracePeriod is how long the lease may lapse before the owner ends. It exceeds
@@ -107,7 +107,7 @@
 
 // remainsOwner reports whether the owner stays; it may have to wait for the lease to be renewed.
 func (o *owner) remainsOwner(now event.Time, node *consensus.Node) bool {
-	return node.Leads() && !node.HandsOver() && o.term == node.Term() && now < node.LeaseEnd(now).Add(leaseGracePeriod)
+	return node.IsLeader() && !node.IsTransferring() && o.term == node.Term() && now < node.LeaseEnd(now).Add(leaseGracePeriod)
 }
 
 // sessionIDs returns the sessions in the order in which they began, so that effects don't
@@ -183,7 +183,7 @@
 func (o *owner) tick(now event.Time, s *State, out *Effects) {
 	o.forgetAbsentEntries(now)
 	o.budgets.Tick(now)
-	limit := downAfterHeartbeats * s.settings.BeatEvery
+	limit := downAfterHeartbeats * s.settings.HeartbeatInterval
 	lost := make(map[event.EndpointID]event.Time)
 	for id, at := range o.lastHeartbeat {
 		if down := now.Sub(at) > limit; down != o.down[id] {
@@ -194,7 +194,7 @@
 		}
 	}
 	if len(lost) > 0 {
-		o.admission.Fallen(now, lost, &o.effects)
+		o.admission.EndpointsLost(now, lost, &o.effects)
 	}
 	o.updateLimitShare(now)
 	o.admission.Tick(now, &o.effects)
@@ -222,8 +222,8 @@
 	slices.Sort(expired)
 	for _, name := range expired[:min(len(expired), maxForgetPerTick)] {
 		o.entries[name].isForgotten = true
-		o.admission.EntryGone(now, name, &o.effects)
-		o.admission.EntryDied(now, name, &o.effects)
+		o.admission.EntryRemoved(now, name, &o.effects)
+		o.admission.EntryTerminated(now, name, &o.effects)
 	}
 }
 
@@ -233,9 +233,9 @@
 		return
 	}
 	o.budgetsLoggedAt = now
-	for _, u := range o.budgets.High(now) {
-		out.logInfo("budget usage", Field{"account", string(u.Account)}, Field{"spent", u.Spent}, Field{"lent", u.Lent},
-			Field{"inherited", u.Inherited}, Field{"limit", u.Most}, Field{"owner_ms", now.Sub(o.startedAt).Milliseconds()})
+	for _, u := range o.budgets.HighUsage(now) {
+		out.logInfo("budget usage", Field{"account", string(u.Account)}, Field{"spent", u.Spent}, Field{"lent", u.Leased},
+			Field{"inherited", u.Inherited}, Field{"limit", u.Max}, Field{"owner_ms", now.Sub(o.startedAt).Milliseconds()})
 	}
 }
 
@@ -254,7 +254,7 @@
 // never get requests again.
 func (o *owner) isAddressTaken(now event.Time, e registry.Endpoint, s *State) bool {
 	other := s.machine.registry.Contests(e)
-	return other != "" && other != e.ID && now.Sub(o.lastHeartbeat[other]) < event.Span(reclaimAfterHeartbeats*float64(s.settings.BeatEvery))
+	return other != "" && other != e.ID && now.Sub(o.lastHeartbeat[other]) < event.Duration(reclaimAfterHeartbeats*float64(s.settings.HeartbeatInterval))
 }
 
 func (o *owner) recordHeartbeat(now event.Time, id string, s *State, out *Effects) {
@@ -284,7 +284,7 @@
 func (o *owner) applyChange(now event.Time, c change, s *State, out *Effects) {
 	for _, id := range c.removed {
 		if len(c.updated) > 0 { // replaced at its address, so it terminated without notice
-			o.admission.Fallen(now, map[event.EndpointID]event.Time{event.EndpointID(id): o.lastHeartbeat[id]}, &o.effects)
+			o.admission.EndpointsLost(now, map[event.EndpointID]event.Time{event.EndpointID(id): o.lastHeartbeat[id]}, &o.effects)
 		}
 		delete(o.lastHeartbeat, id)
 		delete(o.down, id)
--- a/cluster/owner_session.go
+++ b/cluster/owner_session.go
@@ -44,7 +44,7 @@
 		return
 	}
 	sess.sentVersion = s.config.version
-	if sess.formatVersion < level.Parts {
+	if sess.formatVersion < level.Chunked {
 		out.Sends = append(out.Sends, Send{id, &message.Envelope{View: &message.View{
 			Version: sess.sentVersion, Document: s.config.document,
 		}}})
@@ -87,12 +87,12 @@
 		o.entries[name] = e
 		o.expectedEntries = max(o.expectedEntries, b.Hello.Entries)
 	}
-	o.budgets.Greet(now, name, b.Hello.Life, b.Hello.Held)
-	if b.FormatVersion < level.Parts {
-		o.budgets.Remembers(name)
+	o.budgets.BeginSession(now, name, b.Hello.Life, b.Hello.Held)
+	if b.FormatVersion < level.Chunked {
+		o.budgets.KeepAllLeases(name)
 	}
 	if b.Hello.More {
-		o.budgets.Await(name)
+		o.budgets.AwaitReport(name)
 	}
 	if e.session != 0 {
 		delete(o.sessions, e.session)
@@ -101,14 +101,14 @@
 	e.session, e.isForgotten, e.deferredAt = b.Session, false, 0
 	if newInstance {
 		e.terminations = terminationProgress{}
-		o.admission.EntryDied(now, name, &o.effects)
+		o.admission.EntryTerminated(now, name, &o.effects)
 	}
 	e.instance, e.formatVersion, e.build = b.Hello.Life, b.FormatVersion, b.Build
 	// The entry's own report replaces what is known of its requests. Decisions made during a lapse
 	// of the lease are dropped.
 	o.effects.Grants = slices.DeleteFunc(o.effects.Grants, func(g event.Granted) bool { return g.Entry == name })
 	o.effects.Refusals = slices.DeleteFunc(o.effects.Refusals, func(r event.Refused) bool { return r.Entry == name })
-	o.admission.EntryGone(now, name, &o.effects)
+	o.admission.EntryRemoved(now, name, &o.effects)
 	sess := &session{entry: name, formatVersion: b.FormatVersion, build: b.Build}
 	o.sessions[b.Session] = sess
 	for _, r := range b.Hello.Running {
@@ -118,7 +118,7 @@
 	view.Suspects = &message.Suspects{List: o.suspects}
 	out.Sends = append(out.Sends, Send{b.Session, &message.Envelope{View: view}})
 	o.sendConfig(b.Session, sess, s, out)
-	if b.FormatVersion >= level.Asked {
+	if b.FormatVersion >= level.Feedback {
 		sess.pendingFeedback = o.feedback.list()
 		o.sendInitialFeedback(b.Session, sess, out)
 	}
@@ -142,10 +142,10 @@
 	if !s.owns(now) {
 		return
 	}
-	o.admission.EntrySeen(now, sess.entry, &o.effects)
+	o.admission.EntryHeartbeat(now, sess.entry, &o.effects)
 	out.Sends = append(out.Sends, Send{p.Session, &message.Envelope{Pong: &message.Pong{
 		Sent: p.Ping.Sent, Version: s.machine.document.Version, Entries: o.entryCount(now),
-		Lent: o.budgets.Lend(now, sess.entry, len(o.entries)), Ends: o.savedTerminations(o.entries[sess.entry]),
+		Lent: o.budgets.UpdateLeases(now, sess.entry, len(o.entries)), Ends: o.savedTerminations(o.entries[sess.entry]),
 	}}})
 	o.sendView(p, sess, s, out)
 	o.sendInitialFeedback(p.Session, sess, out)
@@ -154,9 +154,9 @@
 // applyPing applies what an entry reports in a ping. Reports are not repeated, so they are applied
 // even while the lease has lapsed.
 func (o *owner) applyPing(now event.Time, entry event.BoxID, p *message.Ping) {
-	o.budgets.Hear(now, entry, p.Has, p.Spent)
+	o.budgets.ApplyReport(now, entry, p.Has, p.Spent)
 	if !p.More {
-		o.budgets.Complete(entry)
+		o.budgets.CompleteReport(entry)
 	}
 	for _, r := range p.Running {
 		o.admission.Adopt(now, entry, r, &o.effects)
--- a/cluster/poison.go
+++ b/cluster/poison.go
@@ -27,16 +27,16 @@
 			added = append(added, end)
 		}
 	}
-	o.admission.Ended(now, added, &o.effects)
+	o.admission.RecordEnds(now, added, &o.effects)
 	for _, p := range b.Well {
-		o.poison.Answered(now, p)
+		o.poison.RecordSuccess(now, p)
 	}
 }
 
 // recordPoison proposes a record of poison requests when one is due.
 func (o *owner) recordPoison(now event.Time, s *State, out *Effects) {
 	for _, c := range o.poison.TakeChanges() {
-		out.logInfo("suspected poison request changed state", Field{"what", c.What.String()}, Field{"print", c.Print.String()},
+		out.logInfo("suspected poison request changed state", Field{"what", c.Kind.String()}, Field{"print", c.Fingerprint.String()},
 			Field{"ends", c.Ends}, Field{"trials", c.Trials}, Field{"id", string(c.Request)})
 	}
 	if !o.poison.Due() || !s.owns(now) {
@@ -69,7 +69,7 @@
 	for _, e := range o.entries {
 		e.terminations.saved = e.terminations.pending
 	}
-	o.admission.Release(now, &o.effects)
+	o.admission.ReleaseHeld(now, &o.effects)
 	o.sendDecisions(now, s, out)
 }
 
--- a/cluster/poison_sim_test.go
+++ b/cluster/poison_sim_test.go
@@ -35,9 +35,9 @@
 
 // simPaces are how often requests come that end endpoints: of one that comes seldom, an owner
 // that forgets learns anew each time.
-var simPaces = []event.Span{250 * event.Millisecond, 2 * event.Second, 6 * event.Second}
+var simPaces = []event.Duration{250 * event.Millisecond, 2 * event.Second, 6 * event.Second}
 
-const hotPrint = poison.Print("hot")
+const hotPrint = poison.Fingerprint("hot")
 
 // simEndpoint is a place of an endpoint, with the one that is there.
 type simEndpoint struct {
@@ -59,8 +59,8 @@
 
 // simPoison is a request that ends what runs it.
 type simPoison struct {
-	print    poison.Print
-	every    event.Span
+	print    poison.Fingerprint
+	every    event.Duration
 	from, to event.Time
 	next     event.Time
 	ends     []event.Time
@@ -195,11 +195,11 @@
 	if kills {
 		for _, r := range runs {
 			if g.poison(r.call.print) != nil && r.entry.client == r.client {
-				f.killEntry(r.entry, event.Span(1+g.random.IntN(700))*event.Millisecond)
+				f.killEntry(r.entry, event.Duration(1+g.random.IntN(700))*event.Millisecond)
 			}
 		}
 		if owner := f.owner(); owner != nil && g.random.IntN(2) == 0 {
-			f.killBox(owner.name, event.Span(1+g.random.IntN(1000))*event.Millisecond)
+			f.killBox(owner.name, event.Duration(1+g.random.IntN(1000))*event.Millisecond)
 		}
 	}
 	for _, r := range runs {
@@ -231,7 +231,7 @@
 	}})
 }
 
-func (g *simEnding) poison(p poison.Print) *simPoison {
+func (g *simEnding) poison(p poison.Fingerprint) *simPoison {
 	for _, one := range g.poisons {
 		if one.print == p {
 			return one
@@ -254,7 +254,7 @@
 	if g.random.Float64() < simPace*simStep.Seconds() {
 		c := &fleetCall{print: hotPrint}
 		if g.random.IntN(3) > 0 {
-			c.print = poison.Print(fmt.Sprint("one of its own ", f.calls))
+			c.print = poison.Fingerprint(fmt.Sprint("one of its own ", f.calls))
 		}
 		if g.inTouch(f, e) && f.now.Sub(e.awake) > simContact {
 			g.inTouchOnAsked[c] = true
@@ -297,7 +297,7 @@
 		})
 		return
 	}
-	r := &simRun{call: c, entry: e, client: e.client, began: f.now, ends: f.now.Add(event.Span(10+g.random.IntN(400)) * event.Millisecond)}
+	r := &simRun{call: c, entry: e, client: e.client, began: f.now, ends: f.now.Add(event.Duration(10+g.random.IntN(400)) * event.Millisecond)}
 	if p := g.poison(c.print); p != nil {
 		r.ends = f.now.Add(simPoisonRuns)
 		if g.inTouch(f, e) {
@@ -349,15 +349,15 @@
 	g.killPart, g.ownEnds = killPart, ownEnds
 	f.runFleet(6 * event.Second)
 	for i, every := range simPaces {
-		from := f.now.Add(event.Span(i) * 5 * event.Second)
-		g.poisons = append(g.poisons, &simPoison{print: poison.Print(fmt.Sprint("poison ", i)), every: every, from: from, to: from.Add(65 * event.Second)})
+		from := f.now.Add(event.Duration(i) * 5 * event.Second)
+		g.poisons = append(g.poisons, &simPoison{print: poison.Fingerprint(fmt.Sprint("poison ", i)), every: every, from: from, to: from.Add(65 * event.Second)})
 	}
 	calm := 3 + f.random.IntN(8)
 	for end := f.now.Add(80 * event.Second); f.now < end; {
 		if harms && f.random.IntN(calm) == 0 {
 			f.harm()
 		}
-		f.runFleet(event.Span(f.random.IntN(2500)) * event.Millisecond / 10 * 10)
+		f.runFleet(event.Duration(f.random.IntN(2500)) * event.Millisecond / 10 * 10)
 	}
 	return g
 }
--- a/cluster/poison_test.go
+++ b/cluster/poison_test.go
@@ -48,8 +48,8 @@
 	s.stop(b.name)
 	s.run(3 * event.Second)
 	next := s.mustOwner()
-	call := &poison.Call{Print: "p", Request: "1", Left: event.Second}
-	if v, _ := next.state.owner.poison.Ask(s.now, call); v != poison.Wait {
+	call := &poison.Call{Fingerprint: "p", Request: "1", Remaining: event.Second}
+	if v, _ := next.state.owner.poison.Check(s.now, call); v != poison.Wait {
 		t.Errorf("the next owner knows nothing: %v", v)
 	}
 	// A greeting tells the entry what must not run without an owner.
@@ -98,7 +98,7 @@
 			ticket.ID = "2"
 			s.step(b, &BatchReceived{Session: 2, Batch: &message.Batch{Submit: []message.Submission{{Ticket: ticket, Print: "p"}}}})
 			for _, c := range b.state.owner.poison.TakeChanges() {
-				if c.What == poison.TrialBegan && c.Ends == 2 {
+				if c.Kind == poison.TrialStarted && c.Ends == 2 {
 					return
 				}
 			}
--- a/cluster/quota_sim_test.go
+++ b/cluster/quota_sim_test.go
@@ -13,7 +13,7 @@
 
 // mostInWindow returns the most that was both sent and run in any span of the window's
 // length.
-func mostInWindow(list []fleetArrival, window event.Span) (most int, from event.Time) {
+func mostInWindow(list []fleetArrival, window event.Duration) (most int, from event.Time) {
 	for _, first := range list {
 		sum := 0
 		for _, a := range list {
@@ -86,7 +86,7 @@
 				f.runFleet(4 * event.Second)
 				for range 35 {
 					f.harm()
-					f.runFleet(event.Span(f.random.IntN(1800)) * event.Millisecond / 10 * 10)
+					f.runFleet(event.Duration(f.random.IntN(1800)) * event.Millisecond / 10 * 10)
 				}
 				check(t, f)
 			})
@@ -101,7 +101,7 @@
 	interleavings(t, func(t *testing.T, f *fleetSim) {
 		most, from := mostInWindow(f.arrivals, fleetLimits.QuotaWindow)
 		if float64(most) > fleetAllowed {
-			t.Errorf("%d tokens were sent and run in %v from %v, allowed %.0f", most, fleetLimits.QuotaWindow, event.Span(from), fleetAllowed)
+			t.Errorf("%d tokens were sent and run in %v from %v, allowed %.0f", most, fleetLimits.QuotaWindow, event.Duration(from), fleetAllowed)
 		}
 		if float64(most) < fleetAllowed/2 {
 			t.Errorf("%d tokens at the most in a window: the bound was never near", most)
@@ -113,7 +113,7 @@
 func TestRetryBudgetHoldsThroughEveryInterleaving(t *testing.T) {
 	interleavings(t, func(t *testing.T, f *fleetSim) {
 		if over, from := mostRepeats(f); over > 0 {
-			t.Errorf("%d repeats too many arrived in %v from %v", over, fleetLimits.RetryWindow, event.Span(from))
+			t.Errorf("%d repeats too many arrived in %v from %v", over, fleetLimits.RetryWindow, event.Duration(from))
 		}
 	})
 }
--- a/cluster/server.go
+++ b/cluster/server.go
@@ -42,16 +42,16 @@
 
 // Config is the configuration of a control box.
 type Config struct {
-	Link      string // its own link address, IP:port
-	LinkBind  string // listen address for links, if that is not LinkAddress
-	Operators string // address for operators and endpoints, IP:port
+	LinkAddress       string // its own link address, IP:port
+	LinkListenAddress string // listen address for links, if that is not LinkAddress
+	OperatorAddress   string // address for operators and endpoints, IP:port
 	// Seeds are operator addresses of boxes of the group; some may be outdated.
 	Seeds []string
 	// Bootstrap says that the seeds form a new group, if the disk is empty.
-	Found    bool
-	Data     string
-	Settings Settings
-	Log      *zap.Logger
+	Bootstrap bool
+	DataDir   string
+	Settings  Settings
+	Log       *zap.Logger
 }
 
 // Server runs a control box.
@@ -60,7 +60,7 @@
 	log    *zap.Logger
 	clock  event.Clock
 	state  *State
-	writer *store.Keeper
+	writer *store.Writer
 	peers  *peers
 	events chan Event
 	// logEvents has the messages of the replicated log. They have priority over events: a burst of
@@ -82,11 +82,11 @@
 // Open opens a box's data directory and returns its server.
 func Open(c Config) (*Server, error) {
 	disk := event.Incarnation(random.Number())
-	bootstraps := c.Found && slices.Contains(c.Seeds, c.Operators)
+	bootstraps := c.Bootstrap && slices.Contains(c.Seeds, c.OperatorAddress)
 	if bootstraps {
 		disk = founderIncarnation
 	}
-	opened, identity, restored, err := store.Open(c.Data, event.BoxID(c.Link), disk)
+	opened, identity, restored, err := store.Open(c.DataDir, event.BoxID(c.LinkAddress), disk)
 	if err != nil {
 		return nil, err
 	}
@@ -112,8 +112,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s.peers = newPeers(c.Link, c.Log)
-	s.writer = store.NewKeeper(&store.Patient{Disk: opened, Context: context.Background(), Log: c.Log}, s.peers)
+	s.peers = newPeers(c.LinkAddress, c.Log)
+	s.writer = store.NewWriter(&store.RetryingDisk{Disk: opened, Context: context.Background(), Log: c.Log}, s.peers)
 	s.log.Info("control box starting", zap.String("member", string(identity.Member())), zap.Bool("founds", bootstraps),
 		zap.Uint64("last_entry", uint64(restored.Snapshot.Index)+uint64(len(restored.Entries))),
 		zap.Uint64("term", uint64(restored.HardState.Term)), zap.Uint64("version", s.state.Document().Version))
@@ -121,15 +121,15 @@
 }
 
 // bootstrap writes the first membership, all seeds, to an empty disk.
-func bootstrap(c Config, disk *store.Store, identity store.Identity) (consensus.Restored, error) {
+func bootstrap(c Config, disk *store.Store, identity store.Identity) (consensus.PersistentState, error) {
 	var founders []consensus.Member
 	for _, seed := range c.Seeds {
 		founders = append(founders, consensus.Member{
-			ID: consensus.MakeID(event.BoxID(LinkAddress(seed, c.Link)), founderIncarnation), Address: seed,
+			ID: consensus.MakeID(event.BoxID(LinkAddress(seed, c.LinkAddress)), founderIncarnation), Address: seed,
 		})
 	}
 	slices.SortFunc(founders, func(a, b consensus.Member) int { return cmp.Compare(a.ID, b.ID) })
-	r := consensus.Restored{Snapshot: consensus.Snapshot{
+	r := consensus.PersistentState{Snapshot: consensus.Snapshot{
 		Index: 1, Members: consensus.Membership{Voters: founders}, Data: bootstrapState(),
 	}}
 	if err := disk.Save(&consensus.Ready{Snapshot: &r.Snapshot}); err != nil {
@@ -157,7 +157,7 @@
 // Run serves until ctx ends, then transfers leadership to another box. It returns an error if the
 // box found data that only a later build can read.
 func (s *Server) Run(ctx context.Context) error {
-	listener, err := link.Listen(cmp.Or(s.config.LinkBind, s.config.Link), s.serve)
+	listener, err := link.Listen(cmp.Or(s.config.LinkListenAddress, s.config.LinkAddress), s.serve)
 	if err != nil {
 		return err
 	}
@@ -186,9 +186,9 @@
 }
 
 // AddSeeds adds boxes that the settings name.
-func (s *Server) SetSeeds(seeds []string) {
+func (s *Server) AddSeeds(seeds []string) {
 	for _, seed := range seeds {
-		s.peers.add(LinkAddress(seed, s.config.Link))
+		s.peers.add(LinkAddress(seed, s.config.LinkAddress))
 	}
 }
 
@@ -255,8 +255,8 @@
 		}
 		s.log.Info(n.Message, fields...)
 	}
-	if r := &out.Ready; r.MustSave() || len(r.Early)+len(r.Messages) > 0 {
-		s.writer.Keep(*r)
+	if r := &out.Ready; r.MustSave() || len(r.Immediate)+len(r.Messages) > 0 {
+		s.writer.Enqueue(*r)
 		out.Ready = consensus.Ready{}
 	}
 	if out.Decode.Version > 0 {
@@ -302,7 +302,7 @@
 
 // maintainMembership asks the group to add this box while it is no voter or hears no leader.
 func (s *Server) maintainMembership(ctx context.Context) {
-	s.SetSeeds(s.config.Seeds)
+	s.AddSeeds(s.config.Seeds)
 	ticker := time.NewTicker(joinInterval)
 	defer ticker.Stop()
 	for {
@@ -320,7 +320,7 @@
 }
 
 func (s *Server) self() consensus.Member {
-	return consensus.Member{ID: s.state.node.ID(), Address: s.config.Operators}
+	return consensus.Member{ID: s.state.node.ID(), Address: s.config.OperatorAddress}
 }
 
 // membership reports whether this box should ask to join, and the known members' link addresses.
@@ -331,7 +331,7 @@
 	}
 	c := make(chan result, 1)
 	s.events <- inspect(func(now event.Time, state *State) {
-		isLeaderless := now.Sub(state.node.HeardLeader()) > leaderTimeout && state.node.Leader() != state.node.ID()
+		isLeaderless := now.Sub(state.node.LastLeaderContact()) > leaderTimeout && state.node.Leader() != state.node.ID()
 		c <- result{!state.node.IsVoter() || isLeaderless, state.memberLinkAddresses()}
 	})
 	r := <-c
@@ -393,7 +393,7 @@
 }
 
 // Heartbeat stores the state that an endpoint reports.
-func (s *Server) TellEndpoint(ctx context.Context, e registry.Endpoint) Answer {
+func (s *Server) Heartbeat(ctx context.Context, e registry.Endpoint) Answer {
 	return s.call(ctx, func(id CallID) Event { return &HeartbeatReceived{CallID: id, Endpoint: e} })
 }
 
@@ -403,4 +403,4 @@
 }
 
 // Logger returns the logger of the box.
-func (s *Server) Log() *zap.Logger { return s.log }
+func (s *Server) Logger() *zap.Logger { return s.log }
--- a/cluster/server_test.go
+++ b/cluster/server_test.go
@@ -34,11 +34,11 @@
 // startServers starts a group of control boxes, each on a loopback address of its own.
 func startServers(t *testing.T, count int) []*Server {
 	t.Helper()
-	return startServersAt(t, make([]func() event.Span, count))
+	return startServersAt(t, make([]func() event.Duration, count))
 }
 
 // startServersAt is startServers with boxes that go by clocks; nil is the usual one.
-func startServersAt(t *testing.T, clocks []func() event.Span) []*Server {
+func startServersAt(t *testing.T, clocks []func() event.Duration) []*Server {
 	t.Helper()
 	count := len(clocks)
 	port := freePort(t)
@@ -54,14 +54,14 @@
 	var list []*Server
 	for i, operators := range seeds {
 		s, err := Open(Config{
-			Link: LinkAddress(operators, "127.0.0.1:"+port), Operators: operators, Seeds: seeds, Found: true,
-			Data: t.TempDir(), Settings: simSettings(0), Log: zap.NewNop(),
+			LinkAddress: LinkAddress(operators, "127.0.0.1:"+port), OperatorAddress: operators, Seeds: seeds, Bootstrap: true,
+			DataDir: t.TempDir(), Settings: simSettings(0), Log: zap.NewNop(),
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if clocks[i] != nil {
-			s.clock = event.ClockOf(clocks[i])
+			s.clock = event.NewClockFrom(clocks[i])
 		}
 		list = append(list, s)
 		go func() { _ = s.Run(ctx) }() // it ends with the test
--- a/cluster/sim_test.go
+++ b/cluster/sim_test.go
@@ -30,7 +30,7 @@
 // simDisk is what a simulated box has saved.
 type simDisk struct {
 	member   consensus.Member
-	restored consensus.Restored
+	restored consensus.PersistentState
 }
 
 // save does what package store does for a Ready.
@@ -97,11 +97,11 @@
 
 func simSettings(seed uint64) Settings {
 	return Settings{
-		Limits:    simLimits,
-		Members:   consensus.Limits{Voters: 5, DeadAfter: 1800 * event.Millisecond},
-		BeatEvery: event.Second,
-		Fresh:     5 * event.Second,
-		Seed:      seed,
+		Limits:            simLimits,
+		Members:           consensus.MembershipLimits{MaxVoters: 5, ReplaceAfter: 1800 * event.Millisecond},
+		HeartbeatInterval: event.Second,
+		ConfigValidity:    5 * event.Second,
+		Seed:              seed,
 		Decode: func(data []byte) (*routing.Table, error) {
 			t := &routing.Table{
 				Services: []routing.Service{{Name: "s"}},
@@ -126,7 +126,7 @@
 		members = append(members, consensus.Member{ID: consensus.MakeID(event.BoxID(name), founderIncarnation), Address: name + ":operators"})
 	}
 	for _, m := range members {
-		disk := &simDisk{member: m, restored: consensus.Restored{Snapshot: consensus.Snapshot{
+		disk := &simDisk{member: m, restored: consensus.PersistentState{Snapshot: consensus.Snapshot{
 			Index: 1, Members: consensus.Membership{Voters: members}, Data: bootstrapState(),
 		}}}
 		s.add(string(m.ID.Box()), disk)
@@ -197,7 +197,7 @@
 		s.t.Fatalf("%s, which reads level %d, stops: %v", b.name, b.reads, out.Fatal)
 	}
 	b.busy = max(b.busy, s.now).Add(work)
-	s.messages = append(s.messages, out.Ready.Early...)
+	s.messages = append(s.messages, out.Ready.Immediate...)
 	b.waiting = append(b.waiting, out.Ready)
 	for _, a := range out.Answers {
 		s.answers[a.CallID] = a
@@ -216,12 +216,12 @@
 }
 
 // work does something and returns how much simulated time it takes.
-func (s *sim) work(do func()) event.Span {
+func (s *sim) work(do func()) event.Duration {
 	if s.charge == 0 {
 		do()
 		return 0
 	}
-	return event.Span(s.charge * float64(cputime.Of(do)))
+	return event.Duration(s.charge * float64(cputime.Of(do)))
 }
 
 // decode does what Server's decoder does: the loop goes on meanwhile.
@@ -268,7 +268,7 @@
 }
 
 // run lets time go on.
-func (s *sim) run(span event.Span) {
+func (s *sim) run(span event.Duration) {
 	for end := s.now.Add(span); s.now < end; {
 		s.now = s.now.Add(simStep)
 		sent := s.messages
@@ -301,13 +301,13 @@
 }
 
 // meet tells a box what another one says of itself at the beginning of a connection. Builds before
-// level.Told take no note of that; those before level.Parts send all alike.
+// level.Negotiated take no note of that; those before level.Chunked send all alike.
 func (s *sim) meet(from, to *simBox) {
 	reads := cmp.Or(from.reads, level.Newest)
 	switch {
-	case to.state == nil || to.met[from.name] == from.life || (to.reads >= level.Parts && to.reads < level.Told):
+	case to.state == nil || to.met[from.name] == from.life || (to.reads >= level.Chunked && to.reads < level.Negotiated):
 		return
-	case to.reads > 0 && to.reads < level.Parts:
+	case to.reads > 0 && to.reads < level.Chunked:
 		reads = to.reads
 	}
 	to.met[from.name] = from.life
@@ -316,7 +316,7 @@
 
 // asSent returns a message as a build of the sender's level sends it.
 func asSent(from *simBox, m consensus.Message) consensus.Message {
-	if from.reads > 0 && from.reads < level.Parts {
+	if from.reads > 0 && from.reads < level.Chunked {
 		m.Seq, m.Offset, m.Size, m.Sum = 0, 0, 0, 0
 	}
 	return m
@@ -328,7 +328,7 @@
 // join does what Server.maintainMembership does.
 func (s *sim) join(b *simBox) {
 	node := b.state.Node()
-	quiet := s.now.Sub(node.HeardLeader()) > leaderTimeout && node.Leader() != node.ID()
+	quiet := s.now.Sub(node.LastLeaderContact()) > leaderTimeout && node.Leader() != node.ID()
 	if int64(s.now)%int64(300*event.Millisecond) != 0 || (node.IsVoter() && !quiet) {
 		return
 	}
@@ -348,7 +348,7 @@
 			continue
 		}
 		if found != nil {
-			s.t.Fatalf("%s and %s own the pools at %v", found.name, name, event.Span(s.now))
+			s.t.Fatalf("%s and %s own the pools at %v", found.name, name, event.Duration(s.now))
 		}
 		found = b
 	}
@@ -359,7 +359,7 @@
 	s.t.Helper()
 	b := s.owner()
 	if b == nil {
-		s.t.Fatalf("nobody owns the pools at %v", event.Span(s.now))
+		s.t.Fatalf("nobody owns the pools at %v", event.Duration(s.now))
 	}
 	return b
 }
@@ -394,7 +394,7 @@
 }
 
 // ping sends an entry's question and returns what the owner lent with its answer.
-func (s *sim) ping(session SessionID, p message.Ping) budget.Lent {
+func (s *sim) ping(session SessionID, p message.Ping) budget.LeaseUpdate {
 	s.step(s.mustOwner(), &PingReceived{Session: session, Ping: p})
 	sent := s.sends[session]
 	return sent[len(sent)-1].Pong.Lent
--- a/cluster/size_test.go
+++ b/cluster/size_test.go
@@ -54,7 +54,7 @@
 		newOwner(s.now, state)
 		best = min(best, time.Since(began))
 	}
-	if most := time.Duration(consensus.ElectionMin / 8); best > most {
+	if most := time.Duration(consensus.MinElectionTimeout / 8); best > most {
 		t.Errorf("a new owner takes up %d endpoints in %v, want %v at the most", manyEndpoints, best, most)
 	}
 }
@@ -76,7 +76,7 @@
 }
 
 // play lets time go on; each endpoint tells of itself once a second, at any box that is up.
-func (f *manySim) play(span event.Span) {
+func (f *manySim) play(span event.Duration) {
 	for end := f.now.Add(span); f.now < end; {
 		f.runFleet(simStep)
 		const beatsPerStep = manyEndpoints * int(simStep) / int(event.Second)
@@ -110,7 +110,7 @@
 	f := newManySim(t)
 	old := f.mustOwner()
 	f.stop(old.name)
-	f.play(consensus.ElectionMin + consensus.ElectionSpread + event.Second)
+	f.play(consensus.MinElectionTimeout + consensus.ElectionJitter + event.Second)
 	if got := f.owned(); got < manyEntries*95/100 {
 		t.Errorf("%d of %d entries have an owner a second after an election", got, manyEntries)
 	}
@@ -239,7 +239,7 @@
 	s.run(5 * second)
 	owner := cutReplies(s)
 	s.step(owner, &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
-	s.run(consensus.ElectionMin - consensus.LeaseMargin + leaseGracePeriod + 50*event.Millisecond)
+	s.run(consensus.MinElectionTimeout - consensus.LeaseMargin + leaseGracePeriod + 50*event.Millisecond)
 	if !s.closed[1] {
 		t.Error("the session of an owner whose lease is over goes on")
 	}
@@ -276,7 +276,7 @@
 		}
 	}
 	s.run(leaderGracePeriod + second)
-	if a := s.answers[s.tell(other, e)]; a.Status != StatusElsewhere {
+	if a := s.answers[s.tell(other, e)]; a.Status != StatusNotLeader {
 		t.Errorf("a box without a leader for long answered %+v", a)
 	}
 }
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -42,11 +42,11 @@
 func (m *stateMachine) snapshot() []byte {
 	var data []byte
 	switch {
-	case m.formatVersion >= level.Told:
+	case m.formatVersion >= level.Negotiated:
 		data = []byte{formatVersioned, byte(m.formatVersion)}
 	case m.formatVersion == level.Suspects:
 		data = []byte{formatSuspects}
-	case m.formatVersion == level.Parts:
+	case m.formatVersion == level.Chunked:
 		data = []byte{formatParts}
 	default:
 		return m.jsonSnapshot()
@@ -111,7 +111,7 @@
 	case formatJSON:
 		return m.restoreJSON(data)
 	case formatParts:
-		m.formatVersion = level.Parts
+		m.formatVersion = level.Chunked
 	case formatSuspects:
 		m.formatVersion = level.Suspects
 	case formatVersioned:
@@ -122,7 +122,7 @@
 		return unknownFormatError(data[0])
 	}
 	if m.formatVersion > supported {
-		return level.TooNew("a snapshot", m.formatVersion, supported)
+		return level.Unsupported("a snapshot", m.formatVersion, supported)
 	}
 	return errors.Wrap(m.restoreFields(r), "restore snapshot")
 }
@@ -132,9 +132,9 @@
 	if format == 0 || format > lastFormat+maxFutureFormats {
 		return errSnapshot
 	}
-	return &level.Above{
-		What: "a snapshot", Found: fmt.Sprintf("format %d", format),
-		Reads: fmt.Sprintf("formats up to %d (level %d)", lastFormat, level.Newest),
+	return &level.UnsupportedError{
+		Source: "a snapshot", Found: fmt.Sprintf("format %d", format),
+		Supported: fmt.Sprintf("formats up to %d (level %d)", lastFormat, level.Newest),
 	}
 }
 
--- a/cluster/starts_test.go
+++ b/cluster/starts_test.go
@@ -134,7 +134,7 @@
 	s.put(s.mustOwner(), 1)
 	s.tell(s.mustOwner(), registry.Endpoint{ID: "e", Born: 1000, Service: "s", Address: "10.0.0.1:80", Slots: 9, Sequence: 1})
 	s.run(second)
-	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Told, Session: 1, Hello: message.Hello{Entry: "back"}})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Negotiated, Session: 1, Hello: message.Hello{Entry: "back"}})
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry"}})
 	for range 3 {
 		s.step(s.mustOwner(), &PingReceived{Session: 1})
@@ -160,7 +160,7 @@
 	s := newSim(t, 3, 0)
 	for _, name := range s.order {
 		s.stop(name)
-		s.boxes[name].disk.restored.Snapshot.Data = nil // as builds before level.Told found a group
+		s.boxes[name].disk.restored.Snapshot.Data = nil // as builds before level.Negotiated found a group
 		s.restart(name)
 	}
 	s.run(200 * event.Millisecond)
@@ -169,15 +169,15 @@
 	}
 	groupLevel := func() level.Level { return s.mustOwner().state.machine.formatVersion }
 	s.run(second)
-	if got := groupLevel(); got >= level.Starts {
+	if got := groupLevel(); got >= level.Instances {
 		t.Fatalf("the level is %d before any entry can have been heard", got)
 	}
-	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Told, Session: 1, Hello: message.Hello{Entry: "old"}})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Negotiated, Session: 1, Hello: message.Hello{Entry: "old"}})
 	s.run(20 * second)
 	s.step(s.mustOwner(), &SessionClosed{Session: 1})
 	s.run(3 * second)
-	if got := groupLevel(); got >= level.Starts {
-		t.Fatalf("the level is %d while an entry is away for 3 s that reads %d", got, level.Told)
+	if got := groupLevel(); got >= level.Instances {
+		t.Fatalf("the level is %d while an entry is away for 3 s that reads %d", got, level.Negotiated)
 	}
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "old", Life: 2}})
 	s.run(2 * second)
--- a/cluster/state.go
+++ b/cluster/state.go
@@ -31,12 +31,12 @@
 
 // Settings are the deployment settings of a State.
 type Settings struct {
-	Limits    admission.Limits
-	Members   consensus.Limits
-	BeatEvery event.Span
+	Limits            admission.Limits
+	Members           consensus.MembershipLimits
+	HeartbeatInterval event.Duration
 	// ConfigValidity is how long an entry serves requests without an owner.
-	Fresh event.Span
-	Seed  uint64
+	ConfigValidity event.Duration
+	Seed           uint64
 	// Decode parses and validates a configuration. It is slow for a large one and runs
 	// outside the event loop.
 	Decode func([]byte) (*routing.Table, error)
@@ -74,7 +74,7 @@
 }
 
 // NewState returns the state of a member, restored from its disk.
-func NewState(now event.Time, id consensus.ID, r consensus.Restored, settings Settings) (*State, error) {
+func NewState(now event.Time, id consensus.ID, r consensus.PersistentState, settings Settings) (*State, error) {
 	s := &State{
 		settings:          settings,
 		node:              consensus.New(now, id, r, settings.Seed),
@@ -96,13 +96,13 @@
 		}
 	}
 	s.node.SetLimits(settings.Members)
-	if s.formats.own >= level.Told {
-		s.node.SetUsualForms(consensus.Forms{Held: true}) // until the peer has reported its format version
+	if s.formats.own >= level.Negotiated {
+		s.node.SetDefaultPeerMode(consensus.PeerMode{HeartbeatsOnly: true}) // until the peer has reported its format version
 	}
 	if err := s.restore(r.Snapshot.Data); err != nil {
 		return nil, err
 	}
-	s.machine.spending.Heard(now)
+	s.machine.spending.MarkReceived(now)
 	return s, nil
 }
 
@@ -154,7 +154,7 @@
 	case *PeerDisconnected:
 		s.peerDisconnected(e, out)
 	case *StopRequested:
-		s.node.Transfer(now, s.transferRank, &out.Ready)
+		s.node.TransferLeadership(now, s.transferRank, &out.Ready)
 	}
 }
 
@@ -196,7 +196,7 @@
 		return
 	}
 	if isNoop {
-		out.Answers = append(out.Answers, Answer{CallID: call, Status: StatusDone, Next: s.ownAddress()})
+		out.Answers = append(out.Answers, Answer{CallID: call, Status: StatusDone, HeartbeatAddress: s.ownAddress()})
 		return
 	}
 	index, err := s.node.Propose(now, command, &out.Ready)
@@ -210,7 +210,7 @@
 // isLeaderActive reports whether another box leads and was heard within the election timeout.
 func (s *State) isLeaderActive(now event.Time) bool {
 	leader := s.node.Leader()
-	return leader != "" && leader != s.node.ID() && now.Sub(s.node.HeardLeader()) < consensus.ElectionMin
+	return leader != "" && leader != s.node.ID() && now.Sub(s.node.LastLeaderContact()) < consensus.MinElectionTimeout
 }
 
 // leaderGracePeriod is how long a box without a leader goes on accepting heartbeats that change
@@ -220,7 +220,7 @@
 
 // sawLeaderRecently reports whether another box leads, or did within leaderGracePeriod.
 func (s *State) sawLeaderRecently(now event.Time) bool {
-	return s.node.Leader() != s.node.ID() && now.Sub(s.node.HeardLeader()) < leaderGracePeriod
+	return s.node.Leader() != s.node.ID() && now.Sub(s.node.LastLeaderContact()) < leaderGracePeriod
 }
 
 // forwardHeartbeats sends the leader, once there is one, the endpoints with heartbeats at this box.
@@ -238,7 +238,7 @@
 
 // answerNotLeader answers a call that only the leader can serve.
 func (s *State) answerNotLeader(call CallID, out *Effects) {
-	out.Answers = append(out.Answers, Answer{CallID: call, Status: StatusElsewhere, Leader: s.leaderAddress()})
+	out.Answers = append(out.Answers, Answer{CallID: call, Status: StatusNotLeader, LeaderAddress: s.leaderAddress()})
 }
 
 // leaderAddress returns the operator address of the leader; empty if it is unknown or this box.
@@ -277,7 +277,7 @@
 			out.Fatal = err
 			return
 		}
-		s.machine.spending.Heard(now)
+		s.machine.spending.MarkReceived(now)
 	}
 	for len(out.Ready.Committed) > 0 {
 		committed := out.Ready.Committed
@@ -345,13 +345,13 @@
 		return
 	}
 	if c.spending != nil {
-		s.machine.spending.Heard(now)
+		s.machine.spending.MarkReceived(now)
 		if s.owner != nil && s.owner.recordIndex != entry.Index {
-			s.owner.budgets.Foreign(now, *c.spending)
+			s.owner.budgets.ApplyForeign(now, *c.spending)
 		}
 	}
 	if c.poison != nil && s.owner != nil && s.owner.poisonIndex != entry.Index {
-		s.owner.poison.Foreign(now, *c.poison)
+		s.owner.poison.ApplyForeign(now, *c.poison)
 	}
 	if c.formatVersion {
 		s.formatVersionRaised(out)
@@ -383,7 +383,7 @@
 		out.logInfo("owns the pools", Field{"term", uint64(s.node.Term())}, Field{"waiting_entries", len(s.pendingSessions)})
 		s.openPendingSessions(now, out)
 	}
-	if !s.node.Leads() {
+	if !s.node.IsLeader() {
 		s.failPendingCalls(out)
 	}
 }
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -208,7 +208,7 @@
 			continue
 		}
 		a := s.read(s.boxes[name])
-		if a.Status != StatusElsewhere || a.Leader != leader.name+":operators" {
+		if a.Status != StatusNotLeader || a.LeaderAddress != leader.name+":operators" {
 			t.Errorf("%s: %+v, want the address of %s", name, a, leader.name)
 		}
 	}
@@ -374,7 +374,7 @@
 	if len(lent.UpTo) == 0 {
 		t.Fatal("the entry was lent nothing")
 	}
-	held := lent.UpTo[slices.IndexFunc(lent.UpTo, func(h budget.Holding) bool { return h.Account == budget.Team("t") })]
+	held := lent.UpTo[slices.IndexFunc(lent.UpTo, func(h budget.Lease) bool { return h.Account == budget.Team("t") })]
 	s.ping(1, message.Ping{Has: lent.Number})
 	for range 20 {
 		spend(1, simQuota/40)
@@ -382,7 +382,7 @@
 	s.step(s.mustOwner(), &SessionClosed{Session: 1})
 	s.run(second)
 	held.Spent = held.UpTo * 3 / 4
-	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry", Life: 5, Held: []budget.Holding{held}}})
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry", Life: 5, Held: []budget.Lease{held}}})
 	for range 100 {
 		spend(2, simQuota/100)
 	}
@@ -408,7 +408,7 @@
 	}
 	for range 3 * downAfterHeartbeats {
 		e.Sequence++
-		if token := s.tell(other, e); s.answers[token].Status != StatusDone || s.answers[token].Next == "" {
+		if token := s.tell(other, e); s.answers[token].Status != StatusDone || s.answers[token].HeartbeatAddress == "" {
 			t.Fatalf("a heartbeat without news got %+v", s.answers[token])
 		}
 		s.run(second / 2)
@@ -420,7 +420,7 @@
 	}
 	e.Sequence++
 	e.Leaving = true
-	if token := s.tell(other, e); s.answers[token].Status != StatusElsewhere {
+	if token := s.tell(other, e); s.answers[token].Status != StatusNotLeader {
 		t.Errorf("news got %+v at a box that does not lead", s.answers[token])
 	}
 	// A box that hears no leader takes no heartbeat.
--- a/cluster/suspended_test.go
+++ b/cluster/suspended_test.go
@@ -18,9 +18,9 @@
 func TestSuspendedOwnerAnswersNoRead(t *testing.T) {
 	const boxes = 3
 	var slept [boxes]atomic.Int64
-	var clocks []func() event.Span
+	var clocks []func() event.Duration
 	for i := range boxes {
-		clocks = append(clocks, func() event.Span { return uptime.Now() + event.Span(slept[i].Load()) })
+		clocks = append(clocks, func() event.Duration { return uptime.Now() + event.Duration(slept[i].Load()) })
 	}
 	servers := startServersAt(t, clocks)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
--- a/cluster/takeup_test.go
+++ b/cluster/takeup_test.go
@@ -58,7 +58,7 @@
 	id := consensus.MakeID("box1", founderIncarnation)
 	members := consensus.Membership{Voters: []consensus.Member{{ID: id, Address: "box1:operators"}}}
 	m := stateMachine{document: old}
-	r := consensus.Restored{
+	r := consensus.PersistentState{
 		HardState: consensus.HardState{Term: 1},
 		Snapshot:  consensus.Snapshot{Index: 5, Term: 1, Members: members, Data: m.snapshot()},
 		Entries:   []consensus.Entry{{Index: 6, Term: 1, Kind: consensus.EntryCommand, Data: newest.packed.encodePart(0)}},
--- a/cluster/upgrade_sim_test.go
+++ b/cluster/upgrade_sim_test.go
@@ -43,7 +43,7 @@
 		b := u.boxes[name]
 		u.stop(name)
 		b.reads = from
-		b.disk.restored.Snapshot.Data = nil // as builds before level.Told found a group
+		b.disk.restored.Snapshot.Data = nil // as builds before level.Negotiated found a group
 		u.restart(name)
 	}
 	u.cut = func(one, other string) bool { return one == u.cutOff || other == u.cutOff }
@@ -91,7 +91,7 @@
 	u.number++
 	u.step(owner, &SessionOpened{Session: u.session, Hello: message.Hello{Entry: "entry", Life: 1}, FormatVersion: level.Newest})
 	u.step(owner, &BatchReceived{Session: u.session, Batch: &message.Batch{Ends: []poison.End{{
-		Number: u.number, Print: poison.Print(fmt.Sprintf("%016x", u.random.IntN(5))),
+		Number: u.number, Print: poison.Fingerprint(fmt.Sprintf("%016x", u.random.IntN(5))),
 		Endpoint: event.EndpointID(fmt.Sprint("e", u.random.IntN(99))), Request: event.RequestID(fmt.Sprint(u.number)),
 	}}}})
 }
@@ -129,7 +129,7 @@
 		u.down = nil
 	}
 	b.reads = to
-	u.run(simStep * event.Span(u.random.IntN(100)))
+	u.run(simStep * event.Duration(u.random.IntN(100)))
 	u.restart(name)
 }
 
@@ -160,10 +160,10 @@
 		if got, all := state.node.Applied(), owner.state.node.Applied(); got != all {
 			u.t.Fatalf("%s has applied %d entries, the owner %d", name, got, all)
 		}
-		if want >= level.Told && state.machine.formatVersion != want {
+		if want >= level.Negotiated && state.machine.formatVersion != want {
 			u.t.Fatalf("%s: the group has level %d, want %d", name, state.machine.formatVersion, want)
 		}
-		if want < level.Told && state.machine.formatVersion > want {
+		if want < level.Negotiated && state.machine.formatVersion > want {
 			u.t.Fatalf("%s: the log tells level %d while a member reads %d", name, state.machine.formatVersion, want)
 		}
 	}
@@ -176,7 +176,7 @@
 // differed might lead next.
 func TestUpgrade(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		from := rapid.SampledFrom([]level.Level{level.Listed, level.Packed, level.Parts, level.Suspects, level.Told}).Draw(rt, "from")
+		from := rapid.SampledFrom([]level.Level{level.Listed, level.Compressed, level.Chunked, level.Suspects, level.Negotiated}).Draw(rt, "from")
 		u := newUpgrade(t, from, rapid.SampledFrom([]int{3, 5}).Draw(rt, "boxes"), rapid.Uint64().Draw(rt, "seed"))
 		defer func() {
 			if t.Failed() {
@@ -215,7 +215,7 @@
 // as not all boxes have it.
 func TestGoingBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		from := rapid.SampledFrom([]level.Level{level.Listed, level.Packed, level.Parts, level.Suspects, level.Told}).Draw(rt, "from")
+		from := rapid.SampledFrom([]level.Level{level.Listed, level.Compressed, level.Chunked, level.Suspects, level.Negotiated}).Draw(rt, "from")
 		u := newUpgrade(t, from, 3, rapid.Uint64().Draw(rt, "seed"))
 		u.run(2 * event.Second)
 		for _, to := range []level.Level{level.Newest, from} {
@@ -250,10 +250,10 @@
 	s.stop(back.name)
 	before := simDisk{member: back.disk.member, restored: back.disk.restored}
 	back.reads = level.Suspects
-	if _, err := NewState(s.now, back.disk.member.ID, back.disk.restored, Settings{FormatVersion: level.Suspects}); !level.IsAbove(err) {
+	if _, err := NewState(s.now, back.disk.member.ID, back.disk.restored, Settings{FormatVersion: level.Suspects}); !level.IsUnsupported(err) {
 		t.Errorf("the folder of a later build: %v", err)
 	}
-	back.disk.restored.Snapshot.Data = nil // a build before level.Told does not look
+	back.disk.restored.Snapshot.Data = nil // a build before level.Negotiated does not look
 	s.restart(back.name)
 	token := s.put(s.mustOwner(), 5)
 	s.run(2 * event.Second)
@@ -294,9 +294,9 @@
 			s.step(s.boxes[name], &StopRequested{})
 			s.run(600 * event.Millisecond)
 			s.stop(name)
-			s.run(event.Span(rapid.IntRange(1, 100).Draw(rt, "off")) * simStep)
+			s.run(event.Duration(rapid.IntRange(1, 100).Draw(rt, "off")) * simStep)
 			s.restart(name)
-			s.run(event.Span(rapid.IntRange(50, 300).Draw(rt, "gap")) * simStep)
+			s.run(event.Duration(rapid.IntRange(50, 300).Draw(rt, "gap")) * simStep)
 			if now := s.mustOwner().name; now != lead {
 				lead = now
 				moves++
--- a/cluster/upload.go
+++ b/cluster/upload.go
@@ -76,7 +76,7 @@
 // uploadCommands returns the commands for a document: the parts that are not committed yet, or the whole
 // document where some members don't support parts.
 func (s *State) uploadCommands(d *Document) [][]byte {
-	if s.writeVersion() < level.Parts {
+	if s.writeVersion() < level.Chunked {
 		return [][]byte{d.encodeWhole()}
 	}
 	d.pack()
--- a/cluster/upload_property_test.go
+++ b/cluster/upload_property_test.go
@@ -88,7 +88,7 @@
 	if n := len(c.messages); n > 0 && c.random.IntN(4) == 0 {
 		c.messages = append(c.messages, c.messages[c.random.IntN(n)])
 	}
-	c.run(simStep * event.Span(1+c.random.IntN(5)))
+	c.run(simStep * event.Duration(1+c.random.IntN(5)))
 	c.check()
 }
 
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -53,7 +53,7 @@
 	switch {
 	case len(list) == 0:
 		return packedPiece{}
-	case s.machine.formatVersion >= level.Starts:
+	case s.machine.formatVersion >= level.Instances:
 		return packedPiece{listed: message.List(list)}
 	}
 	return packedPiece{packed: message.Pack(list)}
@@ -114,7 +114,7 @@
 // firstView returns the first piece of a session's initial view: the endpoints that changed since the
 // revision that the entry has, and the unreachable endpoints.
 func (o *owner) firstView(sess *session, revision uint64, s *State) *message.View {
-	if sess.formatVersion < level.Parts {
+	if sess.formatVersion < level.Chunked {
 		return o.wholeView(sess, revision, s)
 	}
 	reaches := s.machine.registry.Reaches(revision)
@@ -129,7 +129,7 @@
 
 // wholeView returns the initial view in one message, for an entry that does not support pieces.
 func (o *owner) wholeView(sess *session, revision uint64, s *State) *message.View {
-	if sess.formatVersion < level.Packed || !s.machine.registry.Reaches(revision) {
+	if sess.formatVersion < level.Compressed || !s.machine.registry.Reaches(revision) {
 		revision = 0
 	}
 	p := s.machine.registry.After(revision, math.MaxInt)
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -7,8 +7,8 @@
 )
 
 func (n *Node) resetDeadline(now event.Time) {
-	spread := event.Span(n.random.Int64N(int64(ElectionSpread)))
-	n.electionDeadline = now.Add(ElectionMin + spread)
+	spread := event.Duration(n.random.Int64N(int64(ElectionJitter)))
+	n.electionDeadline = now.Add(MinElectionTimeout + spread)
 }
 
 // becomeFollower makes the node a follower in term t, of a leader if that is known.
@@ -127,7 +127,7 @@
 // checkQuorum makes a leader step down once no quorum has answered it for MinElectionTimeout after
 // its lease ended.
 func (n *Node) checkQuorum(now event.Time) {
-	if n.role == leader && now > n.leaseEnd(now).Add(ElectionMin) {
+	if n.role == leader && now > n.leaseEnd(now).Add(MinElectionTimeout) {
 		n.becomeFollower(now, n.hard.Term, "")
 		n.leader = ""
 	}
@@ -136,7 +136,7 @@
 // TransferLeadership transfers the leadership to another voter, preferring reachable ones, then the
 // highest rank, then the longest matching log. The lease ends immediately. A nil rank treats all
 // alike.
-func (n *Node) Transfer(now event.Time, rank func(ID) int, out *Ready) {
+func (n *Node) TransferLeadership(now event.Time, rank func(ID) int, out *Ready) {
 	defer n.finish(out)
 	if n.role != leader {
 		return
@@ -166,7 +166,7 @@
 // then length of the matching log.
 func (n *Node) isBetterTransferee(now event.Time, id, other ID, rank func(ID) int) bool {
 	p, q := n.progress[id], n.progress[other]
-	answers, otherAnswers := now.Sub(p.lastAnswered) < ElectionMin, now.Sub(q.lastAnswered) < ElectionMin
+	answers, otherAnswers := now.Sub(p.lastAnswered) < MinElectionTimeout, now.Sub(q.lastAnswered) < MinElectionTimeout
 	if answers != otherAnswers {
 		return answers
 	}
@@ -181,7 +181,7 @@
 	if n.transferee == "" {
 		return
 	}
-	if now.Sub(n.transferStart) > ElectionMin {
+	if now.Sub(n.transferStart) > MinElectionTimeout {
 		// An earlier TimeoutNow may still be in flight, so the lease of this term must not be
 		// resumed.
 		n.becomeFollower(now, n.hard.Term, "")
--- a/consensus/lost_disk_test.go
+++ b/consensus/lost_disk_test.go
@@ -42,7 +42,7 @@
 	case n < 10:
 		g.propose(l)
 	case n < 11:
-		l.node.Transfer(g.now, nil, &out)
+		l.node.TransferLeadership(g.now, nil, &out)
 		g.enqueue(l, out)
 	}
 }
--- a/consensus/members.go
+++ b/consensus/members.go
@@ -60,7 +60,7 @@
 			m.Voters = without(m.Voters, old)
 			return m, true
 		}
-		if n.limits.Voters == 0 || len(m.Voters) < n.limits.Voters {
+		if n.limits.MaxVoters == 0 || len(m.Voters) < n.limits.MaxVoters {
 			m.Voters = append(slices.Clone(m.Voters), j)
 			m.Learners = without(m.Learners, j.ID)
 			return m, true
@@ -76,13 +76,13 @@
 // isCaughtUp reports whether a learner is reachable and has saved all that is committed.
 func (n *Node) isCaughtUp(now event.Time, id ID) bool {
 	p := n.progress[id]
-	return p != nil && p.match >= n.commit && p.hasAnswered && now.Sub(p.lastAnswered) < ElectionMin
+	return p != nil && p.match >= n.commit && p.hasAnswered && now.Sub(p.lastAnswered) < MinElectionTimeout
 }
 
 // unreachableVoter returns a voter that has not answered for ReplaceAfter; empty if there is none
 // or replacement is off.
 func (n *Node) unreachableVoter(now event.Time) ID {
-	if n.limits.DeadAfter == 0 || now.Sub(n.leaderSince) < n.limits.DeadAfter {
+	if n.limits.ReplaceAfter == 0 || now.Sub(n.leaderSince) < n.limits.ReplaceAfter {
 		return ""
 	}
 	for _, v := range n.members.Voters {
@@ -90,7 +90,7 @@
 		if v.ID == n.id || p == nil {
 			continue
 		}
-		if now.Sub(max(p.lastAnswered, n.leaderSince)) > n.limits.DeadAfter {
+		if now.Sub(max(p.lastAnswered, n.leaderSince)) > n.limits.ReplaceAfter {
 			return v.ID
 		}
 	}
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -15,13 +15,13 @@
 // Timeouts of the group. MinElectionTimeout, less LeaseMargin for differences in clock rate, is also
 // the length of a leader's lease.
 const (
-	ElectionMin    = 400 * event.Millisecond
-	ElectionSpread = 250 * event.Millisecond
-	HeartbeatEvery = 120 * event.Millisecond
-	LeaseMargin    = 60 * event.Millisecond
+	MinElectionTimeout = 400 * event.Millisecond
+	ElectionJitter     = 250 * event.Millisecond
+	HeartbeatInterval  = 120 * event.Millisecond
+	LeaseMargin        = 60 * event.Millisecond
 	// unreachableAfter is how long a member may go without a reply before its messages no longer
 	// count as in flight: twice the time that ends a lease.
-	unreachableAfter = 2 * ElectionMin
+	unreachableAfter = 2 * MinElectionTimeout
 )
 
 // maxEntries is the maximum number of entries in a message.
@@ -60,7 +60,7 @@
 )
 
 // PersistentState is what a member reads from its disk at the start.
-type Restored struct {
+type PersistentState struct {
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
@@ -95,38 +95,38 @@
 	transferee       ID
 	transferStart    event.Time
 	joinRequests     []Member // boxes that asked to become members
-	limits           Limits
+	limits           MembershipLimits
 	bounds           bounds
 	// The log up to matched equals that of the leader of matchedTerm.
 	matched          Index
 	matchedTerm      Term
 	incomingSnapshot *incomingSnapshot // nil unless a snapshot is being received
-	peerModes        map[event.BoxID]Forms
-	defaultMode      Forms
+	peerModes        map[event.BoxID]PeerMode
+	defaultMode      PeerMode
 }
 
 // MembershipLimits restricts automatic membership changes. The zero value makes every joining box a
 // voter and replaces no voter.
-type Limits struct {
+type MembershipLimits struct {
 	// MaxVoters is the number of voters up to which joining boxes become voters; 0 means no limit.
-	Voters int
+	MaxVoters int
 	// ReplaceAfter is how long a voter may be unreachable before a joining box replaces it; 0 means
 	// for ever.
-	DeadAfter event.Span
+	ReplaceAfter event.Duration
 }
 
 // SetLimits sets the limits of later membership changes.
-func (n *Node) SetLimits(l Limits) { n.limits = l }
+func (n *Node) SetLimits(l MembershipLimits) { n.limits = l }
 
 // LastLeaderContact returns when the last message from a leader arrived, or the time of the start.
-func (n *Node) HeardLeader() event.Time { return n.lastContact }
+func (n *Node) LastLeaderContact() event.Time { return n.lastContact }
 
 // IsVoter reports whether this member has a vote, by the newest membership that it knows.
 func (n *Node) IsVoter() bool { return n.members.isVoter(n.id) }
 
 // New returns a member that starts from its saved state. It refuses votes for MinElectionTimeout
 // after the start: it may have answered a heartbeat just before, and a lease may rely on that.
-func New(now event.Time, id ID, r Restored, seed uint64) *Node {
+func New(now event.Time, id ID, r PersistentState, seed uint64) *Node {
 	n := &Node{
 		id:          id,
 		random:      rand.New(rand.NewPCG(seed, 1)),
@@ -176,7 +176,7 @@
 
 // IsLeader reports whether this member is the leader and has committed an entry of its own term, so
 // that its log holds everything that was ever committed.
-func (n *Node) Leads() bool { return n.role == leader && n.commit >= n.termStart }
+func (n *Node) IsLeader() bool { return n.role == leader && n.commit >= n.termStart }
 
 // LogBytes returns the length of the data of all entries in memory.
 func (n *Node) LogBytes() int { return bytesOf(n.log.entries) }
@@ -184,11 +184,11 @@
 // HasLease reports whether no other leader can exist at now. While it is true, this member's
 // applied state is current.
 func (n *Node) HasLease(now event.Time) bool {
-	return n.Leads() && n.transferee == "" && now < n.leaseEnd(now)
+	return n.IsLeader() && n.transferee == "" && now < n.leaseEnd(now)
 }
 
 // IsTransferring reports whether this member is transferring its leadership.
-func (n *Node) HandsOver() bool { return n.transferee != "" }
+func (n *Node) IsTransferring() bool { return n.transferee != "" }
 
 // LeaseEnd returns when the leader's lease ends, as known at now.
 func (n *Node) LeaseEnd(now event.Time) event.Time { return n.leaseEnd(now) }
@@ -203,10 +203,10 @@
 		case p != nil && p.hasAnswered:
 			times = append(times, p.lastAnswered)
 		default:
-			times = append(times, n.leaderSince-event.Time(ElectionMin))
+			times = append(times, n.leaderSince-event.Time(MinElectionTimeout))
 		}
 	}
-	return quorumOf(times).Add(ElectionMin - LeaseMargin)
+	return quorumOf(times).Add(MinElectionTimeout - LeaseMargin)
 }
 
 // quorumOf returns the largest value that a majority reaches.
@@ -269,7 +269,7 @@
 
 // hasRecentLeader reports whether a leader may hold a lease that relies on this member.
 func (n *Node) hasRecentLeader(now event.Time) bool {
-	return n.role == leader || now.Sub(n.lastContact) < ElectionMin
+	return n.role == leader || now.Sub(n.lastContact) < MinElectionTimeout
 }
 
 func (n *Node) stepRequest(now event.Time, m Message, out *Ready) {
--- a/consensus/node_test.go
+++ b/consensus/node_test.go
@@ -12,7 +12,7 @@
 // A leader must not count its own copy of an entry towards a commit before it has saved it.
 func TestLeaderCommitsOnlySavedEntries(t *testing.T) {
 	voters := []Member{{ID: MakeID("a", 1)}, {ID: MakeID("b", 1)}, {ID: MakeID("c", 1)}}
-	restored := Restored{Snapshot: Snapshot{Index: 1, Members: Membership{Voters: voters}}}
+	restored := PersistentState{Snapshot: Snapshot{Index: 1, Members: Membership{Voters: voters}}}
 	a := New(0, voters[0].ID, restored, 1)
 	now := event.Time(0).Add(2 * event.Second)
 	var out Ready
@@ -34,7 +34,7 @@
 // newFollower returns a node that has no leader yet, and the ID of the member that will lead it.
 func newFollower() (*Node, ID) {
 	voters := []Member{{ID: MakeID("a", 1)}, {ID: MakeID("b", 1)}, {ID: MakeID("c", 1)}}
-	restored := Restored{Snapshot: Snapshot{Index: 1, Members: Membership{Voters: voters}}}
+	restored := PersistentState{Snapshot: Snapshot{Index: 1, Members: Membership{Voters: voters}}}
 	return New(0, voters[1].ID, restored, 1), voters[0].ID
 }
 
@@ -54,7 +54,7 @@
 	m := Message{Kind: KindAppend, From: leader, To: b.ID(), Term: 1, Seq: 1, Index: 1, Entries: []Entry{{Index: 2, Term: 1}}}
 	var out Ready
 	b.Step(0, m, &out)
-	if got := ackedIndex(t, out.Early); got != 1 {
+	if got := ackedIndex(t, out.Immediate); got != 1 {
 		t.Errorf("the immediate reply acknowledges entry %d, want 1", got)
 	}
 	if got := ackedIndex(t, out.Messages); got != 2 {
@@ -64,7 +64,7 @@
 	for _, want := range []Index{1, 2} {
 		out.Reset()
 		b.Step(0, heartbeat, &out)
-		if got := ackedIndex(t, out.Early); got != want {
+		if got := ackedIndex(t, out.Immediate); got != want {
 			t.Errorf("the reply to a heartbeat acknowledges entry %d, want %d", got, want)
 		}
 		b.Saved(0, 2, 1, &out)
@@ -81,8 +81,8 @@
 	}
 	var out Ready
 	b.Step(0, chunk, &out)
-	if got := ackedIndex(t, out.Early); got != 0 || out.Early[0].Offset != chunk.Size {
-		t.Errorf("the immediate reply acknowledges entry %d and %d bytes, want 0 and %d", got, out.Early[0].Offset, chunk.Size)
+	if got := ackedIndex(t, out.Immediate); got != 0 || out.Immediate[0].Offset != chunk.Size {
+		t.Errorf("the immediate reply acknowledges entry %d and %d bytes, want 0 and %d", got, out.Immediate[0].Offset, chunk.Size)
 	}
 	if got := ackedIndex(t, out.Messages); got != 9 {
 		t.Errorf("the reply after the save acknowledges entry %d, want 9", got)
@@ -90,7 +90,7 @@
 	for _, want := range []Index{0, 9} {
 		out.Reset()
 		b.Step(0, chunk, &out)
-		if got := ackedIndex(t, out.Early); got != want {
+		if got := ackedIndex(t, out.Immediate); got != want {
 			t.Errorf("the reply to a resent chunk acknowledges entry %d, want %d", got, want)
 		}
 		b.Saved(0, 9, 1, &out)
@@ -106,7 +106,7 @@
 	}
 	var out Ready
 	b.Step(0, chunk, &out)
-	if out.Snapshot != nil || len(out.Early) != 1 || out.Early[0].Granted || out.Early[0].Offset != 0 {
-		t.Errorf("snapshot %v and reply %+v to a chunk with a wrong checksum", out.Snapshot, out.Early)
+	if out.Snapshot != nil || len(out.Immediate) != 1 || out.Immediate[0].Granted || out.Immediate[0].Offset != 0 {
+		t.Errorf("snapshot %v and reply %+v to a chunk with a wrong checksum", out.Snapshot, out.Immediate)
 	}
 }
