--- a/consensus/property_test.go
+++ b/consensus/property_test.go
@@ -39,7 +39,7 @@
 type member struct {
 	node    *Node
 	id      ID
-	disk    Restored
+	disk    PersistentState
 	pending []Ready // not yet synced
 	applied []string
 	starts  int
@@ -74,7 +74,7 @@
 		m.Voters = append(m.Voters, Member{ID: MakeID(event.BoxID(fmt.Sprint("box", i)), 1)})
 	}
 	for _, v := range m.Voters {
-		b := &member{id: v.ID, disk: Restored{Snapshot: Snapshot{Index: 1, Members: m}}}
+		b := &member{id: v.ID, disk: PersistentState{Snapshot: Snapshot{Index: 1, Members: m}}}
 		g.members = append(g.members, b)
 		g.start(b)
 	}
@@ -103,7 +103,7 @@
 // enqueueUnchecked skips the lease check: within one Ready the member has not yet applied all that
 // its node committed, and nothing reads its state meanwhile.
 func (g *group) enqueueUnchecked(b *member, r Ready) {
-	g.network = append(g.network, r.Early...)
+	g.network = append(g.network, r.Immediate...)
 	b.pending = append(b.pending, r)
 	if r.Snapshot != nil && len(r.Snapshot.Data)/bytesPerCommand > len(b.applied) {
 		g.installed++
@@ -250,15 +250,15 @@
 		g.enqueue(b, out)
 	case n < 96:
 		var out Ready
-		b.node.Transfer(g.now, nil, &out)
+		b.node.TransferLeadership(g.now, nil, &out)
 		g.enqueue(b, out)
 	case n < 97:
-		g.now = g.now.Add(event.Span(g.random.Int64N(int64(ElectionMin))))
+		g.now = g.now.Add(event.Duration(g.random.Int64N(int64(MinElectionTimeout))))
 	case n < 98:
 		g.wipe(b)
 	}
 	g.rejoin()
-	g.now = g.now.Add(event.Span(g.random.Int64N(int64(HeartbeatEvery / 3))))
+	g.now = g.now.Add(event.Duration(g.random.Int64N(int64(HeartbeatInterval / 3))))
 	g.checkLease()
 	g.recover()
 	for _, b := range g.members {
@@ -277,7 +277,7 @@
 	}
 	g.wiped = b
 	b.id = MakeID(b.id.Box(), 2)
-	b.disk = Restored{}
+	b.disk = PersistentState{}
 	g.start(b)
 }
 
@@ -345,7 +345,7 @@
 }
 
 // settle runs the group without faults for a while.
-func (g *group) settle(span event.Span) {
+func (g *group) settle(span event.Duration) {
 	for end := g.now.Add(span); g.now < end; g.now = g.now.Add(20 * event.Millisecond) {
 		for _, b := range g.members {
 			if b.frozen {
@@ -406,7 +406,7 @@
 			t.Fatalf("applied %q", g.committed)
 		}
 		var transfer Ready
-		l.node.Transfer(g.now, nil, &transfer)
+		l.node.TransferLeadership(g.now, nil, &transfer)
 		g.enqueue(l, transfer)
 		g.settle(100 * event.Millisecond)
 		next := g.holder()
@@ -421,7 +421,7 @@
 func (g *group) replace(b, via *member) {
 	old := b.id
 	b.id = MakeID(old.Box(), 2)
-	b.disk = Restored{}
+	b.disk = PersistentState{}
 	g.start(b)
 	for range 20 {
 		g.settle(100 * event.Millisecond)
--- a/consensus/replicate.go
+++ b/consensus/replicate.go
@@ -25,27 +25,27 @@
 
 // PeerMode restricts what a box is sent. The zero value is for boxes that read all that this build
 // writes.
-type Forms struct {
+type PeerMode struct {
 	// WholeSnapshots: it takes a snapshot in one message, and does not echo Seq.
-	Whole bool
+	WholeSnapshots bool
 	// Excluded: it cannot read the log's encoding, and is sent nothing.
-	Ignored bool
+	Excluded bool
 	// HeartbeatsOnly: it is not known any more what it reads. Its answers to heartbeats will say
 	// that.
-	Held bool
+	HeartbeatsOnly bool
 }
 
 // SetPeerMode sets the mode of a box.
-func (n *Node) SetForms(box event.BoxID, mode Forms) {
+func (n *Node) SetPeerMode(box event.BoxID, mode PeerMode) {
 	if n.peerModes == nil {
-		n.peerModes = make(map[event.BoxID]Forms)
+		n.peerModes = make(map[event.BoxID]PeerMode)
 	}
 	n.peerModes[box] = mode
 	n.applyPeerMode(box)
 }
 
 // ClearPeerMode resets a box to the default mode.
-func (n *Node) ForgetForms(box event.BoxID) {
+func (n *Node) ClearPeerMode(box event.BoxID) {
 	delete(n.peerModes, box)
 	n.applyPeerMode(box)
 }
@@ -59,7 +59,7 @@
 }
 
 // SetDefaultPeerMode sets the mode of boxes without one of their own.
-func (n *Node) SetUsualForms(mode Forms) { n.defaultMode = mode }
+func (n *Node) SetDefaultPeerMode(mode PeerMode) { n.defaultMode = mode }
 
 func (n *Node) setProgressMode(id ID) {
 	mode, ok := n.peerModes[id.Box()]
@@ -67,7 +67,7 @@
 		mode = n.defaultMode
 	}
 	p := n.progress[id]
-	p.takesWholeSnapshots, p.isExcluded, p.heartbeatsOnly = mode.Whole, mode.Ignored, mode.Held
+	p.takesWholeSnapshots, p.isExcluded, p.heartbeatsOnly = mode.WholeSnapshots, mode.Excluded, mode.HeartbeatsOnly
 }
 
 func (n *Node) tickLeader(now event.Time, out *Ready) {
@@ -117,7 +117,7 @@
 	}
 	m := Message{From: n.id, To: to, Term: n.hard.Term, SentAt: now, Commit: n.commit}
 	hasPayload := n.fillMessage(now, p, &m)
-	if !hasPayload && p.lastSent != 0 && now.Sub(p.lastSent) < HeartbeatEvery {
+	if !hasPayload && p.lastSent != 0 && now.Sub(p.lastSent) < HeartbeatInterval {
 		return
 	}
 	p.seq++
@@ -130,7 +130,7 @@
 		p.inFlightBytes = m.payloadBytes()
 	}
 	p.lastSent = now
-	out.Early = append(out.Early, m)
+	out.Immediate = append(out.Immediate, m)
 }
 
 // fillMessage makes m the next message to a member. It reports whether m carries a payload or
@@ -241,7 +241,7 @@
 		n.reply(m, with, out)
 		return
 	}
-	out.Early = append(out.Early, n.makeReply(m, with))
+	out.Immediate = append(out.Immediate, n.makeReply(m, with))
 }
 
 // truncateAndAppend replaces all entries from the first one's index on.
--- a/consensus/replicate_test.go
+++ b/consensus/replicate_test.go
@@ -24,8 +24,8 @@
 	base := Snapshot{Index: 1, Members: Membership{Voters: voters}}
 	hard := HardState{Term: 8}
 	p := &pair{
-		leader:   New(0, voters[0].ID, Restored{HardState: hard, Snapshot: base, Entries: leaderLog}, 1),
-		follower: New(0, voters[1].ID, Restored{HardState: hard, Snapshot: base, Entries: followerLog}, 2),
+		leader:   New(0, voters[0].ID, PersistentState{HardState: hard, Snapshot: base, Entries: leaderLog}, 1),
+		follower: New(0, voters[1].ID, PersistentState{HardState: hard, Snapshot: base, Entries: followerLog}, 2),
 		now:      event.Time(0).Add(2 * event.Second),
 	}
 	var out Ready
@@ -36,7 +36,7 @@
 	if p.leader.role != leader {
 		t.Fatal("the first member is not the leader")
 	}
-	p.exchange(out.Early)
+	p.exchange(out.Immediate)
 	return p
 }
 
@@ -55,13 +55,13 @@
 		if n := len(out.Entries); n > 0 {
 			p.follower.Saved(p.now, out.Entries[n-1].Index, out.Entries[n-1].Term, &out)
 		}
-		for _, r := range append(out.Early, out.Messages...) {
+		for _, r := range append(out.Immediate, out.Messages...) {
 			if !r.Granted {
 				p.refused += len(m.Entries)
 			}
 			p.leader.Step(p.now, r, &back)
 		}
-		messages = append(messages, back.Early...)
+		messages = append(messages, back.Immediate...)
 	}
 }
 
--- a/consensus/types.go
+++ b/consensus/types.go
@@ -166,7 +166,7 @@
 // Ready is the output of the steps since the last Reset. The caller sends Immediate, saves, sends
 // Messages, and applies, in this order. Once entries or a snapshot are saved, it calls Node.Saved.
 type Ready struct {
-	Early     []Message
+	Immediate []Message
 	HardState *HardState
 	// Snapshot replaces the log and the state machine.
 	Snapshot *Snapshot
@@ -179,7 +179,7 @@
 
 // Reset empties r and keeps its memory.
 func (r *Ready) Reset() {
-	r.Early = r.Early[:0]
+	r.Immediate = r.Immediate[:0]
 	r.HardState = nil
 	r.Snapshot = nil
 	r.Entries = nil
--- a/control/founding.go
+++ b/control/founding.go
@@ -73,7 +73,7 @@
 
 // Belong returns when the box belongs to a group, by its disk, by founding one
 // or by finding one, with what its disk then holds.
-func (p *Peers) Belong(ctx context.Context, disk *store.Store, r consensus.Restored) (consensus.Restored, error) {
+func (p *Peers) Belong(ctx context.Context, disk *store.Store, r consensus.PersistentState) (consensus.PersistentState, error) {
 	self := p.Self()
 	boxes := make([]event.BoxID, 0, len(p.addresses))
 	for box := range p.addresses {
@@ -98,7 +98,7 @@
 				return r, ctx.Err()
 			}
 		case courseFound, courseAdopt:
-			r = consensus.Restored{Snapshot: consensus.Snapshot{
+			r = consensus.PersistentState{Snapshot: consensus.Snapshot{
 				Index: foundingSlot, Members: consensus.Membership{Voters: founders},
 			}}
 			if err := disk.Save(&consensus.Ready{Snapshot: &r.Snapshot}); err != nil {
--- a/control/loop.go
+++ b/control/loop.go
@@ -88,7 +88,7 @@
 		effects.Refusals = effects.Refusals[:0]
 	}
 	l.carrier.Decide(effects)
-	if effects.Ready.MustSave() || len(effects.Ready.Early)+len(effects.Ready.Messages) > 0 {
+	if effects.Ready.MustSave() || len(effects.Ready.Immediate)+len(effects.Ready.Messages) > 0 {
 		l.carrier.Keep(effects.Ready)
 		effects.Ready = consensus.Ready{}
 	}
--- a/control/operator.go
+++ b/control/operator.go
@@ -86,7 +86,7 @@
 func endpointMessages(list []sched.EndpointStatus) []*rpc.EndpointStatus {
 	messages := make([]*rpc.EndpointStatus, 0, len(list))
 	for _, e := range list {
-		messages = append(messages, &rpc.EndpointStatus{Name: string(e.ID), Running: uint32(e.Running), Serves: e.Serves})
+		messages = append(messages, &rpc.EndpointStatus{Name: string(e.ID), Running: uint32(e.Running), Serves: e.Available})
 	}
 	return messages
 }
--- a/control/outbox.go
+++ b/control/outbox.go
@@ -18,7 +18,7 @@
 // Outboxes keeps the decisions for each entry until the entry has them, and the
 // answers for the calls that wait for them. It implements Carrier.
 type Outboxes struct {
-	keeper *store.Keeper
+	keeper *store.Writer
 
 	mu      sync.Mutex
 	epoch   event.Epoch
@@ -36,7 +36,7 @@
 
 // NewOutboxes returns Outboxes without any decision, which hand what is to be
 // kept on to keeper.
-func NewOutboxes(keeper *store.Keeper) *Outboxes {
+func NewOutboxes(keeper *store.Writer) *Outboxes {
 	return &Outboxes{
 		keeper:  keeper,
 		boxes:   make(map[event.BoxID]*outbox),
@@ -45,7 +45,7 @@
 }
 
 // Keep implements Carrier.
-func (o *Outboxes) Keep(r consensus.Ready) { o.keeper.Keep(r) }
+func (o *Outboxes) Keep(r consensus.Ready) { o.keeper.Enqueue(r) }
 
 // Saved implements Carrier.
 func (o *Outboxes) Saved() <-chan store.Saved { return o.keeper.Saved() }
--- a/control/pools.go
+++ b/control/pools.go
@@ -47,10 +47,10 @@
 	case *event.SlotReported:
 		s.keys.report(e.Report)
 		s.stepPool(now, e.Report.Pool, e, out)
-	case *event.EntrySeen:
+	case *event.EntryHeartbeat:
 		s.seen[e.Entry] = boxSeen{version: e.Version, at: now}
 		s.stepAll(now, e, out)
-	case *event.PlatformListed:
+	case *event.DrainListUpdated:
 		s.stepAll(now, e, out)
 	case *event.Tick:
 		s.stepAll(now, e, out)
--- a/control/state.go
+++ b/control/state.go
@@ -38,12 +38,12 @@
 	compact  consensus.Index
 	proposed bool // the first catalog
 	version  uint64
-	listed   *event.PlatformListed // the last one, for pools that begin later
+	listed   *event.DrainListUpdated // the last one, for pools that begin later
 }
 
 // NewState returns the state of a member of the group. first is the catalog that
 // a group without one begins with.
-func NewState(now event.Time, id consensus.ID, r consensus.Restored, first catalog.Catalog, seed uint64) (*State, error) {
+func NewState(now event.Time, id consensus.ID, r consensus.PersistentState, first catalog.Catalog, seed uint64) (*State, error) {
 	s := &State{
 		seed:    seed,
 		node:    consensus.New(now, id, r, seed),
@@ -70,13 +70,13 @@
 		out.Answers = append(out.Answers, Answer{Token: e.Token, Leads: err == nil, Done: done})
 	case *ChangeAsked:
 		s.ask(now, e, out)
-	case *event.PlatformListed:
+	case *event.DrainListUpdated:
 		s.listed = e
-		if s.leavesAlone(e.Leaving) {
-			s.node.Transfer(now, nil, &out.Ready)
+		if s.leavesAlone(e.Draining) {
+			s.node.TransferLeadership(now, nil, &out.Ready)
 		}
 	case *StopAsked:
-		s.node.Transfer(now, nil, &out.Ready)
+		s.node.TransferLeadership(now, nil, &out.Ready)
 	}
 	s.settle(now, out)
 	if s.owns(now) {
@@ -172,7 +172,7 @@
 // takeOwnership begins a new epoch when this box has come to lead, and ends one
 // that is over.
 func (s *State) takeOwnership(now event.Time, out *Effects) {
-	leads := s.node.Leads()
+	leads := s.node.IsLeader()
 	if s.epoch != 0 && (!leads || event.Epoch(s.node.Term()) != s.epoch) {
 		s.endEpoch(out)
 	}
--- a/engine/fake/model.go
+++ b/engine/fake/model.go
@@ -12,12 +12,12 @@
 // Profile is the speed and size of one engine. The zero value is useless; see
 // DefaultProfile.
 type Profile struct {
-	PrefillPerSecond float64    // prompt tokens a second
-	StepOverhead     event.Span // fixed length of an iteration
-	SequenceCost     event.Span // added to an iteration by each decoding sequence
-	MaxBatch         int        // sequences at once
-	PrefillBudget    int        // prompt tokens filled in one iteration
-	CacheBlocks      int        // prefix blocks kept
+	PrefillPerSecond float64        // prompt tokens a second
+	StepOverhead     event.Duration // fixed length of an iteration
+	SequenceCost     event.Duration // added to an iteration by each decoding sequence
+	MaxBatch         int            // sequences at once
+	PrefillBudget    int            // prompt tokens filled in one iteration
+	CacheBlocks      int            // prefix blocks kept
 }
 
 // DefaultProfile returns a middling engine: 8,000 prompt tokens a second and
@@ -36,8 +36,8 @@
 // Scaled returns p made faster by factor; 2 is twice as fast.
 func (p Profile) Scaled(factor float64) Profile {
 	p.PrefillPerSecond *= factor
-	p.StepOverhead = event.Span(float64(p.StepOverhead) / factor)
-	p.SequenceCost = event.Span(float64(p.SequenceCost) / factor)
+	p.StepOverhead = event.Duration(float64(p.StepOverhead) / factor)
+	p.SequenceCost = event.Duration(float64(p.SequenceCost) / factor)
 	return p
 }
 
@@ -169,9 +169,9 @@
 	}
 	prefill, decoding := m.planPrefill()
 	length := m.profile.StepOverhead
-	length += event.Span(float64(prefill) / m.profile.PrefillPerSecond * float64(event.Second))
-	length += m.profile.SequenceCost * event.Span(decoding)
-	m.stepEnd = now.Add(event.Span(float64(length) * m.slowdown))
+	length += event.Duration(float64(prefill) / m.profile.PrefillPerSecond * float64(event.Second))
+	length += m.profile.SequenceCost * event.Duration(decoding)
+	m.stepEnd = now.Add(event.Duration(float64(length) * m.slowdown))
 	m.stepping = true
 }
 
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -55,7 +55,7 @@
 	Message string // for people
 	Outcome Outcome
 	// RetryAfter is when to come back; 0 says nothing of it.
-	RetryAfter event.Span
+	RetryAfter event.Duration
 }
 
 // Error implements error.
@@ -100,7 +100,7 @@
 }
 
 // refusal returns the failure for a scheduler's refusal.
-func refusal(reason event.Reason, after event.Span) *Failure {
+func refusal(reason event.Reason, after event.Duration) *Failure {
 	f := &Failure{Status: http.StatusServiceUnavailable, Code: reason.String(), RetryAfter: after}
 	switch reason {
 	case event.ReasonDeadline:
--- a/event/event.go
+++ b/event/event.go
@@ -67,23 +67,23 @@
 	// tokens.
 	Prefix []uint64
 	// Deadline is the remaining time, counted from when the ticket is received.
-	Deadline Span
+	Deadline Duration
 	// NoRepeat is set when the call must not be repeated.
 	NoRepeat bool
 	// Attempt is the number of earlier offers of the request, all of them void.
 	Attempt int
 	// Waited is how long the request has waited, from its arrival at the entry.
-	Waited Span
+	Waited Duration
 	// Key is the idempotency key, unique within the team: at most one request with
 	// it runs. Empty for none. Digest distinguishes requests with the same key.
 	Key    string
 	Digest uint64
 	// Target is the remaining time in which the answer should begin; 0 means that
 	// only the deadline counts.
-	Target Span
+	Target Duration
 	// Patience is the longest wait that may be expected for the request, else it
 	// is refused; 0 is no limit.
-	Patience Span
+	Patience Duration
 	// Placed is set when the request was granted before, but was not served or its
 	// answer broke off: it is not queued behind others again.
 	Placed bool
@@ -117,7 +117,7 @@
 	ID   RequestID
 	Pool string
 	// After is the time from sending the request to the beginning of the answer.
-	After Span
+	After Duration
 }
 
 // Finished reports that a granted request no longer uses its endpoint.
@@ -134,9 +134,9 @@
 	Unused bool
 	// FirstAfter is the time from sending the request to the beginning of the
 	// answer; 0 if there was no answer.
-	FirstAfter Span
+	FirstAfter Duration
 	// TokenGap is the typical time between the answer's tokens; 0 if unknown.
-	TokenGap Span
+	TokenGap Duration
 }
 
 // Adopted is a request that runs at an endpoint without this scheduler's grant,
@@ -149,16 +149,16 @@
 }
 
 // EntryRemoved removes an entry with all its waiting and running requests.
-type EntryGone struct{ Entry BoxID }
+type EntryRemoved struct{ Entry BoxID }
 
 // EndpointUpdated has the last observed state of an endpoint that has no slot.
-type EndpointSeen struct {
+type EndpointUpdated struct {
 	Endpoint Endpoint
 	Address  string // IP:port
 	// Down is set while it is unreachable. HalfOpen is set from a failure until it
 	// has served a request again: it gets one request at a time.
-	Down   bool
-	Unsure bool
+	Down     bool
+	HalfOpen bool
 	// Limited is set when it asked for a limit of Limit requests a second over all boxes.
 	Limited bool
 	Limit   float64
@@ -166,22 +166,22 @@
 
 // LimitShareChanged sets the share of the endpoints' rate limits that this
 // scheduler may use, from 0 to 1.
-type PartChanged struct{ Part float64 }
+type LimitShareChanged struct{ Share float64 }
 
 // CooldownRequested reports that an endpoint asked an entry to send it nothing for
 // a while.
-type Rested struct {
+type CooldownRequested struct {
 	Entry    BoxID
 	Endpoint EndpointID
-	For      Span
+	For      Duration
 }
 
 // EndpointRemoved reports that an endpoint instance terminated.
-type EndpointGone struct{ ID EndpointID }
+type EndpointRemoved struct{ ID EndpointID }
 
 // EntryHeartbeat reports that an entry is alive, and the version of the catalog
 // that it uses.
-type EntrySeen struct {
+type EntryHeartbeat struct {
 	Entry   BoxID
 	Version uint64
 }
@@ -191,7 +191,7 @@
 
 // DrainListUpdated has the IP addresses of the boxes that are draining according
 // to the platform. The map must not be modified.
-type PlatformListed struct{ Leaving map[string]bool }
+type DrainListUpdated struct{ Draining map[string]bool }
 
 // Tick is sent regularly to trigger what depends on time.
 type Tick struct{}
@@ -199,21 +199,21 @@
 // PoolChanged replaces the settings of a pool.
 type PoolChanged struct{ Pool Pool }
 
-func (*Submitted) IsEvent()      {}
-func (*Withdrawn) IsEvent()      {}
-func (*Finished) IsEvent()       {}
-func (*Begun) IsEvent()          {}
-func (*EntrySeen) IsEvent()      {}
-func (*SlotReported) IsEvent()   {}
-func (*PlatformListed) IsEvent() {}
-func (*Tick) IsEvent()           {}
-func (*PoolChanged) IsEvent()    {}
-func (*Adopted) IsEvent()        {}
-func (*EntryGone) IsEvent()      {}
-func (*EndpointSeen) IsEvent()   {}
-func (*EndpointGone) IsEvent()   {}
-func (*PartChanged) IsEvent()    {}
-func (*Rested) IsEvent()         {}
+func (*Submitted) IsEvent()         {}
+func (*Withdrawn) IsEvent()         {}
+func (*Finished) IsEvent()          {}
+func (*Begun) IsEvent()             {}
+func (*EntryHeartbeat) IsEvent()    {}
+func (*SlotReported) IsEvent()      {}
+func (*DrainListUpdated) IsEvent()  {}
+func (*Tick) IsEvent()              {}
+func (*PoolChanged) IsEvent()       {}
+func (*Adopted) IsEvent()           {}
+func (*EntryRemoved) IsEvent()      {}
+func (*EndpointUpdated) IsEvent()   {}
+func (*EndpointRemoved) IsEvent()   {}
+func (*LimitShareChanged) IsEvent() {}
+func (*CooldownRequested) IsEvent() {}
 
 // Report is a slot's periodic report about its endpoint.
 type Report struct {
@@ -221,17 +221,17 @@
 	Pool        string
 	Address     string // of the slot, IP:port
 	Incarnation Incarnation
-	Leaving     bool
+	Draining    bool
 	// Down is set while the endpoint does not answer its slot.
 	Down bool
 	// Running lists the offers that the slot accepted and that have not finished.
 	Running []DispatchID
 	// QueueLength is as the endpoint reported it, and LoadAge the age of that
 	// report.
-	Waiting int
-	LoadAge Span
+	QueueLength int
+	LoadAge     Duration
 	// TokenGap is the measured time between tokens; 0 if unknown.
-	TokenGap Span
+	TokenGap Duration
 }
 
 // Pool has the settings of a pool for its scheduler.
@@ -256,9 +256,9 @@
 // Profile is the performance of an endpoint of speed 1. Zero fields take the
 // values of the reference engine.
 type Profile struct {
-	PrefillRate float64 // prompt tokens a second
-	TokenGap    Span    // between a stream's tokens
-	CallTime    Span    // duration of a call without tokens
+	PrefillRate float64  // prompt tokens a second
+	TokenGap    Duration // between a stream's tokens
+	CallTime    Duration // duration of a call without tokens
 }
 
 // Endpoint has the settings of an endpoint for its scheduler.
@@ -270,7 +270,7 @@
 	// measured the speed.
 	Speed float64
 	// Draining endpoints get no new requests.
-	Leaving bool
+	Draining bool
 	// DataCentre is the location of the endpoint; empty for no preference.
 	DataCentre string
 }
@@ -318,17 +318,17 @@
 	ID     RequestID
 	Reason Reason
 	// RetryAfter is the time after which the caller should retry.
-	RetryAfter Span
+	RetryAfter Duration
 	Inputs     Inputs
 }
 
 // Inputs are the figures that a decision on a request was based on, for the log.
 type Inputs struct {
-	Ahead   int  // requests queued before it
-	Wait    Span // expected time in the queue or to the beginning of the answer
-	Running int  // requests at the endpoint, including this one
-	Spent   int  // of the team's quota in its window
-	Limit   int  // of the team's quota
+	Ahead   int      // requests queued before it
+	Wait    Duration // expected time in the queue or to the beginning of the answer
+	Running int      // requests at the endpoint, including this one
+	Spent   int      // of the team's quota in its window
+	Limit   int      // of the team's quota
 }
 
 // Reason is the reason for a refusal.
@@ -356,7 +356,7 @@
 	// ReasonPoison: endpoints terminated while running requests of the same content.
 	ReasonPoison
 	// ReasonCooldown: all endpoints asked the entry to send nothing for a while.
-	ReasonRest
+	ReasonCooldown
 )
 
 // String returns the reason as written in logs and answers.
@@ -378,7 +378,7 @@
 		return "retry_budget"
 	case ReasonPoison:
 		return "ends_endpoints"
-	case ReasonRest:
+	case ReasonCooldown:
 		return "endpoints_rest"
 	default:
 		return "none"
--- a/event/time.go
+++ b/event/time.go
@@ -13,7 +13,7 @@
 type Time int64
 
 // Duration is a length of time in nanoseconds.
-type Span = time.Duration
+type Duration = time.Duration
 
 // Units of Duration.
 const (
@@ -23,23 +23,23 @@
 )
 
 // Add returns t+s.
-func (t Time) Add(s Span) Time { return t + Time(s) }
+func (t Time) Add(s Duration) Time { return t + Time(s) }
 
 // Sub returns the duration t-u.
-func (t Time) Sub(u Time) Span { return Span(t - u) }
+func (t Time) Sub(u Time) Duration { return Duration(t - u) }
 
 // Clock reads a monotonic clock that advances while the computer is suspended, so that leases and validity
 // periods also expire during a suspension. Its origin is the time of its creation.
 type Clock struct {
-	origin Span
-	source func() Span
+	origin Duration
+	source func() Duration
 }
 
 // NewClock returns a clock that reads 0 now.
-func NewClock() Clock { return ClockOf(uptime.Now) }
+func NewClock() Clock { return NewClockFrom(uptime.Now) }
 
 // NewClockFrom returns a clock that reads 0 now and advances as source does.
-func ClockOf(source func() Span) Clock { return Clock{origin: source(), source: source} }
+func NewClockFrom(source func() Duration) Clock { return Clock{origin: source(), source: source} }
 
 // Now returns the current time.
 func (c Clock) Now() Time { return Time(c.source() - c.origin) }
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -38,7 +38,7 @@
 		Life:    one,
 		Control: controlLinks(f),
 		Limits:  limits(f.Bounds),
-		Fresh:   event.Span(f.Bounds.Fresh),
+		Fresh:   event.Duration(f.Bounds.Fresh),
 		Decode:  d.Decode,
 		Log:     log,
 	})
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -52,7 +52,7 @@
 	// Decode reads a configuration; its error has all findings.
 	Decode func([]byte) (*routing.Table, error)
 	// Word reads what an endpoint asks for in an answer; its error names what can't be read.
-	Word func(status int, h http.Header) (backpressure.Word, error)
+	Word func(status int, h http.Header) (backpressure.Feedback, error)
 	// Operators serves operators and endpoints by a control box.
 	Operators func(*cluster.Server) http.Handler
 	// ReadyPath is where an entry is asked whether it is ready.
@@ -96,8 +96,8 @@
 
 func limits(b settings.FleetBounds) admission.Limits {
 	return admission.Limits{
-		QuotaWindow: event.Span(b.QuotaWindow), QuotaOvershoot: b.QuotaOvershoot, QuotaSlack: b.QuotaSlack,
-		RetryWindow: event.Span(b.RetryWindow),
+		QuotaWindow: event.Duration(b.QuotaWindow), QuotaOvershoot: b.QuotaOvershoot, QuotaSlack: b.QuotaSlack,
+		RetryWindow: event.Duration(b.RetryWindow),
 		RetryRatio:  b.RetryRatio,
 		RetryMin:    b.RetryMin,
 
@@ -139,18 +139,18 @@
 
 func runControl(ctx context.Context, file string, f settings.Fleet, d Dialect, log *zap.Logger) error {
 	server, err := cluster.Open(cluster.Config{
-		Link:      f.Listen.Link,
-		LinkBind:  f.Listen.LinkBind,
-		Operators: f.Listen.Operators,
-		Seeds:     f.Seeds,
-		Found:     f.Found,
-		Data:      f.Data,
+		LinkAddress:       f.Listen.Link,
+		LinkListenAddress: f.Listen.LinkBind,
+		OperatorAddress:   f.Listen.Operators,
+		Seeds:             f.Seeds,
+		Bootstrap:         f.Found,
+		DataDir:           f.Data,
 		Settings: cluster.Settings{
-			Limits:    limits(f.Bounds),
-			Members:   consensus.Limits{Voters: 2*f.Bounds.Tolerated + 1, DeadAfter: deadAfter},
-			BeatEvery: event.Span(f.Bounds.Beat),
-			Fresh:     event.Span(f.Bounds.Fresh),
-			Decode:    d.Decode,
+			Limits:            limits(f.Bounds),
+			Members:           consensus.MembershipLimits{MaxVoters: 2*f.Bounds.Tolerated + 1, ReplaceAfter: deadAfter},
+			HeartbeatInterval: event.Duration(f.Bounds.Beat),
+			ConfigValidity:    event.Duration(f.Bounds.Fresh),
+			Decode:            d.Decode,
 		},
 		Log: log,
 	})
@@ -163,7 +163,7 @@
 		return err
 	}
 	defer operators.Close()
-	go watch(ctx, file, log, func(f settings.Fleet) { server.SetSeeds(f.Seeds) })
+	go watch(ctx, file, log, func(f settings.Fleet) { server.AddSeeds(f.Seeds) })
 	return server.Run(ctx)
 }
 
--- a/gateway/agent.go
+++ b/gateway/agent.go
@@ -98,7 +98,7 @@
 }
 
 // Heard says what an endpoint asked for in an answer.
-func (a *Agent) Heard(h backpressure.Heard) {
+func (a *Agent) Heard(h backpressure.Report) {
 	a.input <- func(now event.Time) { a.client.heard(now, h) }
 }
 
--- a/gateway/asked.go
+++ b/gateway/asked.go
@@ -17,7 +17,7 @@
 
 // hear takes what an endpoint asks for. The words on an answer of another endpoint than the one that was called
 // are of nobody.
-func (c *call) hear(a *attempt, r *http.Response) (w backpressure.Word) {
+func (c *call) hear(a *attempt, r *http.Response) (w backpressure.Feedback) {
 	g := c.gateway
 	if g.config.Word == nil || r.StatusCode == http.StatusMisdirectedRequest {
 		return w
@@ -31,16 +31,16 @@
 		}
 	}
 	endpoint := a.decision.Endpoint
-	if !w.Asks() && !g.agent.client.gate.IsLimited(endpoint) {
+	if !w.Restricts() && !g.agent.client.gate.IsLimited(endpoint) {
 		return w
 	}
 	now := g.agent.clock.Now()
-	isKept := !a.decision.Alone && a.decision.Permit != backpressure.PermitBlind
-	isNew := g.agent.client.gate.Hear(now, now.Add(-time.Since(a.sent)), endpoint, w, isKept)
-	g.agent.Heard(backpressure.Heard{Endpoint: endpoint, Request: c.id, Word: w})
+	isKept := !a.decision.Alone && a.decision.Permit != backpressure.PermitLegacy
+	isNew := g.agent.client.gate.Observe(now, now.Add(-time.Since(a.sent)), endpoint, w, isKept)
+	g.agent.Heard(backpressure.Report{Endpoint: endpoint, Request: c.id, Word: w})
 	g.countWord(w)
 	fields := append(wordFields(w), zap.String("endpoint", string(endpoint)), zap.Int("answered", r.StatusCode))
-	if w.Asks() {
+	if w.Restricts() {
 		c.note(stepAsked, fields...)
 	}
 	if isNew && g.wordBudget.Allow(time.Now(), 1) {
@@ -50,24 +50,24 @@
 }
 
 // stops reports whether a grant must not be used, and why: the endpoint asked for less than whoever gave it knew.
-func (c *call) stops(d Decision) backpressure.Stopped {
+func (c *call) stops(d Decision) backpressure.StopReason {
 	gate := &c.gateway.agent.client.gate
-	if !gate.IsAsked() {
-		return backpressure.StoppedNot
+	if !gate.IsTracking() {
+		return backpressure.NotStopped
 	}
-	return gate.Stops(c.gateway.agent.clock.Now(), d.Endpoint, d.Permit)
+	return gate.Check(c.gateway.agent.clock.Now(), d.Endpoint, d.Permit)
 }
 
 // stopped takes note that a grant is not used, and tells who gave it why.
-func (c *call) stopped(a *attempt, why backpressure.Stopped) {
+func (c *call) stopped(a *attempt, why backpressure.StopReason) {
 	agent := c.gateway.agent
 	a.outcome, a.untried = outcomeStopped, true
 	a.err = errors.Errorf("stopped by what the endpoint asks for: %s", why)
 	c.gateway.meters.stopped(why).Inc()
-	agent.Heard(agent.client.gate.Belief(agent.clock.Now(), a.decision.Endpoint))
+	agent.Heard(agent.client.gate.LastReport(agent.clock.Now(), a.decision.Endpoint))
 }
 
-func (g *Gateway) countWord(w backpressure.Word) {
+func (g *Gateway) countWord(w backpressure.Feedback) {
 	if w.Limited {
 		g.meters.asked(wordLimit).Inc()
 	}
@@ -79,7 +79,7 @@
 	}
 }
 
-func wordFields(w backpressure.Word) []zap.Field {
+func wordFields(w backpressure.Feedback) []zap.Field {
 	var fields []zap.Field
 	if w.Limited {
 		fields = append(fields, zap.Float64("limit_per_s", w.Rate))
--- a/gateway/asked_test.go
+++ b/gateway/asked_test.go
@@ -90,7 +90,7 @@
 	if status, _, _ := r.do(t, r.request("POST", "/safe/x", "q")); status != 200 {
 		t.Fatalf("status %d", status)
 	}
-	if r.agent.client.gate.IsAsked() {
+	if r.agent.client.gate.IsTracking() {
 		t.Error("an answer of another endpoint counts")
 	}
 }
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -41,8 +41,8 @@
 		c.end(http.StatusRequestEntityTooLarge, 0, errBodyLong.Error())
 		return false
 	}
-	printer := poison.NewPrinter(c.teamName(), c.r.Method, c.r.Host, c.r.RequestURI)
-	defer func() { c.print = printer.Print() }()
+	printer := poison.NewFingerprinter(c.teamName(), c.r.Method, c.r.Host, c.r.RequestURI)
+	defer func() { c.print = printer.Sum() }()
 	if c.r.ContentLength == 0 {
 		return true
 	}
--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -70,7 +70,7 @@
 		a.batch.Ends = append(a.batch.Ends, e)
 	}
 	if a.alone != nil {
-		a.alone.Ended(now, []poison.End{e}, &a.effects)
+		a.alone.RecordEnds(now, []poison.End{e}, &a.effects)
 	}
 }
 
@@ -81,7 +81,7 @@
 		return
 	}
 	if a.well == nil {
-		a.well = make(map[poison.Print]bool)
+		a.well = make(map[poison.Fingerprint]bool)
 	}
 	a.well[f.Print] = true
 }
@@ -107,7 +107,7 @@
 // logSuspicions writes what came to be believed of requests without an owner.
 func (a *OwnerClient) logSuspicions() {
 	for _, c := range a.alonePoison.TakeChanges() {
-		a.log.Info("request under which endpoints ended", zap.Stringer("what", c.What), zap.Stringer("print", c.Print),
+		a.log.Info("request under which endpoints ended", zap.Stringer("what", c.Kind), zap.Stringer("print", c.Fingerprint),
 			zap.Int("ends", c.Ends), zap.Bool("alone", true))
 	}
 }
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -77,10 +77,10 @@
 			r.do(t, q)
 			waitFor(t, "the run's end is told", func() bool { return len(r.owner.ended()) > 0 })
 			f := r.owner.ended()[0]
-			want := poison.NewPrinter("team", http.MethodPost, "h.example", one.path)
+			want := poison.NewFingerprinter("team", http.MethodPost, "h.example", one.path)
 			_, _ = want.Write([]byte("body")) // it never fails
-			if f.Print != want.Print() || f.Ran != one.ran {
-				t.Errorf("told %d of %v, want %d of %v", f.Ran, f.Print, one.ran, want.Print())
+			if f.Print != want.Sum() || f.Ran != one.ran {
+				t.Errorf("told %d of %v, want %d of %v", f.Ran, f.Print, one.ran, want.Sum())
 			}
 			r.owner.mu.Lock()
 			defer r.owner.mu.Unlock()
@@ -88,11 +88,11 @@
 				t.Errorf("%d ends told, want one: %v", got, one.isEnd)
 			}
 			for _, e := range r.owner.ends {
-				if e.Print != want.Print() || e.Endpoint != "e1" || e.Request != f.ID || e.Number != 1 {
+				if e.Print != want.Sum() || e.Endpoint != "e1" || e.Request != f.ID || e.Number != 1 {
 					t.Errorf("told of an end: %+v", e)
 				}
 			}
-			if s := r.owner.submits[0]; s.Print != want.Print() {
+			if s := r.owner.submits[0]; s.Print != want.Sum() {
 				t.Errorf("submitted with print %v", s.Print)
 			}
 		})
@@ -110,7 +110,7 @@
 }
 
 // told returns what a client sends about ends and good runs.
-func told(a *OwnerClient) (ends []poison.End, well []poison.Print) {
+func told(a *OwnerClient) (ends []poison.End, well []poison.Fingerprint) {
 	for _, s := range a.Take().Sends {
 		if b := s.Message.Batch; b != nil {
 			ends, well = append(ends, b.Ends...), append(well, b.Well...)
@@ -146,7 +146,7 @@
 		t.Errorf("%d ends are kept that the log has", len(a.ends))
 	}
 	for i := range 5 * maxUntold {
-		a.Ended(later, poison.End{Print: poison.Print(fmt.Sprint(i)), Endpoint: "e"})
+		a.Ended(later, poison.End{Print: poison.Fingerprint(fmt.Sprint(i)), Endpoint: "e"})
 	}
 	if len(a.ends) > maxUntold {
 		t.Errorf("%d ends are kept", len(a.ends))
@@ -167,7 +167,7 @@
 // that decides alone, and an owner's list replaces the one before.
 func TestEntryWithoutAnOwnerKnowsSuspects(t *testing.T) {
 	tree := hashtree.Build(&routing.Table{Version: 1, Services: []routing.Service{{Name: "s"}}}, nil)
-	for _, lists := range [][][]poison.Print{{{"p"}}, {{"p"}, nil}} {
+	for _, lists := range [][][]poison.Fingerprint{{{"p"}}, {{"p"}, nil}} {
 		a := ownedClient()
 		a.Received(0, 1, &message.Envelope{View: &message.View{Version: 1, Root: tree.Root()}})
 		for a.table.Load() == nil {
--- a/gateway/fresh_test.go
+++ b/gateway/fresh_test.go
@@ -55,7 +55,7 @@
 // one that is not in force for nothing.
 func TestWordCountsFromWhenItWasAskedFor(t *testing.T) {
 	a, put := freshClient()
-	at := func(ms int) event.Time { return event.Time(event.Span(ms) * event.Millisecond) }
+	at := func(ms int) event.Time { return event.Time(event.Duration(ms) * event.Millisecond) }
 	hear := func(ms int, version uint64) {
 		a.hearNewest(at(ms), newestWord{version: version, asked: at(ms)})
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -43,7 +43,7 @@
 	Names Names
 	// Word reads what an endpoint asks for in an answer; its error names what can't be read. Without it none
 	// asks for anything.
-	Word func(status int, h http.Header) (backpressure.Word, error)
+	Word func(status int, h http.Header) (backpressure.Feedback, error)
 	// HeldBytes bounds the request bodies that are held at once.
 	HeldBytes int64
 	// Descriptors is how many the process may have; 0 does not bound what is held.
@@ -152,9 +152,9 @@
 	id       event.RequestID // ours
 	callerID string
 	body     []byte
-	print    poison.Print // tells that two calls are of the same request
-	prompt   int          // tokens
-	output   int          // tokens that may be generated at the most
+	print    poison.Fingerprint // tells that two calls are of the same request
+	prompt   int                // tokens
+	output   int                // tokens that may be generated at the most
 	arrived  time.Time
 	came     event.Time    // arrived, by the agent's clock
 	allowed  time.Duration // how long it may take in all
@@ -165,7 +165,7 @@
 	// mayHaveRun is set once an endpoint had the request and did not say that it has
 	// not run it.
 	mayHaveRun bool
-	comeBack   event.Span // when some endpoint takes its requests again, as last told; 0 for now
+	comeBack   event.Duration // when some endpoint takes its requests again, as last told; 0 for now
 	record     record
 
 	// Of a stream that has begun:
@@ -291,7 +291,7 @@
 	if !ok || !strings.EqualFold(scheme, c.gateway.config.Names.KeyScheme) {
 		return false
 	}
-	c.team = c.table.Holder(strings.TrimSpace(key))
+	c.team = c.table.TeamByKey(strings.TrimSpace(key))
 	return c.team != nil
 }
 
@@ -327,7 +327,7 @@
 
 // end answers with a status of our own. A stream that has begun has its status:
 // it is cut off instead, so that it does not look whole.
-func (c *call) end(status int, retryAfter event.Span, why string) {
+func (c *call) end(status int, retryAfter event.Duration, why string) {
 	if c.begun {
 		c.cut(why, nil)
 	}
@@ -338,7 +338,7 @@
 	refuse(c.w, status, retryAfter, why)
 }
 
-func refuse(w http.ResponseWriter, status int, retryAfter event.Span, why string) {
+func refuse(w http.ResponseWriter, status int, retryAfter event.Duration, why string) {
 	h := w.Header()
 	if retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
--- a/gateway/meters.go
+++ b/gateway/meters.go
@@ -35,7 +35,7 @@
 	for _, word := range []string{wordLimit, wordRest, wordLeaving, wordUnread} {
 		m.asked(word)
 	}
-	for _, why := range []backpressure.Stopped{backpressure.StoppedByLimit, backpressure.StoppedByLeaving, backpressure.StoppedByRest} {
+	for _, why := range []backpressure.StopReason{backpressure.StoppedByLimit, backpressure.StoppedByDrain, backpressure.StoppedByCooldown} {
 		m.stopped(why)
 	}
 	return m
@@ -82,7 +82,7 @@
 }
 
 // stopped counts the grants that were not used.
-func (m *meters) stopped(why backpressure.Stopped) *metrics.Counter {
+func (m *meters) stopped(why backpressure.StopReason) *metrics.Counter {
 	return m.set.GetOrCreateCounter(`lynxramp_gateway_stopped_grants_total{by="` + why.String() + `"}`)
 }
 
--- a/gateway/owner_asked.go
+++ b/gateway/owner_asked.go
@@ -21,10 +21,10 @@
 	switch {
 	case g.Paced:
 		return backpressure.PermitPaced
-	case !alone && a.reads < level.Asked:
-		return backpressure.PermitBlind
+	case !alone && a.reads < level.Feedback:
+		return backpressure.PermitLegacy
 	default:
-		return backpressure.PermitPlain
+		return backpressure.PermitNoLimit
 	}
 }
 
@@ -32,32 +32,32 @@
 func (a *OwnerClient) Gate() *backpressure.Gate { return &a.gate }
 
 // Heard takes what an endpoint asked for in an answer, or what a grant's owner did not know.
-func (a *OwnerClient) Heard(now event.Time, h backpressure.Heard) {
+func (a *OwnerClient) Heard(now event.Time, h backpressure.Report) {
 	a.heard(now, h)
 	a.settle(now)
 }
 
 // heard takes what an endpoint asked for in an answer, or what a grant's owner did not know.
-func (a *OwnerClient) heard(now event.Time, h backpressure.Heard) {
-	if a.owned && a.reads >= level.Asked {
+func (a *OwnerClient) heard(now event.Time, h backpressure.Report) {
+	if a.owned && a.reads >= level.Feedback {
 		a.batch.Heard = append(a.batch.Heard, h)
 	}
 	if a.alone != nil {
-		a.alone.Hear(now, a.config.Entry, &h, &a.effects)
+		a.alone.ObserveFeedback(now, a.config.Entry, &h, &a.effects)
 	}
 }
 
 // tellAsked tells a new owner what was heard lately.
 func (a *OwnerClient) tellAsked(now event.Time) {
-	if a.reads >= level.Asked {
-		a.batch.Heard = a.gate.Own(now, toldMost)
+	if a.reads >= level.Feedback {
+		a.batch.Heard = a.gate.RecentReports(now, toldMost)
 	}
 }
 
 // seeAsked takes what an owner believes that endpoints ask for.
 func (a *OwnerClient) seeAsked(now event.Time, list []backpressure.State) {
 	for _, s := range list {
-		a.gate.Learn(now, s)
+		a.gate.Apply(now, s)
 	}
 }
 
--- a/gateway/owner_client.go
+++ b/gateway/owner_client.go
@@ -38,7 +38,7 @@
 	Endpoint   event.EndpointID
 	Address    string
 	Reason     event.Reason
-	RetryAfter event.Span
+	RetryAfter event.Duration
 	// Fresh asks for a new connection to the endpoint.
 	Fresh bool
 	// Permit is what the grant rests on where the endpoint names a limit.
@@ -58,8 +58,8 @@
 	Limits  admission.Limits
 	// Fresh is how long the configuration counts after it was known to be the
 	// newest.
-	Fresh event.Span
-	// Decode reads a configuration as its operator sent it: owners below level.Parts send it so.
+	Fresh event.Duration
+	// Decode reads a configuration as its operator sent it: owners below level.Chunked send it so.
 	Decode func([]byte) (*routing.Table, error)
 	Log    *zap.Logger
 }
@@ -115,18 +115,18 @@
 	// listed are the endpoints that an owner has named since it began to list all; nil while
 	// none does.
 	listed  map[event.EndpointID]bool
-	lent    budget.Allowances     // what may be spent without an owner
-	untold  []event.RequestID     // requests that ran when the session began, not told yet
-	unasked []*waiter             // that waited when the owner was found, not submitted to it yet
-	ends    []untoldEnd           // that the log may not have
-	lastEnd uint64                // number of the last one
-	well    map[poison.Print]bool // requests that ended well without an owner
+	lent    budget.Leases               // what may be spent without an owner
+	untold  []event.RequestID           // requests that ran when the session began, not told yet
+	unasked []*waiter                   // that waited when the owner was found, not submitted to it yet
+	ends    []untoldEnd                 // that the log may not have
+	lastEnd uint64                      // number of the last one
+	well    map[poison.Fingerprint]bool // requests that ended well without an owner
 	// suspects are the requests that must not run without an owner, by the last one's word.
-	suspects []poison.Print
+	suspects []poison.Fingerprint
 	fetch    configFetch
 	alone    *admission.State // nil while there is an owner
 	// alonePoison is what alone knows of requests that end endpoints.
-	alonePoison *poison.Book
+	alonePoison *poison.Tracker
 	// gate has what endpoints ask for, for the calls too.
 	gate    backpressure.Gate
 	sweepAt event.Time  // of gate
@@ -341,7 +341,7 @@
 		a.goAlone(now)
 	}
 	if a.alone != nil {
-		a.alone.EntrySeen(now, a.config.Entry, &a.effects)
+		a.alone.EntryHeartbeat(now, a.config.Entry, &a.effects)
 		a.alone.Tick(now, &a.effects)
 		a.logSuspicions()
 	}
@@ -359,9 +359,9 @@
 // goAlone begins to decide without an owner.
 func (a *OwnerClient) goAlone(now event.Time) {
 	entries := int(a.pace.Load())
-	a.alonePoison = poison.NewAlone(a.suspects)
+	a.alonePoison = poison.NewDegradedTracker(a.suspects)
 	a.alone = admission.New(a.config.Limits, a.config.Life, &a.lent, a.alonePoison)
-	a.alone.SetPart(now, 1/float64(entries), &a.effects)
+	a.alone.SetLimitShare(now, 1/float64(entries), &a.effects)
 	a.alone.SetTable(now, a.table.Load())
 	for _, id := range slices.Sorted(maps.Keys(a.endpoints)) {
 		e := a.endpoints[id]
@@ -369,13 +369,13 @@
 		a.alone.SetEndpoint(now, e, &a.effects)
 	}
 	for _, s := range a.gate.States() {
-		a.alone.Learn(now, s, &a.effects)
+		a.alone.ApplyFeedbackState(now, s, &a.effects)
 	}
-	for _, h := range a.gate.Rests(now) {
-		a.alone.Hear(now, a.config.Entry, &h, &a.effects)
+	for _, h := range a.gate.Cooldowns(now) {
+		a.alone.ObserveFeedback(now, a.config.Entry, &h, &a.effects)
 	}
 	for _, one := range a.ends {
-		a.alone.Ended(now, []poison.End{one.end}, &a.effects)
+		a.alone.RecordEnds(now, []poison.End{one.end}, &a.effects)
 	}
 	for _, r := range a.running {
 		a.alone.Adopt(now, a.config.Entry, *r, &a.effects)
--- a/gateway/owner_client_test.go
+++ b/gateway/owner_client_test.go
@@ -22,7 +22,7 @@
 	const fresh = 5 * event.Second
 	account := budget.Team("t")
 	tree := hashtree.Build(&routing.Table{Version: 1}, nil)
-	for away, want := range map[event.Span]int{fresh - event.Second: 70, fresh + event.Millisecond: 0} {
+	for away, want := range map[event.Duration]int{fresh - event.Second: 70, fresh + event.Millisecond: 0} {
 		a := NewOwnerClient(ClientConfig{
 			Entry: "entry", Control: []string{"box"}, Fresh: fresh, Log: zap.NewNop(),
 		})
@@ -30,7 +30,7 @@
 		a.Received(0, 1, &message.Envelope{View: &message.View{Version: 1, Root: tree.Root()}})
 		root, _ := tree.Node(tree.Root())
 		a.Received(0, 1, &message.Envelope{Nodes: &message.Nodes{List: []message.Node{{Sum: tree.Root(), Packed: root}}}})
-		lent := budget.Lent{Number: 1, UpTo: []budget.Holding{{Account: account, UpTo: 70}}}
+		lent := budget.LeaseUpdate{Number: 1, UpTo: []budget.Lease{{Account: account, UpTo: 70}}}
 		a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Version: 1, Lent: lent}})
 		a.Lost(0, 1, nil)
 		a.Take()
--- a/gateway/owner_config.go
+++ b/gateway/owner_config.go
@@ -27,7 +27,7 @@
 
 // configFetch is what is under way of a configuration.
 type configFetch struct {
-	hashtree.Fetch
+	hashtree.Fetcher
 	window int
 	// offered says that the present owner told which version is the newest: it has its nodes.
 	offered bool
@@ -37,11 +37,11 @@
 // linkLost takes note that the connection to the owner has ended. If nodes were on their way, the
 // link may be too full for as many of them beside all else.
 func (c *configFetch) linkLost() {
-	if c.offered && c.Waiting() > 0 {
+	if c.offered && c.InFlightBytes() > 0 {
 		c.window = max(windowLeast, c.window/2)
 	}
 	c.offered = false
-	c.Restart()
+	c.ConnectionLost()
 }
 
 // aim begins to gather a configuration. An entry never goes back to an older one.
@@ -58,11 +58,11 @@
 	if v.Version > a.fetch.Version() {
 		a.fetch.began = now
 	}
-	a.fetch.Aim(v.Version, v.Root)
+	a.fetch.SetTarget(v.Version, v.Root)
 	a.gather(now)
 }
 
-// takeDocument puts a configuration in force that came whole, from an owner below level.Parts. It is
+// takeDocument puts a configuration in force that came whole, from an owner below level.Chunked. It is
 // read in the client's loop: owners that send it so are there only while boxes are replaced.
 func (a *OwnerClient) takeDocument(v *message.View) {
 	if v.Version <= a.version() {
@@ -85,7 +85,7 @@
 	if !a.fetch.offered {
 		return
 	}
-	if a.fetch.Busy() {
+	if a.fetch.IsIncomplete() {
 		if sums := a.fetch.Next(a.fetch.window); len(sums) > 0 {
 			a.send(&message.Envelope{Want: &message.Want{Sums: sums}})
 		}
@@ -97,7 +97,7 @@
 	table := a.fetch.Table()
 	a.table.Store(table)
 	a.refresh()
-	nodes, bytes := a.fetch.Came()
+	nodes, bytes := a.fetch.Received()
 	a.log.Info("configuration in force", zap.Uint64("version", table.Version), zap.Int("routes", len(table.Routes)),
 		zap.Int("nodes", nodes), zap.Int("bytes", bytes), zap.Duration("after", now.Sub(a.fetch.began)))
 }
@@ -105,7 +105,7 @@
 // takeNodes takes nodes that were asked for.
 func (a *OwnerClient) takeNodes(now event.Time, m *message.Nodes) {
 	for _, n := range m.List {
-		if err := a.fetch.Take(n.Sum, n.Packed); err != nil {
+		if err := a.fetch.Receive(n.Sum, n.Packed); err != nil {
 			a.log.Error("node of the configuration not read", zap.Uint64("version", a.fetch.Version()), logx.Err(err))
 			a.lose(now, "node not read", err)
 			return
@@ -128,7 +128,7 @@
 func (c *configFetch) lacks(unknown []hashtree.Sum) bool {
 	lacks := false
 	for _, sum := range unknown {
-		lacks = c.Lost(sum) || lacks
+		lacks = c.NodeUnavailable(sum) || lacks
 	}
 	return lacks
 }
--- a/gateway/owner_session.go
+++ b/gateway/owner_session.go
@@ -63,14 +63,14 @@
 	a.link, a.address, a.reads = link, address, 0
 	if int64(now) >= a.fresh.Load() {
 		// It was out of touch for longer than it may use what it was lent.
-		a.lent.Drop()
+		a.lent.Expire()
 	}
 	a.untold = slices.Sorted(maps.Keys(a.running))
 	hello := &message.Hello{
-		Entry: a.config.Entry, Life: a.config.Life, Entries: int(a.pace.Load()), Held: a.lent.Greet(),
+		Entry: a.config.Entry, Life: a.config.Life, Entries: int(a.pace.Load()), Held: a.lent.BeginSession(),
 		Running: a.tellRunning(), Revision: a.revision,
 	}
-	hello.More = a.lent.More()
+	hello.More = a.lent.HasMore()
 	a.ponged = now
 	a.came = 0
 	a.send((&message.Envelope{Hello: hello}).Introduced())
@@ -157,7 +157,7 @@
 func (a *OwnerClient) pong(now event.Time, p *message.Pong) {
 	a.ponged = now
 	a.pace.Store(int64(max(1, p.Entries)))
-	a.lent.Take(p.Lent)
+	a.lent.Apply(p.Lent)
 	a.endsSaved(p.Ends)
 	if !a.owned {
 		a.beginOwned(now)
--- a/gateway/owner_word.go
+++ b/gateway/owner_word.go
@@ -30,7 +30,7 @@
 	a.pinged = now
 	ping := &message.Ping{Sent: now, Running: a.tellRunning(), Revision: a.revision, Owned: a.owned}
 	ping.Has, ping.Spent = a.lent.Changes()
-	ping.More = a.lent.More()
+	ping.More = a.lent.HasMore()
 	a.send(&message.Envelope{Ping: ping})
 }
 
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -39,7 +39,7 @@
 }
 
 // testWord reads what the rig's endpoints ask for.
-func testWord(_ int, h http.Header) (w backpressure.Word, err error) {
+func testWord(_ int, h http.Header) (w backpressure.Feedback, err error) {
 	if text := h.Get("X-Limit"); text != "" {
 		w.Limited = true
 		w.Rate, err = strconv.ParseFloat(text, 64)
@@ -177,7 +177,7 @@
 	hold         bool // it decides nothing
 	finished     []message.Finish
 	ends         []poison.End
-	heard        []backpressure.Heard
+	heard        []backpressure.Report
 	submits      []message.Submission
 	withdrew     []message.Withdrawal
 	conn         *link.Conn[message.Envelope]
@@ -268,7 +268,7 @@
 	route := func(name string, kind routing.Kind, resumable bool) routing.Route {
 		return routing.Route{
 			Name: name, Host: "h.example", Prefix: "/" + name + "/", Kind: kind, Timeout: 3 * time.Second,
-			Target: time.Second, Split: []routing.Share{{Service: "s", Weight: 1}}, MaxAttempts: 2, Resumable: resumable,
+			Target: time.Second, Split: []routing.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 2, Resumable: resumable,
 		}
 	}
 	t := &routing.Table{
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -193,7 +193,7 @@
 			zap.Int("ahead", d.Inputs.Ahead), zap.Duration("expected_wait", d.Inputs.Wait),
 			zap.Int("spent", d.Inputs.Spent), zap.Int("limit", d.Inputs.Limit))
 		if last != nil && last.wasSent() {
-			if d.Reason == event.ReasonRest {
+			if d.Reason == event.ReasonCooldown {
 				c.comeBack = d.RetryAfter
 			}
 			c.giveUp(last)
@@ -227,7 +227,7 @@
 
 // endNotRun answers with a status that says that the request has not run. Where an
 // earlier attempt may have run, it says that its fate is not known instead.
-func (c *call) endNotRun(status int, retryAfter event.Span, why string) {
+func (c *call) endNotRun(status int, retryAfter event.Duration, why string) {
 	if c.mayHaveRun {
 		c.end(http.StatusBadGateway, 0, "an earlier attempt's answer was lost, then: "+why)
 		return
@@ -329,7 +329,7 @@
 		a.err, a.untried = err, true
 		return a
 	}
-	if why := c.stops(d); why != backpressure.StoppedNot {
+	if why := c.stops(d); why != backpressure.NotStopped {
 		c.stopped(a, why)
 		return a
 	}
@@ -339,7 +339,7 @@
 		a.err = err
 		return a
 	}
-	if why := c.stops(d); why != backpressure.StoppedNot {
+	if why := c.stops(d); why != backpressure.NotStopped {
 		_ = conn.Close() // it was opened while the word came
 		c.stopped(a, why)
 		return a
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -18,8 +18,8 @@
 // go, stands still.
 type sleeper struct{ slept atomic.Int64 }
 
-func (s *sleeper) now() event.Span           { return uptime.Now() + event.Span(s.slept.Load()) }
-func (s *sleeper) suspend(length event.Span) { s.slept.Add(int64(length)) }
+func (s *sleeper) now() event.Duration           { return uptime.Now() + event.Duration(s.slept.Load()) }
+func (s *sleeper) suspend(length event.Duration) { s.slept.Add(int64(length)) }
 
 // TestSuspendedEntryAsksFirst: an entry whose computer had been suspended for longer than its configuration
 // counts took it for as new as before, and let keys through that had been taken back meanwhile. It must
@@ -27,7 +27,7 @@
 func TestSuspendedEntryAsksFirst(t *testing.T) {
 	clock := &sleeper{}
 	e := newStandIn(t, whole(200, "ok"))
-	r := newRigAt(t, event.ClockOf(clock.now), e)
+	r := newRigAt(t, event.NewClockFrom(clock.now), e)
 	r.owner.mu.Lock()
 	r.owner.silent = true
 	r.owner.mu.Unlock()
@@ -60,7 +60,7 @@
 		return notRun(c, q)
 	})
 	second := newStandIn(t, whole(200, "ok"))
-	r := newRigAt(t, event.ClockOf(clock.now), first, second)
+	r := newRigAt(t, event.NewClockFrom(clock.now), first, second)
 	if status, _, _ := r.do(t, r.request("POST", "/safe/1", "")); status != http.StatusOK || second.runs() != 1 {
 		t.Fatalf("status %d, %d runs", status, second.runs())
 	}
@@ -78,7 +78,7 @@
 		return notRun(c, q)
 	})
 	second := newStandIn(t, whole(200, "ok"))
-	r := newRigAt(t, event.ClockOf(clock.now), first, second)
+	r := newRigAt(t, event.NewClockFrom(clock.now), first, second)
 	if status, _, _ := r.do(t, r.request("POST", "/safe/1", "")); status != http.StatusServiceUnavailable {
 		t.Errorf("status %d, want 503", status)
 	}
@@ -92,7 +92,7 @@
 func TestSuspendedBeforeARepeat(t *testing.T) {
 	clock := &sleeper{}
 	first, second := newStandIn(t, reset), newStandIn(t, whole(200, "ok"))
-	r := newRigAt(t, event.ClockOf(clock.now), first, second)
+	r := newRigAt(t, event.NewClockFrom(clock.now), first, second)
 	r.owner.mu.Lock()
 	r.owner.beforeRepeat = func() { clock.suspend(2500 * time.Millisecond) }
 	r.owner.mu.Unlock()
--- a/gateway/ticket.go
+++ b/gateway/ticket.go
@@ -14,10 +14,10 @@
 // rank is the request's place among others; the larger goes first. A team's rank
 // comes before that of the route.
 func (c *call) rank() int {
-	const half = sched.RanksOfTeam / 2
+	const half = sched.TeamRankStride / 2
 	route := max(-half+1, min(half-1, c.route.Rank))
 	if c.team != nil && c.team.Rank != nil {
-		return *c.team.Rank*sched.RanksOfTeam + route
+		return *c.team.Rank*sched.TeamRankStride + route
 	}
 	return route
 }
@@ -89,13 +89,13 @@
 
 // patience returns the longest that the request may be expected to wait. One that an
 // endpoint had before is not sent away for its wait.
-func (c *call) patience(left event.Span) event.Span {
+func (c *call) patience(left event.Duration) event.Duration {
 	if c.mayHaveRun {
 		return 0
 	}
-	patience := event.Span(float64(left) * patienceLeft)
+	patience := event.Duration(float64(left) * patienceLeft)
 	if c.route.Target > 0 {
-		patience = min(patience, event.Span(float64(c.route.Target)*patienceTargets))
+		patience = min(patience, event.Duration(float64(c.route.Target)*patienceTargets))
 	}
 	return max(patience, event.Millisecond)
 }
--- a/gateway/word_test.go
+++ b/gateway/word_test.go
@@ -25,9 +25,9 @@
 func newManyClient() *OwnerClient {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Fresh: 5 * event.Second, Log: zap.NewNop()})
 	a.Dialed(0, 1, "box")
-	lent := budget.Lent{Number: 1, Whole: true}
+	lent := budget.LeaseUpdate{Number: 1, Whole: true}
 	for i := range manyRunning {
-		lent.UpTo = append(lent.UpTo, budget.Holding{Account: budget.Team(fmt.Sprintf("team-%05d", i)), UpTo: 100})
+		lent.UpTo = append(lent.UpTo, budget.Lease{Account: budget.Team(fmt.Sprintf("team-%05d", i)), UpTo: 100})
 	}
 	a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Lent: lent}})
 	for i := range manyRunning {
@@ -64,7 +64,7 @@
 			note(s.Message, running, held)
 		}
 		now = now.Add(pingEvery)
-		a.Received(now, 2, &message.Envelope{Pong: &message.Pong{Lent: budget.Lent{Whole: true}}})
+		a.Received(now, 2, &message.Envelope{Pong: &message.Pong{Lent: budget.LeaseUpdate{Whole: true}}})
 		a.Tick(now)
 	}
 	if len(running) != manyRunning || len(held) != manyRunning {
@@ -75,7 +75,7 @@
 // note takes note of what a message tells.
 func note(m *message.Envelope, running map[event.RequestID]bool, held map[budget.Account]bool) {
 	var requests []message.Running
-	var accounts []budget.Holding
+	var accounts []budget.Lease
 	switch {
 	case m.Hello != nil:
 		requests, accounts = m.Hello.Running, m.Hello.Held
--- a/hashtree/fetch.go
+++ b/hashtree/fetch.go
@@ -23,7 +23,7 @@
 
 // Fetcher collects the nodes of a configuration. The zero value is ready for use. It is not safe
 // for concurrent use.
-type Fetch struct {
+type Fetcher struct {
 	version uint64
 	root    Sum
 	held    map[Sum]*heldNode
@@ -59,7 +59,7 @@
 
 // SetTarget sets the version to fetch and the root of its tree, which must not be zero. Nodes in
 // flight still count as requested.
-func (f *Fetch) Aim(version uint64, root Sum) {
+func (f *Fetcher) SetTarget(version uint64, root Sum) {
 	if root == (Sum{}) || (version == f.version && root == f.root) {
 		return
 	}
@@ -70,7 +70,7 @@
 }
 
 // scanTree determines the missing nodes of the current tree.
-func (f *Fetch) scanTree() {
+func (f *Fetcher) scanTree() {
 	if f.held == nil {
 		f.held = make(map[Sum]*heldNode)
 		f.requested = make(map[Sum]int)
@@ -82,7 +82,7 @@
 }
 
 // scan adds the missing nodes at and below c.
-func (f *Fetch) scan(c Child) {
+func (f *Fetcher) scan(c Child) {
 	f.treeBytes += c.Bytes
 	f.peakBytes = max(f.peakBytes, f.treeBytes)
 	if h, ok := f.held[c.Sum]; ok {
@@ -105,7 +105,7 @@
 // evict drops the nodes of the oldest incomplete versions if too much is held; otherwise large
 // changes that follow each other faster than they arrive would exhaust the entry's memory. Nodes of
 // the last complete version stay.
-func (f *Fetch) evict() {
+func (f *Fetcher) evict() {
 	peak := max(minHeldBytes, f.peakBytes)
 	if f.heldBytes <= maxHeldFactor*peak {
 		return
@@ -126,37 +126,37 @@
 }
 
 // ConnectionLost forgets all requests in flight. Received nodes are kept.
-func (f *Fetch) Restart() {
+func (f *Fetcher) ConnectionLost() {
 	clear(f.requested)
 	f.inFlight = 0
-	if f.Busy() {
+	if f.IsIncomplete() {
 		f.scanTree()
 	}
 }
 
 // IsIncomplete reports whether nodes of the current version are missing.
-func (f *Fetch) Busy() bool { return len(f.needed) > 0 }
+func (f *Fetcher) IsIncomplete() bool { return len(f.needed) > 0 }
 
 // Version returns the version being fetched.
-func (f *Fetch) Version() uint64 { return f.version }
+func (f *Fetcher) Version() uint64 { return f.version }
 
 // NodeUnavailable records that the owner does not have a requested node. It reports whether the
 // current version needs it.
-func (f *Fetch) Lost(sum Sum) bool {
+func (f *Fetcher) NodeUnavailable(sum Sum) bool {
 	f.inFlight -= f.requested[sum]
 	delete(f.requested, sum)
 	return f.needed[sum]
 }
 
 // InFlightBytes returns the number of bytes requested and not received.
-func (f *Fetch) Waiting() int { return f.inFlight }
+func (f *Fetcher) InFlightBytes() int { return f.inFlight }
 
 // Received returns the number of nodes and bytes received for the current version.
-func (f *Fetch) Came() (nodes, bytes int) { return f.nodes, f.bytes }
+func (f *Fetcher) Received() (nodes, bytes int) { return f.nodes, f.bytes }
 
 // Next returns the nodes to request so that at most window bytes are in flight, but at least one
 // node if any is missing and none is in flight.
-func (f *Fetch) Next(window int) []Sum {
+func (f *Fetcher) Next(window int) []Sum {
 	var next []Sum
 	for len(f.missing) > 0 {
 		c := f.missing[len(f.missing)-1]
@@ -173,7 +173,7 @@
 
 // Receive adds a received node. A node that was not requested is ignored; one that does not match
 // its sum is an error and changes nothing.
-func (f *Fetch) Take(sum Sum, packed Packed) error {
+func (f *Fetcher) Receive(sum Sum, packed Packed) error {
 	length, ok := f.requested[sum]
 	if !ok {
 		return nil
@@ -198,8 +198,8 @@
 
 // Table returns the configuration if it is complete, else nil. It drops the nodes of other
 // versions.
-func (f *Fetch) Table() *routing.Table {
-	if f.held == nil || f.Busy() {
+func (f *Fetcher) Table() *routing.Table {
+	if f.held == nil || f.IsIncomplete() {
 		return nil
 	}
 	a := &assembly{held: f.held, used: make(map[Sum]*heldNode, len(f.held)), table: &routing.Table{Version: f.version}}
@@ -214,7 +214,7 @@
 	} else {
 		a.joinRoutes()
 	}
-	a.table.IndexLike(f.lastTable)
+	a.table.IndexReusing(f.lastTable)
 	f.held, f.runs, f.teamNodes, f.lastTable = a.used, a.runs, a.teamNodes, a.table
 	f.heldBytes, f.peakBytes = 0, f.treeBytes
 	return a.table
--- a/hashtree/hashtree_test.go
+++ b/hashtree/hashtree_test.go
@@ -44,16 +44,16 @@
 			Name: fmt.Sprintf("r-%07x", r.Uint32()), Host: fmt.Sprintf("%x%d.example", r.Uint32()>>12, r.IntN(97)),
 			Prefix: fmt.Sprintf("/%x-%d/", r.Uint32(), len(t.Routes)), Kind: routing.KindStream, Timeout: 12 * time.Second,
 			Target: time.Second, Gap: 600 * time.Millisecond, Rank: -r.IntN(3), MaxAttempts: 2, Resumable: r.IntN(2) == 0,
-			Split: []routing.Share{{Service: "s", Weight: 90}, {Service: "plain", Weight: 10}},
+			Split: []routing.WeightedService{{Service: "s", Weight: 90}, {Service: "plain", Weight: 10}},
 		})
 	}
 }
 
 // fetchAll fetches a tree with at most window bytes in flight, and returns how much was received.
-func fetchAll(t testing.TB, f *Fetch, tree *Tree, version uint64, window int) (nodes, bytes int) {
+func fetchAll(t testing.TB, f *Fetcher, tree *Tree, version uint64, window int) (nodes, bytes int) {
 	t.Helper()
-	f.Aim(version, tree.Root())
-	for f.Busy() {
+	f.SetTarget(version, tree.Root())
+	for f.IsIncomplete() {
 		next := f.Next(window)
 		if len(next) == 0 {
 			t.Fatal("nothing is requested while nodes are missing")
@@ -63,12 +63,12 @@
 			if !ok {
 				t.Fatalf("node %x is not in the tree", sum)
 			}
-			if err := f.Take(sum, packed); err != nil {
+			if err := f.Receive(sum, packed); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	return f.Came()
+	return f.Received()
 }
 
 var ignoreIndex = cmpopts.IgnoreUnexported(routing.Table{})
@@ -76,7 +76,7 @@
 func TestTableRoundTrip(t *testing.T) {
 	for _, size := range [][3]int{{0, 0, 0}, {1, 1, 1}, {20, 5, 2}, {4200, 16, 3}, {300, 2000, 1}, {3, 2, 5000}} {
 		table := tableOf(7, size[0], size[1], size[2])
-		var f Fetch
+		var f Fetcher
 		fetchAll(t, &f, Build(table, nil), 1, 32<<10)
 		got := f.Table()
 		if got == nil {
@@ -92,7 +92,7 @@
 		}
 		for _, team := range table.Teams {
 			for _, k := range team.Keys {
-				if found := got.Holder(k); found == nil || found.Name != team.Name {
+				if found := got.TeamByKey(k); found == nil || found.Name != team.Name {
 					t.Fatalf("%v: a key of %s is not found", size, team.Name)
 				}
 			}
@@ -104,7 +104,7 @@
 func TestFetchedBytesScaleWithChange(t *testing.T) {
 	table := tableOf(3, 14000, 16, 2)
 	first := Build(table, nil)
-	var f Fetch
+	var f Fetcher
 	nodes, all := fetchAll(t, &f, first, 1, 32<<10)
 	if f.Table() == nil {
 		t.Fatal("no table")
@@ -140,7 +140,7 @@
 func TestUnchangedRoutesAreShared(t *testing.T) {
 	table := tableOf(3, 500, 4, 2)
 	first := Build(table, nil)
-	var f Fetch
+	var f Fetcher
 	fetchAll(t, &f, first, 1, 32<<10)
 	before := f.Table()
 	changed := *table
@@ -156,7 +156,7 @@
 	if got := after.Match(r.Host, r.Prefix); got == nil || got.Name != r.Name {
 		t.Errorf("route %s is not found", r.Name)
 	}
-	if before.Holder(taken) == nil || after.Holder(taken) != nil {
+	if before.TeamByKey(taken) == nil || after.TeamByKey(taken) != nil {
 		t.Error("a removed key is still found, or was missing before")
 	}
 	changed.Routes = append([]routing.Route(nil), table.Routes...)
@@ -176,20 +176,20 @@
 	for range 30 {
 		table := tableOf(r.Uint64(), 2000, 5, 2)
 		tree := Build(table, nil)
-		var f Fetch
-		f.Aim(1, tree.Root())
+		var f Fetcher
+		f.SetTarget(1, tree.Root())
 		received := make(map[Sum]bool)
 		version := uint64(1)
-		for f.Busy() {
+		for f.IsIncomplete() {
 			switch r.IntN(20) {
 			case 0:
-				f.Restart()
+				f.ConnectionLost()
 			case 1:
 				if version < 8 {
 					version++
 					addRoutes(table, r, 50)
 					tree = Build(table, tree)
-					f.Aim(version, tree.Root())
+					f.SetTarget(version, tree.Root())
 				}
 			}
 			const window = 8 << 10
@@ -202,12 +202,12 @@
 					t.Fatal("a node was requested again after it was received")
 				}
 				received[sum] = true
-				if err := f.Take(sum, packed); err != nil {
+				if err := f.Receive(sum, packed); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if len(f.missing) == 0 && len(f.requested) > 0 {
-				f.Restart() // nothing is in flight any more
+				f.ConnectionLost() // nothing is in flight any more
 			}
 		}
 		if got := f.Table(); got.Version != version || len(got.Routes) != len(table.Routes) {
@@ -219,16 +219,16 @@
 // At most the window is in flight, except for a single node.
 func TestWindowBoundsBytesInFlight(t *testing.T) {
 	tree := Build(tableOf(3, 5000, 16, 2), nil)
-	var f Fetch
-	f.Aim(1, tree.Root())
-	for f.Busy() {
+	var f Fetcher
+	f.SetTarget(1, tree.Root())
+	for f.IsIncomplete() {
 		next := f.Next(16 << 10)
-		if f.Waiting() > 16<<10 && len(next) > 1 {
-			t.Fatalf("%d bytes are in flight", f.Waiting())
+		if f.InFlightBytes() > 16<<10 && len(next) > 1 {
+			t.Fatalf("%d bytes are in flight", f.InFlightBytes())
 		}
 		for _, sum := range next {
 			packed, _ := tree.Node(sum)
-			if err := f.Take(sum, packed); err != nil {
+			if err := f.Receive(sum, packed); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -244,7 +244,7 @@
 			r := &table.Routes[i*37]
 			r.Name, r.Host, r.Prefix = text[0], text[1], text[2]
 		}
-		var f Fetch
+		var f Fetcher
 		fetchAll(t, &f, Build(table, nil), 1, 32<<10)
 		if diff := cmp.Diff(table, f.Table(), ignoreIndex, cmpopts.EquateEmpty()); diff != "" {
 			t.Errorf("%d unusual routes: %s", n, diff)
@@ -254,19 +254,19 @@
 
 func TestDamagedNodeIsRejected(t *testing.T) {
 	tree := Build(tableOf(3, 500, 16, 2), nil)
-	var f Fetch
-	f.Aim(1, tree.Root())
+	var f Fetcher
+	f.SetTarget(1, tree.Root())
 	sum := f.Next(1 << 10)[0]
 	packed, _ := tree.Node(sum)
 	for _, bad := range []Packed{nil, {1, 2, 3}, packed[:len(packed)/2], newPacker().pack([]byte(`{"c":[]}`))} {
-		if err := f.Take(sum, bad); !errors.Is(err, ErrDamaged) {
+		if err := f.Receive(sum, bad); !errors.Is(err, ErrDamaged) {
 			t.Errorf("%d damaged bytes were accepted: %v", len(bad), err)
 		}
 	}
-	if err := f.Take(sum, packed); err != nil {
+	if err := f.Receive(sum, packed); err != nil {
 		t.Error(err)
 	}
-	if err := f.Take(Sum{1}, packed); err != nil || len(f.held) != 1 {
+	if err := f.Receive(Sum{1}, packed); err != nil || len(f.held) != 1 {
 		t.Errorf("a node that was not requested: %v, %d held", err, len(f.held))
 	}
 }
@@ -289,12 +289,12 @@
 	})
 	b.Run("fetch", func(b *testing.B) {
 		for range b.N {
-			var f Fetch
+			var f Fetcher
 			fetchAll(b, &f, tree, 1, 32<<10)
 		}
 	})
 	b.Run("table", func(b *testing.B) {
-		var f Fetch
+		var f Fetcher
 		fetchAll(b, &f, tree, 1, 32<<10)
 		for range b.N {
 			f.lastTable = nil
@@ -302,7 +302,7 @@
 		}
 	})
 	b.Run("same routes", func(b *testing.B) {
-		var f Fetch
+		var f Fetcher
 		fetchAll(b, &f, tree, 1, 32<<10)
 		for range b.N {
 			f.Table()
--- a/hashtree/held_test.go
+++ b/hashtree/held_test.go
@@ -8,16 +8,16 @@
 // faster than a slow link carries them.
 func TestUnfinishedVersionsAreEvicted(t *testing.T) {
 	const routes, versions = 4200, 12
-	var f Fetch
+	var f Fetcher
 	maxNodes := 0
 	for version := range uint64(versions) {
 		tree := Build(tableOf(version+1, routes, 0, 0), nil) // each version has other routes
 		maxNodes = max(maxNodes, tree.Len())
-		f.Aim(version+1, tree.Root())
+		f.SetTarget(version+1, tree.Root())
 		for received := 0; received < tree.Len()*9/10; {
 			for _, sum := range f.Next(32 << 10) {
 				packed, _ := tree.Node(sum)
-				if err := f.Take(sum, packed); err != nil {
+				if err := f.Receive(sum, packed); err != nil {
 					t.Fatal(err)
 				}
 				received++
--- a/hashtree/window_test.go
+++ b/hashtree/window_test.go
@@ -10,19 +10,19 @@
 	const window = 32 << 10
 	table := tableOf(3, 14000, 0, 0)
 	first := Build(table, nil)
-	var f Fetch
+	var f Fetcher
 	deliver := func(tree *Tree, sums []Sum) {
 		for _, sum := range sums {
 			packed, ok := tree.Node(sum)
 			if !ok {
 				t.Fatal("a requested node is not in the tree")
 			}
-			if err := f.Take(sum, packed); err != nil {
+			if err := f.Receive(sum, packed); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	f.Aim(1, first.Root())
+	f.SetTarget(1, first.Root())
 	deliver(first, f.Next(window)) // the root
 	deliver(first, f.Next(1))      // one of its children
 	inFlight := make(map[Sum]int)  // requested, not received
@@ -43,13 +43,13 @@
 	for version := uint64(2); version < 12; version++ {
 		table.Routes[len(table.Routes)-1].Rank--
 		tree = Build(table, tree)
-		f.Aim(version, tree.Root())
+		f.SetTarget(version, tree.Root())
 		root, _ := tree.Node(tree.Root())
 		for _, sum := range f.Next(1) { // deliver the new root alone: the next request depends on it
 			if sum != tree.Root() {
 				t.Fatal("a node other than the root is requested first")
 			}
-			if err := f.Take(sum, root); err != nil {
+			if err := f.Receive(sum, root); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/level/level.go
+++ b/level/level.go
@@ -16,23 +16,23 @@
 	// Listed: entries receive endpoints one by one, and whole configurations.
 	Listed Level = iota + 1
 	// Compressed: lists of endpoints are compressed and have revisions.
-	Packed
+	Compressed
 	// Chunked: configurations and snapshots are sent in chunks, and budget records may cover only
 	// some accounts.
-	Parts
+	Chunked
 	// Suspects: the log has records of requests that crash endpoints.
 	Suspects
 	// Negotiated: boxes announce their levels, and the log records the group's.
-	Told
+	Negotiated
 	// Instances: endpoint IDs distinguish the instances of an endpoint.
-	Starts
+	Instances
 	// Feedback: entries send the feedback of endpoints to the owner, which sends it to all entries
 	// that read it.
-	Asked
+	Feedback
 )
 
 // Newest is the highest level that this build reads.
-const Newest = Asked
+const Newest = Feedback
 
 // Readers says who must be able to read an encoding.
 type Readers uint8
@@ -55,17 +55,17 @@
 // Encodings lists all levels in order.
 var Encodings = []Encoding{
 	{Listed, Members | Entries, "snapshots as one record of JSON, configurations whole, endpoints as a list", "5dc54d6"},
-	{Packed, Members | Entries, "endpoints compressed, with revisions and heartbeats", "8300e31"},
-	{Parts, Members | Entries, "configurations, snapshots and log messages in chunks; records of some budgets; configurations as a tree", "d279456"},
+	{Compressed, Members | Entries, "endpoints compressed, with revisions and heartbeats", "8300e31"},
+	{Chunked, Members | Entries, "configurations, snapshots and log messages in chunks; records of some budgets; configurations as a tree", "d279456"},
 	{Suspects, Members, "records of requests that crash endpoints", "585ddf2"},
-	{Told, Members, "levels, announced when a connection opens, and recorded in the log and in snapshots", "cf9622c"},
-	{Starts, Members | Entries, "feedback of endpoints with their start time; IDs with that, of which requests carry the name alone; endpoints listed by column", "4538dad"},
-	{Asked, Members, "feedback in the responses of endpoints, sent to the owner, and by it to each entry that reads it", ""},
+	{Negotiated, Members, "levels, announced when a connection opens, and recorded in the log and in snapshots", "cf9622c"},
+	{Instances, Members | Entries, "feedback of endpoints with their start time; IDs with that, of which requests carry the name alone; endpoints listed by column", "4538dad"},
+	{Feedback, Members, "feedback in the responses of endpoints, sent to the owner, and by it to each entry that reads it", ""},
 }
 
 // Affects reports whether any of the readers r must read an encoding above one level and up to
 // another. If so, the group may use the higher level only once they read it.
-func ReadBy(r Readers, above, upTo Level) bool {
+func Affects(r Readers, above, upTo Level) bool {
 	for _, e := range Encodings {
 		if e.Level > above && e.Level <= upTo && e.Readers&r != 0 {
 			return true
@@ -75,23 +75,23 @@
 }
 
 // UnsupportedError says that data has an encoding above the highest level of this build.
-type Above struct {
-	What  string // where it was found, such as a file name
-	Found string // the encoding
-	Reads string // what this build reads
+type UnsupportedError struct {
+	Source    string // where it was found, such as a file name
+	Found     string // the encoding
+	Supported string // what this build reads
 }
 
-func (e *Above) Error() string {
-	return fmt.Sprintf("%s: found %s, this build reads %s: a later build is needed", e.What, e.Found, e.Reads)
+func (e *UnsupportedError) Error() string {
+	return fmt.Sprintf("%s: found %s, this build reads %s: a later build is needed", e.Source, e.Found, e.Supported)
 }
 
 // Unsupported returns an UnsupportedError for data of a level above what a box reads.
-func TooNew(source string, found, supported Level) error {
-	return &Above{What: source, Found: fmt.Sprintf("level %d", found), Reads: fmt.Sprintf("levels up to %d", supported)}
+func Unsupported(source string, found, supported Level) error {
+	return &UnsupportedError{Source: source, Found: fmt.Sprintf("level %d", found), Supported: fmt.Sprintf("levels up to %d", supported)}
 }
 
 // IsUnsupported reports whether err is or wraps an UnsupportedError.
-func IsAbove(err error) bool {
-	var unsupported *Above
+func IsUnsupported(err error) bool {
+	var unsupported *UnsupportedError
 	return errors.As(err, &unsupported)
 }
--- a/level/level_test.go
+++ b/level/level_test.go
@@ -21,15 +21,15 @@
 
 // An entry of an older build must not keep the group from encodings that entries are never sent.
 func TestAffectsOnlyReadersOfNewEncodings(t *testing.T) {
-	if ReadBy(Entries, Parts, Told) || !ReadBy(Entries, Packed, Told) || !ReadBy(Members, Parts, Suspects) || ReadBy(Members, Told, Told) {
+	if Affects(Entries, Chunked, Negotiated) || !Affects(Entries, Compressed, Negotiated) || !Affects(Members, Chunked, Suspects) || Affects(Members, Negotiated, Negotiated) {
 		t.Error("the affected readers differ from the table")
 	}
 }
 
 // The error must say what was found and what is supported, also when it is wrapped.
 func TestUnsupportedErrorNamesFoundAndSupported(t *testing.T) {
-	err := TooNew("a snapshot", 7, 5)
-	if text := err.Error(); !IsAbove(err) || !strings.Contains(text, "level 7") || !strings.Contains(text, "up to 5") {
+	err := Unsupported("a snapshot", 7, 5)
+	if text := err.Error(); !IsUnsupported(err) || !strings.Contains(text, "level 7") || !strings.Contains(text, "up to 5") {
 		t.Error(text)
 	}
 }
--- a/member/list.go
+++ b/member/list.go
@@ -24,10 +24,10 @@
 }
 
 // Draining is the set of IP addresses of the draining boxes. It is immutable.
-type Leaving map[string]bool
+type Draining map[string]bool
 
 // Fetch reads the platform's list.
-func Fetch(ctx context.Context, c *http.Client, url string) (Leaving, error) {
+func Fetch(ctx context.Context, c *http.Client, url string) (Draining, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "platform list of boxes")
@@ -45,12 +45,12 @@
 
 // parse reads a list. One invalid address rejects the whole list: a partial one would let work go
 // to draining boxes.
-func parse(r io.Reader) (Leaving, error) {
+func parse(r io.Reader) (Draining, error) {
 	var list []listedBox
 	if err := json.NewDecoder(r).Decode(&list); err != nil {
 		return nil, errors.Wrap(err, "platform list of boxes")
 	}
-	draining := make(Leaving)
+	draining := make(Draining)
 	for _, e := range list {
 		address, err := netip.ParseAddr(e.Address)
 		if err != nil {
--- a/message/forms.go
+++ b/message/forms.go
@@ -36,11 +36,11 @@
 	level level.Level
 	field string
 }{
-	{level.Asked, "\x05Asked"},
-	{level.Told, "\x05Level"},
+	{level.Feedback, "\x05Asked"},
+	{level.Negotiated, "\x05Level"},
 	{level.Suspects, "\x05Print"},
-	{level.Parts, "\x04Want"},
-	{level.Packed, "\x08Revision"},
+	{level.Chunked, "\x04Want"},
+	{level.Compressed, "\x08Revision"},
 }
 
 // begins takes a peer's first bytes, which define the types of all its messages. From Told on the
@@ -77,7 +77,7 @@
 	return func(begun []byte) link.Reader[Envelope] {
 		p.begins(begun)
 		read := readUsual
-		if p.Reads() < level.Packed {
+		if p.Reads() < level.Compressed {
 			read = older
 		}
 		return func(in *gob.Decoder) (*Envelope, error) {
@@ -141,7 +141,7 @@
 	switch reads := p.Reads(); {
 	case reads == 0:
 		return frameToControl(m)
-	case reads < level.Packed:
+	case reads < level.Compressed:
 		return frameListed(m)
 	default:
 		return usualFrame{m}
--- a/message/forms_test.go
+++ b/message/forms_test.go
@@ -22,8 +22,8 @@
 // The files of testdata are what a connection's dialler or an owner of a commit sends: a first message
 // and then nothing. They were recorded with link.Dial of that commit.
 var recorded = map[string]level.Level{
-	"d61e540": level.Listed, "50d3523": level.Packed, "e994de1": level.Parts, "53e223b": level.Parts, "de049ca": level.Suspects,
-	"9c63b0b": level.Told, "a229638": level.Starts,
+	"d61e540": level.Listed, "50d3523": level.Compressed, "e994de1": level.Chunked, "53e223b": level.Chunked, "de049ca": level.Suspects,
+	"9c63b0b": level.Negotiated, "a229638": level.Instances,
 }
 
 // replay serves a connection whose other side sends recorded bytes, and returns the messages that come.
@@ -96,7 +96,7 @@
 	if err != nil || len(endpoints) != 1 || endpoints[0].Address != "127.0.0.9:80" || !v.Whole || v.Version != 4 {
 		t.Errorf("%s: %+v, %v: %+v", commit, v, err, endpoints)
 	}
-	if whole := string(v.Document) == `{"version":4}`; whole != (reads < level.Parts) {
+	if whole := string(v.Document) == `{"version":4}`; whole != (reads < level.Chunked) {
 		t.Errorf("%s: the configuration came whole: %v", commit, whole)
 	}
 }
@@ -161,13 +161,13 @@
 
 	packedPeer := &Peer{}
 	first = packedPeer.frameAnswer(nil)
-	packedPeer.reads.Store(uint32(level.Packed))
+	packedPeer.reads.Store(uint32(level.Compressed))
 	in = encoded(t, first, frameToControl(hello), packedPeer.frameAnswer(view))
 	var p frameOfPacked
 	for range 3 {
 		p = frameOfPacked{}
 		if err := in.Decode(&p); err != nil {
-			t.Fatalf("level %d: %v", level.Packed, err)
+			t.Fatalf("level %d: %v", level.Compressed, err)
 		}
 	}
 	if got, err := p.Message.View.Endpoints.Unpack(); err != nil || len(got) != 1 || p.Message.View.Revision != 5 {
--- a/message/listing.go
+++ b/message/listing.go
@@ -17,7 +17,7 @@
 	"lynxramp.org/registry"
 )
 
-// Listing is a list of endpoints, column by column and compressed, for boxes that read level.Starts. It has
+// Listing is a list of endpoints, column by column and compressed, for boxes that read level.Instances. It has
 // what entries need: not the count of an endpoint's messages. 1,000 endpoints with their starts take 13 kB
 // (BenchmarkListing), as Packed 22, and 29 with the counts: that is most of what a thousand entries are sent when all processes
 // start anew.
--- a/message/message.go
+++ b/message/message.go
@@ -51,7 +51,7 @@
 	// Held is what the entry may spend and has spent without an owner since its start, and
 	// Running what it has running: as much as a message may have. More says that there is
 	// more of Held. Pings tell the rest.
-	Held    []budget.Holding
+	Held    []budget.Lease
 	More    bool
 	Running []Running
 	// Entries is how many entries share endpoints, as last told by an owner.
@@ -64,7 +64,7 @@
 type Running struct {
 	Ticket   event.Ticket
 	Endpoint event.EndpointID
-	Print    poison.Print
+	Print    poison.Fingerprint
 }
 
 // Redirect says that the sender is not the owner.
@@ -80,14 +80,14 @@
 	// Has is the number of the last message that lent the sender something, and Spent
 	// what it spent of it since it last told.
 	Has   uint64
-	Spent []budget.Holding
+	Spent []budget.Lease
 	// Revision is that of the newest change of the registry that the sender was told.
 	Revision uint64
 	// More says that there is more to tell of what was held when the session began, and
 	// Running is more of what ran then.
 	More    bool
 	Running []Running
-	// Owned says that the sender leaves decisions to this owner. Entries that read level.Asked say it.
+	// Owned says that the sender leaves decisions to this owner. Entries that read level.Feedback say it.
 	Owned bool
 }
 
@@ -98,7 +98,7 @@
 	Version uint64
 	Entries int // how many entries share endpoints
 	// Lent is what the entry may spend without an owner.
-	Lent budget.Lent
+	Lent budget.LeaseUpdate
 	// Ends is up to which number the entry's ends are in the log.
 	Ends uint64
 }
@@ -119,7 +119,7 @@
 	// Whole says that Endpoints replaces all that was known.
 	Whole     bool
 	Endpoints Packed
-	// Listed takes the place of Endpoints for boxes that read level.Starts.
+	// Listed takes the place of Endpoints for boxes that read level.Instances.
 	Listed Listing
 	Gone   []event.EndpointID
 	// Revision is that of the registry with these changes; 0 in a View that has not all up to
@@ -133,14 +133,14 @@
 	Signs   bool
 	Silent  []event.EndpointID
 	Members []string
-	// Asked is what endpoints ask for, of those of whom that changed. It is sent to entries that read level.Asked.
+	// Asked is what endpoints ask for, of those of whom that changed. It is sent to entries that read level.Feedback.
 	Asked []backpressure.State
 	// Suspects has the requests, if it is set, that must not run without an owner.
 	Suspects *Suspects
 }
 
 // Suspects are requests under which endpoints ended.
-type Suspects struct{ List []poison.Print }
+type Suspects struct{ List []poison.Fingerprint }
 
 // Endpoint is an endpoint and whether it gives signs of life.
 type Endpoint struct {
@@ -171,12 +171,12 @@
 	Withdraw []Withdrawal
 	Begun    []event.Begun
 	Finish   []Finish
-	// Heard has what endpoints asked for in answers. It is sent to owners that read level.Asked.
-	Heard []backpressure.Heard
+	// Heard has what endpoints asked for in answers. It is sent to owners that read level.Feedback.
+	Heard []backpressure.Report
 	// Ends are told again in each session until a Pong says that they are in the log.
 	Ends []poison.End
 	// Well has the requests of which a run ended well while no owner was told.
-	Well []poison.Print
+	Well []poison.Fingerprint
 }
 
 // Submission is a request that waits for a decision.
@@ -188,7 +188,7 @@
 	// budget of its service.
 	Repeat bool
 	// Print tells requests of the same content.
-	Print poison.Print
+	Print poison.Fingerprint
 }
 
 // Withdrawal takes a submission back.
@@ -206,7 +206,7 @@
 	// itself.
 	Suspect  bool
 	Endpoint event.EndpointID
-	Print    poison.Print
+	Print    poison.Fingerprint
 	// Ran is what the run told of its request.
 	Ran Ran
 }
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -21,7 +21,7 @@
 }
 
 // Add takes note that tokens came a span after the one before in their stream.
-func (m *Meter) Add(now event.Time, tokens int, span event.Span) {
+func (m *Meter) Add(now event.Time, tokens int, span event.Duration) {
 	if tokens < 1 || span <= 0 {
 		return
 	}
@@ -35,9 +35,9 @@
 }
 
 // Gap returns the mean time between tokens; 0 if it is not known.
-func (m *Meter) Gap(now event.Time) event.Span {
+func (m *Meter) Gap(now event.Time) event.Duration {
 	if m.gap == 0 || now.Sub(m.last) > Stale {
 		return 0
 	}
-	return event.Span(m.gap)
+	return event.Duration(m.gap)
 }
--- a/poison/book.go
+++ b/poison/book.go
@@ -16,42 +16,42 @@
 type End struct {
 	// Number is the sequence number of the End, from 1, within one instance of the entry.
 	Number   uint64
-	Print    Print
+	Print    Fingerprint
 	Endpoint event.EndpointID
 	// Request is the call that ran, and Attempt the number of times it was sent before.
 	Request event.RequestID
 	Attempt int
 	// Ran is how long it had run, and Ago the time from the End to the report of it.
-	Ran, Ago event.Span
+	Ran, Ago event.Duration
 }
 
 // Tracker tracks requests under which endpoints terminated, and decides which calls may run. Use
 // NewTracker or NewDegradedTracker to make one. It is a reducer and not safe for concurrent use.
-type Book struct {
-	cases           map[Print]*requestCase
+type Tracker struct {
+	cases           map[Fingerprint]*requestCase
 	trials          map[event.RequestID]*requestCase // in progress
 	successes       recentSuccesses                  // requests with recent successful runs
-	newlySerialized []Print                          // since the last call of TakeSerialized
+	newlySerialized []Fingerprint                    // since the last call of TakeSerialized
 	changes         []Change
 	isUnblocked     bool // since the last call of TakeUnblocked
 	// isDegraded is set at an entry without an owner: nothing is written to the log, and there are
 	// no trials.
 	isDegraded bool
-	suspects   map[Print]bool // sent by the last owner
+	suspects   map[Fingerprint]bool // sent by the last owner
 
-	dirty     []Print // to be written to the log, in this order
-	isDirty   map[Print]bool
+	dirty     []Fingerprint // to be written to the log, in this order
+	isDirty   map[Fingerprint]bool
 	pending   []pendingLine // proposed but not committed
 	isPending bool
 	// listed is the last result of Suspects; listChanged is set when it may be outdated.
-	listed      []Print
+	listed      []Fingerprint
 	revision    uint64
 	listChanged bool
 }
 
 // requestCase is the state of one request.
 type requestCase struct {
-	fingerprint Print
+	fingerprint Fingerprint
 	ends        []termination
 	trials      int // counted trials
 	// isSerialized is set when it runs one call at a time, each recorded in the log first.
@@ -70,7 +70,7 @@
 }
 
 // NewTracker returns the Tracker of an owner, with the state that earlier owners wrote to the log.
-func NewBook(now event.Time, l *Ledger) *Book {
+func NewTracker(now event.Time, l *Ledger) *Tracker {
 	b := newTracker()
 	b.listChanged = true
 	for p, line := range l.lines {
@@ -86,18 +86,18 @@
 
 // NewDegradedTracker returns the Tracker of an entry without an owner. It rejects the suspects
 // that the last owner sent.
-func NewAlone(suspects []Print) *Book {
+func NewDegradedTracker(suspects []Fingerprint) *Tracker {
 	b := newTracker()
 	b.isDegraded = true
-	b.suspects = make(map[Print]bool, len(suspects))
+	b.suspects = make(map[Fingerprint]bool, len(suspects))
 	for _, p := range suspects {
 		b.suspects[p] = true
 	}
 	return b
 }
 
-func newTracker() *Book {
-	return &Book{cases: make(map[Print]*requestCase), trials: make(map[event.RequestID]*requestCase), isDirty: make(map[Print]bool)}
+func newTracker() *Tracker {
+	return &Tracker{cases: make(map[Fingerprint]*requestCase), trials: make(map[event.RequestID]*requestCase), isDirty: make(map[Fingerprint]bool)}
 }
 
 func (c *requestCase) isSuspected() bool { return len(c.ends) >= suspectEnds }
@@ -131,7 +131,7 @@
 }
 
 // RecordEnd records a termination, unless that of the same endpoint instance is recorded.
-func (b *Book) RecordEnd(now event.Time, e *End) {
+func (b *Tracker) RecordEnd(now event.Time, e *End) {
 	if e.Print == "" {
 		return
 	}
@@ -158,7 +158,7 @@
 	b.serialize(now, c)
 }
 
-func (b *Book) addTermination(now event.Time, c *requestCase, end termination) {
+func (b *Tracker) addTermination(now event.Time, c *requestCase, end termination) {
 	wasSuspected := c.isSuspected()
 	c.ends = append(c.ends, end)
 	c.ends = c.ends[max(0, len(c.ends)-maxEnds):]
@@ -170,7 +170,7 @@
 }
 
 // serialize starts to serialize a request with terminations, unless a run of it succeeded recently.
-func (b *Book) serialize(now event.Time, c *requestCase) {
+func (b *Tracker) serialize(now event.Time, c *requestCase) {
 	if c.isSerialized || len(c.ends) < serializeEnds || b.successes.has(now, c.fingerprint) {
 		return
 	}
@@ -179,7 +179,7 @@
 }
 
 // TakeSerialized returns the requests that became serialized since the last call.
-func (b *Book) TakeSerialized() []Print {
+func (b *Tracker) TakeSerialized() []Fingerprint {
 	list := b.newlySerialized
 	b.newlySerialized = nil
 	return list
@@ -193,7 +193,7 @@
 
 // ensureCapacity makes room for one more request by evicting the oldest one that is not suspected.
 // It reports whether there is room.
-func (b *Book) ensureCapacity() bool {
+func (b *Tracker) ensureCapacity() bool {
 	if len(b.cases) < maxCases {
 		return true
 	}
@@ -211,7 +211,7 @@
 }
 
 // RecordSuccess records a successful run of a request, which clears it.
-func (b *Book) Answered(now event.Time, p Print) {
+func (b *Tracker) RecordSuccess(now event.Time, p Fingerprint) {
 	if p == "" {
 		return
 	}
@@ -226,7 +226,7 @@
 	b.remove(c)
 }
 
-func (b *Book) remove(c *requestCase) {
+func (b *Tracker) remove(c *requestCase) {
 	if c.trial != nil {
 		delete(b.trials, c.trial.request)
 	}
@@ -241,7 +241,7 @@
 
 // Tick abandons overdue trials, removes expired cases, and serializes requests whose last
 // success is no longer recent.
-func (b *Book) Tick(now event.Time) {
+func (b *Tracker) Tick(now event.Time) {
 	var due []*requestCase
 	for _, c := range b.cases {
 		if now >= c.expiresAt() || !c.isSerialized {
--- a/poison/book_test.go
+++ b/poison/book_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	bad  = Print("a request")
+	bad  = Fingerprint("a request")
 	at   = event.Time(event.Second)
 	left = 3 * event.Second
 )
 
 // save commits the state of a Tracker to a ledger.
-func save(b *Book, l *Ledger) {
+func save(b *Tracker, l *Ledger) {
 	for b.Due() {
 		r, _ := b.MakeRecord()
 		l.Apply(r)
@@ -28,20 +28,20 @@
 }
 
 func call(id int) *Call {
-	return &Call{Print: bad, Entry: "entry", Request: event.RequestID(fmt.Sprint(id)), Left: left}
+	return &Call{Fingerprint: bad, Entry: "entry", Request: event.RequestID(fmt.Sprint(id)), Remaining: left}
 }
 
 // reportEnd reports that an endpoint terminated during a call.
-func reportEnd(b *Book, now event.Time, id int, endpoint string) {
+func reportEnd(b *Tracker, now event.Time, id int, endpoint string) {
 	b.RecordEnd(now, &End{Print: bad, Endpoint: event.EndpointID(endpoint), Request: call(id).Request, Ran: event.Millisecond})
 }
 
 // tryRun checks a call, commits its trial if it has one, and reports whether the call may run.
-func tryRun(b *Book, l *Ledger, now event.Time, id int, endpoint string) bool {
-	verdict, _ := b.Ask(now, call(id))
+func tryRun(b *Tracker, l *Ledger, now event.Time, id int, endpoint string) bool {
+	verdict, _ := b.Check(now, call(id))
 	if verdict == Wait {
 		save(b, l)
-		verdict, _ = b.Ask(now, call(id))
+		verdict, _ = b.Check(now, call(id))
 	}
 	if verdict != Allow {
 		return false
@@ -55,21 +55,21 @@
 // quarantine is over.
 func TestRequestIsQuarantinedAfterFourTerminations(t *testing.T) {
 	var l Ledger
-	b := NewBook(0, &l)
+	b := NewTracker(0, &l)
 	ran := 0
-	var times []event.Span
+	var times []event.Duration
 	for now := at; now < at.Add(provenQuarantine); now = now.Add(100 * event.Millisecond) {
 		if tryRun(b, &l, now, ran, fmt.Sprint("e", ran)) {
 			reportEnd(b, now, ran, fmt.Sprint("e", ran))
 			b.RecordFinish(now, call(ran).Request, false)
 			times = append(times, now.Sub(at))
 			ran++
-		} else if _, wait := b.Ask(now, call(ran)); wait <= 0 || wait > provenQuarantine {
+		} else if _, wait := b.Check(now, call(ran)); wait <= 0 || wait > provenQuarantine {
 			t.Fatalf("retry after %v", wait)
 		}
 		b.Tick(now)
 	}
-	want := []event.Span{0, 100 * event.Millisecond, 200 * event.Millisecond, 200*event.Millisecond + provenPause}
+	want := []event.Duration{0, 100 * event.Millisecond, 200 * event.Millisecond, 200*event.Millisecond + provenPause}
 	if diff := cmp.Diff(want, times); diff != "" {
 		t.Errorf("runs (-want +got):\n%s", diff)
 	}
@@ -82,22 +82,22 @@
 // which an endpoint terminated runs, others wait; a run that succeeds lets all of them run.
 func TestCallsAreSerializedAfterTermination(t *testing.T) {
 	var l Ledger
-	b := NewBook(0, &l)
+	b := NewTracker(0, &l)
 	reportEnd(b, at, 1, "e1")
 	for range 2 {
-		if v, _ := b.Ask(at, call(2)); v != Wait {
+		if v, _ := b.Check(at, call(2)); v != Wait {
 			t.Errorf("a run that is not committed: %v", v)
 		}
 	}
 	save(b, &l)
-	if v, _ := b.Ask(at, call(2)); v != Allow {
+	if v, _ := b.Check(at, call(2)); v != Allow {
 		t.Errorf("a committed run: %v", v)
 	}
-	if v, _ := b.Ask(at, call(3)); v != Wait {
+	if v, _ := b.Check(at, call(3)); v != Wait {
 		t.Errorf("a second concurrent run: %v", v)
 	}
-	b.Answered(at, bad)
-	if v, _ := b.Ask(at, call(3)); v != Allow {
+	b.RecordSuccess(at, bad)
+	if v, _ := b.Check(at, call(3)); v != Allow {
 		t.Errorf("after a successful run: %v", v)
 	}
 	save(b, &l)
@@ -110,12 +110,12 @@
 // successWindow is not serialized, however many endpoints terminate under it; later it is.
 func TestRecentlySuccessfulRequestIsNotSerialized(t *testing.T) {
 	var l Ledger
-	b := NewBook(0, &l)
-	b.Answered(at, bad)
+	b := NewTracker(0, &l)
+	b.RecordSuccess(at, bad)
 	for i := range 5 {
 		reportEnd(b, at, i, fmt.Sprint("e", i))
 	}
-	if v, _ := b.Ask(at, call(9)); v != Allow || len(b.TakeSerialized()) > 0 {
+	if v, _ := b.Check(at, call(9)); v != Allow || len(b.TakeSerialized()) > 0 {
 		t.Errorf("a request with a recent success: %v", v)
 	}
 	later := at.Add(successWindow)
@@ -123,7 +123,7 @@
 	if list := b.TakeSerialized(); len(list) != 1 {
 		t.Errorf("%d requests became serialized, want 1", len(list))
 	}
-	if v, _ := b.Ask(later, call(9)); v != Wait {
+	if v, _ := b.Check(later, call(9)); v != Wait {
 		t.Errorf("a request without a recent success: %v", v)
 	}
 }
@@ -133,7 +133,7 @@
 // same name.
 func TestTerminationIsCountedOnce(t *testing.T) {
 	var l Ledger
-	b := NewBook(0, &l)
+	b := NewTracker(0, &l)
 	reportEnd(b, at, 1, "e")
 	reportEnd(b, at.Add(event.Millisecond), 2, "e")
 	b.RecordEnd(at.Add(event.Second), &End{Print: bad, Endpoint: "e", Request: "1", Ran: event.Millisecond, Ago: event.Second})
@@ -149,21 +149,21 @@
 // TestUnreportedRunCountsAsTermination: a run after a first termination counts as another
 // one if its entry or the owner terminated before it was reported. A counted trial counts as proof.
 func TestUnreportedRunCountsAsTermination(t *testing.T) {
-	for name, lose := range map[string]func(b *Book, l *Ledger) *Book{
-		"entry terminated":  func(b *Book, l *Ledger) *Book { b.EntryTerminated(at, "entry"); return b },
-		"no report in time": func(b *Book, l *Ledger) *Book { b.Tick(at.Add(left + trialMargin)); return b },
-		"owner terminated":  func(b *Book, l *Ledger) *Book { return NewBook(at, l) },
-		"another attempt of the same call": func(b *Book, l *Ledger) *Book {
+	for name, lose := range map[string]func(b *Tracker, l *Ledger) *Tracker{
+		"entry terminated":  func(b *Tracker, l *Ledger) *Tracker { b.EntryTerminated(at, "entry"); return b },
+		"no report in time": func(b *Tracker, l *Ledger) *Tracker { b.Tick(at.Add(left + trialMargin)); return b },
+		"owner terminated":  func(b *Tracker, l *Ledger) *Tracker { return NewTracker(at, l) },
+		"another attempt of the same call": func(b *Tracker, l *Ledger) *Tracker {
 			again := call(2)
 			again.Attempt = 1
-			b.Ask(at, again)
+			b.Check(at, again)
 			b.RecordUnsent(again.Request)
 			return b
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var l Ledger
-			b := NewBook(0, &l)
+			b := NewTracker(0, &l)
 			reportEnd(b, at, 1, "e1")
 			if !tryRun(b, &l, at, 2, "e2") {
 				t.Fatal("the request does not run after one termination")
@@ -172,7 +172,7 @@
 			if n := len(b.cases[bad].ends); n != 2 {
 				t.Errorf("%d terminations, want 2", n)
 			}
-			b = NewBook(at, ledgerOf(b)) // a new owner that reads the log
+			b = NewTracker(at, ledgerOf(b)) // a new owner that reads the log
 			if !tryRun(b, &l, at, 2, "e3") {
 				t.Fatal("the request gets no trial after two terminations")
 			}
@@ -184,7 +184,7 @@
 	}
 }
 
-func ledgerOf(b *Book) *Ledger {
+func ledgerOf(b *Tracker) *Ledger {
 	l := &Ledger{}
 	for _, c := range b.cases {
 		l.Apply(Record{Lines: []Line{c.line()}})
@@ -195,7 +195,7 @@
 // TestUnsentTrialIsNotCounted: a trial that was not sent to an endpoint is not counted.
 func TestUnsentTrialIsNotCounted(t *testing.T) {
 	var l Ledger
-	b := NewBook(0, &l)
+	b := NewTracker(0, &l)
 	reportEnd(b, at, 1, "e1")
 	reportEnd(b, at, 2, "e2")
 	for i := range 20 {
@@ -209,9 +209,9 @@
 // TestTrialsUseDifferentEndpoints: trials of two requests do not share an endpoint.
 func TestTrialsUseDifferentEndpoints(t *testing.T) {
 	var l Ledger
-	b := NewBook(0, &l)
-	other := Call{Print: "another", Request: "other", Left: left}
-	for _, p := range []Print{bad, other.Print} {
+	b := NewTracker(0, &l)
+	other := Call{Fingerprint: "another", Request: "other", Remaining: left}
+	for _, p := range []Fingerprint{bad, other.Fingerprint} {
 		for _, endpoint := range []event.EndpointID{"e1", "e2"} {
 			b.RecordEnd(at, &End{Print: p, Endpoint: endpoint, Ran: event.Millisecond})
 		}
@@ -219,7 +219,7 @@
 	if !tryRun(b, &l, at, 1, "e3") {
 		t.Fatal("the first request gets no trial")
 	}
-	if v, _ := b.Ask(at, &other); v != Wait {
+	if v, _ := b.Check(at, &other); v != Wait {
 		t.Fatal("the second request does not wait for its trial")
 	}
 	if diff := cmp.Diff([]event.EndpointID{"e3"}, b.Avoid(other.Request)); diff != "" {
@@ -231,11 +231,11 @@
 // are not evicted while there are others with a single termination.
 func TestTrackerIsBounded(t *testing.T) {
 	var l Ledger
-	b := NewBook(0, &l)
+	b := NewTracker(0, &l)
 	reportEnd(b, at, 1, "e1")
 	reportEnd(b, at, 2, "e2")
 	for i := range 5 * maxCases {
-		b.RecordEnd(at.Add(event.Span(i)), &End{Print: Print(fmt.Sprint("p", i)), Endpoint: "e", Ran: event.Millisecond})
+		b.RecordEnd(at.Add(event.Duration(i)), &End{Print: Fingerprint(fmt.Sprint("p", i)), Endpoint: "e", Ran: event.Millisecond})
 		if b.Due() && i%7 == 0 {
 			r, _ := b.MakeRecord()
 			if len(r.Lines) > maxRecordLines {
@@ -256,7 +256,7 @@
 		t.Error("a suspected request was evicted")
 	}
 	for i := range 5 * maxSuccesses {
-		b.Answered(at, Print(fmt.Sprint("w", i)))
+		b.RecordSuccess(at, Fingerprint(fmt.Sprint("w", i)))
 	}
 	if n := len(b.successes.current) + len(b.successes.previous); n > 2*maxSuccesses {
 		t.Errorf("%d requests with recent successes are kept", n)
@@ -270,29 +270,29 @@
 // degraded Tracker rejects them, and requests with two terminations that it observed.
 func TestDegradedTrackerRejectsSuspects(t *testing.T) {
 	var l Ledger
-	b := NewBook(0, &l)
+	b := NewTracker(0, &l)
 	_, first := b.Suspects()
 	for i := range 2 * maxListed {
-		p := Print(fmt.Sprint("p", i))
+		p := Fingerprint(fmt.Sprint("p", i))
 		for _, endpoint := range []event.EndpointID{"e1", "e2"} {
-			b.RecordEnd(at.Add(event.Span(i)), &End{Print: p, Endpoint: endpoint, Ran: event.Millisecond})
+			b.RecordEnd(at.Add(event.Duration(i)), &End{Print: p, Endpoint: endpoint, Ran: event.Millisecond})
 		}
-		b.Ask(at.Add(event.Span(i)), &Call{Print: p, Request: event.RequestID(p), Left: left})
+		b.Check(at.Add(event.Duration(i)), &Call{Fingerprint: p, Request: event.RequestID(p), Remaining: left})
 	}
 	list, revision := b.Suspects()
 	if len(list) != maxListed || revision == first {
 		t.Errorf("%d suspects, revision %d after %d", len(list), revision, first)
 	}
-	degraded := NewAlone(list)
-	if v, wait := degraded.Ask(at, &Call{Print: list[0], Request: "1"}); v != Reject || wait <= 0 {
+	degraded := NewDegradedTracker(list)
+	if v, wait := degraded.Check(at, &Call{Fingerprint: list[0], Request: "1"}); v != Reject || wait <= 0 {
 		t.Errorf("a suspect at an entry without an owner: %v, retry after %v", v, wait)
 	}
 	degraded.RecordEnd(at, &End{Print: bad, Endpoint: "e1"})
-	if v, _ := degraded.Ask(at, call(1)); v != Allow {
+	if v, _ := degraded.Check(at, call(1)); v != Allow {
 		t.Errorf("after one termination: %v", v)
 	}
 	degraded.RecordEnd(at, &End{Print: bad, Endpoint: "e2"})
-	if v, _ := degraded.Ask(at, call(1)); v != Reject {
+	if v, _ := degraded.Check(at, call(1)); v != Reject {
 		t.Errorf("after two terminations: %v", v)
 	}
 }
@@ -304,7 +304,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var l Ledger
 		now := at
-		b := NewBook(now, &l)
+		b := NewTracker(now, &l)
 		known, started, next := false, 0, 0
 		var running []int
 		finish := func(i int, isEntryLost bool) {
@@ -318,7 +318,7 @@
 			b.RecordFinish(now, call(id).Request, false)
 		}
 		for range 60 {
-			now = now.Add(event.Span(rapid.IntRange(0, 4000).Draw(t, "ms")) * event.Millisecond)
+			now = now.Add(event.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * event.Millisecond)
 			b.Tick(now)
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1: // a call arrives
@@ -344,7 +344,7 @@
 					b.Committed()
 				}
 			case 5: // a new owner reads the log
-				b = NewBook(now, &l)
+				b = NewTracker(now, &l)
 			}
 			known = len(l.lines) > 0
 		}
--- a/poison/bounds.go
+++ b/poison/bounds.go
@@ -35,7 +35,7 @@
 	// provenQuarantine is how long a request is quarantined if a trial, the only one at its
 	// endpoint, terminated it. It is bounded since the request may have been suspected by
 	// mistake, or the engine been fixed; one that still terminates endpoints costs four each time.
-	provenQuarantine = event.Span(10 * time.Minute)
+	provenQuarantine = event.Duration(10 * time.Minute)
 	// unprovenQuarantine is the same for a request none of whose trials terminated its endpoint.
 	unprovenQuarantine = 30 * event.Second
 	// successWindow is how long after a successful run a request is not serialized. A frequent
@@ -45,7 +45,7 @@
 	successWindow = 2 * event.Second
 	// singleEndTTL is how long a single termination counts. It must be long enough to detect a
 	// request that is made every few minutes.
-	singleEndTTL = event.Span(10 * time.Minute)
+	singleEndTTL = event.Duration(10 * time.Minute)
 )
 
 // Sizes of a Tracker.
--- a/poison/print_test.go
+++ b/poison/print_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-func fingerprintOf(team, method, host, uri string, parts ...string) Print {
-	p := NewPrinter(team, method, host, uri)
+func fingerprintOf(team, method, host, uri string, parts ...string) Fingerprint {
+	p := NewFingerprinter(team, method, host, uri)
 	for _, part := range parts {
 		_, _ = p.Write([]byte(part)) // it never fails
 	}
-	return p.Print()
+	return p.Sum()
 }
 
 // TestFingerprintDistinguishesRequests: the fingerprint does not depend on how the body is
@@ -22,8 +22,8 @@
 	if one != fingerprintOf("t", "POST", "h", "/a", "bo", "", "dy") {
 		t.Error("the same request has two fingerprints")
 	}
-	seen := map[Print]string{one: "the first"}
-	for name, p := range map[string]Print{
+	seen := map[Fingerprint]string{one: "the first"}
+	for name, p := range map[string]Fingerprint{
 		"team":         fingerprintOf("u", "POST", "h", "/a", "body"),
 		"no team":      fingerprintOf("", "POST", "h", "/a", "body"),
 		"method":       fingerprintOf("t", "PUT", "h", "/a", "body"),
@@ -40,7 +40,7 @@
 		}
 		seen[p] = name
 	}
-	var decoded Print
+	var decoded Fingerprint
 	if data, err := json.Marshal(one); err != nil || json.Unmarshal(data, &decoded) != nil || decoded != one {
 		t.Errorf("%s was decoded as %s: %v", one, decoded, err)
 	}
@@ -54,8 +54,8 @@
 	body := make([]byte, 12000)
 	b.SetBytes(int64(len(body)))
 	for b.Loop() {
-		p := NewPrinter("team", "POST", "host.example", "/path/1")
+		p := NewFingerprinter("team", "POST", "host.example", "/path/1")
 		_, _ = p.Write(body) // it never fails
-		p.Print()
+		p.Sum()
 	}
 }
--- a/poison/record.go
+++ b/poison/record.go
@@ -23,7 +23,7 @@
 
 // Line is the state of a request; one without Ends deletes it.
 type Line struct {
-	Print Print `json:"print"`
+	Fingerprint Fingerprint `json:"print"`
 	// Ends are hashes of the names of the endpoints that terminated under it; 0 is a run in progress.
 	Ends   []uint64 `json:"ends,omitempty"`
 	Trials int      `json:"trials,omitempty"`
@@ -32,12 +32,12 @@
 
 // pendingLine is a Line that is proposed but not committed, with the trial that it records.
 type pendingLine struct {
-	fingerprint Print
+	fingerprint Fingerprint
 	trial       *trial
 }
 
 // markDirty marks a request to be written to the log.
-func (b *Book) markDirty(p Print) {
+func (b *Tracker) markDirty(p Fingerprint) {
 	b.listChanged = true
 	if b.isDegraded || b.isDirty[p] {
 		return
@@ -48,30 +48,30 @@
 
 // MarkAllDirty marks all requests to be written to the log. It is called when the log could not
 // be written before.
-func (b *Book) TellAll() {
+func (b *Tracker) MarkAllDirty() {
 	for _, p := range slices.Sorted(maps.Keys(b.cases)) {
 		b.markDirty(p)
 	}
 }
 
 // Due reports whether a Record should be made. None is due while one is being committed.
-func (b *Book) Due() bool { return !b.isPending && len(b.dirty) > 0 }
+func (b *Tracker) Due() bool { return !b.isPending && len(b.dirty) > 0 }
 
 // IsSaved reports whether the log has the state of all requests.
-func (b *Book) IsSaved() bool { return !b.isPending && len(b.dirty) == 0 }
+func (b *Tracker) IsSaved() bool { return !b.isPending && len(b.dirty) == 0 }
 
 // MakeRecord returns the next Record to write to the log. Deletions come first, so that the log
 // never has more requests than a Tracker may. isAll reports whether the log has the state of all
 // requests once the Record is committed.
-func (b *Book) MakeRecord() (r Record, isAll bool) {
-	slices.SortStableFunc(b.dirty, func(p, q Print) int { return cmp.Compare(b.saveOrder(p), b.saveOrder(q)) })
+func (b *Tracker) MakeRecord() (r Record, isAll bool) {
+	slices.SortStableFunc(b.dirty, func(p, q Fingerprint) int { return cmp.Compare(b.saveOrder(p), b.saveOrder(q)) })
 	n := min(len(b.dirty), maxRecordLines)
 	b.pending, b.isPending = b.pending[:0], true
 	for _, p := range b.dirty[:n] {
 		delete(b.isDirty, p)
 		c, ok := b.cases[p]
 		if !ok {
-			r.Lines = append(r.Lines, Line{Print: p})
+			r.Lines = append(r.Lines, Line{Fingerprint: p})
 			continue
 		}
 		r.Lines = append(r.Lines, c.line())
@@ -82,7 +82,7 @@
 }
 
 // saveOrder returns the sort key of a request in a Record: 0 for a deletion, else 1.
-func (b *Book) saveOrder(p Print) int {
+func (b *Tracker) saveOrder(p Fingerprint) int {
 	if _, ok := b.cases[p]; ok {
 		return 1
 	}
@@ -90,7 +90,7 @@
 }
 
 func (c *requestCase) line() Line {
-	l := Line{Print: c.fingerprint, Trials: c.trials, Proven: c.isProven}
+	l := Line{Fingerprint: c.fingerprint, Trials: c.trials, Proven: c.isProven}
 	for _, e := range c.ends {
 		l.Ends = append(l.Ends, e.endpoint)
 	}
@@ -106,7 +106,7 @@
 }
 
 // Committed reports that the last Record is committed: the trials that it has may run.
-func (b *Book) Committed() {
+func (b *Tracker) Committed() {
 	b.isPending = false
 	for _, line := range b.pending {
 		if line.trial != nil {
@@ -117,19 +117,19 @@
 
 // ApplyForeign merges a Record of another owner that was committed after this Tracker was made: it adds
 // terminations and trials, and removes nothing.
-func (b *Book) Foreign(now event.Time, r Record) {
+func (b *Tracker) ApplyForeign(now event.Time, r Record) {
 	for _, line := range r.Lines {
-		b.markDirty(line.Print)
+		b.markDirty(line.Fingerprint)
 		if len(line.Ends) == 0 {
 			continue
 		}
-		c, ok := b.cases[line.Print]
+		c, ok := b.cases[line.Fingerprint]
 		if !ok {
 			if !b.ensureCapacity() {
 				continue
 			}
-			c = &requestCase{fingerprint: line.Print}
-			b.cases[line.Print] = c
+			c = &requestCase{fingerprint: line.Fingerprint}
+			b.cases[line.Fingerprint] = c
 		}
 		c.lastChange = now
 		c.trials = max(c.trials, line.Trials)
@@ -145,7 +145,7 @@
 
 // Suspects returns the requests that an entry without an owner must not run, the most recent
 // maxListed of them, and a revision that increases whenever the list changes.
-func (b *Book) Suspects() (list []Print, revision uint64) {
+func (b *Tracker) Suspects() (list []Fingerprint, revision uint64) {
 	if !b.listChanged {
 		return b.listed, b.revision
 	}
@@ -172,19 +172,19 @@
 
 // Ledger is the state of the log: the latest Line of each request. The zero value is empty. It is
 // not safe for concurrent use.
-type Ledger struct{ lines map[Print]Line }
+type Ledger struct{ lines map[Fingerprint]Line }
 
 // Apply applies a Record of the log.
 func (l *Ledger) Apply(r Record) {
 	if l.lines == nil {
-		l.lines = make(map[Print]Line)
+		l.lines = make(map[Fingerprint]Line)
 	}
 	for _, line := range r.Lines {
 		if len(line.Ends) == 0 {
-			delete(l.lines, line.Print)
+			delete(l.lines, line.Fingerprint)
 			continue
 		}
-		l.lines[line.Print] = line
+		l.lines[line.Fingerprint] = line
 	}
 }
 
--- a/poison/trial.go
+++ b/poison/trial.go
@@ -36,17 +36,17 @@
 
 // Call is a call that is waiting to run.
 type Call struct {
-	Print   Print
-	Entry   event.BoxID
-	Request event.RequestID
-	Attempt int        // number of times it was sent before
-	Left    event.Span // time to its deadline
+	Fingerprint Fingerprint
+	Entry       event.BoxID
+	Request     event.RequestID
+	Attempt     int            // number of times it was sent before
+	Remaining   event.Duration // time to its deadline
 }
 
 // Check reports whether a call may run; with Reject it returns after how long the caller may retry.
 // A call that has to wait is checked again after a commit, or when TakeUnblocked reports true.
-func (b *Book) Ask(now event.Time, call *Call) (Verdict, event.Span) {
-	p := call.Print
+func (b *Tracker) Check(now event.Time, call *Call) (Verdict, event.Duration) {
+	p := call.Fingerprint
 	if b.suspects[p] {
 		return Reject, noOwnerRetryAfter
 	}
@@ -79,28 +79,28 @@
 }
 
 // checkDegraded is Check for an entry without an owner, where there are no trials.
-func (b *Book) checkDegraded(c *requestCase) (Verdict, event.Span) {
+func (b *Tracker) checkDegraded(c *requestCase) (Verdict, event.Duration) {
 	if c.isSuspected() {
 		return Reject, noOwnerRetryAfter
 	}
 	return Allow, 0
 }
 
-func (b *Book) startTrial(now event.Time, c *requestCase, call *Call) {
+func (b *Tracker) startTrial(now event.Time, c *requestCase, call *Call) {
 	c.trial = &trial{
-		entry: call.Entry, request: call.Request, attempt: call.Attempt, deadline: now.Add(call.Left + trialMargin),
+		entry: call.Entry, request: call.Request, attempt: call.Attempt, deadline: now.Add(call.Remaining + trialMargin),
 		isCounted: c.isSuspected(),
 	}
 	b.trials[call.Request] = c
 	b.markDirty(c.fingerprint)
 	if c.trial.isCounted {
 		c.trials++
-		b.addChange(TrialBegan, c, call.Request)
+		b.addChange(TrialStarted, c, call.Request)
 	}
 }
 
 // RecordGrant records at which endpoint a call will run.
-func (b *Book) RecordGrant(request event.RequestID, endpoint event.EndpointID) {
+func (b *Tracker) RecordGrant(request event.RequestID, endpoint event.EndpointID) {
 	if c, ok := b.trials[request]; ok {
 		c.trial.endpoint = endpoint
 	}
@@ -108,7 +108,7 @@
 
 // Avoid returns the endpoints that a trial must not use: those with trials of other requests. If
 // two trials shared an endpoint that terminates, it would be unknown which one caused it.
-func (b *Book) Avoid(request event.RequestID) []event.EndpointID {
+func (b *Tracker) Avoid(request event.RequestID) []event.EndpointID {
 	if c, ok := b.trials[request]; !ok || !c.trial.isCounted {
 		return nil
 	}
@@ -124,14 +124,14 @@
 
 // RecordUnsent records that a call was not sent. If it was a trial, the trial is cancelled and not
 // counted.
-func (b *Book) RecordUnsent(request event.RequestID) {
+func (b *Tracker) RecordUnsent(request event.RequestID) {
 	if c, ok := b.trials[request]; ok {
 		b.removeTrial(c, true)
 	}
 }
 
 // removeTrial removes a trial; with uncount it does not count as one of maxTrials.
-func (b *Book) removeTrial(c *requestCase, uncount bool) {
+func (b *Tracker) removeTrial(c *requestCase, uncount bool) {
 	if uncount && c.trial.isCounted {
 		c.trials--
 	}
@@ -143,7 +143,7 @@
 
 // TakeUnblocked reports whether a run finished or a request was removed since its last call,
 // so that waiting calls are to be checked again. It avoids checking them after each run.
-func (b *Book) TakeUnblocked() bool {
+func (b *Tracker) TakeUnblocked() bool {
 	unblocked := b.isUnblocked
 	b.isUnblocked = false
 	return unblocked
@@ -151,7 +151,7 @@
 
 // RecordFinish records that a call finished; isAlive is set if its endpoint is known to have
 // survived it.
-func (b *Book) RecordFinish(now event.Time, request event.RequestID, isAlive bool) {
+func (b *Tracker) RecordFinish(now event.Time, request event.RequestID, isAlive bool) {
 	c, ok := b.trials[request]
 	if !ok {
 		return
@@ -165,7 +165,7 @@
 
 // abandonTrial ends a trial whose outcome nobody will report. A run after a single termination
 // then counts as a termination; a counted trial counts as proof.
-func (b *Book) abandonTrial(now event.Time, c *requestCase) {
+func (b *Tracker) abandonTrial(now event.Time, c *requestCase) {
 	t := c.trial
 	if t.endpoint == "" {
 		b.removeTrial(c, true)
@@ -184,7 +184,7 @@
 }
 
 // EntryTerminated abandons the trials of an entry that terminated.
-func (b *Book) EntryTerminated(now event.Time, entry event.BoxID) {
+func (b *Tracker) EntryTerminated(now event.Time, entry event.BoxID) {
 	var list []*requestCase
 	for _, c := range b.trials {
 		if c.trial.entry == entry {
--- a/replay/baseline.go
+++ b/replay/baseline.go
@@ -71,7 +71,7 @@
 func (b *baseline) nextInTurn(event.Ticket) int {
 	for {
 		b.turn = (b.turn + 1) % len(b.pool.Endpoints)
-		if !b.reported[b.pool.Endpoints[b.turn].ID].Leaving {
+		if !b.reported[b.pool.Endpoints[b.turn].ID].Draining {
 			return b.turn
 		}
 	}
@@ -85,7 +85,7 @@
 	for i := range b.pool.Endpoints {
 		i = (i + b.turn) % len(b.pool.Endpoints)
 		id := b.pool.Endpoints[i].ID
-		if b.reported[id].Leaving {
+		if b.reported[id].Draining {
 			continue
 		}
 		if best < 0 || figure(id) < figure(b.pool.Endpoints[best].ID) {
@@ -100,7 +100,7 @@
 }
 
 func (b *baseline) leastReported(event.Ticket) int {
-	return b.least(func(id event.EndpointID) int { return b.reported[id].Waiting })
+	return b.least(func(id event.EndpointID) int { return b.reported[id].QueueLength })
 }
 
 // mostCached chooses the longest known prefix, and among equals the least
--- a/replay/run.go
+++ b/replay/run.go
@@ -117,10 +117,10 @@
 	r.at(0, r.tick)
 	for _, q := range r.trace.Requests {
 		r.open++
-		r.at(event.Time(warmUp).Add(event.Span(q.At)*event.Millisecond), func() { r.arrive(q) })
+		r.at(event.Time(warmUp).Add(event.Duration(q.At)*event.Millisecond), func() { r.arrive(q) })
 	}
 	for _, f := range r.trace.Faults {
-		r.at(event.Time(warmUp).Add(event.Span(f.At)*event.Millisecond), func() { r.fault(f) })
+		r.at(event.Time(warmUp).Add(event.Duration(f.At)*event.Millisecond), func() { r.fault(f) })
 	}
 }
 
@@ -131,7 +131,7 @@
 }
 
 // later plans something after a span.
-func (r *run) later(s event.Span, do func()) { r.at(r.now.Add(s), do) }
+func (r *run) later(s event.Duration, do func()) { r.at(r.now.Add(s), do) }
 
 // tell hands an event to the policy and carries out what follows.
 func (r *run) tell(e event.Event) {
@@ -149,7 +149,7 @@
 }
 
 func (r *run) tick() {
-	r.tell(&event.EntrySeen{Entry: entry})
+	r.tell(&event.EntryHeartbeat{Entry: entry})
 	r.tell(&event.Tick{})
 	r.later(tickEvery, r.tick)
 }
@@ -159,7 +159,7 @@
 	one.ticket = event.Ticket{
 		ID: event.RequestID(q.ID), Team: q.Team, Rank: q.Rank, Pool: r.pool.Name,
 		PromptTokens: q.PromptTokens(), OutputTokens: q.Output, Prefix: engine.Marks(one.blocks),
-		Deadline: event.Span(q.Deadline) * event.Millisecond,
+		Deadline: event.Duration(q.Deadline) * event.Millisecond,
 	}
 	r.requests[one.ticket.ID] = one
 	r.result.rank(q.Rank).Offered++
@@ -278,13 +278,13 @@
 
 func (r *run) report(s *server) {
 	s.loads = append(s.loads, pastLoad{at: r.now, waiting: s.model.Load().Waiting + s.model.Load().Running})
-	lag := event.Span(r.trace.Header.LoadLagMillis) * event.Millisecond
+	lag := event.Duration(r.trace.Header.LoadLagMillis) * event.Millisecond
 	for len(s.loads) > 1 && r.now.Sub(s.loads[1].at) >= lag {
 		s.loads = s.loads[1:]
 	}
 	rep := event.Report{
-		Endpoint: s.id, Pool: r.pool.Name, Address: string(s.id), Incarnation: 1, Leaving: s.leaving,
-		Waiting: s.loads[0].waiting, LoadAge: r.now.Sub(s.loads[0].at), TokenGap: s.meter.Gap(r.now),
+		Endpoint: s.id, Pool: r.pool.Name, Address: string(s.id), Incarnation: 1, Draining: s.leaving,
+		QueueLength: s.loads[0].waiting, LoadAge: r.now.Sub(s.loads[0].at), TokenGap: s.meter.Gap(r.now),
 	}
 	for id := range s.running {
 		rep.Running = append(rep.Running, id.Dispatch(0))
--- a/routing/table.go
+++ b/routing/table.go
@@ -49,7 +49,7 @@
 	Target time.Duration
 	Gap    time.Duration
 	Rank   int // higher ranks are served first
-	Split  []Share
+	Split  []WeightedService
 	// MaxAttempts is the maximum number of endpoints that a request may be sent
 	// to. Index raises it to at least 1.
 	MaxAttempts int
@@ -63,7 +63,7 @@
 }
 
 // WeightedService is a service with its weight in a route's traffic split.
-type Share struct {
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -101,12 +101,12 @@
 
 // Index builds the lookup maps. It or IndexReusing must be called once, before
 // any lookup.
-func (t *Table) Index() { t.IndexLike(nil) }
+func (t *Table) Index() { t.IndexReusing(nil) }
 
 // IndexReusing is like Index but reuses the maps of an older table, which may
 // be nil, if both tables share the same backing arrays of routes or teams. This
 // keeps a small change cheap beside many routes.
-func (t *Table) IndexLike(old *Table) {
+func (t *Table) IndexReusing(old *Table) {
 	if old != nil && isSame(t.Routes, old.Routes) {
 		t.routeByKey = old.routeByKey
 	} else {
@@ -167,7 +167,7 @@
 }
 
 // TeamByKey returns the team that owns an API key; nil if none does.
-func (t *Table) Holder(key string) *Team { return t.teamByKey[key] }
+func (t *Table) TeamByKey(key string) *Team { return t.teamByKey[key] }
 
 // Service returns a service by name; nil if there is none.
 func (t *Table) Service(name string) *Service { return t.serviceByName[name] }
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -14,8 +14,8 @@
 	return &Table{
 		Version: 3,
 		Routes: []Route{
-			{Name: "all", Host: "a.example", Prefix: "/", Timeout: time.Second, Split: []Share{{"plain", 1}}},
-			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Timeout: time.Second, Split: []Share{{"plain", 9}, {"model", 1}}},
+			{Name: "all", Host: "a.example", Prefix: "/", Timeout: time.Second, Split: []WeightedService{{"plain", 1}}},
+			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Timeout: time.Second, Split: []WeightedService{{"plain", 9}, {"model", 1}}},
 		},
 		Services: []Service{{Name: "plain"}, {Name: "model"}},
 		Teams:    []Team{{Name: "t1", Keys: []string{"k1", "k2"}}, {Name: "t2", Keys: []string{"k3"}}},
@@ -55,10 +55,10 @@
 func TestTeamByKeyAndUnknownKey(t *testing.T) {
 	table := validTable()
 	table.Index()
-	if got := table.Holder("k2"); got == nil || got.Name != "t1" {
+	if got := table.TeamByKey("k2"); got == nil || got.Name != "t1" {
 		t.Errorf("team of k2: %v", got)
 	}
-	if got := table.Holder("k4"); got != nil {
+	if got := table.TeamByKey("k4"); got != nil {
 		t.Errorf("team of an unknown key: %v", got)
 	}
 }
--- a/rpc/convert.go
+++ b/rpc/convert.go
@@ -53,7 +53,7 @@
 func (r *ExchangeRequest) Events() []event.Event {
 	entry := event.BoxID(r.Entry)
 	events := make([]event.Event, 0, 1+len(r.Tickets)+len(r.Withdrawn)+len(r.Finished))
-	events = append(events, &event.EntrySeen{Entry: entry, Version: r.Version})
+	events = append(events, &event.EntryHeartbeat{Entry: entry, Version: r.Version})
 	for _, f := range r.Finished {
 		events = append(events, &event.Finished{ID: event.RequestID(f.Id), Pool: f.Pool, Tokens: int(f.Tokens), Failed: f.Failed, Void: f.Void})
 	}
@@ -73,9 +73,9 @@
 		Pool:        r.Pool,
 		Address:     r.Address,
 		Incarnation: uint64(r.Incarnation),
-		Leaving:     r.Leaving,
+		Leaving:     r.Draining,
 		Down:        r.Down,
-		Waiting:     uint32(r.Waiting),
+		Waiting:     uint32(r.QueueLength),
 		LoadAgeMs:   uint32(r.LoadAge.Milliseconds()),
 		TokenGapUs:  uint64(r.TokenGap.Microseconds()),
 	}
@@ -92,9 +92,9 @@
 		Pool:        r.Pool,
 		Address:     r.Address,
 		Incarnation: event.Incarnation(r.Incarnation),
-		Leaving:     r.Leaving,
+		Draining:    r.Leaving,
 		Down:        r.Down,
-		Waiting:     int(r.Waiting),
+		QueueLength: int(r.Waiting),
 		LoadAge:     millis(r.LoadAgeMs),
 		TokenGap:    time.Duration(r.TokenGapUs) * time.Microsecond,
 	}}
@@ -122,4 +122,4 @@
 	}}
 }
 
-func millis(n uint32) event.Span { return time.Duration(n) * time.Millisecond }
+func millis(n uint32) event.Duration { return time.Duration(n) * time.Millisecond }
--- a/sched/class.go
+++ b/sched/class.go
@@ -10,7 +10,7 @@
 
 // TeamRankStride is the distance between adjacent team ranks. Ranks that give
 // the same team rank when divided by it and rounded belong to one team tier.
-const RanksOfTeam = 1000
+const TeamRankStride = 1000
 
 // classDecayTime is the time constant of the class counters.
 const classDecayTime = 10 * event.Second
@@ -81,7 +81,7 @@
 	return found, ok
 }
 
-func teamTier(rank int) int { return int(math.Floor(float64(rank)/RanksOfTeam + 0.5)) }
+func teamTier(rank int) int { return int(math.Floor(float64(rank)/TeamRankStride + 0.5)) }
 
 // promote updates the class statistics of k and returns the rank at which k is
 // queued. That is its own rank, or the next higher one while k's class is much
--- a/sched/discover.go
+++ b/sched/discover.go
@@ -13,12 +13,12 @@
 const farFuture = event.Time(math.MaxInt64 / 2)
 
 // updateEndpoint adds a discovered endpoint or applies its new state.
-func (s *State) updateEndpoint(now event.Time, seen *event.EndpointSeen) {
+func (s *State) updateEndpoint(now event.Time, seen *event.EndpointUpdated) {
 	e := s.ensureEndpoint(seen.Endpoint.ID)
 	e.Endpoint = seen.Endpoint
 	e.report.Address = seen.Address
 	e.report.Down = seen.Down
-	e.halfOpen = seen.Unsure
+	e.halfOpen = seen.HalfOpen
 	e.hasReport = true
 	e.lastReport = farFuture
 	s.setLimit(now, e, seen)
@@ -116,7 +116,7 @@
 
 // observePrefill updates the pool's prefill rate and the endpoint's prefill
 // slowness from an answer that has begun.
-func (s *State) observePrefill(now event.Time, e *endpoint, g *grant, firstToken event.Span) {
+func (s *State) observePrefill(now event.Time, e *endpoint, g *grant, firstToken event.Duration) {
 	if g.firstPrefill && firstToken > 0 {
 		s.prefill.observe(float64(g.prefillTokens)/e.speed(), firstToken.Seconds())
 	}
--- a/sched/discover_test.go
+++ b/sched/discover_test.go
@@ -16,7 +16,7 @@
 	}}, 1)
 	var out event.Effects
 	for i := range endpoints {
-		s.Step(0, &event.EndpointSeen{Endpoint: event.Endpoint{
+		s.Step(0, &event.EndpointUpdated{Endpoint: event.Endpoint{
 			ID: event.EndpointID(fmt.Sprintf("e%04d", i)), Concurrency: slots, Speed: 1, DataCentre: fmt.Sprintf("z%d", i%4),
 		}, Address: "10.0.0.1:80"}, &out)
 	}
@@ -95,7 +95,7 @@
 	s := discoveredPool(1, 1)
 	var out event.Effects
 	s.Step(0, submission(1, nil), &out)
-	s.Step(0, &event.EndpointGone{ID: "e0000"}, &out)
+	s.Step(0, &event.EndpointRemoved{ID: "e0000"}, &out)
 	if s.Running() != 0 {
 		t.Error("a grant remains at a removed endpoint")
 	}
@@ -111,7 +111,7 @@
 	var out event.Effects
 	s.Step(0, submission(1, nil), &out)
 	s.Step(0, submission(2, nil), &out)
-	s.Step(0, &event.EntryGone{Entry: "entry"}, &out)
+	s.Step(0, &event.EntryRemoved{Entry: "entry"}, &out)
 	if s.Running() != 0 || s.Waiting() != 0 {
 		t.Errorf("%d running and %d waiting for a removed entry", s.Running(), s.Waiting())
 	}
@@ -153,7 +153,7 @@
 	// Nothing drains any more: waiting requests are refused as their time runs out, the
 	// one at the head last, when its target has passed.
 	atOnce := len(out.Refusals)
-	for wait := event.Span(0); wait <= event.Second+50*event.Millisecond; wait += 50 * event.Millisecond {
+	for wait := event.Duration(0); wait <= event.Second+50*event.Millisecond; wait += 50 * event.Millisecond {
 		s.Step(now.Add(wait), &event.Tick{}, &out)
 		if wait <= event.Second/2 && len(out.Refusals) == 30 {
 			t.Errorf("no request waits after %v, though one could be in time", wait)
@@ -183,7 +183,7 @@
 func TestRefusesNothingWhileCapacityIsFree(t *testing.T) {
 	s, now := overloaded(t)
 	var out event.Effects
-	s.Step(now, &event.EndpointSeen{Endpoint: event.Endpoint{ID: "e9", Concurrency: 40, Speed: 1}, Address: "10.0.0.9:80"}, &out)
+	s.Step(now, &event.EndpointUpdated{Endpoint: event.Endpoint{ID: "e9", Concurrency: 40, Speed: 1}, Address: "10.0.0.9:80"}, &out)
 	out.Reset()
 	for i := range 30 {
 		s.Step(now, submission(2000+i, nil), &out)
@@ -199,7 +199,7 @@
 	var out event.Effects
 	rank := func(team, route int) func(*event.Ticket) {
 		return func(k *event.Ticket) {
-			k.Rank = team*RanksOfTeam + route
+			k.Rank = team*TeamRankStride + route
 			k.Patience = 0
 		}
 	}
@@ -313,7 +313,7 @@
 	s := New(0, event.Pool{Name: pool, MaxWaiting: 100, Discovered: true, LeastOutstanding: true}, 1)
 	var out event.Effects
 	for _, id := range []event.EndpointID{"a", "b"} {
-		s.Step(0, &event.EndpointSeen{Endpoint: event.Endpoint{ID: id, Concurrency: 4, Speed: 1}, Address: "10.0.0.1:80"}, &out)
+		s.Step(0, &event.EndpointUpdated{Endpoint: event.Endpoint{ID: id, Concurrency: 4, Speed: 1}, Address: "10.0.0.1:80"}, &out)
 	}
 	for i := range 8 {
 		s.Step(0, submission(i, nil), &out)
@@ -394,8 +394,8 @@
 // at a time, on a new connection, until it has served again.
 func TestHalfOpenEndpointGetsOneRequest(t *testing.T) {
 	s := discoveredPool(1, 4)
-	seen := &event.EndpointSeen{
-		Endpoint: event.Endpoint{ID: "e0000", Concurrency: 4, Speed: 1}, Address: "10.0.0.1:80", Unsure: true,
+	seen := &event.EndpointUpdated{
+		Endpoint: event.Endpoint{ID: "e0000", Concurrency: 4, Speed: 1}, Address: "10.0.0.1:80", HalfOpen: true,
 	}
 	var out event.Effects
 	s.Step(0, seen, &out)
@@ -406,7 +406,7 @@
 		t.Fatalf("grants %+v, want one on a new connection", out.Grants)
 	}
 	out.Reset()
-	seen.Unsure = false
+	seen.HalfOpen = false
 	s.Step(0, seen, &out)
 	if len(out.Grants) != 3 || out.Grants[0].Fresh {
 		t.Errorf("grants %+v, want the other three", out.Grants)
--- a/sched/forecast.go
+++ b/sched/forecast.go
@@ -84,7 +84,7 @@
 	timeout := k.Patience
 	if k.Target > 0 && k.OutputTokens > 0 {
 		// Prefill of its own prompt has to fit in the timeout, too.
-		prefill := event.Span(float64(k.PromptTokens) / s.profile().PrefillRate * float64(event.Second))
+		prefill := event.Duration(float64(k.PromptTokens) / s.profile().PrefillRate * float64(event.Second))
 		timeout = max(timeout-prefill, timeout/minTimeoutDivisor)
 	}
 	return waited+s.expectedWait(now, k) > timeout
@@ -93,7 +93,7 @@
 // expectedWait returns how long the work queued before a ticket takes: the expected run
 // time of those requests, divided by the capacity. Capacity left by higher ranks is
 // estimated as the share of work that was recently granted to this rank and below.
-func (s *State) expectedWait(now event.Time, k *ticket) event.Span {
+func (s *State) expectedWait(now event.Time, k *ticket) event.Duration {
 	if s.capacityUnits == 0 {
 		return 0
 	}
@@ -116,7 +116,7 @@
 	if totalRate > 0 {
 		available = capacity * max(availableRate/totalRate, minCapacityShare)
 	}
-	return event.Span((above/capacity + own/available) * float64(event.Second))
+	return event.Duration((above/capacity + own/available) * float64(event.Second))
 }
 
 // minCapacityShare is the least share of the capacity assumed to be left for a rank.
@@ -145,7 +145,7 @@
 	samples int
 }
 
-func (m *meanRunTime) observe(ran event.Span) {
+func (m *meanRunTime) observe(ran event.Duration) {
 	m.samples++
 	m.mean += max(runTimeWeight, 1/float64(m.samples)) * (ran.Seconds() - m.mean)
 }
--- a/sched/limit.go
+++ b/sched/limit.go
@@ -22,7 +22,7 @@
 }
 
 // setLimit applies the limit that an endpoint requests; this pool may spend its share of it.
-func (s *State) setLimit(now event.Time, e *endpoint, seen *event.EndpointSeen) {
+func (s *State) setLimit(now event.Time, e *endpoint, seen *event.EndpointUpdated) {
 	l := &e.rateLimit
 	if seen.Limited && !l.isSet {
 		l.pacer = backpressure.Pacer{} // start without tokens: other boxes may have spent them
@@ -30,19 +30,19 @@
 	l.isSet, l.rate = seen.Limited, seen.Limit
 	if l.isSet {
 		l.everSet = true
-		l.pacer.Set(now, l.rate, s.limitShare)
+		l.pacer.SetRate(now, l.rate, s.limitShare)
 	}
 }
 
 // SetLimitShare sets the share of the endpoints' rate limits that this pool may spend.
-func (s *State) SetPart(now event.Time, limitShare float64) {
+func (s *State) SetLimitShare(now event.Time, limitShare float64) {
 	if limitShare == s.limitShare {
 		return
 	}
 	s.limitShare = limitShare
 	for _, e := range s.endpoints {
 		if e.rateLimit.isSet {
-			e.rateLimit.pacer.Set(now, e.rateLimit.rate, limitShare)
+			e.rateLimit.pacer.SetRate(now, e.rateLimit.rate, limitShare)
 			s.refreshView(now, e)
 		}
 	}
@@ -58,7 +58,7 @@
 // refundRateLimit returns what an unused grant spent of its endpoint's limit.
 func (g *grant) refundRateLimit() {
 	if l := &g.endpoint.rateLimit; l.isSet && g.paced {
-		l.pacer.GiveBack()
+		l.pacer.Refund()
 	}
 }
 
--- a/sched/limit_test.go
+++ b/sched/limit_test.go
@@ -15,7 +15,7 @@
 	var out event.Effects
 	for i := range s.endpoints {
 		e := s.endpoints[i].Endpoint
-		s.Step(0, &event.EndpointSeen{Endpoint: e, Address: "10.0.0.1:80", Limited: true, Limit: 2}, &out)
+		s.Step(0, &event.EndpointUpdated{Endpoint: e, Address: "10.0.0.1:80", Limited: true, Limit: 2}, &out)
 	}
 	granted, refused, late := 0, 0, 0
 	submittedAt := make(map[event.RequestID]event.Time)
@@ -56,7 +56,7 @@
 func TestUnusedGrantRefundsRateLimit(t *testing.T) {
 	s := discoveredPool(1, 10)
 	var out event.Effects
-	seen := &event.EndpointSeen{Endpoint: s.endpoints[0].Endpoint, Address: "10.0.0.1:80", Limited: true, Limit: 0.1}
+	seen := &event.EndpointUpdated{Endpoint: s.endpoints[0].Endpoint, Address: "10.0.0.1:80", Limited: true, Limit: 0.1}
 	s.Step(0, seen, &out)
 	now := event.Time(11 * event.Second)
 	s.Step(now, &event.Tick{}, &out)
@@ -75,13 +75,13 @@
 func TestNewPoolKeepsRequestsWithoutLimitShare(t *testing.T) {
 	s := discoveredPool(1, 10)
 	var out event.Effects
-	s.Step(0, &event.PartChanged{}, &out)
-	s.Step(0, &event.EndpointSeen{Endpoint: s.endpoints[0].Endpoint, Address: "10.0.0.1:80", Limited: true, Limit: 1e300}, &out)
+	s.Step(0, &event.LimitShareChanged{}, &out)
+	s.Step(0, &event.EndpointUpdated{Endpoint: s.endpoints[0].Endpoint, Address: "10.0.0.1:80", Limited: true, Limit: 1e300}, &out)
 	s.Step(0, submission(1, nil), &out)
 	if len(out.Refusals)+len(out.Grants) != 0 {
 		t.Fatalf("grants %+v, refusals %+v", out.Grants, out.Refusals)
 	}
-	s.Step(event.Time(200*event.Millisecond), &event.PartChanged{Part: 1}, &out)
+	s.Step(event.Time(200*event.Millisecond), &event.LimitShareChanged{Share: 1}, &out)
 	s.Step(event.Time(220*event.Millisecond), &event.Tick{}, &out)
 	if len(out.Grants) != 1 {
 		t.Errorf("grants %+v", out.Grants)
@@ -115,7 +115,7 @@
 func TestLongRequestsPreferRateLimitedEndpoints(t *testing.T) {
 	s := discoveredPool(2, 10)
 	var out event.Effects
-	s.Step(0, &event.EndpointSeen{Endpoint: s.byID["e0000"].Endpoint, Address: "10.0.0.1:80", Limited: true, Limit: 20}, &out)
+	s.Step(0, &event.EndpointUpdated{Endpoint: s.byID["e0000"].Endpoint, Address: "10.0.0.1:80", Limited: true, Limit: 20}, &out)
 	at := make(map[bool]map[event.EndpointID]int)
 	for _, long := range []bool{true, false} {
 		at[long] = make(map[event.EndpointID]int)
--- a/sched/load_test.go
+++ b/sched/load_test.go
@@ -23,7 +23,7 @@
 	perSecond                float64 // at a base load of 1 and 54 endpoints
 	prompt, output           float64 // mean tokens
 	maxOutput                int     // output tokens
-	target, deadline         event.Span
+	target, deadline         event.Duration
 	value, lateValue         float64
 	promptSigma, outputSigma float64 // standard deviation of the logarithm
 }
@@ -220,7 +220,7 @@
 }
 
 func (r *replay) updateEndpoint(i int, down bool) {
-	r.step(&event.EndpointSeen{
+	r.step(&event.EndpointUpdated{
 		Endpoint: event.Endpoint{ID: loadEndpoint(i), Concurrency: 10, Speed: 1}, Address: "10.0.0.1:80", Down: down || i < r.load.limited && r.load.limit < 0,
 		Limited: i < r.load.limited && r.load.limit > 0, Limit: r.load.limit,
 	})
@@ -249,7 +249,7 @@
 	if at >= event.Time(2*event.Second) && at < event.Time(7*event.Second) {
 		rate *= r.load.burst
 	}
-	at = at.Add(event.Span(r.random.ExpFloat64() / rate * float64(event.Second)))
+	at = at.Add(event.Duration(r.random.ExpFloat64() / rate * float64(event.Second)))
 	if at >= r.load.length {
 		return
 	}
@@ -375,12 +375,12 @@
 // run starts a request on an engine.
 func (r *replay) run(e *loadEngine, k *loadRequest, id event.RequestID, granted event.Time) {
 	e.running++
-	prefill := event.Span(float64(k.ticket.PromptTokens) / 56600 * e.slowness * float64(event.Second))
+	prefill := event.Duration(float64(k.ticket.PromptTokens) / 56600 * e.slowness * float64(event.Second))
 	begin := max(r.now, e.prefillUntil).Add(prefill + 16*event.Millisecond)
 	e.prefillUntil = begin
-	gap := event.Span(5.5 * e.slowness * float64(event.Millisecond))
+	gap := event.Duration(5.5 * e.slowness * float64(event.Millisecond))
 	deadline := k.firstTry.Add(k.kind.deadline)
-	end := begin.Add(gap * event.Span(k.length))
+	end := begin.Add(gap * event.Duration(k.length))
 	if begin < deadline {
 		r.at(begin.Add(loadLatency), func() { r.step(&event.Begun{ID: id, Pool: pool, After: r.now.Sub(granted)}) })
 	}
@@ -400,7 +400,7 @@
 	}
 }
 
-func (r *replay) end(id event.RequestID, k *loadRequest, granted, begin event.Time, gap event.Span, completed bool) {
+func (r *replay) end(id event.RequestID, k *loadRequest, granted, begin event.Time, gap event.Duration, completed bool) {
 	delete(r.requests, id)
 	f := &event.Finished{ID: id, Pool: pool, Tokens: k.length, FirstAfter: begin.Sub(granted), TokenGap: gap, Failed: !completed}
 	r.result.runSeconds += r.now.Sub(granted).Seconds()
--- a/sched/place.go
+++ b/sched/place.go
@@ -72,7 +72,7 @@
 	s.prefix.add(e, k.Prefix)
 	switch {
 	case !s.pool.Discovered:
-		e.prefillQueue.reserve(now, event.Span(est.prefill*float64(event.Second)))
+		e.prefillQueue.reserve(now, event.Duration(est.prefill*float64(event.Second)))
 	case !g.tokenless:
 		g.firstPrefill = len(e.prefillQueue.pending) == 0
 		e.prefillQueue.add(now, g)
@@ -82,7 +82,7 @@
 	s.grantRate.add(now, 1)
 	s.queue.tier(k.Rank, k.precedence).grantedWork.add(now, k.runTime)
 	granted := g.effect(k.ID)
-	granted.Inputs = event.Inputs{Running: e.inflight, Wait: event.Span(est.latency * float64(event.Second))}
+	granted.Inputs = event.Inputs{Running: e.inflight, Wait: event.Duration(est.latency * float64(event.Second))}
 	out.Grants = append(out.Grants, granted)
 }
 
@@ -116,7 +116,7 @@
 }
 
 // refuseWithRetry refuses a request with the given time to retry after.
-func (s *State) refuseWithRetry(now event.Time, k *ticket, reason event.Reason, retryAfter event.Span, out *event.Effects) {
+func (s *State) refuseWithRetry(now event.Time, k *ticket, reason event.Reason, retryAfter event.Duration, out *event.Effects) {
 	s.queue.remove(k)
 	k.class.refused.add(now, 1)
 	s.refused[Group{Team: k.Team, Rank: k.Rank, Reason: reason}]++
@@ -131,15 +131,15 @@
 
 // retryAfter returns the time the queue takes to drain, with jitter so that
 // requests refused together are not retried together.
-func (s *State) retryAfter(now event.Time) event.Span {
+func (s *State) retryAfter(now event.Time) event.Duration {
 	wait := MinRetryAfter
 	if rate := s.grantRate.perSecond(now); rate > 0 {
-		wait = event.Span(float64(s.queue.len()) / rate * float64(event.Second))
+		wait = event.Duration(float64(s.queue.len()) / rate * float64(event.Second))
 	}
 	return min(max(s.addJitter(wait), MinRetryAfter), MaxRetryAfter)
 }
 
 // addJitter lengthens a wait by a random fraction of up to a quarter.
-func (s *State) addJitter(wait event.Span) event.Span {
-	return wait + event.Span(s.random.Float64()/4*float64(wait))
+func (s *State) addJitter(wait event.Duration) event.Duration {
+	return wait + event.Duration(s.random.Float64()/4*float64(wait))
 }
--- a/sched/reading.go
+++ b/sched/reading.go
@@ -44,7 +44,7 @@
 
 // reserve plans a prefill of a given length, for endpoints that don't report when it
 // ends.
-func (q *prefillQueue) reserve(now event.Time, prefill event.Span) {
+func (q *prefillQueue) reserve(now event.Time, prefill event.Duration) {
 	q.plannedUntil = max(q.plannedUntil, now).Add(prefill)
 }
 
--- a/sched/rest.go
+++ b/sched/rest.go
@@ -12,7 +12,7 @@
 // to other endpoints, wait if a cooldown ends in time, and are refused at once if none does.
 
 // startCooldown records a cooldown that an endpoint asked of an entry.
-func (s *State) startCooldown(now event.Time, r *event.Rested) {
+func (s *State) startCooldown(now event.Time, r *event.CooldownRequested) {
 	e, ok := s.byID[r.Endpoint]
 	if !ok {
 		return
@@ -80,7 +80,7 @@
 		return false
 	}
 	wait := end.Sub(now)
-	s.refuseWithRetry(now, k, event.ReasonRest, s.addJitter(wait), out)
+	s.refuseWithRetry(now, k, event.ReasonCooldown, s.addJitter(wait), out)
 	return true
 }
 
--- a/sched/rest_test.go
+++ b/sched/rest_test.go
@@ -12,13 +12,13 @@
 func poolInCooldown(entry event.BoxID) *State {
 	s := discoveredPool(2, 1)
 	var out event.Effects
-	for _, r := range []event.Rested{{Entry: entry, Endpoint: "e0000", For: 4 * event.Second}, {Entry: entry, Endpoint: "e0001", For: 2 * event.Second}} {
+	for _, r := range []event.CooldownRequested{{Entry: entry, Endpoint: "e0000", For: 4 * event.Second}, {Entry: entry, Endpoint: "e0001", For: 2 * event.Second}} {
 		s.Step(0, &r, &out)
 	}
 	return s
 }
 
-func callFrom(id int, entry event.BoxID, timeout event.Span) *event.Submitted {
+func callFrom(id int, entry event.BoxID, timeout event.Duration) *event.Submitted {
 	s := submission(id, func(k *event.Ticket) { k.Patience = timeout })
 	s.Entry = entry
 	return s
@@ -31,7 +31,7 @@
 	var out event.Effects
 	now := event.Time(event.Second)
 	s.Step(now, callFrom(1, "a", 500*event.Millisecond), &out)
-	if len(out.Refusals) != 1 || out.Refusals[0].Reason != event.ReasonRest {
+	if len(out.Refusals) != 1 || out.Refusals[0].Reason != event.ReasonCooldown {
 		t.Fatalf("refusals %+v, grants %+v", out.Refusals, out.Grants)
 	}
 	if after := out.Refusals[0].RetryAfter; after < event.Second || after > 1250*event.Millisecond {
@@ -75,9 +75,9 @@
 	var out event.Effects
 	s.Step(0, callFrom(1, "a", 500*event.Millisecond), &out)
 	s.Step(0, callFrom(2, "a", 500*event.Millisecond), &out)
-	s.Step(0, &event.Rested{Entry: "a", Endpoint: "e0000", For: 2 * event.Second}, &out)
+	s.Step(0, &event.CooldownRequested{Entry: "a", Endpoint: "e0000", For: 2 * event.Second}, &out)
 	s.Step(1, &event.Tick{}, &out)
-	if len(out.Refusals) != 1 || out.Refusals[0].Reason != event.ReasonRest {
+	if len(out.Refusals) != 1 || out.Refusals[0].Reason != event.ReasonCooldown {
 		t.Errorf("refusals %+v", out.Refusals)
 	}
 }
@@ -86,7 +86,7 @@
 func TestRemovedEntryLosesCooldowns(t *testing.T) {
 	s := poolInCooldown("a")
 	var out event.Effects
-	s.Step(0, &event.EntryGone{Entry: "a"}, &out)
+	s.Step(0, &event.EntryRemoved{Entry: "a"}, &out)
 	s.Step(0, callFrom(1, "a", 500*event.Millisecond), &out)
 	if len(out.Grants) != 1 || s.cooldownEndpoints != 0 {
 		t.Errorf("grants %+v, %d endpoints with cooldowns", out.Grants, s.cooldownEndpoints)
--- a/sched/state.go
+++ b/sched/state.go
@@ -150,7 +150,7 @@
 		s.recordBegun(now, e)
 	case *event.Finished:
 		s.finish(now, e)
-	case *event.EntrySeen:
+	case *event.EntryHeartbeat:
 		s.entries[e.Entry] = now
 		return
 	case *event.SlotReported:
@@ -160,18 +160,18 @@
 	case *event.Adopted:
 		s.entries[e.Entry] = now
 		s.adopt(now, e)
-	case *event.EntryGone:
+	case *event.EntryRemoved:
 		s.removeEntry(now, e.Entry)
-	case *event.EndpointSeen:
+	case *event.EndpointUpdated:
 		s.updateEndpoint(now, e)
-	case *event.Rested:
+	case *event.CooldownRequested:
 		s.startCooldown(now, e)
-	case *event.PartChanged:
-		s.SetPart(now, e.Part)
-	case *event.EndpointGone:
+	case *event.LimitShareChanged:
+		s.SetLimitShare(now, e.Share)
+	case *event.EndpointRemoved:
 		s.removeEndpoint(now, e.ID)
-	case *event.PlatformListed:
-		s.drainingHosts = e.Leaving
+	case *event.DrainListUpdated:
+		s.drainingHosts = e.Draining
 		s.updatePlatformDraining()
 		s.refreshViews(now)
 	case *event.Tick:
@@ -273,7 +273,7 @@
 	}
 	k.orderTime = now.Add(-e.Ticket.Waited)
 	if k.Target == 0 {
-		k.orderTime = k.orderTime.Add(event.Span(sizePenalty * referenceWork(k) * float64(event.Second)))
+		k.orderTime = k.orderTime.Add(event.Duration(sizePenalty * referenceWork(k) * float64(event.Second)))
 	}
 	s.queue.add(k)
 }
@@ -443,14 +443,14 @@
 	ID      event.EndpointID
 	Running int
 	// Available is set while the endpoint may be granted requests.
-	Serves bool
+	Available bool
 }
 
 // Endpoints returns the status of all endpoints, sorted by ID.
 func (s *State) Endpoints(now event.Time) []EndpointStatus {
 	list := make([]EndpointStatus, 0, len(s.endpoints))
 	for _, e := range s.endpoints {
-		list = append(list, EndpointStatus{ID: e.ID, Running: e.inflight, Serves: e.isAvailable(now) && e.Concurrency > 0})
+		list = append(list, EndpointStatus{ID: e.ID, Running: e.inflight, Available: e.isAvailable(now) && e.Concurrency > 0})
 	}
 	slices.SortFunc(list, func(a, b EndpointStatus) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	return list
--- a/sched/state_test.go
+++ b/sched/state_test.go
@@ -79,7 +79,7 @@
 			ID: event.RequestID(fmt.Sprint("r", b.next)), Pool: pool,
 			Team: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"), Rank: rapid.IntRange(1, 3).Draw(t, "rank"),
 			PromptTokens: rapid.IntRange(1, 5000).Draw(t, "prompt"), OutputTokens: rapid.IntRange(0, 500).Draw(t, "output"),
-			Deadline: event.Span(rapid.Int64Range(int64(event.Second), int64(60*event.Second)).Draw(t, "deadline")),
+			Deadline: event.Duration(rapid.Int64Range(int64(event.Second), int64(60*event.Second)).Draw(t, "deadline")),
 		}
 		b.waiting[k.ID] = k.Rank
 		b.step(&event.Submitted{Entry: "e", Ticket: k})
@@ -98,8 +98,8 @@
 	case 7, 8:
 		b.report(event.EndpointID(fmt.Sprint("e", rapid.IntRange(0, 2).Draw(t, "endpoint"))))
 	case 9:
-		b.now = b.now.Add(event.Span(rapid.Int64Range(0, int64(event.Second)).Draw(t, "time")))
-		b.step(&event.EntrySeen{Entry: "e"})
+		b.now = b.now.Add(event.Duration(rapid.Int64Range(0, int64(event.Second)).Draw(t, "time")))
+		b.step(&event.EntryHeartbeat{Entry: "e"})
 		b.step(&event.Tick{})
 	}
 }
@@ -111,8 +111,8 @@
 			r.Running = append(r.Running, g.Dispatch(0))
 		}
 	}
-	r.Leaving = b.draining[id] || rapid.IntRange(0, 20).Draw(b.t, "leave") == 0
-	b.draining[id] = r.Leaving
+	r.Draining = b.draining[id] || rapid.IntRange(0, 20).Draw(b.t, "leave") == 0
+	b.draining[id] = r.Draining
 	b.step(&event.SlotReported{Report: r})
 }
 
--- a/sched/view.go
+++ b/sched/view.go
@@ -40,7 +40,7 @@
 		free, units := max(0, e.capacity()-e.inflight), e.capacity()*unitsPerRequest
 		if e.rateLimit.isSet {
 			v.isRateLimited = true
-			free = min(free, e.rateLimit.pacer.Room(now))
+			free = min(free, e.rateLimit.pacer.Available(now))
 			units = min(units, s.limitedCapacity(now, &e.rateLimit))
 		}
 		if len(e.cooldowns) > 0 {
@@ -144,7 +144,7 @@
 		p.TokenGap = referenceTokenGap
 	}
 	if p.CallTime == 0 {
-		p.CallTime = event.Span(callWork * float64(event.Second))
+		p.CallTime = event.Duration(callWork * float64(event.Second))
 	}
 	return p
 }
--- a/slot/guard.go
+++ b/slot/guard.go
@@ -15,7 +15,7 @@
 	ID          event.DispatchID
 	Incarnation event.Incarnation // of the slot it is meant for
 	Epoch       event.Epoch       // of the scheduler that granted it
-	Deadline    event.Span        // time left
+	Deadline    event.Duration    // time left
 }
 
 // Denial says why an offer was not taken. After it the id will never run in
--- a/slot/report.go
+++ b/slot/report.go
@@ -53,7 +53,7 @@
 
 // read returns the queue length, the age of that figure and whether the
 // endpoint is silent.
-func (l *loadWatch) read(now event.Time) (waiting int, age event.Span, down bool) {
+func (l *loadWatch) read(now event.Time) (waiting int, age event.Duration, down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	silent := now.Sub(l.at)
@@ -106,7 +106,7 @@
 // sameNews reports whether a report says nothing that the last one did not, its
 // ages apart.
 func sameNews(a, b event.Report) bool {
-	return a.Leaving == b.Leaving && a.Down == b.Down && a.Waiting == b.Waiting &&
+	return a.Draining == b.Draining && a.Down == b.Down && a.QueueLength == b.QueueLength &&
 		a.TokenGap == b.TokenGap && slices.Equal(a.Running, b.Running)
 }
 
--- a/slot/slot.go
+++ b/slot/slot.go
@@ -98,7 +98,7 @@
 }
 
 // measure takes note of tokens that came.
-func (s *Slot) measure(now event.Time, tokens int, span event.Span) {
+func (s *Slot) measure(now event.Time, tokens int, span event.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.meter.Add(now, tokens, span)
@@ -226,11 +226,11 @@
 		Address:     s.config.Address,
 		Incarnation: s.life,
 	}
-	r.Waiting, r.LoadAge, r.Down = s.load.read(s.clock.Now())
+	r.QueueLength, r.LoadAge, r.Down = s.load.read(s.clock.Now())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.TokenGap = s.meter.Gap(s.clock.Now())
-	r.Leaving = s.guard.Leaving()
+	r.Draining = s.guard.Leaving()
 	for id, u := range s.runs {
 		if !u.answer.Ended() {
 			r.Running = append(r.Running, id)
@@ -267,7 +267,7 @@
 
 // idleFor returns how long nobody has read the answer, and whether the entry
 // has all of it.
-func (u *run) idleFor(now event.Time) (event.Span, bool) {
+func (u *run) idleFor(now event.Time) (event.Duration, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.readers > 0 {
--- a/slot/slot_test.go
+++ b/slot/slot_test.go
@@ -81,11 +81,11 @@
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			id := event.DispatchID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"))
 			for_ := event.Incarnation(rapid.Uint64Range(1, uint64(life)+1).Draw(t, "life"))
-			now = now.Add(event.Span(rapid.Int64Range(0, int64(memoryBound)/50).Draw(t, "time")))
+			now = now.Add(event.Duration(rapid.Int64Range(0, int64(memoryBound)/50).Draw(t, "time")))
 			switch rapid.IntRange(0, 4).Draw(t, "act") {
 			case 0, 1:
 				epoch := event.Epoch(rapid.Uint64Range(1, 5).Draw(t, "epoch"))
-				left := event.Span(rapid.Int64Range(-1, 1).Draw(t, "left"))
+				left := event.Duration(rapid.Int64Range(-1, 1).Draw(t, "left"))
 				d := g.Offer(now, Offer{ID: id, Incarnation: for_, Epoch: epoch, Deadline: left})
 				if d != DenialNone {
 					void[id] = void[id] || (d != DenialStarted && d != DenialIncarnation)
--- a/store/keeper.go
+++ b/store/keeper.go
@@ -36,7 +36,7 @@
 
 // Writer writes to the disk on a goroutine of its own. Messages that depend on a save are sent
 // after it; others are sent at once.
-type Keeper struct {
+type Writer struct {
 	disk   Disk
 	sender Sender
 	queue  chan consensus.Ready
@@ -45,13 +45,13 @@
 }
 
 // NewWriter returns a writer; Run starts it.
-func NewKeeper(disk Disk, sender Sender) *Keeper {
-	return &Keeper{disk: disk, sender: sender, queue: make(chan consensus.Ready, queueLength), saved: make(chan Saved, 1)}
+func NewWriter(disk Disk, sender Sender) *Writer {
+	return &Writer{disk: disk, sender: sender, queue: make(chan consensus.Ready, queueLength), saved: make(chan Saved, 1)}
 }
 
 // Enqueue sends r.Immediate and queues the rest for saving and sending.
-func (w *Keeper) Keep(r consensus.Ready) {
-	for _, m := range r.Early {
+func (w *Writer) Enqueue(r consensus.Ready) {
+	for _, m := range r.Immediate {
 		w.sender.Send(m)
 	}
 	if r.MustSave() || len(r.Messages) > 0 {
@@ -61,7 +61,7 @@
 
 // Run saves and sends until ctx is done. It returns an error if the disk fails, as nothing may be
 // acknowledged then.
-func (w *Keeper) Run(ctx context.Context) error {
+func (w *Writer) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -74,7 +74,7 @@
 	}
 }
 
-func (w *Keeper) write(r consensus.Ready) error {
+func (w *Writer) write(r consensus.Ready) error {
 	r = w.batch(r)
 	if r.MustSave() {
 		if err := w.disk.Save(&r); err != nil {
@@ -94,11 +94,11 @@
 }
 
 // Saved returns the channel on which the event loop learns what was saved.
-func (w *Keeper) Saved() <-chan Saved { return w.saved }
+func (w *Writer) Saved() <-chan Saved { return w.saved }
 
 // notify replaces an older Saved that was not received. It never blocks: the event loop may itself
 // be waiting for the writer.
-func (w *Keeper) notify(e Saved) {
+func (w *Writer) notify(e Saved) {
 	select {
 	case <-w.saved:
 	default:
@@ -108,7 +108,7 @@
 
 // batch adds the queued saves to r, up to batchBytes, so that one sync serves them all. Nothing is
 // added to a snapshot.
-func (w *Keeper) batch(r consensus.Ready) consensus.Ready {
+func (w *Writer) batch(r consensus.Ready) consensus.Ready {
 	size := bytesOf(r.Entries)
 	for r.Snapshot == nil && size < batchBytes {
 		select {
--- a/store/keeper_test.go
+++ b/store/keeper_test.go
@@ -31,9 +31,9 @@
 // on disk.
 func TestBatchSizeIsBounded(t *testing.T) {
 	disk := &recordingDisk{}
-	w := NewKeeper(disk, discardSender{})
+	w := NewWriter(disk, discardSender{})
 	for i := range consensus.Index(6) {
-		w.Keep(largeEntries(i+1, batchBytes/2))
+		w.Enqueue(largeEntries(i+1, batchBytes/2))
 	}
 	for len(w.queue) > 0 {
 		if err := w.write(<-w.queue); err != nil {
@@ -48,7 +48,7 @@
 
 // A saved snapshot must be reported to the event loop, also without entries after it.
 func TestSavedSnapshotIsReported(t *testing.T) {
-	w := NewKeeper(&recordingDisk{}, discardSender{})
+	w := NewWriter(&recordingDisk{}, discardSender{})
 	if err := w.write(consensus.Ready{Snapshot: &consensus.Snapshot{Index: 7, Term: 3}}); err != nil {
 		t.Fatal(err)
 	}
--- a/store/load.go
+++ b/store/load.go
@@ -12,8 +12,8 @@
 )
 
 // load reads the folder and opens the log for writing.
-func (s *Store) load() (consensus.Restored, error) {
-	var r consensus.Restored
+func (s *Store) load() (consensus.PersistentState, error) {
+	var r consensus.PersistentState
 	snapshots, err := s.indexes(snapshotPrefix)
 	if err != nil {
 		return r, err
@@ -67,7 +67,7 @@
 // parseLog reads a log's records into r, whose snapshot is set, and returns the length of the
 // intact part. A bad record is a torn end unless an intact record follows it; then it is
 // ErrDamaged.
-func parseLog(data []byte, r *consensus.Restored) (int, error) {
+func parseLog(data []byte, r *consensus.PersistentState) (int, error) {
 	offset := 0
 	for offset < len(data) {
 		content, length, err := readRecord(data[offset:])
@@ -85,7 +85,7 @@
 	return offset, nil
 }
 
-func applyRecord(content []byte, r *consensus.Restored) error {
+func applyRecord(content []byte, r *consensus.PersistentState) error {
 	if len(content) == 0 {
 		return errors.Wrap(ErrDamaged, "empty record")
 	}
@@ -112,7 +112,7 @@
 }
 
 // placeEntry puts an entry at its index and drops all entries from there on.
-func placeEntry(e consensus.Entry, r *consensus.Restored) error {
+func placeEntry(e consensus.Entry, r *consensus.PersistentState) error {
 	next := r.Snapshot.Index + consensus.Index(len(r.Entries)) + 1
 	if e.Index <= r.Snapshot.Index || e.Index > next {
 		return errors.Wrapf(ErrDamaged, "entry %d out of order, next is %d", e.Index, next)
--- a/store/patient.go
+++ b/store/patient.go
@@ -19,14 +19,14 @@
 
 // RetryingDisk retries failed saves, as on a full disk, so that the process goes on; nothing counts
 // as saved meanwhile. Save returns an error only when the context is done.
-type Patient struct {
+type RetryingDisk struct {
 	Disk    Disk
 	Context context.Context
 	Log     *zap.Logger
 }
 
 // Save implements Disk.
-func (d *Patient) Save(r *consensus.Ready) error {
+func (d *RetryingDisk) Save(r *consensus.Ready) error {
 	lastLogged := time.Time{}
 	began := time.Now()
 	for {
--- a/store/patient_test.go
+++ b/store/patient_test.go
@@ -26,7 +26,7 @@
 
 func TestFullDiskIsRetried(t *testing.T) {
 	disk := &fullDisk{refusals: 3}
-	d := &Patient{Disk: disk, Context: context.Background(), Log: zap.NewNop()}
+	d := &RetryingDisk{Disk: disk, Context: context.Background(), Log: zap.NewNop()}
 	if err := d.Save(&consensus.Ready{}); err != nil || disk.saves != 1 {
 		t.Errorf("error %v, %d saves; want none and 1", err, disk.saves)
 	}
@@ -35,7 +35,7 @@
 func TestRetryEndsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	d := &Patient{Disk: &fullDisk{refusals: 1 << 30}, Context: ctx, Log: zap.NewNop()}
+	d := &RetryingDisk{Disk: &fullDisk{refusals: 1 << 30}, Context: ctx, Log: zap.NewNop()}
 	if err := d.Save(&consensus.Ready{}); err == nil {
 		t.Error("Save returned no error though nothing was saved")
 	}
--- a/store/record.go
+++ b/store/record.go
@@ -43,9 +43,9 @@
 	if kind <= lastRecord {
 		return errors.Wrapf(ErrDamaged, "record of kind %d", kind)
 	}
-	return &level.Above{
-		What: "the data folder", Found: fmt.Sprintf("a record of kind %d", kind),
-		Reads: fmt.Sprintf("kinds up to %d (level %d)", lastRecord, level.Newest),
+	return &level.UnsupportedError{
+		Source: "the data folder", Found: fmt.Sprintf("a record of kind %d", kind),
+		Supported: fmt.Sprintf("kinds up to %d (level %d)", lastRecord, level.Newest),
 	}
 }
 
--- a/store/store.go
+++ b/store/store.go
@@ -56,8 +56,8 @@
 
 // Open opens the data folder of a box, creating it if needed, and returns its content. A new folder
 // gets an identity with incarnation disk.
-func Open(dir string, box event.BoxID, disk event.Incarnation) (*Store, Identity, consensus.Restored, error) {
-	var r consensus.Restored
+func Open(dir string, box event.BoxID, disk event.Incarnation) (*Store, Identity, consensus.PersistentState, error) {
+	var r consensus.PersistentState
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, Identity{}, r, errors.Wrap(err, "data folder")
 	}
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -17,7 +17,7 @@
 	"lynxramp.org/level"
 )
 
-func open(t *testing.T, dir string) (*Store, consensus.Restored) {
+func open(t *testing.T, dir string) (*Store, consensus.PersistentState) {
 	t.Helper()
 	s, _, r, err := Open(dir, "box", 7)
 	if err != nil {
@@ -44,7 +44,7 @@
 
 // filled returns a folder with a snapshot, a hard state and ten entries, the last five of which
 // were replaced.
-func filled(t *testing.T) (string, consensus.Restored) {
+func filled(t *testing.T) (string, consensus.PersistentState) {
 	t.Helper()
 	dir := t.TempDir()
 	s, _ := open(t, dir)
@@ -57,7 +57,7 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	want := consensus.Restored{HardState: hard, Snapshot: snap, Entries: append(entries(5, 9, 2), entries(10, 12, 3)...)}
+	want := consensus.PersistentState{HardState: hard, Snapshot: snap, Entries: append(entries(5, 9, 2), entries(10, 12, 3)...)}
 	return dir, want
 }
 
@@ -151,12 +151,12 @@
 	f.Add(buf)
 	f.Add(buf[:len(buf)-3])
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var r consensus.Restored
+		var r consensus.PersistentState
 		length, err := parseLog(data, &r)
 		if err != nil {
 			return
 		}
-		var again consensus.Restored
+		var again consensus.PersistentState
 		if n, err := parseLog(data[:length], &again); err != nil || n != length {
 			t.Errorf("the intact %d bytes are read as %d, %v", length, n, err)
 		}
@@ -242,13 +242,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	after := consensus.Restored{HardState: want.HardState, Snapshot: snap, Entries: entries(11, 12, 3)}
+	after := consensus.PersistentState{HardState: want.HardState, Snapshot: snap, Entries: entries(11, 12, 3)}
 	write := func(name string, data []byte) {
 		if err := os.WriteFile(name, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	check := func(when string, want consensus.Restored) {
+	check := func(when string, want consensus.PersistentState) {
 		t.Helper()
 		s, got := open(t, dir)
 		if diff := cmp.Diff(want, got); diff != "" {
@@ -306,11 +306,11 @@
 // disk for lost.
 func TestRecordOfNewerBuildIsNotDamage(t *testing.T) {
 	later := appendRecord(nil, []byte{lastRecord + 1, 1, 2, 3})
-	var r consensus.Restored
-	if _, err := parseLog(later, &r); !level.IsAbove(err) {
+	var r consensus.PersistentState
+	if _, err := parseLog(later, &r); !level.IsUnsupported(err) {
 		t.Errorf("log: %v", err)
 	}
-	if _, err := parseSnapshot(later); !level.IsAbove(err) {
+	if _, err := parseSnapshot(later); !level.IsUnsupported(err) {
 		t.Errorf("snapshot: %v", err)
 	}
 	if _, err := parseLog(appendRecord(nil, []byte{recordSnapshot, 1}), &r); !errors.Is(err, ErrDamaged) {
