--- a/engine/fake/cache.go
+++ b/engine/fake/cache.go
@@ -8,10 +8,10 @@
 	"lynxramp.org/engine"
 )
 
-// prefixCache keeps the most recently used prefix blocks.
+// prefixCache is an LRU cache of prefix blocks.
 type prefixCache struct {
 	limit    int
-	order    *list.List // front is most recent; values are uint64
+	order    *list.List // front is the most recently used; values are uint64
 	blocks   map[uint64]*list.Element
 	events   []engine.CacheEvent
 	sequence uint64
@@ -33,9 +33,9 @@
 	return len(blocks)
 }
 
-// add makes blocks the most recent, the first of them the very most, so that a
-// prefix's tail is evicted before its head.
-func (c *prefixCache) add(blocks []uint64) {
+// insert makes blocks the most recently used ones, the first of them last, so that the
+// end of a prefix is evicted before its beginning.
+func (c *prefixCache) insert(blocks []uint64) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		b := blocks[i]
 		if e, ok := c.blocks[b]; ok {
@@ -43,20 +43,20 @@
 			continue
 		}
 		c.blocks[b] = c.order.PushFront(b)
-		c.note(b, false)
+		c.recordEvent(b, false)
 	}
 	for len(c.blocks) > c.limit {
 		last := c.order.Back()
 		b := c.order.Remove(last).(uint64)
 		delete(c.blocks, b)
-		c.note(b, true)
+		c.recordEvent(b, true)
 	}
 }
 
-// maxEvents bounds what is kept for a reader that does not come.
+// maxEvents is how many events are kept when nobody reads them.
 const maxEvents = 4096
 
-func (c *prefixCache) note(block uint64, evicted bool) {
+func (c *prefixCache) recordEvent(block uint64, evicted bool) {
 	c.sequence++
 	c.events = append(c.events, engine.CacheEvent{Sequence: c.sequence, Block: block, Evicted: evicted})
 	if len(c.events) > maxEvents {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (c *prefixCache) drain() []engine.CacheEvent {
+func (c *prefixCache) takeEvents() []engine.CacheEvent {
 	events := c.events
 	c.events = nil
 	return events
--- a/engine/fake/doc.go
+++ b/engine/fake/doc.go
@@ -1,20 +1,19 @@
 // SPDX-License-Identifier: MIT
 
-// Package fake is a stand-in for a model engine and for a plain service.
+// Package fake has stand-ins for a model engine and for a plain service.
 //
-// Model is the pure part: an engine that batches continuously, caches prompt
-// prefixes in limited memory and honours priorities. It knows no clock. The
-// caller hands it event time and asks when it next wants to be called, so a
-// replay runs it as fast as it likes and sees the same result each time.
+// Model simulates an engine with continuous batching, a prefix cache of limited size
+// and priorities. It does not read a clock: the caller passes the time and asks for
+// the time of the next change, so a replay runs at any speed and is deterministic.
 //
-// One iteration of the engine fills prompts (prefill) up to a token budget and
-// gives one token to each sequence that is decoding. Its length is
+// An iteration of the engine computes prompts (prefill) up to a token budget and
+// generates one token for each decoding sequence. Its duration is
 //
 //	overhead + prefilled/prefill rate + sequences × cost of one sequence
 //
-// and all of it is multiplied by a slow-down factor that a fault can raise.
+// multiplied by a slowdown factor that a fault can raise.
 //
-// Engine is the thin HTTP face of a Model in real time. An answer's text is
-// worked out from the prompt alone: a mixed-up or cut answer shows at once.
-// Service is the stand-in of a plain service and echoes what it was sent.
+// Engine serves a Model over HTTP in real time. The text of a response depends on the
+// request alone, so a mixed-up or truncated response is detected. Service is the
+// stand-in for a plain service; it echoes the request.
 package fake
--- a/engine/fake/engine.go
+++ b/engine/fake/engine.go
@@ -13,77 +13,77 @@
 	"lynxramp.org/event"
 )
 
-// Faults are what an engine can be made to do wrong. The zero value is a sound
-// engine.
+// Faults are the faults that can be injected into an engine. The zero value injects
+// none.
 type Faults struct {
-	// Slowdown makes each iteration that many times longer; 0 and 1 are none.
+	// Slowdown multiplies the duration of each iteration; 0 and 1 have no effect.
 	Slowdown float64 `json:"slowdown"`
-	// Frozen stops all work and all answers until it is lifted.
+	// Frozen stops all work and all responses while it is set.
 	Frozen bool `json:"frozen"`
-	// Dead cuts every call without an answer.
-	Dead bool `json:"dead"`
-	// DropAfterBytes cuts each answer's connection once after so many bytes.
+	// DropCalls closes the connection of each call without a response.
+	DropCalls bool `json:"dead"`
+	// DropAfterBytes closes the connection of each response once, after that many bytes.
 	DropAfterBytes int `json:"drop_after_bytes"`
-	// LateMillis holds each answer's first byte back, in milliseconds, by a
-	// whole multiple of the request's parity, so that answers come out of order.
-	LateMillis int `json:"late_ms"`
+	// DelayMillis delays the first byte of a response by 0, 1 or 2 times that many
+	// milliseconds, depending on the request id, so that responses are reordered.
+	DelayMillis int `json:"late_ms"`
 }
 
-// Lags of what an engine tells about itself.
+// Delays and losses of what an engine reports.
 const (
 	loadLag  = 500 * time.Millisecond
 	eventLag = 300 * time.Millisecond
-	// eventGap is the number of cache events of which one is lost.
-	eventGap = 50
+	// eventLossInterval is the number of cache events of which one is lost.
+	eventLossInterval = 50
 )
 
-// answerBound is how long a finished answer can be resumed.
-const answerBound = 60 * time.Second
+// responseRetention is how long a finished response can be resumed.
+const responseRetention = 60 * time.Second
 
-// answer is one request's output so far.
-type answer struct {
-	script  script
-	stream  bool
-	sent    []byte
-	done    bool
-	gone    bool          // cancelled
-	changed chan struct{} // closed at each change
-	ended   time.Time
-	dropped bool
+// response is the output of one request so far.
+type response struct {
+	reply     reply
+	stream    bool
+	data      []byte
+	done      bool
+	cancelled bool
+	changed   chan struct{} // closed at each change
+	ended     time.Time
+	dropped   bool
 }
 
-// Engine runs a Model in real time for HTTP callers.
+// Engine runs a Model in real time and serves it over HTTP.
 type Engine struct {
-	mu      sync.Mutex
-	model   *Model
-	clock   event.Clock
-	faults  Faults
-	answers map[string]*answer
-	starts  map[string]int // how often each id was dispatched here
-	direct  atomic.Uint64  // requests that came without a name
-	wake    chan struct{}
-	lagged  engine.Load
-	laggedT time.Time
-	events  []lateEvent
-	fences  map[string]uint64
-	serving map[string]string
+	mu           sync.Mutex
+	model        *Model
+	clock        event.Clock
+	faults       Faults
+	responses    map[string]*response
+	dispatches   map[string]int // by request id
+	generatedIDs atomic.Uint64  // number of ids generated so far
+	wake         chan struct{}
+	reportedLoad engine.Load
+	reportedAt   time.Time
+	events       []delayedEvent
+	fences       map[string]uint64
+	serving      map[string]string
 }
 
-type lateEvent struct {
+type delayedEvent struct {
 	engine.CacheEvent
 	at time.Time
 }
 
-// NewEngine returns an engine of a profile; Run makes it work.
+// NewEngine returns an engine with a profile; Run must be called for it to work.
 func NewEngine(p Profile) *Engine {
 	return &Engine{
-		model:   NewModel(p),
-		clock:   event.NewClock(),
-		answers: make(map[string]*answer),
-		starts:  make(map[string]int),
-		wake:    make(chan struct{}, 1),
-		fences:  make(map[string]uint64),
-		serving: make(map[string]string),
+		model:      NewModel(p),
+		clock:      event.NewClock(),
+		responses:  make(map[string]*response),
+		dispatches: make(map[string]int),
+		wake:       make(chan struct{}, 1),
+		fences:     make(map[string]uint64),
+		serving:    make(map[string]string),
 	}
 }
 
@@ -102,10 +102,10 @@
 	}
 }
 
-// idleWait is how long an engine without work sleeps.
+// idleWait is how long an engine without work waits.
 const idleWait = 100 * time.Millisecond
 
-// advance runs the model up to now and returns when to come again.
+// advance runs the model up to now and returns the time until its next change.
 func (e *Engine) advance() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -116,7 +116,7 @@
 	for _, o := range e.model.Advance(now, nil) {
 		e.emit(o)
 	}
-	e.noteTelemetry()
+	e.updateTelemetry()
 	next, ok := e.model.Next()
 	if !ok {
 		return idleWait
@@ -125,18 +125,18 @@
 }
 
 func (e *Engine) emit(o Output) {
-	a, ok := e.answers[o.ID]
+	a, ok := e.responses[o.ID]
 	if !ok {
 		return
 	}
 	switch {
 	case a.stream:
-		a.sent = append(a.sent, a.script.event(o.Index)...)
+		a.data = append(a.data, a.reply.event(o.Index)...)
 		if o.Done {
-			a.sent = append(a.sent, endOfStream...)
+			a.data = append(a.data, endOfStream...)
 		}
 	case o.Done:
-		a.sent = a.script.whole()
+		a.data = a.reply.full()
 	default:
 		return
 	}
@@ -144,114 +144,114 @@
 		a.done = true
 		a.ended = time.Now()
 	}
-	a.wake()
+	a.notify()
 }
 
-func (a *answer) wake() {
+func (a *response) notify() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// noteTelemetry moves load and cache events towards their late readers.
-func (e *Engine) noteTelemetry() {
+// updateTelemetry updates the delayed load and cache events, and deletes old responses.
+func (e *Engine) updateTelemetry() {
 	now := time.Now()
 	for _, c := range e.model.CacheEvents() {
-		if c.Sequence%eventGap == 0 {
+		if c.Sequence%eventLossInterval == 0 {
 			continue
 		}
-		e.events = append(e.events, lateEvent{CacheEvent: c, at: now.Add(eventLag)})
+		e.events = append(e.events, delayedEvent{CacheEvent: c, at: now.Add(eventLag)})
 	}
 	if n := len(e.events) - maxEvents; n > 0 {
 		e.events = append(e.events[:0], e.events[n:]...)
 	}
-	if now.Sub(e.laggedT) >= loadLag {
-		e.lagged = e.model.Load()
-		e.laggedT = now
+	if now.Sub(e.reportedAt) >= loadLag {
+		e.reportedLoad = e.model.Load()
+		e.reportedAt = now
 	}
-	for id, a := range e.answers {
-		if (a.done || a.gone) && now.Sub(a.ended) > answerBound {
-			delete(e.answers, id)
+	for id, a := range e.responses {
+		if (a.done || a.cancelled) && now.Sub(a.ended) > responseRetention {
+			delete(e.responses, id)
 		}
 	}
 }
 
-// start queues a request and returns its answer. The same id attaches to the
-// answer it already has.
-func (e *Engine) start(id string, priority int, r engine.CompletionRequest, chat bool) *answer {
+// start queues a request and returns its response. An id that was started before gets
+// the existing response.
+func (e *Engine) start(id string, priority int, r engine.CompletionRequest, chat bool) *response {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.starts[baseID(id)]++
-	if a, ok := e.answers[id]; ok {
+	e.dispatches[baseID(id)]++
+	if a, ok := e.responses[id]; ok {
 		return a
 	}
 	text := r.Text()
-	a := &answer{script: newScript(r, chat), stream: r.Stream, changed: make(chan struct{})}
-	e.answers[id] = a
+	a := &response{reply: newReply(r, chat), stream: r.Stream, changed: make(chan struct{})}
+	e.responses[id] = a
 	e.model.Submit(e.clock.Now(), Job{
 		ID:           id,
-		PromptTokens: engine.CountTokens(text),
+		PromptTokens: engine.EstimateTokens(text),
 		OutputTokens: r.MaxTokens,
 		Priority:     priority,
-		Prefix:       engine.Blocks(r.Model, text),
+		Prefix:       engine.BlockHashes(r.Model, text),
 	})
-	e.poke()
+	e.signal()
 	return a
 }
 
-// baseID returns a request's id less the number of its offer.
+// baseID returns the request id of a dispatch id.
 func baseID(id string) string { return string(event.DispatchID(id).Request()) }
 
-// poke makes Run look at the model at once.
-func (e *Engine) poke() {
+// signal makes Run advance the model immediately.
+func (e *Engine) signal() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (e *Engine) find(id string) *answer {
+func (e *Engine) find(id string) *response {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.answers[id]
+	return e.responses[id]
 }
 
-// cancel ends a request's work and answer.
+// cancel cancels a request and closes the connections that read its response.
 func (e *Engine) cancel(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.model.Cancel(id)
-	if a, ok := e.answers[id]; ok && !a.done {
-		a.gone = true
+	if a, ok := e.responses[id]; ok && !a.done {
+		a.cancelled = true
 		a.ended = time.Now()
-		a.wake()
+		a.notify()
 	}
 }
 
-// SetFaults switches faults on or off.
+// SetFaults replaces the injected faults.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 	e.model.SetSlowdown(max(f.Slowdown, 1))
-	e.poke()
+	e.signal()
 }
 
-// Starts returns how often a request id was dispatched here.
-func (e *Engine) Starts(id string) int {
+// DispatchCount returns how often a request id was dispatched to this engine.
+func (e *Engine) DispatchCount(id string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.starts[id]
+	return e.dispatches[id]
 }
 
-// Totals returns the work done so far.
+// Totals returns the totals of the work done so far.
 func (e *Engine) Totals() Totals {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.model.Totals()
 }
 
-// obey carries out an order unless its fence is older than one seen before.
-func (e *Engine) obey(o engine.Order) bool {
+// applyOrder applies an order unless its fence is older than one seen before.
+func (e *Engine) applyOrder(o engine.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if o.Fence < e.fences[o.Kind] {
@@ -262,7 +262,7 @@
 	return true
 }
 
-// eventsAfter returns the cache events that are due, after a sequence number.
+// eventsAfter returns the cache events after a sequence number whose delay has passed.
 func (e *Engine) eventsAfter(after uint64) []engine.CacheEvent {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -276,22 +276,22 @@
 	return due
 }
 
-// load returns the load as it was a while ago.
+// load returns the load as of its last update.
 func (e *Engine) load() engine.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.lagged
-	l.AgeMillis = time.Since(e.laggedT).Milliseconds()
+	l := e.reportedLoad
+	l.AgeMillis = time.Since(e.reportedAt).Milliseconds()
 	return l
 }
 
-// late returns how long the first byte of a request's answer is held back.
-func (e *Engine) late(id string) time.Duration {
+// firstByteDelay returns the delay of the first byte of a request's response.
+func (e *Engine) firstByteDelay(id string) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if id == "" || e.faults.LateMillis == 0 {
+	if id == "" || e.faults.DelayMillis == 0 {
 		return 0
 	}
-	last, _ := strconv.ParseUint(id[len(id)-1:], 36, 8) // any other sign counts as 0
-	return time.Duration(e.faults.LateMillis) * time.Millisecond * time.Duration(last%3)
+	last, _ := strconv.ParseUint(id[len(id)-1:], 36, 8) // any other character counts as 0
+	return time.Duration(e.faults.DelayMillis) * time.Millisecond * time.Duration(last%3)
 }
--- a/engine/fake/http.go
+++ b/engine/fake/http.go
@@ -14,13 +14,14 @@
 	"lynxramp.org/engine"
 )
 
-// maxBody bounds what a stand-in reads of a request, in bytes.
+// maxBody is the maximum size of a request body, in bytes.
 const maxBody = 64 << 20
 
-// Handler returns the engine's paths, and /faults and /starts for tests.
+// Handler returns the engine's HTTP handler, with extra paths for tests: /faults,
+// /starts and /totals.
 func (e *Engine) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Use(e.freeze)
+	r.Use(e.injectFaults)
 	r.Post("/v1/completions", func(w http.ResponseWriter, r *http.Request) { e.serveCompletion(w, r, false) })
 	r.Post("/v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { e.serveCompletion(w, r, true) })
 	r.Get("/requests/{id}/stream", e.serveResume)
@@ -31,39 +32,39 @@
 	r.Post("/cache/import", e.serveImport)
 	r.Post("/orders", e.serveOrder)
 	r.Put("/faults", e.serveFaults)
-	r.Get("/starts/{id}", func(w http.ResponseWriter, r *http.Request) { writeJSON(w, e.Starts(chi.URLParam(r, "id"))) })
+	r.Get("/starts/{id}", func(w http.ResponseWriter, r *http.Request) { writeJSON(w, e.DispatchCount(chi.URLParam(r, "id"))) })
 	r.Get("/totals", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Totals()) })
 	return r
 }
 
-// freezePoll is how often a frozen engine's callers look whether it thawed.
+// freezePoll is how often a held call checks whether the engine is still frozen.
 const freezePoll = 20 * time.Millisecond
 
-// freeze holds every call but /faults while the engine is frozen, and cuts it
-// while the engine is dead.
-func (e *Engine) freeze(next http.Handler) http.Handler {
+// injectFaults holds every call except /faults while the engine is frozen, and closes
+// its connection if the engine drops calls.
+func (e *Engine) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		for r.URL.Path != "/faults" && e.frozen() {
+		for r.URL.Path != "/faults" && e.isFrozen() {
 			select {
 			case <-time.After(freezePoll):
 			case <-r.Context().Done():
 				return
 			}
 		}
-		if r.URL.Path != "/faults" && e.dead() {
+		if r.URL.Path != "/faults" && e.dropsCalls() {
 			panic(http.ErrAbortHandler)
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-func (e *Engine) dead() bool {
+func (e *Engine) dropsCalls() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.faults.Dead
+	return e.faults.DropCalls
 }
 
-func (e *Engine) frozen() bool {
+func (e *Engine) isFrozen() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults.Frozen
@@ -82,16 +83,18 @@
 	}
 	id := r.Header.Get(engine.HeaderRequestID)
 	if id == "" {
-		id = e.directID()
+		id = e.generateID()
 	}
 	priority, _ := strconv.Atoi(r.Header.Get(engine.HeaderPriority)) // absent is 0
 	a := e.start(id, priority, request, chat)
-	time.Sleep(e.late(id))
+	time.Sleep(e.firstByteDelay(id))
 	e.stream(w, r, a, 0)
 }
 
-// directID names a request that came without a name.
-func (e *Engine) directID() string { return "direct-" + strconv.FormatUint(e.direct.Add(1), 36) }
+// generateID returns an id for a request that has none.
+func (e *Engine) generateID() string {
+	return "direct-" + strconv.FormatUint(e.generatedIDs.Add(1), 36)
+}
 
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	a := e.find(chi.URLParam(r, "id"))
@@ -103,17 +106,17 @@
 	e.stream(w, r, a, offset)
 }
 
-// stream writes an answer from offset on as it grows.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, a *answer, offset int) {
+// stream writes a response from offset on, as it is generated.
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, a *response, offset int) {
 	w.Header().Set("Content-Type", contentType(a))
 	flusher := http.NewResponseController(w)
 	for {
-		part, done, gone, changed := e.part(a, offset)
-		if gone {
+		part, done, cancelled, changed := e.part(a, offset)
+		if cancelled {
 			panic(http.ErrAbortHandler)
 		}
 		if n := e.dropAt(a, offset+len(part)); n >= 0 {
-			_, _ = w.Write(part[:max(0, n-offset)]) // the connection is cut anyway
+			_, _ = w.Write(part[:max(0, n-offset)]) // the connection is aborted anyway
 			_ = flusher.Flush()
 			panic(http.ErrAbortHandler)
 		}
@@ -137,26 +140,26 @@
 	}
 }
 
-func contentType(a *answer) string {
+func contentType(a *response) string {
 	if a.stream {
 		return "text/event-stream"
 	}
 	return "application/json"
 }
 
-// part returns what an answer has from offset on.
-func (e *Engine) part(a *answer, offset int) (part []byte, done, gone bool, changed <-chan struct{}) {
+// part returns the bytes of a response from offset on, and its state.
+func (e *Engine) part(a *response, offset int) (part []byte, done, cancelled bool, changed <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if offset < len(a.sent) {
-		part = a.sent[offset:]
+	if offset < len(a.data) {
+		part = a.data[offset:]
 	}
-	return part, a.done, a.gone, a.changed
+	return part, a.done, a.cancelled, a.changed
 }
 
-// dropAt returns the offset at which the connection is to be cut, -1 for not at
-// all. Each answer is cut once.
-func (e *Engine) dropAt(a *answer, end int) int {
+// dropAt returns the offset at which the connection is to be closed, or -1. Each
+// response is interrupted once.
+func (e *Engine) dropAt(a *response, end int) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	limit := e.faults.DropAfterBytes
@@ -203,7 +206,7 @@
 	if !readJSON(w, r, &o) {
 		return
 	}
-	if !e.obey(o) {
+	if !e.applyOrder(o) {
 		http.Error(w, "an order with a newer fence was carried out", http.StatusConflict)
 		return
 	}
@@ -229,5 +232,5 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(mustJSON(v)) // a caller that is gone needs no answer
+	_, _ = w.Write(mustJSON(v)) // a disconnected caller needs no response
 }
--- a/engine/fake/http_test.go
+++ b/engine/fake/http_test.go
@@ -7,27 +7,27 @@
 	"testing"
 )
 
-// TestRequestsWithoutNamesAreToldApart: two that came within one tick of the clock had one
-// name, and the second got the first one's answer (TestWholePath, twice).
-func TestRequestsWithoutNamesAreToldApart(t *testing.T) {
+// Two requests without an id must not get the same one: the second would receive the
+// response of the first.
+func TestGeneratedIDsAreUnique(t *testing.T) {
 	e := NewEngine(Profile{})
 	var (
-		mu   sync.Mutex
-		wait sync.WaitGroup
+		mu sync.Mutex
+		wg sync.WaitGroup
 	)
 	seen := make(map[string]bool)
 	for range 8 {
-		wait.Go(func() {
+		wg.Go(func() {
 			for range 20000 {
-				id := e.directID()
+				id := e.generateID()
 				mu.Lock()
 				if seen[id] {
-					t.Errorf("%s names two requests", id)
+					t.Errorf("%s was generated twice", id)
 				}
 				seen[id] = true
 				mu.Unlock()
 			}
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 }
--- a/engine/fake/model.go
+++ b/engine/fake/model.go
@@ -9,19 +9,19 @@
 	"lynxramp.org/event"
 )
 
-// Profile is the speed and size of one engine. The zero value is useless; see
-// DefaultProfile.
+// Profile is the speed and size of an engine. See DefaultProfile for usable values;
+// the zero value is not one.
 type Profile struct {
 	PrefillPerSecond float64    // prompt tokens a second
-	StepOverhead     event.Span // fixed length of an iteration
+	StepOverhead     event.Span // fixed duration of an iteration
 	SequenceCost     event.Span // added to an iteration by each decoding sequence
-	MaxBatch         int        // sequences at once
-	PrefillBudget    int        // prompt tokens filled in one iteration
-	CacheBlocks      int        // prefix blocks kept
+	MaxBatch         int        // maximum number of sequences in a batch
+	PrefillBudget    int        // prompt tokens computed per iteration
+	CacheBlocks      int        // size of the prefix cache, in blocks
 }
 
-// DefaultProfile returns a middling engine: 8,000 prompt tokens a second and
-// about 50 output tokens a second in a batch of 16.
+// DefaultProfile returns an engine of medium speed: 8,000 prompt tokens per second and
+// about 50 output tokens per second and sequence in a batch of 16.
 func DefaultProfile() Profile {
 	return Profile{
 		PrefillPerSecond: 8000,
@@ -41,16 +41,16 @@
 	return p
 }
 
-// Job is one request as the model sees it.
+// Job is a request to the model.
 type Job struct {
 	ID           string
 	PromptTokens int
 	OutputTokens int
 	Priority     int      // higher runs first
-	Prefix       []uint64 // hashes of the prompt's blocks, each over all before it
+	Prefix       []uint64 // hashes of the prompt's blocks, each of the whole prefix
 }
 
-// Output is one token, or the end, of a job's answer.
+// Output is one token of a job's response.
 type Output struct {
 	ID    string
 	At    event.Time
@@ -58,26 +58,26 @@
 	Done  bool
 }
 
-// Totals counts a model's work since it was made, in tokens and requests.
+// Totals counts the work of a model since its creation, in tokens and requests.
 type Totals struct {
 	Prefilled int // prompt tokens computed
 	Cached    int // prompt tokens found in the prefix cache
-	Wasted    int // prompt tokens computed for requests cancelled before their end
+	Wasted    int // prompt tokens computed for requests that were cancelled later
 	Generated int // output tokens
 	Finished  int // requests
 	Cancelled int // requests
 }
 
 type sequence struct {
-	job     Job
-	arrival int // order of arrival, breaks ties of priority
-	toFill  int // prompt tokens not yet computed
-	filled  int // prompt tokens computed
-	emitted int // output tokens
+	job         Job
+	arrival     int // order of arrival, for requests of equal priority
+	prefillLeft int // prompt tokens not yet computed
+	prefilled   int // prompt tokens computed
+	emitted     int // output tokens
 }
 
-// Model is a continuously batching engine in event time. It is not safe for
-// concurrent use.
+// Model simulates an engine with continuous batching, in event time. It is not safe
+// for concurrent use.
 type Model struct {
 	profile  Profile
 	slowdown float64
@@ -95,25 +95,25 @@
 	return &Model{profile: p, slowdown: 1, cache: newPrefixCache(p.CacheBlocks)}
 }
 
-// SetSlowdown makes iterations that start from now on factor times longer.
+// SetSlowdown multiplies the duration of iterations that start from now on.
 func (m *Model) SetSlowdown(factor float64) { m.slowdown = factor }
 
-// Totals returns the work done so far.
+// Totals returns the totals of the work done so far.
 func (m *Model) Totals() Totals { return m.totals }
 
-// Load returns the engine's present load.
+// Load returns the engine's current load.
 func (m *Model) Load() engine.Load {
 	l := engine.Load{Waiting: len(m.waiting), Running: len(m.running), CacheUsed: m.cache.len()}
 	for _, s := range m.waiting {
 		l.PendingPrefill += s.job.PromptTokens
 	}
 	for _, s := range m.running {
-		l.PendingPrefill += s.toFill
+		l.PendingPrefill += s.prefillLeft
 	}
 	return l
 }
 
-// Submit queues a job. It starts with the next iteration that has room.
+// Submit queues a job. It starts with the next iteration that has free capacity.
 func (m *Model) Submit(now event.Time, j Job) {
 	m.arrivals++
 	m.waiting = append(m.waiting, &sequence{job: j, arrival: m.arrivals})
@@ -122,8 +122,8 @@
 	}
 }
 
-// Cancel takes a job out and reports whether it was there. Its computed prompt
-// counts as wasted.
+// Cancel removes a job and reports whether it was queued or running. Its computed
+// prompt tokens count as wasted.
 func (m *Model) Cancel(id string) bool {
 	match := func(s *sequence) bool { return s.job.ID == id }
 	if i := slices.IndexFunc(m.waiting, match); i >= 0 {
@@ -132,7 +132,7 @@
 		return true
 	}
 	if i := slices.IndexFunc(m.running, match); i >= 0 {
-		m.totals.Wasted += m.running[i].filled
+		m.totals.Wasted += m.running[i].prefilled
 		m.totals.Cancelled++
 		m.running = slices.Delete(m.running, i, i+1)
 		return true
@@ -143,7 +143,7 @@
 // Next returns the time of the model's next change; false when it is idle.
 func (m *Model) Next() (event.Time, bool) { return m.stepEnd, m.stepping }
 
-// Advance runs the model up to now and appends what it put out to out.
+// Advance runs the model up to now and appends its output to out.
 func (m *Model) Advance(now event.Time, out []Output) []Output {
 	for m.stepping && m.stepEnd <= now {
 		out = m.endStep(out)
@@ -151,15 +151,14 @@
 	return out
 }
 
-// CacheEvents returns the cache changes since the last call.
-func (m *Model) CacheEvents() []engine.CacheEvent { return m.cache.drain() }
+// CacheEvents returns the cache events since the last call.
+func (m *Model) CacheEvents() []engine.CacheEvent { return m.cache.takeEvents() }
 
-// Export returns the cached blocks among the given ones, in order, up to the
-// first that is missing.
+// Export returns the leading blocks that are cached.
 func (m *Model) Export(blocks []uint64) []uint64 { return blocks[:m.cache.match(blocks)] }
 
-// Import puts blocks into the prefix cache as if they had been computed here.
-func (m *Model) Import(blocks []uint64) { m.cache.add(blocks) }
+// Import adds blocks to the prefix cache as if they had been computed here.
+func (m *Model) Import(blocks []uint64) { m.cache.insert(blocks) }
 
 func (m *Model) startStep(now event.Time) {
 	m.admit()
@@ -177,8 +176,8 @@
 
 // admit moves waiting jobs into the batch, highest priority first.
 func (m *Model) admit() {
-	room := m.profile.MaxBatch - len(m.running)
-	if room <= 0 || len(m.waiting) == 0 {
+	free := m.profile.MaxBatch - len(m.running)
+	if free <= 0 || len(m.waiting) == 0 {
 		return
 	}
 	slices.SortFunc(m.waiting, func(a, b *sequence) int {
@@ -187,28 +186,28 @@
 		}
 		return a.arrival - b.arrival
 	})
-	n := min(room, len(m.waiting))
+	n := min(free, len(m.waiting))
 	for _, s := range m.waiting[:n] {
 		cached := min(m.cache.match(s.job.Prefix)*engine.BlockTokens, s.job.PromptTokens)
 		m.totals.Cached += cached
-		s.toFill = s.job.PromptTokens - cached
+		s.prefillLeft = s.job.PromptTokens - cached
 		m.running = append(m.running, s)
 	}
 	m.waiting = slices.Delete(m.waiting, 0, n)
 }
 
-// planPrefill spends the iteration's prompt budget and returns the tokens to
-// fill and how many sequences decode.
+// planPrefill distributes the prefill budget of an iteration. It returns the number of
+// tokens to prefill and of sequences that decode.
 func (m *Model) planPrefill() (prefill, decoding int) {
 	budget := m.profile.PrefillBudget
 	for _, s := range m.running {
-		if s.toFill == 0 {
+		if s.prefillLeft == 0 {
 			decoding++
 			continue
 		}
-		n := min(budget, s.toFill)
-		s.toFill -= n
-		s.filled += n
+		n := min(budget, s.prefillLeft)
+		s.prefillLeft -= n
+		s.prefilled += n
 		budget -= n
 		prefill += n
 	}
@@ -220,12 +219,12 @@
 	at := m.stepEnd
 	kept := m.running[:0]
 	for _, s := range m.running {
-		if s.toFill > 0 {
+		if s.prefillLeft > 0 {
 			kept = append(kept, s)
 			continue
 		}
 		if s.emitted == 0 {
-			m.cache.add(s.job.Prefix)
+			m.cache.insert(s.job.Prefix)
 		}
 		last := s.emitted+1 >= s.job.OutputTokens
 		out = append(out, Output{ID: s.job.ID, At: at, Index: s.emitted, Done: last})
--- a/engine/fake/model_test.go
+++ b/engine/fake/model_test.go
@@ -9,8 +9,8 @@
 	"lynxramp.org/event"
 )
 
-// drive runs a model to its end and returns when each job gave its first and
-// last token.
+// drive runs a model until it is idle and returns the times of each job's first and
+// last tokens.
 func drive(m *Model) (first, last map[string]event.Time) {
 	first, last = make(map[string]event.Time), make(map[string]event.Time)
 	for {
@@ -76,7 +76,7 @@
 	m := NewModel(DefaultProfile())
 	m.Submit(0, Job{ID: "a", PromptTokens: 3000, OutputTokens: 5})
 	if !m.Cancel("a") || m.Cancel("a") {
-		t.Error("a job can be cancelled once")
+		t.Error("Cancel did not succeed exactly once")
 	}
 	_, last := drive(m)
 	if len(last) != 0 || m.Totals().Wasted != DefaultProfile().PrefillBudget {
--- a/engine/fake/service.go
+++ b/engine/fake/service.go
@@ -16,31 +16,31 @@
 	"lynxramp.org/engine"
 )
 
-// Service is the stand-in of a plain service. It echoes method, path and body,
-// and counts how often each request id ran.
+// Service is the stand-in for a plain service. It echoes method, path and body, and
+// counts how often each request id was dispatched.
 type Service struct {
-	// Delay is how long each call takes.
+	// Delay is the duration of each call.
 	Delay time.Duration
 
-	mu      sync.Mutex
-	starts  map[string]int
-	running int
+	mu         sync.Mutex
+	dispatches map[string]int
+	running    int
 }
 
-// Handler returns the service's paths.
+// Handler returns the service's HTTP handler.
 func (s *Service) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/load", s.serveLoad)
-	r.Get("/starts/{id}", func(w http.ResponseWriter, r *http.Request) { writeJSON(w, s.Starts(chi.URLParam(r, "id"))) })
+	r.Get("/starts/{id}", func(w http.ResponseWriter, r *http.Request) { writeJSON(w, s.DispatchCount(chi.URLParam(r, "id"))) })
 	r.HandleFunc("/*", s.serveCall)
 	return r
 }
 
-// Starts returns how often a request id ran here.
-func (s *Service) Starts(id string) int {
+// DispatchCount returns how often a request id was dispatched to this service.
+func (s *Service) DispatchCount(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.starts[id]
+	return s.dispatches[id]
 }
 
 func (s *Service) serveLoad(w http.ResponseWriter, _ *http.Request) {
@@ -52,10 +52,10 @@
 func (s *Service) begin(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.starts == nil {
-		s.starts = make(map[string]int)
+	if s.dispatches == nil {
+		s.dispatches = make(map[string]int)
 	}
-	s.starts[baseID(id)]++
+	s.dispatches[baseID(id)]++
 	s.running++
 }
 
@@ -80,5 +80,5 @@
 		w.WriteHeader(status)
 	}
 	fmt.Fprintf(w, "%s %s\n", r.Method, r.URL.RequestURI())
-	_, _ = w.Write(body) // a caller that is gone needs no answer
+	_, _ = w.Write(body) // a disconnected caller needs no response
 }
--- a/engine/fake/text.go
+++ b/engine/fake/text.go
@@ -12,9 +12,9 @@
 	"lynxramp.org/engine"
 )
 
-// script is what an engine answers to one request, worked out from the request
-// alone, so that every engine gives the same bytes.
-type script struct {
+// reply generates the response to one request from the request alone, so that every
+// engine returns the same bytes.
+type reply struct {
 	id     string
 	model  string
 	chat   bool
@@ -22,10 +22,10 @@
 	tokens int
 }
 
-func newScript(r engine.CompletionRequest, chat bool) script {
+func newReply(r engine.CompletionRequest, chat bool) reply {
 	text := r.Text()
 	sum := xxhash.Sum64String(r.Model + "\x00" + text)
-	return script{
+	return reply{
 		id:     "cmpl-" + strconv.FormatUint(sum, 16),
 		model:  r.Model,
 		chat:   chat,
@@ -34,9 +34,9 @@
 	}
 }
 
-// token returns the text of the i-th token: the prompt's words in turn, each
-// with its number, so that a lost, doubled or foreign token shows.
-func (s script) token(i int) string {
+// token returns the text of the i-th token: a word of the prompt and the token's
+// number, so that a lost, duplicated or foreign token is detected.
+func (s reply) token(i int) string {
 	word := "-"
 	if len(s.words) > 0 {
 		word = s.words[i%len(s.words)]
@@ -44,7 +44,7 @@
 	return word + "/" + strconv.Itoa(i) + " "
 }
 
-func (s script) text() string {
+func (s reply) text() string {
 	var b strings.Builder
 	for i := range s.tokens {
 		b.WriteString(s.token(i))
@@ -76,14 +76,14 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// finishLength is the reason why every answer ends: max_tokens was reached.
+// finishLength is the finish reason of every response: max_tokens was reached.
 const finishLength = "length"
 
-// endOfStream is the last event of a streamed answer.
+// endOfStream is the last event of a streamed response.
 const endOfStream = "data: [DONE]\n\n"
 
 // event returns the server-sent event of the i-th token.
-func (s script) event(i int) []byte {
+func (s reply) event(i int) []byte {
 	c := completion{ID: s.id, Model: s.model, Object: "text_completion", Choices: make([]choice, 1)}
 	text := s.token(i)
 	if s.chat {
@@ -99,8 +99,8 @@
 	return append(append([]byte("data: "), mustJSON(c)...), '\n', '\n')
 }
 
-// whole returns the answer that is not streamed.
-func (s script) whole() []byte {
+// full returns the response that is not streamed.
+func (s reply) full() []byte {
 	reason := finishLength
 	c := completion{ID: s.id, Model: s.model, Object: "text_completion", Choices: make([]choice, 1)}
 	c.Choices[0].FinishReason = &reason
@@ -115,7 +115,7 @@
 	return append(mustJSON(c), '\n')
 }
 
-// mustJSON encodes a value of this file's types, which cannot fail.
+// mustJSON encodes a value that is known to be encodable.
 func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -13,35 +13,35 @@
 // Headers of a call to an engine.
 const (
 	HeaderRequestID = "X-Request-Id"
-	HeaderPriority  = "X-Priority" // an integer; the larger runs first
+	HeaderPriority  = "X-Priority" // an integer; a higher priority runs first
 )
 
 // BlockTokens is the number of prompt tokens in one prefix block.
 const BlockTokens = 16
 
-// MarkBlocks is how many prefix blocks lie between the marks that tickets carry.
-const MarkBlocks = 8
+// SampleStride is the number of prefix blocks per sampled hash in a ticket.
+const SampleStride = 8
 
-// MarkTokens is the number of prompt tokens between two marks.
-const MarkTokens = MarkBlocks * BlockTokens
+// SampleTokens is the number of prompt tokens per sampled hash.
+const MarkTokens = SampleStride * BlockTokens
 
-// Marks returns the hash of each MarkBlocks-th block: enough to tell how much of
-// a prompt an engine holds, at an eighth of the bytes.
+// SampleHashes returns the hash of every SampleStride-th block. This is enough to
+// estimate how much of a prompt an engine has cached, and keeps tickets small.
 func Marks(blocks []uint64) []uint64 {
-	marks := make([]uint64, 0, len(blocks)/MarkBlocks)
-	for i := MarkBlocks - 1; i < len(blocks); i += MarkBlocks {
-		marks = append(marks, blocks[i])
+	samples := make([]uint64, 0, len(blocks)/SampleStride)
+	for i := SampleStride - 1; i < len(blocks); i += SampleStride {
+		samples = append(samples, blocks[i])
 	}
-	return marks
+	return samples
 }
 
-// tokenBytes is how many bytes of text are taken for one token.
-const tokenBytes = 4
+// bytesPerToken is the assumed number of bytes of text per token.
+const bytesPerToken = 4
 
-// DefaultOutputTokens is assumed where a request does not say max_tokens.
+// DefaultOutputTokens is used if a request has no max_tokens.
 const DefaultOutputTokens = 128
 
-// Load is what an engine says about itself.
+// Load is the load that an engine reports.
 type Load struct {
 	Waiting int `json:"waiting"`
 	Running int `json:"running"`
@@ -49,35 +49,35 @@
 	PendingPrefill int `json:"pending_prefill"`
 	// CacheUsed is in blocks.
 	CacheUsed int `json:"cache_used"`
-	// AgeMillis is how old these figures are, in milliseconds.
+	// AgeMillis is the age of these figures, in milliseconds.
 	AgeMillis int64 `json:"age_ms"`
 }
 
-// CacheEvent says that a prefix block entered or left the cache. Sequence
-// numbers grow by one; a reader sees a gap by a missing number.
+// CacheEvent reports that a prefix block was cached or evicted. Sequence numbers are
+// consecutive, so that a reader detects lost events.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Block    uint64 `json:"block"`
 	Evicted  bool   `json:"evicted"`
 }
 
-// Order asks an engine to change what it serves.
+// Order requests an engine to change what it serves.
 type Order struct {
 	// Kind is "model", "adapter", "version" or "role".
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Fence must not be smaller than that of any order carried out before.
+	// Fence is a fencing token: it must not be lower than that of an earlier order.
 	Fence uint64 `json:"fence"`
 }
 
-// Message is one turn of a chat.
+// Message is one message of a chat.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// CompletionRequest has the fields of a completions call that the system
-// looks at; the body itself is passed on as it came.
+// CompletionRequest has the fields of a completions call that the system uses. The
+// body itself is forwarded unchanged.
 type CompletionRequest struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
@@ -86,7 +86,7 @@
 	Stream    bool      `json:"stream"`
 }
 
-// ParseCompletion reads body and checks what the system relies on.
+// ParseCompletion parses body and validates the fields that the system uses.
 func ParseCompletion(body []byte) (CompletionRequest, error) {
 	var r CompletionRequest
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -104,7 +104,7 @@
 	return r, nil
 }
 
-// Text returns the whole prompt.
+// Text returns the whole prompt; of a chat, all its messages.
 func (r CompletionRequest) Text() string {
 	if len(r.Messages) == 0 {
 		return r.Prompt
@@ -119,15 +119,15 @@
 	return b.String()
 }
 
-// CountTokens estimates the tokens of a text.
-func CountTokens(text string) int { return (len(text) + tokenBytes - 1) / tokenBytes }
+// EstimateTokens returns the approximate number of tokens in a text.
+func EstimateTokens(text string) int { return (len(text) + bytesPerToken - 1) / bytesPerToken }
 
-// Blocks returns the hashes of the whole prefix blocks of a text. Each covers
-// all the text up to its end, so equal hashes mean equal prefixes.
-func Blocks(model, text string) []uint64 {
-	const size = BlockTokens * tokenBytes
+// BlockHashes returns the hashes of the full prefix blocks of a text. Each hash covers
+// the text from its beginning, so equal hashes mean equal prefixes.
+func BlockHashes(model, text string) []uint64 {
+	const size = BlockTokens * bytesPerToken
 	d := xxhash.New()
-	_, _ = d.WriteString(model) // never fails, by its documentation
+	_, _ = d.WriteString(model) // Digest's writes never return an error
 	blocks := make([]uint64, 0, len(text)/size)
 	for len(text) >= size {
 		_, _ = d.WriteString(text[:size])
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,16 +1,17 @@
 // SPDX-License-Identifier: MIT
 
-// Package entry takes callers' requests and owns each from its arrival to its
-// last byte.
+// Package entry accepts callers' requests and tracks each one until its response
+// is complete.
 //
-// A request is registered with its pool's scheduler as a ticket, through a Link.
-// The scheduler answers with a grant or a refusal. A grant names a slot; the
-// entry offers the request, with its body, to that slot and to no other, until
-// the slot says for that id "never started and now never will". Only then may
-// the request be registered again. Where nothing can be known (the slot died
-// with the offer in its hands) the caller is told "unknown", never "not run".
+// A request is registered as a ticket with its pool's scheduler, through an
+// OwnerClient. The scheduler replies with a grant or a refusal. A grant names a
+// slot; the entry offers the request, with its body, to that slot only, until the
+// slot confirms that the dispatch id has not started and never will. Only then may
+// the request be registered again. If the outcome cannot be determined, for example
+// because the slot terminated after it received the offer, the caller gets the outcome
+// "unknown", never "not-run".
 //
-// The answer is streamed. When the connection to the slot is cut the entry
-// resumes at the byte it has; an answer that cannot be completed ends in a way
-// that the caller's client notices.
+// The response is streamed. If the connection to the slot is lost, the entry
+// resumes at the byte offset that it has reached; a response that cannot be
+// completed is aborted, so that the caller's client sees an error.
 package entry
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -19,48 +19,48 @@
 	"lynxramp.org/rpc"
 )
 
-// Config is what an entry needs to know of its box.
+// Config has the settings of an entry.
 type Config struct {
 	Box event.BoxID
-	// Life tells this process from earlier ones of the box.
+	// Instance differs between runs of the box's process.
 	Life uint64
-	// Key is the shared key of the system's processes.
+	// Key is the key that the system's processes share.
 	Key string
-	// MaxBody bounds a request's body, in bytes.
+	// MaxBody is the maximum size of a request body, in bytes.
 	MaxBody int64
-	// BodyTime bounds how long a caller may take to send a body.
+	// BodyTimeout limits how long a caller may take to send a body.
 	BodyTime time.Duration
-	// MaxRequests bounds the unfinished requests.
+	// MaxRequests is the maximum number of requests in flight.
 	MaxRequests int
-	// MaxHeld bounds the bytes of all bodies held together.
+	// MaxHeldBytes is the maximum total size of the bodies in memory, in bytes.
 	MaxHeld int64
 }
 
-// Entry takes callers' requests.
+// Entry accepts callers' requests.
 type Entry struct {
-	config  Config
-	link    *Link
-	slots   *slotClient
-	log     *zap.Logger
-	index   atomic.Pointer[versioned]
-	meters  *meters
-	drained atomic.Bool
-	taking  sync.Mutex // one catalog at a time
-
-	mu       sync.Mutex
-	requests int
-	held     int64
-	byTeam   map[string]int
+	config   Config
+	owner    *OwnerClient
+	slots    *slotClient
+	log      *zap.Logger
+	index    atomic.Pointer[versionedCatalog]
+	metrics  *metricSet
+	draining atomic.Bool
+	applyMu  sync.Mutex // serializes catalog updates
+
+	mu        sync.Mutex
+	requests  int
+	heldBytes int64
+	byTeam    map[string]int
 }
 
-// versioned is a catalog in force.
-type versioned struct {
+// versionedCatalog is an indexed catalog and its version.
+type versionedCatalog struct {
 	*catalog.Index
 	version uint64
 }
 
-// New returns an entry that finds the owner of the pools among schedulers. It
-// serves when it has a catalog.
+// New returns an entry that looks for the owner of the pools among schedulers. It
+// serves requests once it has a catalog.
 func New(c Config, schedulers []Scheduler, log *zap.Logger) *Entry {
 	e := &Entry{
 		config: c,
@@ -68,76 +68,78 @@
 		log:    log,
 		byTeam: make(map[string]int),
 	}
-	e.index.Store(&versioned{Index: catalog.NewIndex(catalog.Catalog{})})
-	e.link = NewLink(c.Box, c.Life, schedulers, e, log)
-	e.meters = newMeters(e)
+	e.index.Store(&versionedCatalog{Index: catalog.NewIndex(catalog.Catalog{})})
+	e.owner = NewOwnerClient(c.Box, c.Life, schedulers, e, log)
+	e.metrics = newMetricSet(e)
 	return e
 }
 
-// Version implements Catalogs; it is 0 before the first catalog.
-func (e *Entry) Version() uint64 { return e.index.Load().version }
+// CatalogVersion implements CatalogStore. It is 0 before the first catalog.
+func (e *Entry) CatalogVersion() uint64 { return e.index.Load().version }
 
-// Take implements Catalogs. A version is never replaced by an older one.
-func (e *Entry) Take(news *rpc.CatalogNews) error {
-	e.taking.Lock()
-	defer e.taking.Unlock()
-	held := e.index.Load()
-	if news.Version <= held.version {
+// ApplyCatalog implements CatalogStore. It ignores versions that are not newer than
+// the current one.
+func (e *Entry) ApplyCatalog(update *rpc.CatalogNews) error {
+	e.applyMu.Lock()
+	defer e.applyMu.Unlock()
+	current := e.index.Load()
+	if update.Version <= current.version {
 		return nil
 	}
-	next, err := applyNews(held, news)
+	next, err := applyUpdate(current, update)
 	if err != nil {
 		return err
 	}
-	e.index.Store(&versioned{Index: catalog.NewIndex(next), version: news.Version})
-	e.log.Info("catalog in force", zap.Uint64("version", news.Version), zap.Bool("whole", news.Since == 0))
+	e.index.Store(&versionedCatalog{Index: catalog.NewIndex(next), version: update.Version})
+	e.log.Info("catalog applied", zap.Uint64("version", update.Version), zap.Bool("whole", update.Since == 0))
 	return nil
 }
 
-// applyNews returns the catalog that news make of the one that is held.
-func applyNews(held *versioned, news *rpc.CatalogNews) (catalog.Catalog, error) {
+// applyUpdate returns the catalog that results from an update of the current one.
+func applyUpdate(current *versionedCatalog, update *rpc.CatalogNews) (catalog.Catalog, error) {
 	var next catalog.Catalog
-	if news.Since == 0 {
-		err := json.Unmarshal(news.Whole, &next)
-		return next, errors.Wrap(err, "catalog")
+	if update.Since == 0 {
+		err := json.Unmarshal(update.Whole, &next)
+		return next, errors.Wrap(err, "decode catalog")
 	}
-	if news.Since != held.version {
-		return next, errors.Errorf("changes are from version %d, version %d is held", news.Since, held.version)
+	if update.Since != current.version {
+		return next, errors.Errorf("catalog changes start at version %d, but the current version is %d", update.Since, current.version)
 	}
 	var changes []catalog.Change
-	if err := json.Unmarshal(news.Changes, &changes); err != nil {
-		return next, errors.Wrap(err, "changes")
+	if err := json.Unmarshal(update.Changes, &changes); err != nil {
+		return next, errors.Wrap(err, "decode catalog changes")
 	}
-	next, _ = catalog.Apply(held.Catalog(), changes) // it was sound when it was committed
-	if machine.Hash(next) != news.Hash {
-		return next, errors.New("the changes do not give the catalog that was committed")
+	next, _ = catalog.Apply(current.Catalog(), changes) // validated before it was committed
+	if machine.Hash(next) != update.Hash {
+		return next, errors.New("catalog after the changes does not match the hash of the committed one")
 	}
 	return next, nil
 }
 
-// Run does the entry's work beside requests until ctx ends.
+// Run runs the entry's background tasks until ctx ends.
 func (e *Entry) Run(ctx context.Context) {
-	var wait sync.WaitGroup
-	wait.Go(func() { e.slots.sendAcks(ctx) })
-	wait.Go(func() { e.link.Run(ctx) })
-	wait.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { e.slots.sendAcks(ctx) })
+	wg.Go(func() { e.owner.Run(ctx) })
+	wg.Wait()
 }
 
-// StartDrain makes /readyz say no, so that the balancer sends nobody else.
-func (e *Entry) StartDrain() { e.drained.Store(true) }
+// StartDraining makes /readyz fail, so that the load balancer sends no new requests.
+func (e *Entry) StartDrain() { e.draining.Store(true) }
 
-// Requests returns how many requests are unfinished.
+// InFlight returns the number of unfinished requests.
 func (e *Entry) Requests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.requests
 }
 
-// localRetryAfter is what callers are told whom this box has no room for.
+// localRetryAfter is the Retry-After of requests that this box itself rejects.
 const localRetryAfter = time.Second
 
-// enter counts a request in, or says why there is no room for it.
-func (e *Entry) enter(t *catalog.Team, bytes int64) *Failure {
+// reserve counts a new request against the limits of its team and of the box. It
+// returns a failure, and counts nothing, if a limit is reached.
+func (e *Entry) reserve(t *catalog.Team, bytes int64) *Failure {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if t.MaxWaiting > 0 && e.byTeam[t.Name] >= t.MaxWaiting {
@@ -148,26 +150,26 @@
 			RetryAfter: localRetryAfter,
 		}
 	}
-	if e.requests >= e.config.MaxRequests || e.held+bytes > e.config.MaxHeld {
+	if e.requests >= e.config.MaxRequests || e.heldBytes+bytes > e.config.MaxHeld {
 		return &Failure{
 			Status:     http.StatusServiceUnavailable,
 			Code:       "box_full",
-			Message:    "this box holds as many requests as it can",
+			Message:    "this box has reached its limit of requests or of body bytes in memory",
 			RetryAfter: localRetryAfter,
 		}
 	}
 	e.requests++
-	e.held += bytes
+	e.heldBytes += bytes
 	e.byTeam[t.Name]++
 	return nil
 }
 
-// leave counts a request out.
-func (e *Entry) leave(t *catalog.Team, bytes int64) {
+// release undoes reserve when the request is finished.
+func (e *Entry) release(t *catalog.Team, bytes int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.requests--
-	e.held -= bytes
+	e.heldBytes -= bytes
 	e.byTeam[t.Name]--
 	if e.byTeam[t.Name] == 0 {
 		delete(e.byTeam, t.Name)
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -11,31 +11,31 @@
 	"lynxramp.org/event"
 )
 
-// Headers towards callers.
+// Headers of requests from callers and of responses to them.
 const (
-	HeaderTier        = "Lynxramp-Tier"        // asked for; no higher than the team's right
-	HeaderDeadline    = "Lynxramp-Deadline-Ms" // time the caller gives, in milliseconds
-	HeaderNoRepeat    = "Lynxramp-No-Repeat"   // any value: the call may not be repeated
+	HeaderTier        = "Lynxramp-Tier"        // requested tier; at most the team's own
+	HeaderDeadline    = "Lynxramp-Deadline-Ms" // time limit of the request, in milliseconds
+	HeaderNoRepeat    = "Lynxramp-No-Repeat"   // any value: the call must not be repeated
 	HeaderIdempotency = "Idempotency-Key"
-	HeaderRequestID   = "Lynxramp-Request-Id" // in every answer
-	HeaderOutcome     = "Lynxramp-Outcome"    // in every answer: an Outcome
-	HeaderEndpoint    = "Lynxramp-Endpoint"   // in every answer that an endpoint may have run
+	HeaderRequestID   = "Lynxramp-Request-Id" // in every response
+	HeaderOutcome     = "Lynxramp-Outcome"    // in every response: an Outcome
+	HeaderEndpoint    = "Lynxramp-Endpoint"   // in every response to a request that an endpoint may have run
 )
 
-// Outcome is what may be said about a request having run.
+// Outcome says whether an endpoint ran a request.
 type Outcome int
 
 // The outcomes of a request.
 const (
-	// NotRun: no endpoint has seen the request, and none will.
+	// NotRun: no endpoint received the request, and none will.
 	NotRun Outcome = iota
 	// Ran: an endpoint ran it.
 	Ran
-	// Unknown: it was handed over and its fate is not known.
+	// Unknown: the request was sent to a slot and its outcome is not known.
 	Unknown
 )
 
-// String returns the outcome as answers have it.
+// String returns the outcome as it appears in HeaderOutcome.
 func (o Outcome) String() string {
 	switch o {
 	case Ran:
@@ -47,21 +47,21 @@
 	}
 }
 
-// Failure is the answer to a request that was not served. As an error it says
-// what the caller is told.
+// Failure is the response to a request that was not served. As an error it has the
+// code and the message that the caller receives.
 type Failure struct {
-	Status  int    // of HTTP
-	Code    string // for programs, like "shed"
-	Message string // for people
+	Status  int    // HTTP status
+	Code    string // machine-readable, such as "shed"
+	Message string // human-readable
 	Outcome Outcome
-	// RetryAfter is when to come back; 0 says nothing of it.
+	// RetryAfter is sent as the Retry-After header; 0 sends none.
 	RetryAfter event.Span
 }
 
-// Error implements error.
 func (f *Failure) Error() string { return f.Code + ": " + f.Message }
 
-// failureBody is the JSON shape of an error, as callers' clients know it.
+// failureBody is the JSON shape of an error, in the form that clients of the
+// completions API expect.
 type failureBody struct {
 	Error failureDetail `json:"error"`
 }
@@ -73,7 +73,7 @@
 	Outcome string `json:"outcome"`
 }
 
-// write sends the failure as the whole answer.
+// write sends the failure as the response.
 func (f *Failure) write(w http.ResponseWriter) {
 	kind := "server_error"
 	if f.Status < http.StatusInternalServerError {
@@ -92,14 +92,14 @@
 		Code:    f.Code,
 		Outcome: f.Outcome.String(),
 	}}
-	_ = json.NewEncoder(w).Encode(body) // a caller that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(body) // a disconnected caller needs no response
 }
 
 func badRequest(code, message string) *Failure {
 	return &Failure{Status: http.StatusBadRequest, Code: code, Message: message}
 }
 
-// refusal returns the failure for a scheduler's refusal.
+// refusal returns the failure that reports a scheduler's refusal.
 func refusal(reason event.Reason, after event.Span) *Failure {
 	f := &Failure{Status: http.StatusServiceUnavailable, Code: reason.String(), RetryAfter: after}
 	switch reason {
@@ -108,16 +108,16 @@
 		f.Message = "the request cannot run within its deadline"
 	case event.ReasonShed:
 		f.Status = http.StatusTooManyRequests
-		f.Message = "capacity is short; come back after the time in Retry-After"
+		f.Message = "capacity is short; retry after the time in Retry-After"
 	case event.ReasonClaimed:
 		f.Status = http.StatusConflict
 		f.Outcome = Unknown
 		f.RetryAfter = 0
-		f.Message = "another request has this key; it may have run and its answer is not here"
+		f.Message = "another request has this idempotency key; it may have run, but its response is not available"
 	case event.ReasonKeyReused:
 		f.Status = http.StatusUnprocessableEntity
 		f.RetryAfter = 0
-		f.Message = "another request, with other content, has this key"
+		f.Message = "another request with different content has this idempotency key"
 	default:
 		f.Message = "no scheduler serves this pool"
 	}
--- a/entry/http.go
+++ b/entry/http.go
@@ -11,15 +11,15 @@
 	"lynxramp.org/catalog"
 )
 
-// servicePrefix begins the paths of plain services.
+// servicePrefix is the path prefix of plain services.
 const servicePrefix = "/svc/"
 
-// Handler returns the paths for callers.
+// Handler returns the HTTP handler for callers.
 func (e *Entry) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	r.Get("/readyz", e.serveReady)
-	r.Get("/metrics", func(w http.ResponseWriter, _ *http.Request) { e.meters.write(w) })
+	r.Get("/metrics", func(w http.ResponseWriter, _ *http.Request) { e.metrics.write(w) })
 	r.Post("/v1/completions", e.serveCompletion)
 	r.Post("/v1/chat/completions", e.serveCompletion)
 	r.HandleFunc(servicePrefix+"{service}/*", e.servePlain)
@@ -33,29 +33,30 @@
 }
 
 func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if e.drained.Load() || e.Version() == 0 {
+	if e.draining.Load() || e.CatalogVersion() == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// parser makes a checked request of a call whose body is read.
+// parser builds a validated request from a call and its body.
 type parser func(x *catalog.Index, t *catalog.Team, r *http.Request, body []byte) (*request, *Failure)
 
 func (e *Entry) serveCompletion(w http.ResponseWriter, r *http.Request) {
-	e.serve(w, r, completion)
+	e.serve(w, r, parseCompletion)
 }
 
 func (e *Entry) servePlain(w http.ResponseWriter, r *http.Request) {
 	e.serve(w, r, func(x *catalog.Index, t *catalog.Team, r *http.Request, body []byte) (*request, *Failure) {
 		name := chi.URLParam(r, "service")
 		rest := strings.TrimPrefix(r.URL.EscapedPath(), servicePrefix+name)
-		return plainCall(x, t, r, name, rest, body)
+		return parsePlainCall(x, t, r, name, rest, body)
 	})
 }
 
-// serve does all that comes before a request is registered, and counts it.
+// serve authenticates a call, enforces the limits, reads and parses its body, and
+// then runs the request.
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request, parse parser) {
 	index := e.index.Load()
 	if index.version == 0 {
@@ -79,11 +80,11 @@
 		tooLarge(e.config.MaxBody).write(w)
 		return
 	}
-	if failure := e.enter(team, reserved); failure != nil {
+	if failure := e.reserve(team, reserved); failure != nil {
 		failure.write(w)
 		return
 	}
-	defer e.leave(team, reserved)
+	defer e.release(team, reserved)
 	body, failure := e.readBody(w, r)
 	if failure != nil {
 		failure.write(w)
@@ -94,5 +95,5 @@
 		failure.write(w)
 		return
 	}
-	e.run(w, r, q)
+	e.serveParsed(w, r, q)
 }
--- a/entry/link.go
+++ b/entry/link.go
@@ -15,23 +15,23 @@
 	"lynxramp.org/rpc"
 )
 
-// Times of a Link.
+// Timing of the calls to schedulers.
 const (
-	pollWait    = 2 * time.Second
-	pollTimeout = 2800 * time.Millisecond
-	pushTimeout = 800 * time.Millisecond
-	linkBackoff = 50 * time.Millisecond
+	pollWait        = 2 * time.Second
+	pollTimeout     = 2800 * time.Millisecond
+	pushTimeout     = 800 * time.Millisecond
+	exchangeBackoff = 50 * time.Millisecond
 )
 
-// Decision is a scheduler's answer to a ticket: a grant or a refusal.
+// Decision is a scheduler's reply to a ticket: a grant or a refusal.
 type Decision struct {
 	Epoch   event.Epoch
 	Grant   *rpc.Grant
 	Refusal *rpc.Refusal
 }
 
-// waiter is a request that waits for its decision.
-type waiter struct {
+// pendingTicket is a submitted ticket without a decision so far.
+type pendingTicket struct {
 	ticket   event.Ticket
 	arrived  time.Time
 	deadline time.Time
@@ -44,183 +44,183 @@
 	Client  rpc.Scheduler
 }
 
-// Catalogs takes news of the catalog.
-type Catalogs interface {
-	// Version returns the version in force here.
-	Version() uint64
-	// Take puts a newer version in force.
-	Take(news *rpc.CatalogNews) error
+// CatalogStore receives catalog updates.
+type CatalogStore interface {
+	// CatalogVersion returns the version of the current catalog.
+	CatalogVersion() uint64
+	// ApplyCatalog replaces the current catalog by a newer version.
+	ApplyCatalog(update *rpc.CatalogNews) error
 }
 
-// Link carries an entry's tickets to the owner of the pools and its decisions
-// back, and brings newer catalogs. It finds the owner among the control boxes.
+// OwnerClient sends an entry's tickets to the owner of the pools and receives its
+// decisions and catalog updates. It looks for the owner among the control boxes.
 //
-// News is pushed in batches, one call at a time: what arrives during a call
-// travels with the next. A second call polls for decisions. All news may be
-// sent twice and all decisions may come twice.
-type Link struct {
+// Tickets, withdrawals and finishes are pushed in batches, one call at a time: what
+// arrives during a call is sent with the next. A second call polls for decisions.
+// Both batches and decisions may be delivered twice.
+type OwnerClient struct {
 	entry      event.BoxID
-	life       uint64
+	instance   uint64
 	schedulers []Scheduler
-	catalogs   Catalogs
+	catalogs   CatalogStore
 	log        *zap.Logger
 
-	mu        sync.Mutex
-	current   int  // of the schedulers
-	whole     bool // the next call asks for a whole catalog
-	epoch     uint64
-	ack       uint64
-	waiting   map[event.RequestID]*waiter
-	tickets   []event.RequestID
-	withdrawn []*rpc.Withdrawal
-	finished  []*rpc.Finish
-	wake      chan struct{}
+	mu              sync.Mutex
+	current         int  // index into schedulers
+	wantFullCatalog bool // the next call requests the full catalog
+	epoch           uint64
+	ack             uint64
+	pending         map[event.RequestID]*pendingTicket
+	tickets         []event.RequestID
+	withdrawn       []*rpc.Withdrawal
+	finished        []*rpc.Finish
+	wake            chan struct{}
 }
 
-// NewLink returns a link of one life of an entry to the owner among some
-// schedulers; Run makes it work.
-func NewLink(entry event.BoxID, life uint64, schedulers []Scheduler, catalogs Catalogs, log *zap.Logger) *Link {
-	return &Link{
+// NewOwnerClient returns a client for one instance of an entry. It sends nothing
+// before Run.
+func NewOwnerClient(entry event.BoxID, instance uint64, schedulers []Scheduler, catalogs CatalogStore, log *zap.Logger) *OwnerClient {
+	return &OwnerClient{
 		entry:      entry,
-		life:       life,
+		instance:   instance,
 		schedulers: schedulers,
 		catalogs:   catalogs,
 		log:        log,
-		waiting:    make(map[event.RequestID]*waiter),
+		pending:    make(map[event.RequestID]*pendingTicket),
 		wake:       make(chan struct{}, 1),
 	}
 }
 
-// Run pushes and polls until ctx ends.
-func (l *Link) Run(ctx context.Context) {
-	var both sync.WaitGroup
-	both.Go(func() { l.pushAll(ctx) })
-	both.Go(func() { l.pollAll(ctx) })
-	both.Wait()
+func (l *OwnerClient) Run(ctx context.Context) {
+	var wg sync.WaitGroup
+	wg.Go(func() { l.pushLoop(ctx) })
+	wg.Go(func() { l.pollLoop(ctx) })
+	wg.Wait()
 }
 
-// Submit registers a ticket. Its decision comes on the channel, which holds it
-// until it is read.
-func (l *Link) Submit(t event.Ticket, arrived, deadline time.Time) <-chan Decision {
-	w := &waiter{ticket: t, arrived: arrived, deadline: deadline, decided: make(chan Decision, 1)}
+// Submit registers a ticket. Its decision is sent on the returned channel, which is
+// buffered.
+func (l *OwnerClient) Submit(t event.Ticket, arrived, deadline time.Time) <-chan Decision {
+	w := &pendingTicket{ticket: t, arrived: arrived, deadline: deadline, decided: make(chan Decision, 1)}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waiting[t.ID] = w
+	l.pending[t.ID] = w
 	l.tickets = append(l.tickets, t.ID)
-	l.poke()
+	l.signal()
 	return w.decided
 }
 
-// Withdraw takes a ticket back that was not decided.
-func (l *Link) Withdraw(id event.RequestID, pool string) {
+// Withdraw cancels a ticket that has no decision yet.
+func (l *OwnerClient) Withdraw(id event.RequestID, pool string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.waiting, id)
+	delete(l.pending, id)
 	l.withdrawn = append(l.withdrawn, &rpc.Withdrawal{Id: string(id), Pool: pool})
-	l.poke()
+	l.signal()
 }
 
-// Finish says that a granted request no longer uses its endpoint.
-func (l *Link) Finish(f *rpc.Finish) {
+// Finish reports that a granted request no longer uses its endpoint.
+func (l *OwnerClient) Finish(f *rpc.Finish) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.finished = append(l.finished, f)
-	l.poke()
+	l.signal()
 }
 
-// Waiting returns how many tickets are not decided.
-func (l *Link) Waiting() int {
+// Pending returns the number of tickets without a decision.
+func (l *OwnerClient) Pending() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.waiting)
+	return len(l.pending)
 }
 
-// poke wakes the pushing goroutine.
-func (l *Link) poke() {
+// signal wakes the push loop.
+func (l *OwnerClient) signal() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (l *Link) pushAll(ctx context.Context) {
+func (l *OwnerClient) pushLoop(ctx context.Context) {
 	for {
 		select {
 		case <-l.wake:
 		case <-ctx.Done():
 			return
 		}
-		for r := l.news(); r != nil && ctx.Err() == nil; r = l.news() {
+		for r := l.nextBatch(); r != nil && ctx.Err() == nil; r = l.nextBatch() {
 			l.push(ctx, r)
 		}
 	}
 }
 
-// push sends one batch until the owner has it. A batch sent twice does no harm.
-// A new owner needs no old news but the tickets, which it is told of anyway.
-func (l *Link) push(ctx context.Context, r *rpc.ExchangeRequest) {
+// push sends one batch until an owner accepts it. Sending a batch twice is harmless.
+// A new owner needs only the tickets, which applyDecisions submits to it again.
+func (l *OwnerClient) push(ctx context.Context, r *rpc.ExchangeRequest) {
 	for ctx.Err() == nil {
 		if l.exchange(ctx, r, pushTimeout) {
 			return
 		}
-		wait.For(ctx, linkBackoff)
+		wait.For(ctx, exchangeBackoff)
 	}
 }
 
-func (l *Link) pollAll(ctx context.Context) {
+func (l *OwnerClient) pollLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.mu.Lock()
-		r := l.request()
+		r := l.newExchange()
 		l.mu.Unlock()
 		r.WaitMs = uint32(pollWait.Milliseconds())
 		if !l.exchange(ctx, r, pollTimeout) {
-			wait.For(ctx, linkBackoff)
+			wait.For(ctx, exchangeBackoff)
 		}
 	}
 }
 
-// exchange makes one call and takes in its decisions.
-func (l *Link) exchange(ctx context.Context, r *rpc.ExchangeRequest, timeout time.Duration) bool {
+// exchange makes one call and applies its result. It reports whether the scheduler
+// is the owner.
+func (l *OwnerClient) exchange(ctx context.Context, r *rpc.ExchangeRequest, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	at, scheduler := l.scheduler()
-	answer, err := scheduler.Client.Exchange(ctx, r)
+	index, scheduler := l.currentScheduler()
+	response, err := scheduler.Client.Exchange(ctx, r)
 	if err != nil {
-		l.log.Debug("exchange failed", zap.String("scheduler", scheduler.Address), logx.Err(err))
-		l.leave(at, "")
+		l.log.Debug("exchange with scheduler failed; trying another scheduler", zap.String("scheduler", scheduler.Address), logx.Err(err))
+		l.switchScheduler(index, "")
 		return false
 	}
-	if !answer.Owner {
-		l.leave(at, answer.Leader)
+	if !response.Owner {
+		l.switchScheduler(index, response.Leader)
 		return false
 	}
-	l.take(answer)
-	if answer.Catalog != nil {
-		if err := l.catalogs.Take(answer.Catalog); err != nil {
-			l.log.Error("catalog not taken, asking for all of it", logx.Err(err))
-			l.askWhole()
+	l.applyDecisions(response)
+	if response.Catalog != nil {
+		if err := l.catalogs.ApplyCatalog(response.Catalog); err != nil {
+			l.log.Error("failed to apply catalog update; requesting the full catalog", logx.Err(err))
+			l.requestFullCatalog()
 		}
 	}
 	return true
 }
 
-// askWhole makes the next call ask for a whole catalog.
-func (l *Link) askWhole() {
+// requestFullCatalog makes the next call request the full catalog.
+func (l *OwnerClient) requestFullCatalog() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.whole = true
+	l.wantFullCatalog = true
 }
 
-// scheduler returns the one that is thought to be the owner.
-func (l *Link) scheduler() (int, Scheduler) {
+// currentScheduler returns the scheduler that was last known as the owner, and its index.
+func (l *OwnerClient) currentScheduler() (int, Scheduler) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current, l.schedulers[l.current]
 }
 
-// leave goes to the scheduler at an address, or to the next one, unless that
-// was done since.
-func (l *Link) leave(from int, to string) {
+// switchScheduler switches from one scheduler to the one with the address to, or to
+// the next in the list. It does nothing if another call has switched already.
+func (l *OwnerClient) switchScheduler(from int, to string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.current != from {
@@ -235,32 +235,34 @@
 	l.current = (from + 1) % len(l.schedulers)
 }
 
-// request returns a request without news. The caller holds the lock.
-func (l *Link) request() *rpc.ExchangeRequest {
-	version := l.catalogs.Version()
-	if l.whole {
+// newExchange returns a request without tickets, withdrawals and finishes. The
+// caller holds the lock.
+func (l *OwnerClient) newExchange() *rpc.ExchangeRequest {
+	version := l.catalogs.CatalogVersion()
+	if l.wantFullCatalog {
 		version = 0
-		l.whole = false
+		l.wantFullCatalog = false
 	}
 	return &rpc.ExchangeRequest{
 		Entry:       string(l.entry),
-		Incarnation: l.life,
+		Incarnation: l.instance,
 		Epoch:       l.epoch,
 		Ack:         l.ack,
 		Version:     version,
 	}
 }
 
-// news takes all that is to be told; nil if there is nothing.
-func (l *Link) news() *rpc.ExchangeRequest {
+// nextBatch returns a request with all that is waiting to be sent; nil if there is
+// nothing.
+func (l *OwnerClient) nextBatch() *rpc.ExchangeRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.tickets)+len(l.withdrawn)+len(l.finished) == 0 {
 		return nil
 	}
-	r := l.request()
+	r := l.newExchange()
 	for _, id := range l.tickets {
-		if w, ok := l.waiting[id]; ok {
+		if w, ok := l.pending[id]; ok {
 			t := w.ticket
 			t.Deadline = time.Until(w.deadline)
 			t.Waited = time.Since(w.arrived)
@@ -273,43 +275,44 @@
 	return r
 }
 
-// take hands out decisions. A scheduler of a new epoch is told again of all
-// that waits; one of an old epoch is not listened to.
-func (l *Link) take(answer *rpc.ExchangeResponse) {
+// applyDecisions delivers decisions to the requests that wait for them. All pending
+// tickets are submitted again to an owner of a new epoch; a response of an older
+// epoch is ignored.
+func (l *OwnerClient) applyDecisions(response *rpc.ExchangeResponse) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if answer.Epoch < l.epoch {
+	if response.Epoch < l.epoch {
 		return
 	}
-	if answer.Epoch > l.epoch {
-		l.epoch = answer.Epoch
+	if response.Epoch > l.epoch {
+		l.epoch = response.Epoch
 		l.ack = 0
-		l.registerAgain()
+		l.resubmitAll()
 	}
-	for _, d := range answer.Decisions {
-		// Both calls may bring the same decision. The second must not decide a
-		// request that was registered again in between.
+	for _, d := range response.Decisions {
+		// The push and the poll may return the same decision. The second copy must
+		// not decide a request that was registered again in between.
 		if d.Number > l.ack {
 			l.ack = d.Number
-			l.decide(d)
+			l.deliver(d)
 		}
 	}
 }
 
-func (l *Link) registerAgain() {
+func (l *OwnerClient) resubmitAll() {
 	l.tickets = l.tickets[:0]
-	for id := range l.waiting {
+	for id := range l.pending {
 		l.tickets = append(l.tickets, id)
 	}
-	l.poke()
+	l.signal()
 }
 
-func (l *Link) decide(d *rpc.Decision) {
+func (l *OwnerClient) deliver(d *rpc.Decision) {
 	id := event.RequestID(d.Id)
-	w, ok := l.waiting[id]
+	w, ok := l.pending[id]
 	if !ok {
 		return
 	}
-	delete(l.waiting, id)
+	delete(l.pending, id)
 	w.decided <- Decision{Epoch: event.Epoch(l.epoch), Grant: d.Grant, Refusal: d.Refusal}
 }
--- a/entry/recover_test.go
+++ b/entry/recover_test.go
@@ -16,20 +16,18 @@
 	"lynxramp.org/slot"
 )
 
-// TestRecoverOutlastsAnotherCut: a slot that has started the request does not hold
-// its answer's beginning, and the connection on which it is asked to take it up is
-// cut, too. It failed when that question was asked only once (TestCutConnections
-// beside load: "the slot does not know what became of the request").
-func TestRecoverOutlastsAnotherCut(t *testing.T) {
-	asked := 0
+// A slot that has started a request does not hold the beginning of its response, and
+// the connection of the adopt call is lost. recoverOffer must retry that call.
+func TestRecoverOfferRetriesLostConnection(t *testing.T) {
+	attempts := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case strings.HasPrefix(r.URL.Path, "/v1/void/"):
-			w.WriteHeader(http.StatusConflict) // it has started
+			w.WriteHeader(http.StatusConflict) // started
 		case !strings.Contains(r.URL.RawQuery, slot.QueryAdopt):
 			w.WriteHeader(http.StatusGone)
 		default:
-			if asked++; asked <= 2 { // net/http asks once more by itself
+			if attempts++; attempts <= 2 { // net/http retries once by itself
 				panic(http.ErrAbortHandler)
 			}
 			_, _ = w.Write([]byte("answer"))
@@ -40,9 +38,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	d := Decision{Grant: &rpc.Grant{Address: strings.TrimPrefix(server.URL, "http://")}}
-	response, err := e.recover(ctx, &transfer{runs: "r"}, d)
+	response, err := e.recoverOffer(ctx, &transfer{dispatch: "r"}, d)
 	if err != nil || response == nil {
-		t.Fatalf("after %d questions: %v", asked, err)
+		t.Fatalf("after %d adopt calls: %v", attempts, err)
 	}
 	_ = response.Body.Close()
 }
--- a/entry/request.go
+++ b/entry/request.go
@@ -18,33 +18,33 @@
 	"lynxramp.org/event"
 )
 
-// Bounds of what a caller may ask.
+// Limits on what a caller may send.
 const (
 	maxDeadline = time.Hour
 	maxKeyBytes = 256
 )
 
-// request is one caller's request, checked.
+// request is a validated request of a caller.
 type request struct {
 	ticket   event.Ticket
 	team     *catalog.Team
 	tier     catalog.Tier
 	service  *catalog.Service
 	method   string
-	path     string      // at the endpoint, with its query
-	header   http.Header // what is passed on
+	path     string      // at the endpoint, including the query
+	header   http.Header // headers that are forwarded
 	body     []byte
 	arrived  time.Time
 	deadline time.Time
 }
 
-// dispatch returns the name of the request's present offer.
+// dispatch returns the dispatch id of the request's current attempt.
 func (q *request) dispatch() event.DispatchID { return q.ticket.ID.Dispatch(q.ticket.Attempt) }
 
-// newID returns an id that no other request has.
+// newID returns a unique request id.
 func newID() event.RequestID { return event.RequestID(rand.Text()) }
 
-// authenticate finds the team by the caller's key.
+// authenticate returns the team that the caller's key belongs to.
 func authenticate(x *catalog.Index, h http.Header) (*catalog.Team, *Failure) {
 	key, ok := strings.CutPrefix(h.Get("Authorization"), "Bearer ")
 	if ok {
@@ -59,14 +59,14 @@
 	}
 }
 
-// readBody reads a request's body within the bounds of size and time.
+// readBody reads a request body within the limits on size and time.
 func (e *Entry) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *Failure) {
 	if r.ContentLength > e.config.MaxBody {
 		return nil, tooLarge(e.config.MaxBody)
 	}
 	control := http.NewResponseController(w)
 	if err := control.SetReadDeadline(time.Now().Add(e.config.BodyTime)); err != nil {
-		return nil, badRequest("body", "the body cannot be read in time")
+		return nil, badRequest("body", "cannot set a deadline for reading the body")
 	}
 	body, err := readAll(http.MaxBytesReader(w, r.Body, e.config.MaxBody), r.ContentLength)
 	var large *http.MaxBytesError
@@ -74,15 +74,15 @@
 		return nil, tooLarge(e.config.MaxBody)
 	}
 	if err != nil {
-		return nil, badRequest("body", "the body did not come whole")
+		return nil, badRequest("body", "the body is incomplete")
 	}
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
-		return nil, badRequest("body", "the connection is gone")
+		return nil, badRequest("body", "the connection was closed")
 	}
 	return body, nil
 }
 
-// readAll reads r to its end; size is its length if that is known, or -1.
+// readAll reads r to EOF; size is its length, or -1 if that is unknown.
 func readAll(r io.Reader, size int64) ([]byte, error) {
 	if size < 0 {
 		return io.ReadAll(r)
@@ -100,8 +100,8 @@
 	}
 }
 
-// completion makes the request of a completions call.
-func completion(x *catalog.Index, t *catalog.Team, r *http.Request, body []byte) (*request, *Failure) {
+// parseCompletion builds the request of a completions call.
+func parseCompletion(x *catalog.Index, t *catalog.Team, r *http.Request, body []byte) (*request, *Failure) {
 	parsed, err := engine.ParseCompletion(body)
 	if err != nil {
 		return nil, badRequest("bad_body", err.Error())
@@ -116,15 +116,15 @@
 	}
 	text := parsed.Text()
 	q.path = r.URL.Path
-	q.ticket.PromptTokens = engine.CountTokens(text)
+	q.ticket.PromptTokens = engine.EstimateTokens(text)
 	q.ticket.OutputTokens = parsed.MaxTokens
-	q.ticket.Prefix = engine.Marks(engine.Blocks(parsed.Model, text))
+	q.ticket.Prefix = engine.Marks(engine.BlockHashes(parsed.Model, text))
 	return q, nil
 }
 
-// plainCall makes the request of a call to a plain service; rest is the path
+// parsePlainCall builds the request of a call to a plain service; rest is the path
 // below the service's name.
-func plainCall(x *catalog.Index, t *catalog.Team, r *http.Request, name, rest string, body []byte) (*request, *Failure) {
+func parsePlainCall(x *catalog.Index, t *catalog.Team, r *http.Request, name, rest string, body []byte) (*request, *Failure) {
 	s := x.ServiceByName(name)
 	if s == nil || s.Kind != catalog.KindPlain {
 		return nil, &Failure{Status: http.StatusNotFound, Code: "unknown_service", Message: "there is no such plain service"}
@@ -140,13 +140,13 @@
 	return q, nil
 }
 
-// newRequest checks what all calls have in common.
+// newRequest validates the parts that all calls share and returns the request.
 func newRequest(x *catalog.Index, t *catalog.Team, s *catalog.Service, r *http.Request, body []byte) (*request, *Failure) {
 	tier, failure := chooseTier(x, t, s, r.Header)
 	if failure != nil {
 		return nil, failure
 	}
-	left, failure := chooseDeadline(s, r.Header)
+	timeLeft, failure := chooseDeadline(s, r.Header)
 	if failure != nil {
 		return nil, failure
 	}
@@ -157,15 +157,15 @@
 	now := time.Now()
 	return &request{
 		team: t, tier: tier, service: s,
-		method: r.Method, header: passedOn(r.Header), body: body,
-		arrived: now, deadline: now.Add(left),
+		method: r.Method, header: forwardedHeaders(r.Header), body: body,
+		arrived: now, deadline: now.Add(timeLeft),
 		ticket: event.Ticket{
 			ID:       newID(),
 			Team:     t.Name,
 			Rank:     tier.Rank,
 			Service:  s.Name,
 			Pool:     s.Pool,
-			Deadline: left,
+			Deadline: timeLeft,
 			Key:      key,
 			Digest:   digest(key, r, body),
 			NoRepeat: s.NoRepeat || r.Header.Get(HeaderNoRepeat) != "",
@@ -173,30 +173,31 @@
 	}, nil
 }
 
-// digest tells requests with one key apart; without a key there is no need.
+// digest identifies the content of a request with an idempotency key, so that a reuse
+// of the key for other content is detected. It is 0 without a key.
 func digest(key string, r *http.Request, body []byte) uint64 {
 	if key == "" {
 		return 0
 	}
 	d := xxhash.New()
-	_, _ = d.WriteString(r.Method + " " + r.URL.RequestURI() + "\n") // never fails, by its documentation
-	_, _ = d.Write(body)                                             // nor does this
+	_, _ = d.WriteString(r.Method + " " + r.URL.RequestURI() + "\n") // Digest's writes never return an error
+	_, _ = d.Write(body)
 	return d.Sum64()
 }
 
-// chooseTier returns the tier of a request: the rules', or what the caller asks
-// for up to the team's right.
+// chooseTier returns the tier that the caller requests, which must be no higher than
+// the team's own, or the default tier if none is requested.
 func chooseTier(x *catalog.Index, t *catalog.Team, s *catalog.Service, h http.Header) (catalog.Tier, *Failure) {
-	asked := h.Get(HeaderTier)
-	if asked == "" {
+	requested := h.Get(HeaderTier)
+	if requested == "" {
 		return x.TierFor(t, s), nil
 	}
-	tier, ok := x.Tier(asked)
+	tier, ok := x.Tier(requested)
 	if !ok {
 		return tier, badRequest("unknown_tier", "there is no such tier")
 	}
-	right, _ := x.Tier(t.Tier)
-	if tier.Rank > right.Rank {
+	own, _ := x.Tier(t.Tier)
+	if tier.Rank > own.Rank {
 		return tier, &Failure{Status: http.StatusForbidden, Code: "tier_not_allowed", Message: "the team has no right to this tier"}
 	}
 	return tier, nil
@@ -214,14 +215,14 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// passedOn returns the caller's headers without those that are meant for this
-// system. The caller's key goes no further than here.
-func passedOn(h http.Header) http.Header {
-	kept := make(http.Header, len(h))
+// forwardedHeaders returns the caller's headers without those that address this
+// system. The caller's key must not reach an endpoint.
+func forwardedHeaders(h http.Header) http.Header {
+	forwarded := make(http.Header, len(h))
 	for name, values := range h {
 		if name != "Authorization" && name != HeaderIdempotency && !strings.HasPrefix(name, "Lynxramp-") {
-			kept[name] = values
+			forwarded[name] = values
 		}
 	}
-	return kept
+	return forwarded
 }
--- a/entry/run.go
+++ b/entry/run.go
@@ -17,31 +17,31 @@
 	"lynxramp.org/slot"
 )
 
-// Bounds of the entry's patience with slots.
+// Limits on retries towards slots.
 const (
-	// maxOffers is how often a request is offered to a slot that then says it
-	// never ran.
+	// maxOffers is the maximum number of times that a request is granted and offered
+	// to a slot.
 	maxOffers = 12
-	// offerBackoff is the first wait before a request is registered again; each
-	// is twice the one before, up to maxBackoff.
+	// offerBackoff is the delay before a request is registered again. It doubles with
+	// each attempt, up to maxBackoff.
 	offerBackoff = 20 * time.Millisecond
 	maxBackoff   = time.Second
-	// resumeBound is how long a cut answer is tried to be resumed.
-	resumeBound  = 8 * time.Second
-	resumePause  = 50 * time.Millisecond
-	writeTimeout = 60 * time.Second
+	// resumeTimeout limits how long a lost response is resumed without progress.
+	resumeTimeout  = 8 * time.Second
+	resumeInterval = 50 * time.Millisecond
+	writeTimeout   = 60 * time.Second
 )
 
-// errCallerGone says that the caller hung up: there is nobody to answer.
-var errCallerGone = errors.New("the caller went away")
+// errCallerDisconnected is returned when the caller closed its connection.
+var errCallerDisconnected = errors.New("caller disconnected")
 
-// run takes a checked request to its end.
-func (e *Entry) run(w http.ResponseWriter, r *http.Request, q *request) {
+// serveParsed runs a parsed request and writes its response.
+func (e *Entry) serveParsed(w http.ResponseWriter, r *http.Request, q *request) {
 	w.Header().Set(HeaderRequestID, string(q.ticket.ID))
-	t := &transfer{entry: e, w: w, q: q, runs: q.dispatch()}
+	t := &transfer{entry: e, w: w, q: q, dispatch: q.dispatch()}
 	err := e.serveRequest(r.Context(), t)
 	var failure *Failure
-	if errors.As(err, &failure) && !t.begun {
+	if errors.As(err, &failure) && !t.headerSent {
 		t.status = failure.Status
 		t.outcome = failure.Outcome
 		if t.endpoint != "" {
@@ -49,10 +49,11 @@
 		}
 		failure.write(w)
 	}
-	e.meters.answered(q.tier.Name, q.service.Name, t.status, t.outcome)
+	e.metrics.countAnswer(q.tier.Name, q.service.Name, t.status, t.outcome)
 	e.logAnswer(q, t, err)
-	if err != nil && t.begun {
-		// The caller's client notices a connection cut before the answer's end.
+	if err != nil && t.headerSent {
+		// The header is already sent: abort the connection, so that the caller's
+		// client does not take the response for complete.
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -73,10 +74,11 @@
 	if err != nil {
 		fields = append(fields, logx.Err(err))
 	}
-	e.log.Info("answered", fields...)
+	e.log.Info("request finished", fields...)
 }
 
-// serveRequest registers the request and offers it until an endpoint took it.
+// serveRequest registers the request and offers it to slots until one has run it, the
+// scheduler refuses it or maxOffers is reached.
 func (e *Entry) serveRequest(ctx context.Context, t *transfer) error {
 	q := t.q
 	for backoff := offerBackoff; q.ticket.Attempt < maxOffers; backoff = min(2*backoff, maxBackoff) {
@@ -90,7 +92,7 @@
 		}
 		done, err := e.offer(ctx, t, d)
 		if d.Grant.Attach == "" {
-			e.link.Finish(&rpc.Finish{
+			e.owner.Finish(&rpc.Finish{
 				Id: string(q.ticket.ID), Pool: q.ticket.Pool, Failed: err != nil, Void: !done && err == nil, Tokens: uint32(t.tokens),
 			})
 		}
@@ -98,14 +100,14 @@
 			return err
 		}
 		q.ticket.Attempt++
-		t.runs = q.dispatch()
+		t.dispatch = q.dispatch()
 		wait.For(ctx, backoff)
 	}
-	e.link.Withdraw(q.ticket.ID, q.ticket.Pool)
+	e.owner.Withdraw(q.ticket.ID, q.ticket.Pool)
 	return &Failure{
 		Status:     http.StatusServiceUnavailable,
 		Code:       "no_endpoint",
-		Message:    "no endpoint took the request",
+		Message:    "no endpoint accepted the request",
 		RetryAfter: localRetryAfter,
 	}
 }
@@ -114,22 +116,21 @@
 func (e *Entry) await(ctx context.Context, q *request) (Decision, error) {
 	timer := time.NewTimer(time.Until(q.deadline))
 	defer timer.Stop()
-	decided := e.link.Submit(q.ticket, q.arrived, q.deadline)
+	decided := e.owner.Submit(q.ticket, q.arrived, q.deadline)
 	select {
 	case d := <-decided:
 		return d, nil
 	case <-ctx.Done():
-		e.link.Withdraw(q.ticket.ID, q.ticket.Pool)
-		return Decision{}, errCallerGone
+		e.owner.Withdraw(q.ticket.ID, q.ticket.Pool)
+		return Decision{}, errCallerDisconnected
 	case <-timer.C:
-		e.link.Withdraw(q.ticket.ID, q.ticket.Pool)
+		e.owner.Withdraw(q.ticket.ID, q.ticket.Pool)
 		return Decision{}, refusal(event.ReasonDeadline, localRetryAfter)
 	}
 }
 
-// offer takes a granted request to its slot and its answer to the caller. It
-// returns false, without an error, if the request has not run and will not run
-// there.
+// offer sends a granted request to its slot and copies the response to the caller. It
+// returns false and no error if the request did not run and will not run there.
 func (e *Entry) offer(ctx context.Context, t *transfer, d Decision) (bool, error) {
 	q := t.q
 	t.epoch = d.Epoch
@@ -141,12 +142,12 @@
 		return false, nil
 	}
 	if err == nil && response.Header.Get(slot.HeaderDenial) != "" {
-		return e.denied(response)
+		return e.handleDenial(response)
 	}
 	t.endpoint = d.Grant.Endpoint
 	t.outcome = Unknown
 	if err != nil {
-		response, err = e.recover(ctx, t, d)
+		response, err = e.recoverOffer(ctx, t, d)
 		if response == nil {
 			return false, err
 		}
@@ -154,96 +155,99 @@
 	return true, e.transfer(ctx, t, d, response)
 }
 
-// attach fetches the answer of the request that has the caller's key.
+// attach returns to the caller the response of the earlier request that has the same
+// idempotency key.
 func (e *Entry) attach(ctx context.Context, t *transfer, d Decision) error {
 	t.endpoint = d.Grant.Endpoint
 	t.outcome = Unknown
-	t.runs = event.DispatchID(d.Grant.Attach)
-	until := time.Now().Add(resumeBound)
+	t.dispatch = event.DispatchID(d.Grant.Attach)
+	until := time.Now().Add(resumeTimeout)
 	for {
-		response, err := e.slots.resume(ctx, d.Grant.Address, t.runs, 0, true)
+		response, err := e.slots.resume(ctx, d.Grant.Address, t.dispatch, 0, true)
 		if err == nil && response.StatusCode == http.StatusOK {
 			return e.transfer(ctx, t, d, response)
 		}
 		if err == nil {
-			_ = response.Body.Close() // the status says it all
+			_ = response.Body.Close() // the status is all that matters
 		}
 		switch {
 		case ctx.Err() != nil:
-			return errCallerGone
+			return errCallerDisconnected
 		case err == nil && response.StatusCode == http.StatusGone, time.Now().After(until):
 			return refusal(event.ReasonClaimed, 0)
 		}
-		// The request with the key may only now be on its way to the slot.
-		wait.For(ctx, resumePause)
+		// The earlier request may not have reached the slot yet: retry.
+		wait.For(ctx, resumeInterval)
 	}
 }
 
-// denied takes a slot's word that it did not and will not run an offer.
-func (e *Entry) denied(response *http.Response) (bool, error) {
+// handleDenial returns what follows from a slot's denial: the request did not run,
+// or its outcome is unknown.
+func (e *Entry) handleDenial(response *http.Response) (bool, error) {
 	denial := response.Header.Get(slot.HeaderDenial)
-	_ = response.Body.Close() // it is empty
+	_ = response.Body.Close() // empty
 	switch denial {
 	case slot.DenialStarted.String():
-		return false, unknownFate("the slot had the request before")
+		return false, unknownOutcome("the slot already received this request")
 	case slot.DenialDeadline.String():
 		return false, refusal(event.ReasonDeadline, localRetryAfter)
 	}
 	return false, nil
 }
 
-// recover finds out what became of an offer whose answer did not come: the
-// answer's beginning, or nil and no error when the slot proves that the request
-// never ran.
-func (e *Entry) recover(ctx context.Context, t *transfer, d Decision) (*http.Response, error) {
-	until := time.Now().Add(resumeBound)
+// recoverOffer determines the outcome of an offer whose response was lost. It returns
+// the response from its beginning, or nil and no error if the slot confirms that the
+// request never ran.
+func (e *Entry) recoverOffer(ctx context.Context, t *transfer, d Decision) (*http.Response, error) {
+	until := time.Now().Add(resumeTimeout)
 	for time.Now().Before(until) && ctx.Err() == nil {
-		response, err := e.slots.resume(ctx, d.Grant.Address, t.runs, 0, false)
+		response, err := e.slots.resume(ctx, d.Grant.Address, t.dispatch, 0, false)
 		if err == nil && response.StatusCode == http.StatusOK {
 			return response, nil
 		}
 		if err == nil {
-			_ = response.Body.Close() // the status says it all
-			proved, err := e.slots.void(ctx, d.Grant, t.runs)
-			if err == nil && proved {
+			_ = response.Body.Close() // the status is all that matters
+			confirmed, err := e.slots.void(ctx, d.Grant, t.dispatch)
+			if err == nil && confirmed {
 				t.outcome = NotRun
 				t.endpoint = ""
 				return nil, nil
 			}
 			if err == nil {
-				response, answered := e.adopt(ctx, t, d)
+				response, replied := e.adopt(ctx, t, d)
 				switch {
 				case response != nil:
 					return response, nil
-				case answered:
-					return nil, unknownFate("the slot does not know what became of the request")
+				case replied:
+					return nil, unknownOutcome("the slot does not know the outcome of the request")
 				}
-				// The connection was cut once more: the slot is asked again.
+				// The connection was lost again: retry.
 			}
 		}
-		wait.For(ctx, resumePause)
+		wait.For(ctx, resumeInterval)
 	}
 	if ctx.Err() != nil {
-		e.slots.cancel(d.Grant.Address, t.runs)
-		return nil, errCallerGone
+		e.slots.cancel(d.Grant.Address, t.dispatch)
+		return nil, errCallerDisconnected
 	}
-	return nil, unknownFate("the slot cannot be reached")
+	return nil, unknownOutcome("the slot is unreachable")
 }
 
-// adopt asks a slot that has forgotten the request to take it up at its engine. It
-// returns the answer's beginning; if there is none, whether the slot said so.
-func (e *Entry) adopt(ctx context.Context, t *transfer, d Decision) (response *http.Response, answered bool) {
-	response, err := e.slots.resume(ctx, d.Grant.Address, t.runs, 0, true)
+// adopt makes a slot without a record of the request resume it at its engine. It
+// returns the response from its beginning, or whether the slot replied that there is
+// none.
+func (e *Entry) adopt(ctx context.Context, t *transfer, d Decision) (response *http.Response, replied bool) {
+	response, err := e.slots.resume(ctx, d.Grant.Address, t.dispatch, 0, true)
 	if err != nil {
 		return nil, false
 	}
 	if response.StatusCode == http.StatusOK {
 		return response, true
 	}
-	_ = response.Body.Close() // the status says it all
+	_ = response.Body.Close() // the status is all that matters
 	return nil, true
 }
 
-func unknownFate(message string) *Failure {
+func unknownOutcome(message string) *Failure {
 	return &Failure{Status: http.StatusBadGateway, Code: "fate_unknown", Message: message, Outcome: Unknown}
 }
--- a/entry/slots.go
+++ b/entry/slots.go
@@ -23,53 +23,54 @@
 	"lynxramp.org/slot"
 )
 
-// Times and sizes of the calls to slots.
+// Timeouts and limits of the calls to slots.
 const (
-	dialTimeout  = time.Second
-	callTimeout  = 2 * time.Second
-	ackEvery     = 100 * time.Millisecond
-	ackBytes     = 256 << 10
-	idlePerSlot  = 64
-	idleSlotTime = 30 * time.Second
+	dialTimeout         = time.Second
+	callTimeout         = 2 * time.Second
+	ackInterval         = 100 * time.Millisecond
+	ackThreshold        = 256 << 10
+	maxIdleConnsPerSlot = 64
+	idleConnTimeout     = 30 * time.Second
 )
 
-// slotClient calls slots and gathers acknowledgements for them.
+// slotClient calls slots and batches acknowledgements for them.
 type slotClient struct {
 	http *http.Client
 	log  *zap.Logger
 
 	mu   sync.Mutex
 	acks map[string][]slot.Ack // by slot address
-	kick chan struct{}
+	wake chan struct{}
 }
 
 func newSlotClient(key string, log *zap.Logger) *slotClient {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost: idlePerSlot,
-		IdleConnTimeout:     idleSlotTime,
+		MaxIdleConnsPerHost: maxIdleConnsPerSlot,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
 	return &slotClient{
 		http: &http.Client{Transport: rpc.WithKey(key, transport)},
 		log:  log,
 		acks: make(map[string][]slot.Ack),
-		kick: make(chan struct{}, 1),
+		wake: make(chan struct{}, 1),
 	}
 }
 
-// errNotSent says that the slot could not be reached: it has seen nothing.
-var errNotSent = errors.New("the slot cannot be reached")
+// errNotSent is returned when no connection to the slot could be made, so the slot
+// has received nothing.
+var errNotSent = errors.New("slot is unreachable")
 
-// offer sends a request to the slot of a grant. The response's body is the
-// answer.
+// offer sends a request to the slot of a grant. The body of the returned response is
+// the response of the endpoint.
 func (c *slotClient) offer(ctx context.Context, q *request, d Decision) (*http.Response, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.Grant.Address+"/v1/run", nil)
 	if err != nil {
 		return nil, errors.Wrap(errNotSent, err.Error())
 	}
 	h := r.Header
-	slot.Wrap(h, q.header)
+	slot.WrapHeaders(h, q.header)
 	h.Set(slot.HeaderDispatch, string(q.dispatch()))
 	h.Set(slot.HeaderIncarnation, strconv.FormatUint(d.Grant.Incarnation, 10))
 	h.Set(slot.HeaderEpoch, strconv.FormatUint(uint64(d.Epoch), 10))
@@ -91,8 +92,8 @@
 	return response, errors.Wrap(err, "offer")
 }
 
-// resume asks a slot for an answer again, from byte offset on. With adopt, a
-// slot that was restarted asks its engine for it.
+// resume requests a response from byte offset on. With adopt, a slot that has no
+// record of the request, after a restart, asks its engine for the response.
 func (c *slotClient) resume(ctx context.Context, address string, id event.DispatchID, offset int, adopt bool) (*http.Response, error) {
 	url := "http://" + address + "/v1/run/" + string(id) + "?offset=" + strconv.Itoa(offset)
 	if adopt {
@@ -106,8 +107,8 @@
 	return response, errors.Wrap(err, "resume")
 }
 
-// void asks a slot never to run an id. True is its promise that the id has not
-// run in this incarnation and will not.
+// void asks a slot never to start an id. True means that the id did not start in
+// this incarnation of the slot and will not.
 func (c *slotClient) void(ctx context.Context, g *rpc.Grant, id event.DispatchID) (bool, error) {
 	h := http.Header{}
 	h.Set(slot.HeaderIncarnation, strconv.FormatUint(g.Incarnation, 10))
@@ -115,10 +116,10 @@
 	return status == http.StatusNoContent, err
 }
 
-// cancel tells a slot that the caller of a request went away.
+// cancel cancels a request at its slot, since its caller has disconnected.
 func (c *slotClient) cancel(address string, id event.DispatchID) {
 	if _, err := c.post(context.Background(), address, "/v1/cancel/"+string(id), nil, nil); err != nil {
-		c.log.Debug("cancel failed", zap.String("request", string(id)), logx.Err(err))
+		c.log.Debug("failed to cancel request at slot", zap.String("request", string(id)), logx.Err(err))
 	}
 }
 
@@ -136,12 +137,12 @@
 	if err != nil {
 		return 0, errors.Wrap(err, path)
 	}
-	_, _ = io.Copy(io.Discard, response.Body) // so that the connection can be used again
+	_, _ = io.Copy(io.Discard, response.Body) // read to the end, so that the connection is reused
 	return response.StatusCode, errors.Wrap(response.Body.Close(), path)
 }
 
-// ack notes that the bytes of an answer up to offset are here. It is told to
-// the slot together with others.
+// ack records that the entry has a response up to an offset, and sends this to the
+// slot with the next batch. The last acknowledgement of a response is not urgent.
 func (c *slotClient) ack(address string, a slot.Ack) {
 	c.mu.Lock()
 	c.acks[address] = append(c.acks[address], a)
@@ -150,46 +151,46 @@
 		return
 	}
 	select {
-	case c.kick <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// sendAcks tells slots what was acknowledged, until ctx ends.
+// sendAcks sends the acknowledgements to slots until ctx ends.
 func (c *slotClient) sendAcks(ctx context.Context) {
-	ticker := time.NewTicker(ackEvery)
+	ticker := time.NewTicker(ackInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-		case <-c.kick:
+		case <-c.wake:
 		case <-ctx.Done():
 			c.flushAcks(context.WithoutCancel(ctx))
 			return
 		}
-		// A stop must not cut a call that has taken the acknowledgements.
+		// Shutdown must not interrupt a call whose acknowledgements left c.acks.
 		c.flushAcks(context.WithoutCancel(ctx))
 	}
 }
 
-// flushAcks sends each slot its acknowledgements. What cannot be sent is
-// dropped: the slot forgets the answers by itself after a while.
+// flushAcks sends each slot its acknowledgements. They are dropped on failure: the
+// slot deletes the responses by itself after a timeout.
 func (c *slotClient) flushAcks(ctx context.Context) {
 	c.mu.Lock()
 	acks := c.acks
 	c.acks = make(map[string][]slot.Ack)
 	c.mu.Unlock()
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for address, list := range acks {
-		wait.Go(func() {
+		wg.Go(func() {
 			body, err := json.Marshal(list)
 			if err == nil {
 				_, err = c.post(ctx, address, "/v1/acks", nil, body)
 			}
 			if err != nil {
-				c.log.Debug("acks not sent", zap.String("slot", address), logx.Err(err))
+				c.log.Debug("failed to send acks to slot; dropping them", zap.String("slot", address), logx.Err(err))
 			}
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 }
--- a/entry/transfer.go
+++ b/entry/transfer.go
@@ -18,44 +18,43 @@
 	"lynxramp.org/slot"
 )
 
-// copyBytes is how much of an answer is moved at once.
-const copyBytes = 8 << 10
+const copyBufferSize = 8 << 10
 
-// copyBuffers has buffers of copyBytes that are not in use.
-var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBytes); return &b }}
+// copyBuffers is a pool of buffers of copyBufferSize bytes.
+var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBufferSize); return &b }}
 
-// transfer is an answer on its way to the caller.
+// transfer is the copying of one response from a slot to the caller.
 type transfer struct {
-	entry    *Entry
-	w        http.ResponseWriter
-	q        *request
-	runs     event.DispatchID // whose answer it is
-	endpoint string
-	epoch    event.Epoch
-	outcome  Outcome
-	begun    bool // the caller has the status
-	status   int
-	address  string // of the slot
-	offset   int    // bytes that the caller has
-	tokens   int    // that a streamed answer had so far, about
-	acked    int    // bytes that the slot was told of
+	entry      *Entry
+	w          http.ResponseWriter
+	q          *request
+	dispatch   event.DispatchID // that the response belongs to
+	endpoint   string
+	epoch      event.Epoch
+	outcome    Outcome
+	headerSent bool // to the caller
+	status     int
+	address    string // of the slot
+	offset     int    // bytes sent to the caller
+	tokens     int    // approximate number streamed so far
+	acked      int    // offset of the last acknowledgement to the slot
 }
 
-// streamEvent begins each event of a streamed answer; an event has one token.
-var streamEvent = []byte("data: ")
+// streamEventPrefix begins each server-sent event of a stream; an event has one token.
+var streamEventPrefix = []byte("data: ")
 
-// errCallerWrite says that the caller does not take the answer.
-var errCallerWrite = errors.New("the caller does not read")
+// errCallerWrite is returned when the response cannot be written to the caller.
+var errCallerWrite = errors.New("write to the caller failed")
 
-// transfer moves the answer from the slot to the caller and resumes it when the
-// connection to the slot is cut.
+// transfer copies the response from the slot to the caller and resumes it when the
+// connection to the slot is lost.
 func (e *Entry) transfer(ctx context.Context, t *transfer, d Decision, response *http.Response) error {
-	id := t.runs
+	id := t.dispatch
 	t.address = d.Grant.Address
-	until := time.Now().Add(resumeBound)
+	until := time.Now().Add(resumeTimeout)
 	for {
 		before := t.offset
-		err := t.part(response)
+		err := t.copyResponse(response)
 		switch {
 		case err == nil:
 			e.slots.ack(d.Grant.Address, slot.Ack{ID: id, Offset: t.offset, Done: true})
@@ -64,12 +63,12 @@
 			if d.Grant.Attach == "" {
 				e.slots.cancel(d.Grant.Address, id)
 			}
-			return errCallerGone
+			return errCallerDisconnected
 		case isFailure(err):
 			return err
 		}
 		if t.offset > before {
-			until = time.Now().Add(resumeBound)
+			until = time.Now().Add(resumeTimeout)
 		}
 		response, err = e.resume(ctx, d, id, t.offset, until)
 		if err != nil {
@@ -83,7 +82,8 @@
 	return errors.As(err, &f)
 }
 
-// resume asks the slot for the rest of an answer until it comes or cannot.
+// resume requests the rest of a response from the slot. It retries while the slot is
+// unreachable, up to the time until.
 func (e *Entry) resume(ctx context.Context, d Decision, id event.DispatchID, offset int, until time.Time) (*http.Response, error) {
 	for time.Now().Before(until) && ctx.Err() == nil {
 		response, err := e.slots.resume(ctx, d.Grant.Address, id, offset, true)
@@ -91,19 +91,20 @@
 			return response, nil
 		}
 		if err == nil {
-			_ = response.Body.Close() // the status says it all
-			return nil, unknownFate("the slot no longer has the answer")
+			_ = response.Body.Close() // the status is all that matters
+			return nil, unknownOutcome("the slot no longer has the response")
 		}
-		wait.For(ctx, resumePause)
+		wait.For(ctx, resumeInterval)
 	}
-	return nil, unknownFate("the slot cannot be reached")
+	return nil, unknownOutcome("the slot is unreachable")
 }
 
-// part moves one response's bytes. It returns nil at the answer's end, a
-// Failure when it cannot be completed and another error when it was cut.
-func (t *transfer) part(response *http.Response) error {
+// copyResponse copies one response to the caller. It returns nil when the response is
+// complete, a Failure when it cannot be completed and another error when the
+// connection was lost.
+func (t *transfer) copyResponse(response *http.Response) error {
 	defer response.Body.Close()
-	if err := t.begin(response); err != nil {
+	if err := t.sendHeader(response); err != nil {
 		return err
 	}
 	buf := copyBuffers.Get().(*[]byte)
@@ -116,39 +117,39 @@
 			}
 		}
 		switch {
-		case err == io.EOF && response.Trailer.Get(slot.TrailerEnd) == slot.EndWhole:
+		case err == io.EOF && response.Trailer.Get(slot.TrailerEnd) == slot.EndComplete:
 			return nil
 		case err == io.EOF:
-			return unknownFate("the endpoint did not complete its answer")
+			return unknownOutcome("the endpoint did not complete its response")
 		case err != nil:
-			return errors.Wrap(err, "answer cut")
+			return errors.Wrap(err, "connection to the slot lost")
 		}
 	}
 }
 
-// begin sends the endpoint's status and headers, once.
-func (t *transfer) begin(response *http.Response) error {
-	if t.begun {
+// sendHeader sends the endpoint's status and headers to the caller, once.
+func (t *transfer) sendHeader(response *http.Response) error {
+	if t.headerSent {
 		return nil
 	}
 	status, err := strconv.Atoi(response.Header.Get(slot.HeaderStatus))
 	if err != nil {
-		return unknownFate("the endpoint did not answer")
+		return unknownOutcome("the endpoint did not respond")
 	}
 	h := t.w.Header()
-	slot.Unwrap(h, response.Header)
+	slot.UnwrapHeaders(h, response.Header)
 	t.outcome = Ran
 	h.Set(HeaderRequestID, string(t.q.ticket.ID))
 	h.Set(HeaderEndpoint, t.endpoint)
 	h.Set(HeaderOutcome, Ran.String())
 	t.w.WriteHeader(status)
 	t.status = status
-	t.begun = true
-	t.entry.meters.firstByte(t.q.tier.Name, t.q.service.Name, time.Since(t.q.arrived))
+	t.headerSent = true
+	t.entry.metrics.observeFirstByte(t.q.tier.Name, t.q.service.Name, time.Since(t.q.arrived))
 	return nil
 }
 
-// write passes bytes on to the caller at once.
+// write sends bytes to the caller immediately.
 func (t *transfer) write(p []byte) error {
 	control := http.NewResponseController(t.w)
 	if err := control.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
@@ -161,10 +162,10 @@
 		return errors.Wrap(errCallerWrite, err.Error())
 	}
 	t.offset += len(p)
-	t.tokens += bytes.Count(p, streamEvent)
-	if t.offset-t.acked >= ackBytes {
+	t.tokens += bytes.Count(p, streamEventPrefix)
+	if t.offset-t.acked >= ackThreshold {
 		t.acked = t.offset
-		t.entry.slots.ack(t.address, slot.Ack{ID: t.runs, Offset: t.offset})
+		t.entry.slots.ack(t.address, slot.Ack{ID: t.dispatch, Offset: t.offset})
 	}
 	return nil
 }
--- a/slot/answer.go
+++ b/slot/answer.go
@@ -10,70 +10,73 @@
 	"github.com/pkg/errors"
 )
 
-// windowBytes is how much of an answer is held unacknowledged before the
-// endpoint's stream is no longer read.
-const windowBytes = 1 << 20
+// maxUnackedBytes is how many bytes of a response may be unacknowledged before the
+// slot stops reading from the endpoint.
+const maxUnackedBytes = 1 << 20
 
-// keepBytes is how much of an answer that others may come for is held in all.
-const keepBytes = 4 << 20
+// maxRetainedBytes is how many bytes are kept of a response that other requests may
+// fetch.
+const maxRetainedBytes = 4 << 20
 
-// errForgotten is returned for bytes that were acknowledged and dropped.
-var errForgotten = errors.New("these bytes were acknowledged and dropped")
+// errDropped is returned for an offset whose bytes were acknowledged and dropped.
+var errDropped = errors.New("offset is before the first byte kept: it was acknowledged and dropped")
 
-// Answer is the answer of one request as far as it came. One goroutine writes
-// it, any number read it.
-type Answer struct {
+// ResponseBuffer holds one request's response, as far as it was received. One
+// goroutine writes it, any number read it.
+type ResponseBuffer struct {
 	mu      sync.Mutex
 	changed chan struct{} // closed at each change
-	status  int           // 0 until the endpoint answered
+	status  int           // 0 until the endpoint responded
 	header  http.Header
 	data    []byte
 	base    int // offset of data[0]
-	acked   int // offset up to which an entry has it
-	keep    bool
+	acked   int // offset up to which it is acknowledged
+	retain  bool
 	ended   bool
 	err     error
 }
 
-// NewAnswer returns an answer that nothing has come of. If keep is set, bytes
-// stay after they were acknowledged, up to keepBytes.
-func NewAnswer(keep bool) *Answer { return &Answer{changed: make(chan struct{}), keep: keep} }
+// NewResponseBuffer returns an empty buffer. If retain is set, acknowledged bytes are
+// kept, up to maxRetainedBytes.
+func NewResponseBuffer(retain bool) *ResponseBuffer {
+	return &ResponseBuffer{changed: make(chan struct{}), retain: retain}
+}
 
-// newAnswerFrom returns an answer of which the entry has all bytes before offset.
-func newAnswerFrom(offset int) *Answer {
-	a := NewAnswer(false)
-	a.base = offset
-	a.acked = offset
-	return a
+// newResponseBufferAt returns an empty buffer that begins at an offset.
+func newResponseBufferAt(offset int) *ResponseBuffer {
+	b := NewResponseBuffer(false)
+	b.base = offset
+	b.acked = offset
+	return b
 }
 
-func (a *Answer) wake() {
-	close(a.changed)
-	a.changed = make(chan struct{})
+func (b *ResponseBuffer) notify() {
+	close(b.changed)
+	b.changed = make(chan struct{})
 }
 
-// Begin sets the status and header. The answer owns header from then on.
-func (a *Answer) Begin(status int, header http.Header) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.status = status
-	a.header = header
-	a.wake()
+// Begin sets the status and header. The buffer owns header from then on.
+func (b *ResponseBuffer) Begin(status int, header http.Header) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.status = status
+	b.header = header
+	b.notify()
 }
 
-// Append adds p, which it copies. It waits while the window is full and fails
-// when ctx ends.
-func (a *Answer) Append(ctx context.Context, p []byte) error {
+// Append adds a copy of p. It blocks while too many bytes are unacknowledged, and
+// returns an error when ctx ends.
+func (b *ResponseBuffer) Append(ctx context.Context, p []byte) error {
 	for {
-		a.mu.Lock()
-		if open := a.base + len(a.data) - a.acked; open <= 0 || open+len(p) <= windowBytes {
-			a.data = append(a.data, p...)
-			a.wake()
-			a.mu.Unlock()
+		b.mu.Lock()
+		if unacked := b.base + len(b.data) - b.acked; unacked <= 0 || unacked+len(p) <= maxUnackedBytes {
+			b.data = append(b.data, p...)
+			b.notify()
+			b.mu.Unlock()
 			return nil
 		}
-		changed := a.changed
-		a.mu.Unlock()
+		changed := b.changed
+		b.mu.Unlock()
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -82,71 +85,72 @@
 	}
 }
 
-// End closes the answer; err is nil if it is whole.
-func (a *Answer) End(err error) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.ended = true
-	a.err = err
-	a.wake()
+// End marks the end of the response; err is nil if it is complete.
+func (b *ResponseBuffer) End(err error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.ended = true
+	b.err = err
+	b.notify()
 }
 
-// Ack notes that an entry has all bytes before offset, and drops what need not
-// be kept.
-func (a *Answer) Ack(offset int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.acked = max(a.acked, min(offset, a.base+len(a.data)))
-	n := a.acked - a.base
-	if a.keep {
-		n = min(n, len(a.data)-keepBytes)
+// Ack records that an entry has all bytes before offset, and drops those that need
+// not be kept.
+func (b *ResponseBuffer) Ack(offset int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.acked = max(b.acked, min(offset, b.base+len(b.data)))
+	n := b.acked - b.base
+	if b.retain {
+		n = min(n, len(b.data)-maxRetainedBytes)
 	}
 	if n <= 0 {
-		a.wake()
+		b.notify()
 		return
 	}
-	a.base += n
-	if n == len(a.data) {
-		a.data = nil
+	b.base += n
+	if n == len(b.data) {
+		b.data = nil
 	} else {
-		a.data = append([]byte(nil), a.data[n:]...)
+		b.data = append([]byte(nil), b.data[n:]...)
 	}
-	a.wake()
+	b.notify()
 }
 
-// Size returns the number of bytes that came so far.
-func (a *Answer) Size() int {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.base + len(a.data)
+// Size returns the number of bytes received so far, including dropped ones.
+func (b *ResponseBuffer) Size() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.base + len(b.data)
 }
 
-// view is a moment of an answer.
-type view struct {
+// bufferState is a snapshot of a ResponseBuffer.
+type bufferState struct {
 	status int
 	header http.Header
 	ended  bool
 	err    error
 }
 
-// Await waits until there are bytes from offset on, or the status if that is
-// what is missing, or the end. It copies the bytes into buf and returns how many.
-func (a *Answer) Await(ctx context.Context, offset int, known bool, buf []byte) (int, view, error) {
+// Await waits until there are bytes from offset on, or the response ends, or, unless
+// haveStatus is set, the status is there. It copies the bytes into buf and returns
+// their number.
+func (b *ResponseBuffer) Await(ctx context.Context, offset int, haveStatus bool, buf []byte) (int, bufferState, error) {
 	for {
-		a.mu.Lock()
-		v := view{status: a.status, header: a.header, ended: a.ended, err: a.err}
-		if offset < a.base {
-			a.mu.Unlock()
-			return 0, v, errForgotten
+		b.mu.Lock()
+		v := bufferState{status: b.status, header: b.header, ended: b.ended, err: b.err}
+		if offset < b.base {
+			b.mu.Unlock()
+			return 0, v, errDropped
 		}
 		n := 0
-		if offset-a.base < len(a.data) {
-			n = copy(buf, a.data[offset-a.base:])
-			v.ended = v.ended && offset+n == a.base+len(a.data)
+		if offset-b.base < len(b.data) {
+			n = copy(buf, b.data[offset-b.base:])
+			v.ended = v.ended && offset+n == b.base+len(b.data)
 		}
-		changed := a.changed
-		a.mu.Unlock()
-		if n > 0 || v.ended || (!known && v.status != 0) {
+		changed := b.changed
+		b.mu.Unlock()
+		if n > 0 || v.ended || (!haveStatus && v.status != 0) {
 			return n, v, nil
 		}
 		select {
@@ -157,9 +161,9 @@
 	}
 }
 
-// Ended reports whether nothing more comes.
-func (a *Answer) Ended() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.ended
+// Ended reports whether the response has ended.
+func (b *ResponseBuffer) Ended() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.ended
 }
--- a/slot/doc.go
+++ b/slot/doc.go
@@ -1,26 +1,26 @@
 // SPDX-License-Identifier: MIT
 
-// Package slot is the guard beside one endpoint, the last place where a request
-// can be stopped.
+// Package slot is the process beside one endpoint. Every request to the endpoint
+// passes through it, and it is the last place where a request can be stopped.
 //
-// Guard is its pure part. It lets a request id through to the endpoint at most
-// once in the slot's life (its incarnation), and it alone can say "never started
-// and now never will": Void marks an id so that a late offer of it is denied.
-// Such a word binds one incarnation only. A restarted slot has forgotten what
-// ran, so an offer names the incarnation it is meant for and any other denies
-// it.
+// Guard decides which requests are dispatched. It lets a dispatch id through to the
+// endpoint at most once per incarnation (run) of the slot. Only the guard can confirm
+// that an id has not started and never will: Void marks the id, so that a late offer
+// of it is denied. This holds for one incarnation only, since a restarted slot has no
+// record of earlier requests. Therefore an offer names the incarnation that it is
+// meant for, and any other incarnation denies it.
 //
-// An accepted request is dispatched on its own goroutine, which fills an Answer.
-// The Answer keeps bytes until the entry acknowledged them, so a cut connection
-// resumes at the last offset. It holds a bounded window: a caller that reads
-// slowly stops the reading of the endpoint's stream.
+// An accepted request is dispatched on its own goroutine, which fills a
+// ResponseBuffer. The buffer keeps bytes until the entry acknowledges them, so a lost
+// connection resumes at the last offset. The unacknowledged bytes are limited: if the
+// caller reads slowly, the slot stops reading from the endpoint.
 //
-// The paths, all under the shared box key:
+// The paths, all of which require the key of the boxes:
 //
-//	POST /v1/run               offer a request; streams the answer
-//	GET  /v1/run/{id}?offset=N the answer again, from byte N; with adopt, also of
-//	                           a request that an earlier life dispatched
-//	POST /v1/void/{id}         never run this id, if it has not started
-//	POST /v1/cancel/{id}       the caller went away
-//	POST /v1/acks              bytes that entries have, for many requests
+//	POST /v1/run               offer a request; streams the response
+//	GET  /v1/run/{id}?offset=N the response from byte N; with adopt, also of a
+//	                           request that an earlier incarnation dispatched
+//	POST /v1/void/{id}         never start this id, if it has not started
+//	POST /v1/cancel/{id}       the caller disconnected
+//	POST /v1/acks              acknowledgements of entries, for many requests
 package slot
--- a/slot/guard.go
+++ b/slot/guard.go
@@ -6,51 +6,50 @@
 	"lynxramp.org/event"
 )
 
-// memoryBound is how long an id is remembered after its request ended. No
-// message can be older: entries give a request up long before.
-const memoryBound = 15 * 60 * event.Second
+// idRetention is how long an id is kept after its request ended. It must exceed the
+// time after which entries give up on a request, so that no later message names the id.
+const idRetention = 15 * 60 * event.Second
 
-// Offer is a request that an entry wants dispatched.
+// Offer is a request that an entry wants to have dispatched.
 type Offer struct {
 	ID          event.DispatchID
 	Incarnation event.Incarnation // of the slot it is meant for
 	Epoch       event.Epoch       // of the scheduler that granted it
-	Deadline    event.Span        // time left
+	Deadline    event.Span        // time remaining
 }
 
-// Denial says why an offer was not taken. After it the id will never run in
-// this incarnation.
+// Denial is the reason why an offer was not accepted. After any denial but
+// DenialStarted the id will never run in this incarnation.
 type Denial int
 
 // The denials of an offer.
 const (
-	// DenialNone is the zero value: the offer is taken.
+	// DenialNone is the zero value: the offer is accepted.
 	DenialNone Denial = iota
-	// DenialIncarnation: the offer was meant for another life of the slot.
+	// DenialIncarnation: the offer was meant for another incarnation of the slot.
 	DenialIncarnation
-	// DenialEpoch: a newer scheduler owns the pool.
+	// DenialEpoch: an owner with a newer epoch schedules the pool.
 	DenialEpoch
-	// DenialLeaving: the endpoint takes no new work.
-	DenialLeaving
-	// DenialDeadline: there is no time left.
+	// DenialDraining: the endpoint accepts no new requests.
+	DenialDraining
+	// DenialDeadline: no time remains.
 	DenialDeadline
-	// DenialVoid: the id was declared void before.
+	// DenialVoid: the id was voided before.
 	DenialVoid
-	// DenialUnreachable: the endpoint could not be reached, now or lately.
+	// DenialUnreachable: no connection to the endpoint could be made.
 	DenialUnreachable
-	// DenialStarted: the id was dispatched before. It is no proof of anything
-	// but that.
+	// DenialStarted: the id was dispatched before. Its outcome is not known here.
 	DenialStarted
 )
 
-// String returns the denial as logs and answers have it.
+// String returns the denial as it appears in logs and in HeaderDenial.
 func (d Denial) String() string {
 	switch d {
 	case DenialIncarnation:
 		return "incarnation"
 	case DenialEpoch:
 		return "epoch"
-	case DenialLeaving:
+	case DenialDraining:
 		return "leaving"
 	case DenialDeadline:
 		return "deadline"
@@ -65,7 +64,7 @@
 	}
 }
 
-// phase is how far a request id has come in this incarnation.
+// phase is the state of a dispatch id in this incarnation.
 type phase int
 
 const (
@@ -75,7 +74,7 @@
 	phaseEnded
 )
 
-type memory struct {
+type idState struct {
 	phase phase
 	since event.Time
 }
@@ -85,47 +84,47 @@
 type Guard struct {
 	incarnation event.Incarnation
 	epoch       event.Epoch
-	leaving     bool
-	requests    map[event.DispatchID]memory
+	draining    bool
+	requests    map[event.DispatchID]idState
 	running     int
-	swept       event.Time
+	lastSweep   event.Time
 }
 
-// NewGuard returns the guard of one life of a slot.
-func NewGuard(life event.Incarnation) *Guard {
-	return &Guard{incarnation: life, requests: make(map[event.DispatchID]memory)}
+// NewGuard returns the guard of one incarnation of a slot.
+func NewGuard(incarnation event.Incarnation) *Guard {
+	return &Guard{incarnation: incarnation, requests: make(map[event.DispatchID]idState)}
 }
 
-// SeeEpoch takes note of a pool owner's epoch. Offers of older ones are denied
+// ObserveEpoch records the epoch of a pool owner. Offers of older epochs are denied
 // from now on.
-func (g *Guard) SeeEpoch(e event.Epoch) { g.epoch = max(g.epoch, e) }
+func (g *Guard) ObserveEpoch(e event.Epoch) { g.epoch = max(g.epoch, e) }
 
-// Leave denies all new offers from now on.
-func (g *Guard) Leave() { g.leaving = true }
+// StartDraining denies all new offers from now on.
+func (g *Guard) StartDraining() { g.draining = true }
 
-// Leaving reports whether new offers are denied.
-func (g *Guard) Leaving() bool { return g.leaving }
+// IsDraining reports whether new offers are denied.
+func (g *Guard) IsDraining() bool { return g.draining }
 
-// Running returns how many requests were taken and have not ended.
+// Running returns the number of requests that were accepted and have not ended.
 func (g *Guard) Running() int { return g.running }
 
-// Offer takes or denies an offer. Every denial but DenialStarted makes the id
-// void.
+// Offer accepts or denies an offer. Every denial but DenialStarted and
+// DenialIncarnation makes the id void.
 func (g *Guard) Offer(now event.Time, o Offer) Denial {
-	g.SeeEpoch(o.Epoch)
-	d := g.judge(o)
+	g.ObserveEpoch(o.Epoch)
+	d := g.check(o)
 	switch d {
 	case DenialNone:
-		g.requests[o.ID] = memory{phase: phaseStarted, since: now}
+		g.requests[o.ID] = idState{phase: phaseStarted, since: now}
 		g.running++
 	case DenialStarted, DenialIncarnation:
 	default:
-		g.requests[o.ID] = memory{phase: phaseVoid, since: now}
+		g.requests[o.ID] = idState{phase: phaseVoid, since: now}
 	}
 	return d
 }
 
-func (g *Guard) judge(o Offer) Denial {
+func (g *Guard) check(o Offer) Denial {
 	switch g.requests[o.ID].phase {
 	case phaseVoid:
 		return DenialVoid
@@ -137,64 +136,64 @@
 		return DenialIncarnation
 	case o.Epoch < g.epoch:
 		return DenialEpoch
-	case g.leaving:
-		return DenialLeaving
+	case g.draining:
+		return DenialDraining
 	case o.Deadline <= 0:
 		return DenialDeadline
 	}
 	return DenialNone
 }
 
-// Void makes sure that id does not start in this incarnation from now on. It
-// reports false when the id has started, or when life is another incarnation,
-// about which nothing is known here.
-func (g *Guard) Void(now event.Time, id event.DispatchID, life event.Incarnation) bool {
-	if life != g.incarnation {
+// Void ensures that id never starts in this incarnation. It reports false if the id
+// has started, or if the call is about another incarnation, of which nothing is known
+// here.
+func (g *Guard) Void(now event.Time, id event.DispatchID, incarnation event.Incarnation) bool {
+	if incarnation != g.incarnation {
 		return false
 	}
 	switch g.requests[id].phase {
 	case phaseStarted, phaseEnded:
 		return false
 	}
-	g.requests[id] = memory{phase: phaseVoid, since: now}
+	g.requests[id] = idState{phase: phaseVoid, since: now}
 	return true
 }
 
-// End notes that a started request no longer uses the endpoint.
+// End records that a started request no longer uses the endpoint.
 func (g *Guard) End(now event.Time, id event.DispatchID) {
 	if g.requests[id].phase != phaseStarted {
 		return
 	}
-	g.requests[id] = memory{phase: phaseEnded, since: now}
+	g.requests[id] = idState{phase: phaseEnded, since: now}
 	g.running--
 }
 
-// Adopt notes that an id was started in an earlier life and runs on. It reports
-// false if this life has decided on it already.
+// Adopt records that an id was started by an earlier incarnation and is still
+// running. It reports false if this incarnation has a record of the id already.
 func (g *Guard) Adopt(now event.Time, id event.DispatchID) bool {
 	if g.requests[id].phase != phaseUnknown {
 		return false
 	}
-	g.requests[id] = memory{phase: phaseStarted, since: now}
+	g.requests[id] = idState{phase: phaseStarted, since: now}
 	g.running++
 	return true
 }
 
-// Unstart takes back a started request that never reached the endpoint. Its id
-// is void.
-func (g *Guard) Unstart(now event.Time, id event.DispatchID) {
+// RevertStart undoes the start of a request that never reached the endpoint. Its id
+// becomes void.
+func (g *Guard) RevertStart(now event.Time, id event.DispatchID) {
 	g.End(now, id)
-	g.requests[id] = memory{phase: phaseVoid, since: now}
+	g.requests[id] = idState{phase: phaseVoid, since: now}
 }
 
-// Sweep forgets what ended or was voided long ago.
+// Sweep removes the ids that ended or were voided longer than idRetention ago.
 func (g *Guard) Sweep(now event.Time) {
-	if now.Sub(g.swept) < memoryBound/10 {
+	if now.Sub(g.lastSweep) < idRetention/10 {
 		return
 	}
-	g.swept = now
+	g.lastSweep = now
 	for id, m := range g.requests {
-		if m.phase != phaseStarted && now.Sub(m.since) > memoryBound {
+		if m.phase != phaseStarted && now.Sub(m.since) > idRetention {
 			delete(g.requests, id)
 		}
 	}
--- a/slot/headers.go
+++ b/slot/headers.go
@@ -12,27 +12,27 @@
 	HeaderDispatch    = "Lynxramp-Dispatch-Id"
 	HeaderIncarnation = "Lynxramp-Incarnation"
 	HeaderEpoch       = "Lynxramp-Epoch"
-	HeaderDeadline    = "Lynxramp-Deadline-Ms" // time left, in milliseconds
+	HeaderDeadline    = "Lynxramp-Deadline-Ms" // time remaining, in milliseconds
 	HeaderMethod      = "Lynxramp-Method"      // of the call to the endpoint
-	HeaderPath        = "Lynxramp-Path"        // with its query
+	HeaderPath        = "Lynxramp-Path"        // including the query
 	HeaderNoRepeat    = "Lynxramp-No-Repeat"
-	HeaderKeep        = "Lynxramp-Keep" // others may come for the same answer
+	HeaderKeep        = "Lynxramp-Keep" // other requests may fetch the same response
 	HeaderPriority    = "Lynxramp-Priority"
-	// HeaderStatus has the endpoint's status; a response without it is the
-	// slot's own.
+	// HeaderStatus is the endpoint's status. A response without it comes from the slot
+	// itself.
 	HeaderStatus = "Lynxramp-Status"
-	// HeaderDenial has the reason of a denied offer.
+	// HeaderDenial is the reason of a denied offer.
 	HeaderDenial = "Lynxramp-Denial"
-	// TrailerEnd is EndWhole when the answer is whole.
+	// TrailerEnd is EndComplete if the response is complete.
 	TrailerEnd = "Lynxramp-End"
-	// EndWhole is the value of TrailerEnd after the last byte.
-	EndWhole = "whole"
-	// PassPrefix stands before each header that is passed through.
+	// EndComplete is the value of TrailerEnd after a complete response.
+	EndComplete = "whole"
+	// PassPrefix is the prefix of headers that are forwarded.
 	PassPrefix = "Lynxramp-Pass-"
 )
 
-// hopHeaders concern one connection and are not passed on.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders concern one connection and are not forwarded.
+var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
 	"Proxy-Authenticate":  true,
@@ -45,16 +45,16 @@
 	"Date":                true,
 }
 
-// Wrap copies the headers that may travel from h into to, under PassPrefix.
-func Wrap(to, h http.Header) {
+// WrapHeaders copies the headers in h that may be forwarded to to, with PassPrefix.
+func WrapHeaders(to, h http.Header) {
 	for name, values := range h {
-		if !hopHeaders[name] && !namedByConnection(h, name) {
+		if !hopByHopHeaders[name] && !namedByConnection(h, name) {
 			to[PassPrefix+name] = values
 		}
 	}
 }
 
-// namedByConnection reports whether the Connection header ends name's journey.
+// namedByConnection reports whether the Connection header makes name hop-by-hop.
 func namedByConnection(h http.Header, name string) bool {
 	for _, list := range h["Connection"] {
 		for one := range strings.SplitSeq(list, ",") {
@@ -66,11 +66,11 @@
 	return false
 }
 
-// Unwrap copies the headers under PassPrefix in h into to, by their own names.
-func Unwrap(to, h http.Header) {
+// UnwrapHeaders copies the headers with PassPrefix in h to to, without the prefix.
+func UnwrapHeaders(to, h http.Header) {
 	for name, values := range h {
-		if own, ok := strings.CutPrefix(name, PassPrefix); ok {
-			to[own] = values
+		if original, ok := strings.CutPrefix(name, PassPrefix); ok {
+			to[original] = values
 		}
 	}
 }
--- a/slot/http.go
+++ b/slot/http.go
@@ -19,22 +19,23 @@
 	"lynxramp.org/rpc"
 )
 
-// QueryAdopt in a resume call lets a slot that was restarted take the request up
-// again at its engine.
+// QueryAdopt is a query parameter of a resume call. With it, a slot that has no record
+// of the request, after a restart, resumes it at its engine.
 const QueryAdopt = "adopt"
 
-// maxAcks bounds the body of an acks call, in bytes.
-const maxAcks = 1 << 20
+// maxAcksBytes is the maximum size of the body of an acks call.
+const maxAcksBytes = 1 << 20
 
-// Ack says that an entry has an answer up to an offset.
+// Ack acknowledges the bytes of a response before an offset.
 type Ack struct {
 	ID     event.DispatchID `json:"id"`
 	Offset int              `json:"offset"`
-	// Done says that the entry has all of it and will not come back.
+	// Done is set when the entry has the complete response and will not fetch it again.
 	Done bool `json:"done"`
 }
 
-// Handler returns the slot's paths. Calls without the box key are refused.
+// Handler returns the slot's HTTP handler. Calls without the key of the boxes are
+// rejected.
 func (s *Slot) Handler(key string) http.Handler {
 	inner := chi.NewRouter()
 	inner.Post("/v1/run", s.serveOffer)
@@ -48,7 +49,7 @@
 func (s *Slot) serveOffer(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.config.MaxBody))
 	if err != nil {
-		// The entry cut the offer short: nothing was dispatched.
+		// The offer is incomplete: nothing was dispatched.
 		http.Error(w, "body could not be read", http.StatusBadRequest)
 		return
 	}
@@ -67,7 +68,7 @@
 }
 
 func parseOffer(h http.Header) (Offer, call, error) {
-	life, err := strconv.ParseUint(h.Get(HeaderIncarnation), 10, 64)
+	incarnation, err := strconv.ParseUint(h.Get(HeaderIncarnation), 10, 64)
 	if err != nil {
 		return Offer{}, call{}, err
 	}
@@ -75,15 +76,15 @@
 	if err != nil {
 		return Offer{}, call{}, err
 	}
-	left, err := strconv.ParseInt(h.Get(HeaderDeadline), 10, 64)
+	remaining, err := strconv.ParseInt(h.Get(HeaderDeadline), 10, 64)
 	if err != nil {
 		return Offer{}, call{}, err
 	}
 	o := Offer{
 		ID:          event.DispatchID(h.Get(HeaderDispatch)),
-		Incarnation: event.Incarnation(life),
+		Incarnation: event.Incarnation(incarnation),
 		Epoch:       event.Epoch(epoch),
-		Deadline:    time.Duration(left) * time.Millisecond,
+		Deadline:    time.Duration(remaining) * time.Millisecond,
 	}
 	c := call{
 		id:       o.ID,
@@ -92,15 +93,15 @@
 		header:   make(http.Header),
 		priority: h.Get(HeaderPriority),
 		noRepeat: h.Get(HeaderNoRepeat) != "",
-		keep:     h.Get(HeaderKeep) != "",
+		retain:   h.Get(HeaderKeep) != "",
 	}
-	Unwrap(c.header, h)
+	UnwrapHeaders(c.header, h)
 	return o, c, nil
 }
 
 func (s *Slot) deny(w http.ResponseWriter, d Denial) {
 	w.Header().Set(HeaderDenial, d.String())
-	w.Header().Set(HeaderIncarnation, strconv.FormatUint(uint64(s.life), 10))
+	w.Header().Set(HeaderIncarnation, strconv.FormatUint(uint64(s.incarnation), 10))
 	w.WriteHeader(http.StatusConflict)
 }
 
@@ -111,44 +112,44 @@
 		return
 	}
 	id := event.DispatchID(chi.URLParam(r, "id"))
-	u := s.find(id)
+	u := s.findRun(id)
 	if u == nil && s.config.Model && r.URL.Query().Has(QueryAdopt) {
 		u = s.adopt(id, offset)
 	}
 	if u == nil {
-		w.Header().Set(HeaderIncarnation, strconv.FormatUint(uint64(s.life), 10))
+		w.Header().Set(HeaderIncarnation, strconv.FormatUint(uint64(s.incarnation), 10))
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	s.stream(w, r, u, offset)
 }
 
-// stream writes the answer from offset on as it comes.
+// stream writes the response from offset on, as it is received.
 func (s *Slot) stream(w http.ResponseWriter, r *http.Request, u *run, offset int) {
-	u.enter()
-	defer func() { u.leave(s.clock.Now()) }()
+	u.addReader()
+	defer func() { u.removeReader(s.clock.Now()) }()
 	flusher := http.NewResponseController(w)
-	buf := make([]byte, readBytes)
-	begun := false
+	buf := make([]byte, readBufferSize)
+	headerSent := false
 	for {
-		n, v, err := u.answer.Await(r.Context(), offset, begun, buf)
+		n, v, err := u.response.Await(r.Context(), offset, headerSent, buf)
 		if err != nil {
-			s.cut(w, begun, err)
+			s.abortStream(w, headerSent, err)
 			return
 		}
 		if errors.Is(v.err, errNotSent) {
 			s.deny(w, DenialUnreachable)
 			return
 		}
-		if !begun && v.status == 0 {
-			// The endpoint never answered.
-			s.log.Warn("endpoint did not answer", zap.String("request", string(u.call.id)), logx.Err(v.err))
-			http.Error(w, "the endpoint did not answer", http.StatusBadGateway)
+		if !headerSent && v.status == 0 {
+			// The endpoint sent no response.
+			s.log.Warn("endpoint did not respond; failing the request", zap.String("request", string(u.call.id)), logx.Err(v.err))
+			http.Error(w, "the endpoint did not respond", http.StatusBadGateway)
 			return
 		}
-		if !begun {
-			begun = true
-			s.begin(w, v)
+		if !headerSent {
+			headerSent = true
+			s.writeHeader(w, v)
 		}
 		if n > 0 {
 			if _, err := w.Write(buf[:n]); err != nil {
@@ -157,7 +158,7 @@
 			offset += n
 		}
 		if v.ended {
-			s.finish(w, u, v)
+			s.writeTrailer(w, u, v)
 			return
 		}
 		if err := flusher.Flush(); err != nil {
@@ -166,27 +167,28 @@
 	}
 }
 
-func (s *Slot) begin(w http.ResponseWriter, v view) {
+func (s *Slot) writeHeader(w http.ResponseWriter, v bufferState) {
 	h := w.Header()
-	Wrap(h, v.header)
+	WrapHeaders(h, v.header)
 	h.Set("Trailer", TrailerEnd)
 	h.Set(HeaderStatus, strconv.Itoa(v.status))
-	h.Set(HeaderIncarnation, strconv.FormatUint(uint64(s.life), 10))
+	h.Set(HeaderIncarnation, strconv.FormatUint(uint64(s.incarnation), 10))
 	w.WriteHeader(http.StatusOK)
 }
 
-func (s *Slot) finish(w http.ResponseWriter, u *run, v view) {
+func (s *Slot) writeTrailer(w http.ResponseWriter, u *run, v bufferState) {
 	if v.err == nil {
-		w.Header().Set(TrailerEnd, EndWhole)
+		w.Header().Set(TrailerEnd, EndComplete)
 		return
 	}
-	s.log.Warn("answer ended early", zap.String("request", string(u.call.id)), logx.Err(v.err))
+	s.log.Warn("response of endpoint is incomplete", zap.String("request", string(u.call.id)), logx.Err(v.err))
 	w.Header().Set(TrailerEnd, "failed")
 }
 
-// cut ends a response that cannot go on, in a way that the entry notices.
-func (s *Slot) cut(w http.ResponseWriter, begun bool, err error) {
-	if !begun {
+// abortStream ends a response that cannot be continued. Once the header is sent, it
+// aborts the connection, so that the entry does not take the response for complete.
+func (s *Slot) abortStream(w http.ResponseWriter, headerSent bool, err error) {
+	if !headerSent {
 		http.Error(w, err.Error(), http.StatusGone)
 		return
 	}
@@ -194,12 +196,12 @@
 }
 
 func (s *Slot) serveVoid(w http.ResponseWriter, r *http.Request) {
-	life, err := strconv.ParseUint(r.Header.Get(HeaderIncarnation), 10, 64)
+	incarnation, err := strconv.ParseUint(r.Header.Get(HeaderIncarnation), 10, 64)
 	if err != nil {
 		http.Error(w, "incarnation is not a number", http.StatusBadRequest)
 		return
 	}
-	if !s.void(event.DispatchID(chi.URLParam(r, "id")), event.Incarnation(life)) {
+	if !s.void(event.DispatchID(chi.URLParam(r, "id")), event.Incarnation(incarnation)) {
 		s.deny(w, DenialStarted)
 		return
 	}
@@ -207,28 +209,28 @@
 }
 
 func (s *Slot) serveCancel(w http.ResponseWriter, r *http.Request) {
-	if u := s.find(event.DispatchID(chi.URLParam(r, "id"))); u != nil {
-		s.abandon(u)
-		u.take()
+	if u := s.findRun(event.DispatchID(chi.URLParam(r, "id"))); u != nil {
+		s.cancelRun(u)
+		u.markDelivered()
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (s *Slot) serveAcks(w http.ResponseWriter, r *http.Request) {
 	var acks []Ack
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAcks))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAcksBytes))
 	if err := decoder.Decode(&acks); err != nil {
 		http.Error(w, "acks: "+strings.TrimSpace(err.Error()), http.StatusBadRequest)
 		return
 	}
 	for _, a := range acks {
-		u := s.find(a.ID)
+		u := s.findRun(a.ID)
 		if u == nil {
 			continue
 		}
-		u.answer.Ack(a.Offset)
+		u.response.Ack(a.Offset)
 		if a.Done {
-			u.take()
+			u.markDelivered()
 		}
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/slot/report.go
+++ b/slot/report.go
@@ -20,45 +20,45 @@
 	"lynxramp.org/rpc"
 )
 
-// Times of the slot's reports.
+// Intervals and timeouts of the slot's reports.
 const (
-	reportEvery = 250 * time.Millisecond
-	// quietEvery is how often a report is sent that says nothing new.
-	quietEvery    = time.Second
-	reportTimeout = 600 * time.Millisecond
-	// downAfter is how long the endpoint may be silent before it counts as down.
+	reportInterval = 250 * time.Millisecond
+	// unchangedReportInterval is how often a report without changes is sent.
+	unchangedReportInterval = time.Second
+	reportTimeout           = 600 * time.Millisecond
+	// downAfter is how long the endpoint may be unreachable before it counts as down.
 	downAfter = time.Second
 )
 
-// loadWatch keeps the endpoint's last word on its load.
-type loadWatch struct {
+// loadMonitor holds the last load that the endpoint reported.
+type loadMonitor struct {
 	mu   sync.Mutex
 	load engine.Load
 	at   event.Time
 }
 
-func (l *loadWatch) set(now event.Time, load engine.Load) {
+func (l *loadMonitor) update(now event.Time, load engine.Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.load = load
 	l.at = now
 }
 
-// fail notes that the endpoint could not be reached.
-func (l *loadWatch) fail() {
+// markUnreachable records that no connection to the endpoint could be made.
+func (l *loadMonitor) markUnreachable() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.at = 0
 }
 
-// read returns the queue length, the age of that figure and whether the
-// endpoint is silent.
-func (l *loadWatch) read(now event.Time) (waiting int, age event.Span, down bool) {
+// read returns the queue length, the age of that figure and whether the endpoint is
+// down.
+func (l *loadMonitor) read(now event.Time) (waiting int, age event.Span, down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	silent := now.Sub(l.at)
-	age = silent + time.Duration(l.load.AgeMillis)*time.Millisecond
-	return l.load.Waiting, age, l.at == 0 || silent > downAfter
+	elapsed := now.Sub(l.at)
+	age = elapsed + time.Duration(l.load.AgeMillis)*time.Millisecond
+	return l.load.Waiting, age, l.at == 0 || elapsed > downAfter
 }
 
 // Scheduler is a control box that may be the owner of the pool.
@@ -67,50 +67,51 @@
 	Client  rpc.Scheduler
 }
 
-// Report tells the owner of the pool about the endpoint until ctx ends. The
-// owner is found among the schedulers.
+// Report reports the state of the endpoint to the owner of the pool until ctx ends.
+// It looks for the owner among schedulers.
 func (s *Slot) Report(ctx context.Context, schedulers []Scheduler) {
-	var both sync.WaitGroup
-	both.Go(func() { s.reportAll(ctx, schedulers) })
-	both.Go(func() { s.watchLoad(ctx) })
-	both.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { s.reportLoop(ctx, schedulers) })
+	wg.Go(func() { s.watchLoad(ctx) })
+	wg.Wait()
 }
 
-func (s *Slot) reportAll(ctx context.Context, schedulers []Scheduler) {
-	ticker := time.NewTicker(reportEvery)
+func (s *Slot) reportLoop(ctx context.Context, schedulers []Scheduler) {
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	current := 0
 	var last event.Report
 	var sent time.Time
 	for ctx.Err() == nil {
-		at := schedulers[current]
-		report := s.report()
-		if sameNews(report, last) && time.Since(sent) < quietEvery {
+		scheduler := schedulers[current]
+		report := s.currentReport()
+		if isUnchanged(report, last) && time.Since(sent) < unchangedReportInterval {
 			wait.Next(ctx, ticker)
 			continue
 		}
-		owner, leader := s.reportOnce(ctx, at, report)
+		owner, leader := s.reportOnce(ctx, scheduler, report)
 		last, sent = report, time.Now()
 		if !owner {
 			sent = time.Time{}
 			current = nextScheduler(schedulers, current, leader)
-			s.log.Debug("not the owner", zap.String("scheduler", at.Address))
-			if leader != "" && leader != at.Address {
-				continue // it is asked at once
+			s.log.Debug("scheduler is not the owner; trying another scheduler", zap.String("scheduler", scheduler.Address))
+			if leader != "" && leader != scheduler.Address {
+				continue // without a delay
 			}
 		}
 		wait.Next(ctx, ticker)
 	}
 }
 
-// sameNews reports whether a report says nothing that the last one did not, its
-// ages apart.
-func sameNews(a, b event.Report) bool {
+// isUnchanged reports whether two reports are the same, apart from the age of their
+// figures.
+func isUnchanged(a, b event.Report) bool {
 	return a.Leaving == b.Leaving && a.Down == b.Down && a.Waiting == b.Waiting &&
 		a.TokenGap == b.TokenGap && slices.Equal(a.Running, b.Running)
 }
 
-// nextScheduler returns the scheduler at an address, or the one after current.
+// nextScheduler returns the index of the scheduler at the leader's address, or of the
+// one after current.
 func nextScheduler(schedulers []Scheduler, current int, leader string) int {
 	for i, c := range schedulers {
 		if c.Address == leader && i != current {
@@ -120,32 +121,32 @@
 	return (current + 1) % len(schedulers)
 }
 
-// reportOnce reports to one scheduler. It returns whether that is the owner, or
-// else who may be.
+// reportOnce sends a report to one scheduler. It returns whether that is the owner,
+// and if not, the address of the likely owner.
 func (s *Slot) reportOnce(ctx context.Context, c Scheduler, report event.Report) (owner bool, leader string) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	answer, err := c.Client.Report(ctx, rpc.ReportMessage(report))
+	response, err := c.Client.Report(ctx, rpc.ReportMessage(report))
 	if err != nil {
-		s.log.Debug("report failed", zap.String("scheduler", c.Address), logx.Err(err))
+		s.log.Debug("failed to send report to scheduler", zap.String("scheduler", c.Address), logx.Err(err))
 		return false, ""
 	}
-	if !answer.Owner {
-		return false, answer.Leader
+	if !response.Owner {
+		return false, response.Leader
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.guard.SeeEpoch(event.Epoch(answer.Epoch))
+	s.guard.ObserveEpoch(event.Epoch(response.Epoch))
 	return true, ""
 }
 
-// watchLoad asks the endpoint for its load until ctx ends.
+// watchLoad polls the endpoint's load until ctx ends.
 func (s *Slot) watchLoad(ctx context.Context) {
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		if load, err := s.fetchLoad(ctx); err == nil {
-			s.load.set(s.clock.Now(), load)
+			s.load.update(s.clock.Now(), load)
 		}
 		wait.Next(ctx, ticker)
 	}
@@ -157,15 +158,15 @@
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, s.config.EndpointURL+"/load", nil)
 	if err != nil {
-		return load, errors.Wrap(err, "load")
+		return load, errors.Wrap(err, "fetch load")
 	}
 	response, err := s.client.Do(r)
 	if err != nil {
-		return load, errors.Wrap(err, "load")
+		return load, errors.Wrap(err, "fetch load")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return load, errors.Errorf("load: status %d", response.StatusCode)
+		return load, errors.Errorf("fetch load: status %d", response.StatusCode)
 	}
-	return load, errors.Wrap(json.NewDecoder(response.Body).Decode(&load), "load")
+	return load, errors.Wrap(json.NewDecoder(response.Body).Decode(&load), "decode load")
 }
--- a/slot/run.go
+++ b/slot/run.go
@@ -17,22 +17,23 @@
 	"lynxramp.org/internal/once"
 )
 
-// readBytes is how much is read from the endpoint at once.
-const readBytes = 16 << 10
+const readBufferSize = 16 << 10
 
-// resumeTries bounds how often a cut stream of the endpoint is resumed.
-const resumeTries = 3
+// maxResumes is how many times a lost stream of the endpoint is resumed.
+const maxResumes = 3
 
-// streamEvent begins each event of a streamed answer; an event has one token.
-var streamEvent = []byte("data: ")
+// streamEventPrefix begins each server-sent event of a stream; an event has one token.
+var streamEventPrefix = []byte("data: ")
 
-// errCut says that the endpoint's connection ended before its answer did.
-var errCut = errors.New("the endpoint's connection was cut")
+// errConnLost is returned when the connection to the endpoint closed before the end
+// of the response.
+var errConnLost = errors.New("connection to the endpoint was lost")
 
-// errNotSent says that the endpoint could not be reached: it has seen nothing.
-var errNotSent = errors.New("the endpoint cannot be reached")
+// errNotSent is returned when no connection to the endpoint could be made, so the
+// endpoint has received nothing.
+var errNotSent = errors.New("endpoint is unreachable")
 
-// call is a request as the slot sends it to its endpoint.
+// call is a request in the form in which the slot sends it to the endpoint.
 type call struct {
 	id       event.DispatchID
 	method   string
@@ -41,28 +42,28 @@
 	body     []byte
 	priority string
 	noRepeat bool
-	keep     bool
+	retain   bool
 }
 
 // run is one dispatched request.
 type run struct {
-	call   call
-	answer *Answer
-	cancel context.CancelFunc
-	mu     sync.Mutex
-	// readers counts the entries' connections that read the answer.
+	call     call
+	response *ResponseBuffer
+	cancel   context.CancelFunc
+	mu       sync.Mutex
+	// readers is the number of connections of entries that read the response.
 	readers int
-	// idle is when the last reader left.
-	idle event.Time
-	// taken is set when the entry has the whole answer.
-	taken bool
+	// idleSince is when the last reader disconnected.
+	idleSince event.Time
+	// delivered is set when the entry has the complete response.
+	delivered bool
 }
 
-// request makes the HTTP request of a call to the endpoint at base.
+// request returns the HTTP request of a call to the endpoint at the URL base.
 func (c call) request(ctx context.Context, base string) (*http.Request, error) {
 	r, err := http.NewRequestWithContext(ctx, c.method, base+c.path, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "request to the endpoint")
+		return nil, errors.Wrap(err, "create request to the endpoint")
 	}
 	for name, values := range c.header {
 		r.Header[name] = values
@@ -74,8 +75,8 @@
 	return r, nil
 }
 
-// dispatch calls the endpoint and fills the run's answer. It is called once for
-// each request id. It returns nil when the answer is whole.
+// dispatch calls the endpoint and fills the run's response. It must be called at most
+// once for each dispatch id. It returns nil if the response is complete.
 func (s *Slot) dispatch(ctx context.Context, u *run) error {
 	r, err := u.call.request(ctx, s.config.EndpointURL)
 	if err != nil {
@@ -86,31 +87,32 @@
 	case once.IsDialError(err):
 		err = errors.Wrap(errNotSent, err.Error())
 	case err != nil:
-		err = errors.Wrap(errCut, err.Error())
+		err = errors.Wrap(errConnLost, err.Error())
 	default:
-		u.answer.Begin(response.StatusCode, response.Header)
-		err = s.copyAnswer(ctx, u, response.Body)
+		u.response.Begin(response.StatusCode, response.Header)
+		err = s.copyResponse(ctx, u, response.Body)
 	}
-	for try := 0; try < resumeTries && errors.Is(err, errCut); try++ {
+	for attempt := 0; attempt < maxResumes && errors.Is(err, errConnLost); attempt++ {
 		err = s.resumeAtEngine(ctx, u)
 	}
 	return err
 }
 
-// copyAnswer moves the endpoint's bytes into the answer and times them.
-func (s *Slot) copyAnswer(ctx context.Context, u *run, body io.ReadCloser) error {
+// copyResponse copies the endpoint's bytes to the run's response and measures the
+// time between tokens.
+func (s *Slot) copyResponse(ctx context.Context, u *run, body io.ReadCloser) error {
 	defer body.Close()
-	buf := make([]byte, readBytes)
+	buf := make([]byte, readBufferSize)
 	var last event.Time
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
 			now := s.clock.Now()
 			if last != 0 {
-				s.measure(now, bytes.Count(buf[:n], streamEvent), now.Sub(last))
+				s.recordTokens(now, bytes.Count(buf[:n], streamEventPrefix), now.Sub(last))
 			}
 			last = now
-			if err := u.answer.Append(ctx, buf[:n]); err != nil {
+			if err := u.response.Append(ctx, buf[:n]); err != nil {
 				return err
 			}
 		}
@@ -121,81 +123,81 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			return errors.Wrap(errCut, err.Error())
+			return errors.Wrap(errConnLost, err.Error())
 		}
 	}
 }
 
-// resumeAtEngine asks a model engine for the rest of a cut answer.
+// resumeAtEngine fetches the rest of a lost response from a model engine.
 func (s *Slot) resumeAtEngine(ctx context.Context, u *run) error {
 	if !s.config.Model {
-		return errors.New("cut, and a plain service cannot resume")
+		return errors.New("connection to the endpoint was lost, and a plain service cannot resume")
 	}
-	response, err := s.askEngine(ctx, u.call.id, u.answer.Size())
+	response, err := s.fetchFromEngine(ctx, u.call.id, u.response.Size())
 	if err != nil {
 		return err
 	}
-	if u.answer.Size() == 0 {
-		u.answer.Begin(http.StatusOK, response.Header)
+	if u.response.Size() == 0 {
+		u.response.Begin(http.StatusOK, response.Header)
 	}
-	return s.copyAnswer(ctx, u, response.Body)
+	return s.copyResponse(ctx, u, response.Body)
 }
 
-// askEngine asks a model engine for an answer from byte offset on.
-func (s *Slot) askEngine(ctx context.Context, id event.DispatchID, offset int) (*http.Response, error) {
+// fetchFromEngine requests a response from a model engine, from byte offset on.
+func (s *Slot) fetchFromEngine(ctx context.Context, id event.DispatchID, offset int) (*http.Response, error) {
 	url := s.config.EndpointURL + "/requests/" + string(id) + "/stream?offset=" + strconv.Itoa(offset)
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "resume request")
+		return nil, errors.Wrap(err, "create resume request")
 	}
 	response, err := s.client.Do(r)
 	if err != nil {
-		return nil, errors.Wrap(errCut, err.Error())
+		return nil, errors.Wrap(errConnLost, err.Error())
 	}
 	if response.StatusCode != http.StatusOK {
-		_ = response.Body.Close() // its content says no more than the status
-		return nil, errors.Errorf("the engine does not resume: status %d", response.StatusCode)
+		_ = response.Body.Close() // only the status is used
+		return nil, errors.Errorf("engine did not resume the response: status %d", response.StatusCode)
 	}
 	return response, nil
 }
 
-// adopt takes up a request that an earlier life of the slot dispatched, if the
-// engine still answers for it; nil if not. Nothing is dispatched.
+// adopt resumes a request that an earlier incarnation of the slot dispatched, if the
+// engine still has its response; it returns nil if not. It never dispatches.
 func (s *Slot) adopt(id event.DispatchID, offset int) *run {
 	ctx, cancel := context.WithCancel(context.Background())
-	response, err := s.askEngine(ctx, id, offset)
+	response, err := s.fetchFromEngine(ctx, id, offset)
 	if err != nil {
 		cancel()
 		return nil
 	}
-	u := &run{call: call{id: id}, answer: newAnswerFrom(offset), cancel: cancel, idle: s.clock.Now()}
+	u := &run{call: call{id: id}, response: newResponseBufferAt(offset), cancel: cancel, idleSince: s.clock.Now()}
 	s.mu.Lock()
 	if other := s.runs[id]; other != nil || !s.guard.Adopt(s.clock.Now(), id) {
 		s.mu.Unlock()
 		cancel()
-		_ = response.Body.Close() // another call took the request up
+		_ = response.Body.Close() // another call has adopted the request
 		return other
 	}
 	s.runs[id] = u
 	s.mu.Unlock()
-	u.answer.Begin(response.StatusCode, response.Header)
+	u.response.Begin(response.StatusCode, response.Header)
 	go func() {
-		err := s.copyAnswer(ctx, u, response.Body)
+		err := s.copyResponse(ctx, u, response.Body)
 		cancel()
-		s.end(u, err)
+		s.endRun(u, err)
 	}()
 	return u
 }
 
-// cancelAtEngine tells a model engine to stop working on a request.
+// cancelAtEngine cancels a request at a model engine.
 func (s *Slot) cancelAtEngine(ctx context.Context, id event.DispatchID) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodDelete, s.config.EndpointURL+"/requests/"+string(id), nil)
 	if err != nil {
-		return errors.Wrap(err, "cancel request")
+		return errors.Wrap(err, "create cancel request")
 	}
 	response, err := s.client.Do(r)
 	if err != nil {
-		return errors.Wrap(err, "cancel at the engine")
+		return errors.Wrap(err, "cancel at engine")
 	}
 	return response.Body.Close()
 }
--- a/slot/slot.go
+++ b/slot/slot.go
@@ -18,36 +18,36 @@
 	"lynxramp.org/meter"
 )
 
-// Times of the slot's housekeeping.
+// Intervals and timeouts of the slot's housekeeping.
 const (
-	sweepEvery = 200 * time.Millisecond
-	// ResumeBound is how long a run without a reader goes on. Then its entry is
-	// taken as gone and the run is cancelled, unless it may not be repeated.
-	ResumeBound = 10 * event.Second
-	// keepBound is how long a finished answer waits to be fetched.
-	keepBound = 60 * event.Second
-	// cancelTimeout bounds a cancel call to the engine.
+	sweepInterval = 200 * time.Millisecond
+	// ResumeTimeout is how long a run continues without a reader. Then its entry counts
+	// as terminated and the run is cancelled, unless it may not be repeated.
+	ResumeTimeout = 10 * event.Second
+	// responseRetention is how long a finished response is kept for its entry.
+	responseRetention = 60 * event.Second
+	// cancelTimeout limits a cancel call to the engine.
 	cancelTimeout = 2 * time.Second
 )
 
-// Config says which endpoint the slot guards.
+// Config has the settings of a slot.
 type Config struct {
 	Endpoint    event.EndpointID
 	Pool        string
 	EndpointURL string // http://IP:port
-	Address     string // of this slot for entries, as IP:port
-	Model       bool   // the endpoint is a model engine, not a plain service
-	MaxBody     int64  // of a request, in bytes
+	Address     string // at which entries reach this slot, as IP:port
+	Model       bool   // whether the endpoint is a model engine, not a plain service
+	MaxBody     int64  // maximum size of a request body, in bytes
 }
 
-// Slot guards one endpoint.
+// Slot dispatches requests to one endpoint.
 type Slot struct {
-	config Config
-	life   event.Incarnation
-	clock  event.Clock
-	log    *zap.Logger
-	client *http.Client
-	load   loadWatch
+	config      Config
+	incarnation event.Incarnation
+	clock       event.Clock
+	log         *zap.Logger
+	client      *http.Client
+	load        loadMonitor
 
 	mu    sync.Mutex
 	meter meter.Meter
@@ -55,9 +55,9 @@
 	runs  map[event.DispatchID]*run
 }
 
-// New returns a slot in its first moment; life must differ from that of any
-// earlier slot of the endpoint.
-func New(c Config, life event.Incarnation, log *zap.Logger) *Slot {
+// New returns a slot. The incarnation must differ from that of every earlier slot of
+// the endpoint.
+func New(c Config, incarnation event.Incarnation, log *zap.Logger) *Slot {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: 2 * time.Second}).DialContext,
 		MaxIdleConnsPerHost: 64,
@@ -65,20 +65,20 @@
 		DisableCompression:  true,
 	}
 	return &Slot{
-		config: c,
-		life:   life,
-		clock:  event.NewClock(),
-		log:    log,
-		client: &http.Client{Transport: transport, CheckRedirect: keepRedirect},
-		guard:  NewGuard(life),
-		runs:   make(map[event.DispatchID]*run),
+		config:      c,
+		incarnation: incarnation,
+		clock:       event.NewClock(),
+		log:         log,
+		client:      &http.Client{Transport: transport, CheckRedirect: returnRedirect},
+		guard:       NewGuard(incarnation),
+		runs:        make(map[event.DispatchID]*run),
 	}
 }
 
-// keepRedirect hands a redirect to the caller instead of following it.
-func keepRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// returnRedirect returns a redirect to the caller instead of following it.
+func returnRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// offer takes or denies a request; a taken one is dispatched.
+// offer accepts or denies a request and dispatches an accepted one.
 func (s *Slot) offer(o Offer, c call) (*run, Denial) {
 	now := s.clock.Now()
 	s.mu.Lock()
@@ -87,52 +87,52 @@
 		return nil, d
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	u := &run{call: c, answer: NewAnswer(c.keep), cancel: cancel, idle: now}
+	u := &run{call: c, response: NewResponseBuffer(c.retain), cancel: cancel, idleSince: now}
 	s.runs[c.id] = u
 	go func() {
 		err := s.dispatch(ctx, u)
 		cancel()
-		s.end(u, err)
+		s.endRun(u, err)
 	}()
 	return u, DenialNone
 }
 
-// measure takes note of tokens that came.
-func (s *Slot) measure(now event.Time, tokens int, span event.Span) {
+// recordTokens records that tokens arrived, span after the previous ones.
+func (s *Slot) recordTokens(now event.Time, tokens int, span event.Span) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.meter.Add(now, tokens, span)
 }
 
-// end closes a run. What never reached the endpoint is void before anybody can
-// read so.
-func (s *Slot) end(u *run, err error) {
+// endRun ends a run. The id of a request that never reached the endpoint is made void
+// before readers of the response see its end.
+func (s *Slot) endRun(u *run, err error) {
 	s.mu.Lock()
 	if errors.Is(err, errNotSent) {
-		s.load.fail()
-		s.guard.Unstart(s.clock.Now(), u.call.id)
+		s.load.markUnreachable()
+		s.guard.RevertStart(s.clock.Now(), u.call.id)
 	} else {
 		s.guard.End(s.clock.Now(), u.call.id)
 	}
 	s.mu.Unlock()
-	u.answer.End(err)
+	u.response.End(err)
 }
 
-// void makes sure that id does not start in this life.
-func (s *Slot) void(id event.DispatchID, life event.Incarnation) bool {
+// void ensures that id never starts in this incarnation.
+func (s *Slot) void(id event.DispatchID, incarnation event.Incarnation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.guard.Void(s.clock.Now(), id, life)
+	return s.guard.Void(s.clock.Now(), id, incarnation)
 }
 
-func (s *Slot) find(id event.DispatchID) *run {
+func (s *Slot) findRun(id event.DispatchID) *run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[id]
 }
 
-// abandon ends a run that nobody wants, unless it may not be repeated.
-func (s *Slot) abandon(u *run) {
+// cancelRun cancels a run without a reader, unless it may not be repeated.
+func (s *Slot) cancelRun(u *run) {
 	if u.call.noRepeat {
 		return
 	}
@@ -143,35 +143,36 @@
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
 	if err := s.cancelAtEngine(ctx, u.call.id); err != nil {
-		s.log.Warn("cancel at the engine failed", zap.String("request", string(u.call.id)), logx.Err(err))
+		s.log.Warn("failed to cancel request at engine", zap.String("request", string(u.call.id)), logx.Err(err))
 	}
 }
 
-// Leave denies new offers from now on; reports tell of it.
-func (s *Slot) Leave() {
+// StartDraining denies new offers from now on, and the slot's reports say so.
+func (s *Slot) StartDraining() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.guard.Leave()
+	s.guard.StartDraining()
 }
 
-// Held returns how many requests run or wait to be fetched.
+// InFlight returns the number of requests that are running or whose response has not
+// been delivered.
 func (s *Slot) Held() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := 0
+	inFlight := 0
 	for _, u := range s.runs {
-		if !u.answer.Ended() || !u.isTaken() {
-			held++
+		if !u.response.Ended() || !u.isDelivered() {
+			inFlight++
 		}
 	}
-	return held
+	return inFlight
 }
 
-// Drain denies new offers and returns when every answer was fetched or ctx
-// ended.
+// Drain denies new offers and returns when every response has been delivered or ctx
+// has ended.
 func (s *Slot) Drain(ctx context.Context) error {
-	s.Leave()
-	ticker := time.NewTicker(sweepEvery)
+	s.StartDraining()
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for s.Held() > 0 {
 		select {
@@ -183,9 +184,9 @@
 	return nil
 }
 
-// Sweep cancels and forgets what nobody came for, until ctx ends.
+// Sweep cancels runs without a reader and deletes finished ones, until ctx ends.
 func (s *Slot) Sweep(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -199,40 +200,40 @@
 
 func (s *Slot) sweepOnce() {
 	now := s.clock.Now()
-	var lost []*run
+	var orphaned []*run
 	s.mu.Lock()
 	s.guard.Sweep(now)
 	for id, u := range s.runs {
-		ended := u.answer.Ended()
-		idle, taken := u.idleFor(now)
+		ended := u.response.Ended()
+		idle, delivered := u.idleFor(now)
 		switch {
-		case ended && (taken && !u.call.keep || idle > keepBound):
+		case ended && (delivered && !u.call.retain || idle > responseRetention):
 			delete(s.runs, id)
-		case !ended && idle > ResumeBound:
-			lost = append(lost, u)
+		case !ended && idle > ResumeTimeout:
+			orphaned = append(orphaned, u)
 		}
 	}
 	s.mu.Unlock()
-	for _, u := range lost {
-		s.abandon(u)
+	for _, u := range orphaned {
+		s.cancelRun(u)
 	}
 }
 
-// report returns what the slot says about its endpoint now.
-func (s *Slot) report() event.Report {
+// currentReport returns the state of the endpoint for a report to the owner.
+func (s *Slot) currentReport() event.Report {
 	r := event.Report{
 		Endpoint:    s.config.Endpoint,
 		Pool:        s.config.Pool,
 		Address:     s.config.Address,
-		Incarnation: s.life,
+		Incarnation: s.incarnation,
 	}
 	r.Waiting, r.LoadAge, r.Down = s.load.read(s.clock.Now())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.TokenGap = s.meter.Gap(s.clock.Now())
-	r.Leaving = s.guard.Leaving()
+	r.Leaving = s.guard.IsDraining()
 	for id, u := range s.runs {
-		if !u.answer.Ended() {
+		if !u.response.Ended() {
 			r.Running = append(r.Running, id)
 		}
 	}
@@ -240,38 +241,38 @@
 	return r
 }
 
-func (u *run) enter() {
+func (u *run) addReader() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.readers++
 }
 
-func (u *run) leave(now event.Time) {
+func (u *run) removeReader(now event.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.readers--
-	u.idle = now
+	u.idleSince = now
 }
 
-func (u *run) take() {
+func (u *run) markDelivered() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.taken = true
+	u.delivered = true
 }
 
-func (u *run) isTaken() bool {
+func (u *run) isDelivered() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.taken
+	return u.delivered
 }
 
-// idleFor returns how long nobody has read the answer, and whether the entry
-// has all of it.
+// idleFor returns how long nobody has read the response, and whether the entry has
+// the complete response.
 func (u *run) idleFor(now event.Time) (event.Span, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.readers > 0 {
-		return 0, u.taken
+		return 0, u.delivered
 	}
-	return now.Sub(u.idle), u.taken
+	return now.Sub(u.idleSince), u.delivered
 }
--- a/slot/slot_test.go
+++ b/slot/slot_test.go
@@ -19,10 +19,10 @@
 	"lynxramp.org/event"
 )
 
-// TestTransportSendsOnce lets an endpoint take a call on a kept-alive connection
-// and hang up without an answer. The HTTP client must not send it again by
-// itself, as it does with calls that it takes for repeatable.
-func TestTransportSendsOnce(t *testing.T) {
+// The endpoint receives a call on a reused connection and closes it without a
+// response. The HTTP client must not repeat the call by itself, as it does with
+// methods that it considers idempotent.
+func TestDispatchIsNotRetriedByTransport(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 	go hangUpOnSecond(l, &calls)
 	s := New(Config{EndpointURL: "http://" + l.Addr().String(), MaxBody: 1 << 20}, 1, zap.NewNop())
 	for i, id := range []event.DispatchID{"first", "second"} {
-		u := &run{call: call{id: id, method: http.MethodGet, path: "/"}, answer: NewAnswer(false)}
+		u := &run{call: call{id: id, method: http.MethodGet, path: "/"}, response: NewResponseBuffer(false)}
 		err := s.dispatch(context.Background(), u)
 		if (err != nil) != (i == 1) {
 			t.Errorf("call %s: %v", id, err)
@@ -43,7 +43,8 @@
 	}
 }
 
-// hangUpOnSecond answers the first call of each connection and none after it.
+// hangUpOnSecond responds to the first call of each connection and closes the
+// connection at the second.
 func hangUpOnSecond(l net.Listener, calls *atomic.Int32) {
 	for {
 		c, err := l.Accept()
@@ -67,47 +68,47 @@
 	}
 }
 
-// TestGuard checks over all interleavings of offers, voids, ends and restarts
-// that an id starts at most once in a life, that void is kept, and that an offer
-// for another life or of an older epoch is denied.
+// Over random sequences of offers, voids, ends and restarts, an id starts at most once
+// in an incarnation, a void id never starts, and an offer for another incarnation or
+// of an older epoch is denied.
 func TestGuard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		life := event.Incarnation(1)
-		g := NewGuard(life)
+		current := event.Incarnation(1)
+		g := NewGuard(current)
 		started := make(map[event.DispatchID]bool)
 		void := make(map[event.DispatchID]bool)
 		newest := event.Epoch(0)
 		now := event.Time(0)
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			id := event.DispatchID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"))
-			for_ := event.Incarnation(rapid.Uint64Range(1, uint64(life)+1).Draw(t, "life"))
-			now = now.Add(event.Span(rapid.Int64Range(0, int64(memoryBound)/50).Draw(t, "time")))
+			incarnation := event.Incarnation(rapid.Uint64Range(1, uint64(current)+1).Draw(t, "life"))
+			now = now.Add(event.Span(rapid.Int64Range(0, int64(idRetention)/50).Draw(t, "time")))
 			switch rapid.IntRange(0, 4).Draw(t, "act") {
 			case 0, 1:
 				epoch := event.Epoch(rapid.Uint64Range(1, 5).Draw(t, "epoch"))
 				left := event.Span(rapid.Int64Range(-1, 1).Draw(t, "left"))
-				d := g.Offer(now, Offer{ID: id, Incarnation: for_, Epoch: epoch, Deadline: left})
+				d := g.Offer(now, Offer{ID: id, Incarnation: incarnation, Epoch: epoch, Deadline: left})
 				if d != DenialNone {
 					void[id] = void[id] || (d != DenialStarted && d != DenialIncarnation)
 					break
 				}
-				if started[id] || void[id] || for_ != life || epoch < newest || left <= 0 || g.Leaving() {
-					t.Fatalf("offer of %s was taken: started %v, void %v", id, started[id], void[id])
+				if started[id] || void[id] || incarnation != current || epoch < newest || left <= 0 || g.IsDraining() {
+					t.Fatalf("offer of %s was accepted: started %v, void %v", id, started[id], void[id])
 				}
 				newest = max(newest, epoch)
 				started[id] = true
 			case 2:
-				if g.Void(now, id, for_) {
-					if started[id] || for_ != life {
-						t.Fatalf("%s was declared void, started %v", id, started[id])
+				if g.Void(now, id, incarnation) {
+					if started[id] || incarnation != current {
+						t.Fatalf("%s was made void, started %v", id, started[id])
 					}
 					void[id] = true
 				}
 			case 3:
 				g.End(now, id)
 			case 4:
-				life++
-				g = NewGuard(life)
+				current++
+				g = NewGuard(current)
 				clear(started)
 				clear(void)
 				newest = 0
@@ -116,39 +117,39 @@
 	})
 }
 
-// TestAnswerWindow fills an answer that nobody acknowledges: the endpoint's
-// stream is read no further than the window until there is an acknowledgement.
-func TestAnswerWindow(t *testing.T) {
-	a := NewAnswer(false)
+// Append blocks once maxUnackedBytes are unacknowledged, and goes on after an
+// acknowledgement.
+func TestAppendBlocksAtUnackedLimit(t *testing.T) {
+	a := NewResponseBuffer(false)
 	chunk := make([]byte, 64<<10)
-	for range windowBytes / len(chunk) {
+	for range maxUnackedBytes / len(chunk) {
 		if err := a.Append(context.Background(), chunk); err != nil {
 			t.Fatal(err)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := a.Append(ctx, chunk); err == nil || a.Size() != windowBytes {
-		t.Errorf("%d bytes held with a window of %d: %v", a.Size(), windowBytes, err)
+	if err := a.Append(ctx, chunk); err == nil || a.Size() != maxUnackedBytes {
+		t.Errorf("%d bytes buffered with a limit of %d: %v", a.Size(), maxUnackedBytes, err)
 	}
 	a.Ack(len(chunk))
 	if err := a.Append(context.Background(), chunk); err != nil {
 		t.Errorf("after an acknowledgement: %v", err)
 	}
 	if _, _, err := a.Await(context.Background(), 0, true, chunk); err == nil {
-		t.Error("acknowledged bytes are still there")
+		t.Error("acknowledged bytes were not dropped")
 	}
 }
 
-// TestMalformedOffer sends an offer without its headers: nothing is dispatched.
-func TestMalformedOffer(t *testing.T) {
+// An offer without its headers, or with too large a body, is not dispatched.
+func TestMalformedOfferIsRejected(t *testing.T) {
 	s := New(Config{EndpointURL: "http://127.0.0.1:1", MaxBody: 10}, 1, zap.NewNop())
 	h := s.Handler("")
 	for _, body := range []string{"", strings.Repeat("x", 100)} {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/v1/run", strings.NewReader(body)))
 		if w.Code != http.StatusBadRequest || s.Held() != 0 {
-			t.Errorf("status %d, %d held", w.Code, s.Held())
+			t.Errorf("status %d, %d in flight", w.Code, s.Held())
 		}
 	}
 }
