--- a/entry/entry.go
+++ b/entry/entry.go
@@ -38,14 +38,14 @@
 
 // Entry accepts callers' requests.
 type Entry struct {
-	config   Config
-	owner    *OwnerClient
-	slots    *slotClient
-	log      *zap.Logger
-	index    atomic.Pointer[versionedCatalog]
-	metrics  *metricSet
-	draining atomic.Bool
-	applyMu  sync.Mutex // serializes catalog updates
+	config    Config
+	owner     *OwnerClient
+	slots     *slotClient
+	log       *zap.Logger
+	index     atomic.Pointer[versionedCatalog]
+	metricSet *metricSet
+	draining  atomic.Bool
+	applyMu   sync.Mutex // serializes catalog updates
 
 	mu        sync.Mutex
 	requests  int
@@ -70,7 +70,7 @@
 	}
 	e.index.Store(&versionedCatalog{Index: catalog.NewIndex(catalog.Catalog{})})
 	e.owner = NewOwnerClient(c.Box, c.Life, schedulers, e, log)
-	e.metrics = newMetricSet(e)
+	e.metricSet = newMetricSet(e)
 	return e
 }
 
--- a/entry/http.go
+++ b/entry/http.go
@@ -19,7 +19,7 @@
 	r := chi.NewRouter()
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	r.Get("/readyz", e.serveReady)
-	r.Get("/metrics", func(w http.ResponseWriter, _ *http.Request) { e.metrics.write(w) })
+	r.Get("/metrics", func(w http.ResponseWriter, _ *http.Request) { e.metricSet.write(w) })
 	r.Post("/v1/completions", e.serveCompletion)
 	r.Post("/v1/chat/completions", e.serveCompletion)
 	r.HandleFunc(servicePrefix+"{service}/*", e.servePlain)
--- a/entry/link.go
+++ b/entry/link.go
@@ -91,88 +91,89 @@
 	}
 }
 
-func (l *OwnerClient) Run(ctx context.Context) {
+// Run pushes batches and polls for decisions until ctx ends.
+func (c *OwnerClient) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { l.pushLoop(ctx) })
-	wg.Go(func() { l.pollLoop(ctx) })
+	wg.Go(func() { c.pushLoop(ctx) })
+	wg.Go(func() { c.pollLoop(ctx) })
 	wg.Wait()
 }
 
 // Submit registers a ticket. Its decision is sent on the returned channel, which is
 // buffered.
-func (l *OwnerClient) Submit(t event.Ticket, arrived, deadline time.Time) <-chan Decision {
+func (c *OwnerClient) Submit(t event.Ticket, arrived, deadline time.Time) <-chan Decision {
 	w := &pendingTicket{ticket: t, arrived: arrived, deadline: deadline, decided: make(chan Decision, 1)}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.pending[t.ID] = w
-	l.tickets = append(l.tickets, t.ID)
-	l.signal()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.pending[t.ID] = w
+	c.tickets = append(c.tickets, t.ID)
+	c.signal()
 	return w.decided
 }
 
 // Withdraw cancels a ticket that has no decision yet.
-func (l *OwnerClient) Withdraw(id event.RequestID, pool string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.pending, id)
-	l.withdrawn = append(l.withdrawn, &rpc.Withdrawal{Id: string(id), Pool: pool})
-	l.signal()
+func (c *OwnerClient) Withdraw(id event.RequestID, pool string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.pending, id)
+	c.withdrawn = append(c.withdrawn, &rpc.Withdrawal{Id: string(id), Pool: pool})
+	c.signal()
 }
 
 // Finish reports that a granted request no longer uses its endpoint.
-func (l *OwnerClient) Finish(f *rpc.Finish) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.finished = append(l.finished, f)
-	l.signal()
+func (c *OwnerClient) Finish(f *rpc.Finish) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.finished = append(c.finished, f)
+	c.signal()
 }
 
 // Pending returns the number of tickets without a decision.
-func (l *OwnerClient) Pending() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.pending)
+func (c *OwnerClient) Pending() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.pending)
 }
 
 // signal wakes the push loop.
-func (l *OwnerClient) signal() {
+func (c *OwnerClient) signal() {
 	select {
-	case l.wake <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (l *OwnerClient) pushLoop(ctx context.Context) {
+func (c *OwnerClient) pushLoop(ctx context.Context) {
 	for {
 		select {
-		case <-l.wake:
+		case <-c.wake:
 		case <-ctx.Done():
 			return
 		}
-		for r := l.nextBatch(); r != nil && ctx.Err() == nil; r = l.nextBatch() {
-			l.push(ctx, r)
+		for r := c.nextBatch(); r != nil && ctx.Err() == nil; r = c.nextBatch() {
+			c.push(ctx, r)
 		}
 	}
 }
 
 // push sends one batch until an owner accepts it. Sending a batch twice is harmless.
 // A new owner needs only the tickets, which applyDecisions submits to it again.
-func (l *OwnerClient) push(ctx context.Context, r *rpc.ExchangeRequest) {
+func (c *OwnerClient) push(ctx context.Context, r *rpc.ExchangeRequest) {
 	for ctx.Err() == nil {
-		if l.exchange(ctx, r, pushTimeout) {
+		if c.exchange(ctx, r, pushTimeout) {
 			return
 		}
 		wait.For(ctx, exchangeBackoff)
 	}
 }
 
-func (l *OwnerClient) pollLoop(ctx context.Context) {
+func (c *OwnerClient) pollLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		l.mu.Lock()
-		r := l.newExchange()
-		l.mu.Unlock()
+		c.mu.Lock()
+		r := c.newExchange()
+		c.mu.Unlock()
 		r.WaitMs = uint32(pollWait.Milliseconds())
-		if !l.exchange(ctx, r, pollTimeout) {
+		if !c.exchange(ctx, r, pollTimeout) {
 			wait.For(ctx, exchangeBackoff)
 		}
 	}
@@ -180,139 +181,139 @@
 
 // exchange makes one call and applies its result. It reports whether the scheduler
 // is the owner.
-func (l *OwnerClient) exchange(ctx context.Context, r *rpc.ExchangeRequest, timeout time.Duration) bool {
+func (c *OwnerClient) exchange(ctx context.Context, r *rpc.ExchangeRequest, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	index, scheduler := l.currentScheduler()
+	index, scheduler := c.currentScheduler()
 	response, err := scheduler.Client.Exchange(ctx, r)
 	if err != nil {
-		l.log.Debug("exchange with scheduler failed; trying another scheduler", zap.String("scheduler", scheduler.Address), logx.Err(err))
-		l.switchScheduler(index, "")
+		c.log.Debug("exchange with scheduler failed; trying another scheduler", zap.String("scheduler", scheduler.Address), logx.Err(err))
+		c.switchScheduler(index, "")
 		return false
 	}
 	if !response.Owner {
-		l.switchScheduler(index, response.Leader)
+		c.switchScheduler(index, response.Leader)
 		return false
 	}
-	l.applyDecisions(response)
+	c.applyDecisions(response)
 	if response.Catalog != nil {
-		if err := l.catalogs.ApplyCatalog(response.Catalog); err != nil {
-			l.log.Error("failed to apply catalog update; requesting the full catalog", logx.Err(err))
-			l.requestFullCatalog()
+		if err := c.catalogs.ApplyCatalog(response.Catalog); err != nil {
+			c.log.Error("failed to apply catalog update; requesting the full catalog", logx.Err(err))
+			c.requestFullCatalog()
 		}
 	}
 	return true
 }
 
 // requestFullCatalog makes the next call request the full catalog.
-func (l *OwnerClient) requestFullCatalog() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.wantFullCatalog = true
+func (c *OwnerClient) requestFullCatalog() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.wantFullCatalog = true
 }
 
 // currentScheduler returns the scheduler that was last known as the owner, and its index.
-func (l *OwnerClient) currentScheduler() (int, Scheduler) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.current, l.schedulers[l.current]
+func (c *OwnerClient) currentScheduler() (int, Scheduler) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.current, c.schedulers[c.current]
 }
 
 // switchScheduler switches from one scheduler to the one with the address to, or to
 // the next in the list. It does nothing if another call has switched already.
-func (l *OwnerClient) switchScheduler(from int, to string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.current != from {
+func (c *OwnerClient) switchScheduler(from int, to string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.current != from {
 		return
 	}
-	for i, s := range l.schedulers {
+	for i, s := range c.schedulers {
 		if s.Address == to && i != from {
-			l.current = i
+			c.current = i
 			return
 		}
 	}
-	l.current = (from + 1) % len(l.schedulers)
+	c.current = (from + 1) % len(c.schedulers)
 }
 
 // newExchange returns a request without tickets, withdrawals and finishes. The
 // caller holds the lock.
-func (l *OwnerClient) newExchange() *rpc.ExchangeRequest {
-	version := l.catalogs.CatalogVersion()
-	if l.wantFullCatalog {
+func (c *OwnerClient) newExchange() *rpc.ExchangeRequest {
+	version := c.catalogs.CatalogVersion()
+	if c.wantFullCatalog {
 		version = 0
-		l.wantFullCatalog = false
+		c.wantFullCatalog = false
 	}
 	return &rpc.ExchangeRequest{
-		Entry:       string(l.entry),
-		Incarnation: l.instance,
-		Epoch:       l.epoch,
-		Ack:         l.ack,
+		Entry:       string(c.entry),
+		Incarnation: c.instance,
+		Epoch:       c.epoch,
+		Ack:         c.ack,
 		Version:     version,
 	}
 }
 
 // nextBatch returns a request with all that is waiting to be sent; nil if there is
 // nothing.
-func (l *OwnerClient) nextBatch() *rpc.ExchangeRequest {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.tickets)+len(l.withdrawn)+len(l.finished) == 0 {
+func (c *OwnerClient) nextBatch() *rpc.ExchangeRequest {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.tickets)+len(c.withdrawn)+len(c.finished) == 0 {
 		return nil
 	}
-	r := l.newExchange()
-	for _, id := range l.tickets {
-		if w, ok := l.pending[id]; ok {
+	r := c.newExchange()
+	for _, id := range c.tickets {
+		if w, ok := c.pending[id]; ok {
 			t := w.ticket
 			t.Deadline = time.Until(w.deadline)
 			t.Waited = time.Since(w.arrived)
 			r.Tickets = append(r.Tickets, rpc.TicketMessage(t))
 		}
 	}
-	r.Withdrawn = l.withdrawn
-	r.Finished = l.finished
-	l.tickets, l.withdrawn, l.finished = nil, nil, nil
+	r.Withdrawn = c.withdrawn
+	r.Finished = c.finished
+	c.tickets, c.withdrawn, c.finished = nil, nil, nil
 	return r
 }
 
 // applyDecisions delivers decisions to the requests that wait for them. All pending
 // tickets are submitted again to an owner of a new epoch; a response of an older
 // epoch is ignored.
-func (l *OwnerClient) applyDecisions(response *rpc.ExchangeResponse) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if response.Epoch < l.epoch {
+func (c *OwnerClient) applyDecisions(response *rpc.ExchangeResponse) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if response.Epoch < c.epoch {
 		return
 	}
-	if response.Epoch > l.epoch {
-		l.epoch = response.Epoch
-		l.ack = 0
-		l.resubmitAll()
+	if response.Epoch > c.epoch {
+		c.epoch = response.Epoch
+		c.ack = 0
+		c.resubmitAll()
 	}
 	for _, d := range response.Decisions {
 		// The push and the poll may return the same decision. The second copy must
 		// not decide a request that was registered again in between.
-		if d.Number > l.ack {
-			l.ack = d.Number
-			l.deliver(d)
+		if d.Number > c.ack {
+			c.ack = d.Number
+			c.deliver(d)
 		}
 	}
 }
 
-func (l *OwnerClient) resubmitAll() {
-	l.tickets = l.tickets[:0]
-	for id := range l.pending {
-		l.tickets = append(l.tickets, id)
+func (c *OwnerClient) resubmitAll() {
+	c.tickets = c.tickets[:0]
+	for id := range c.pending {
+		c.tickets = append(c.tickets, id)
 	}
-	l.signal()
+	c.signal()
 }
 
-func (l *OwnerClient) deliver(d *rpc.Decision) {
+func (c *OwnerClient) deliver(d *rpc.Decision) {
 	id := event.RequestID(d.Id)
-	w, ok := l.pending[id]
+	w, ok := c.pending[id]
 	if !ok {
 		return
 	}
-	delete(l.pending, id)
-	w.decided <- Decision{Epoch: event.Epoch(l.epoch), Grant: d.Grant, Refusal: d.Refusal}
+	delete(c.pending, id)
+	w.decided <- Decision{Epoch: event.Epoch(c.epoch), Grant: d.Grant, Refusal: d.Refusal}
 }
--- a/entry/meters.go
+++ b/entry/meters.go
@@ -22,8 +22,8 @@
 	return m
 }
 
-// countAnswer counts a response.
-func (m *metricSet) countAnswer(tier, service string, status int, o Outcome) {
+// countResponse counts a response.
+func (m *metricSet) countResponse(tier, service string, status int, o Outcome) {
 	name := fmt.Sprintf(`lynxramp_entry_answers_total{tier=%q,service=%q,status="%d",outcome=%q}`, tier, service, status, o)
 	m.set.GetOrCreateCounter(name).Inc()
 }
--- a/entry/recover_test.go
+++ b/entry/recover_test.go
@@ -38,7 +38,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	d := Decision{Grant: &rpc.Grant{Address: strings.TrimPrefix(server.URL, "http://")}}
-	response, err := e.recoverOffer(ctx, &transfer{dispatch: "r"}, d)
+	response, err := e.recoverOffer(ctx, &transfer{dispatchID: "r"}, d)
 	if err != nil || response == nil {
 		t.Fatalf("after %d adopt calls: %v", attempts, err)
 	}
--- a/entry/run.go
+++ b/entry/run.go
@@ -38,7 +38,7 @@
 // serveParsed runs a parsed request and writes its response.
 func (e *Entry) serveParsed(w http.ResponseWriter, r *http.Request, q *request) {
 	w.Header().Set(HeaderRequestID, string(q.ticket.ID))
-	t := &transfer{entry: e, w: w, q: q, dispatch: q.dispatch()}
+	t := &transfer{entry: e, w: w, q: q, dispatchID: q.dispatch()}
 	err := e.serveRequest(r.Context(), t)
 	var failure *Failure
 	if errors.As(err, &failure) && !t.headerSent {
@@ -49,8 +49,8 @@
 		}
 		failure.write(w)
 	}
-	e.metrics.countAnswer(q.tier.Name, q.service.Name, t.status, t.outcome)
-	e.logAnswer(q, t, err)
+	e.metricSet.countResponse(q.tier.Name, q.service.Name, t.status, t.outcome)
+	e.logResult(q, t, err)
 	if err != nil && t.headerSent {
 		// The header is already sent: abort the connection, so that the caller's
 		// client does not take the response for complete.
@@ -58,7 +58,7 @@
 	}
 }
 
-func (e *Entry) logAnswer(q *request, t *transfer, err error) {
+func (e *Entry) logResult(q *request, t *transfer, err error) {
 	fields := []zap.Field{
 		zap.String("request", string(q.ticket.ID)),
 		zap.String("team", q.team.Name),
@@ -100,7 +100,7 @@
 			return err
 		}
 		q.ticket.Attempt++
-		t.dispatch = q.dispatch()
+		t.dispatchID = q.dispatch()
 		wait.For(ctx, backoff)
 	}
 	e.owner.Withdraw(q.ticket.ID, q.ticket.Pool)
@@ -160,10 +160,10 @@
 func (e *Entry) attach(ctx context.Context, t *transfer, d Decision) error {
 	t.endpoint = d.Grant.Endpoint
 	t.outcome = Unknown
-	t.dispatch = event.DispatchID(d.Grant.Attach)
+	t.dispatchID = event.DispatchID(d.Grant.Attach)
 	until := time.Now().Add(resumeTimeout)
 	for {
-		response, err := e.slots.resume(ctx, d.Grant.Address, t.dispatch, 0, true)
+		response, err := e.slots.resume(ctx, d.Grant.Address, t.dispatchID, 0, true)
 		if err == nil && response.StatusCode == http.StatusOK {
 			return e.transfer(ctx, t, d, response)
 		}
@@ -201,13 +201,13 @@
 func (e *Entry) recoverOffer(ctx context.Context, t *transfer, d Decision) (*http.Response, error) {
 	until := time.Now().Add(resumeTimeout)
 	for time.Now().Before(until) && ctx.Err() == nil {
-		response, err := e.slots.resume(ctx, d.Grant.Address, t.dispatch, 0, false)
+		response, err := e.slots.resume(ctx, d.Grant.Address, t.dispatchID, 0, false)
 		if err == nil && response.StatusCode == http.StatusOK {
 			return response, nil
 		}
 		if err == nil {
 			_ = response.Body.Close() // the status is all that matters
-			confirmed, err := e.slots.void(ctx, d.Grant, t.dispatch)
+			confirmed, err := e.slots.void(ctx, d.Grant, t.dispatchID)
 			if err == nil && confirmed {
 				t.outcome = NotRun
 				t.endpoint = ""
@@ -227,7 +227,7 @@
 		wait.For(ctx, resumeInterval)
 	}
 	if ctx.Err() != nil {
-		e.slots.cancel(d.Grant.Address, t.dispatch)
+		e.slots.cancel(d.Grant.Address, t.dispatchID)
 		return nil, errCallerDisconnected
 	}
 	return nil, unknownOutcome("the slot is unreachable")
@@ -237,7 +237,7 @@
 // returns the response from its beginning, or whether the slot replied that there is
 // none.
 func (e *Entry) adopt(ctx context.Context, t *transfer, d Decision) (response *http.Response, replied bool) {
-	response, err := e.slots.resume(ctx, d.Grant.Address, t.dispatch, 0, true)
+	response, err := e.slots.resume(ctx, d.Grant.Address, t.dispatchID, 0, true)
 	if err != nil {
 		return nil, false
 	}
--- a/entry/transfer.go
+++ b/entry/transfer.go
@@ -18,7 +18,7 @@
 	"lynxramp.org/slot"
 )
 
-const copyBufferSize = 8 << 10
+const copyBufferSize = 8 << 10 // bytes
 
 // copyBuffers is a pool of buffers of copyBufferSize bytes.
 var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBufferSize); return &b }}
@@ -28,7 +28,7 @@
 	entry      *Entry
 	w          http.ResponseWriter
 	q          *request
-	dispatch   event.DispatchID // that the response belongs to
+	dispatchID event.DispatchID // that the response belongs to
 	endpoint   string
 	epoch      event.Epoch
 	outcome    Outcome
@@ -49,7 +49,7 @@
 // transfer copies the response from the slot to the caller and resumes it when the
 // connection to the slot is lost.
 func (e *Entry) transfer(ctx context.Context, t *transfer, d Decision, response *http.Response) error {
-	id := t.dispatch
+	id := t.dispatchID
 	t.address = d.Grant.Address
 	until := time.Now().Add(resumeTimeout)
 	for {
@@ -145,7 +145,7 @@
 	t.w.WriteHeader(status)
 	t.status = status
 	t.headerSent = true
-	t.entry.metrics.observeFirstByte(t.q.tier.Name, t.q.service.Name, time.Since(t.q.arrived))
+	t.entry.metricSet.observeFirstByte(t.q.tier.Name, t.q.service.Name, time.Since(t.q.arrived))
 	return nil
 }
 
@@ -165,7 +165,7 @@
 	t.tokens += bytes.Count(p, streamEventPrefix)
 	if t.offset-t.acked >= ackThreshold {
 		t.acked = t.offset
-		t.entry.slots.ack(t.address, slot.Ack{ID: t.dispatch, Offset: t.offset})
+		t.entry.slots.ack(t.address, slot.Ack{ID: t.dispatchID, Offset: t.offset})
 	}
 	return nil
 }
--- a/slot/http.go
+++ b/slot/http.go
@@ -132,7 +132,7 @@
 	buf := make([]byte, readBufferSize)
 	headerSent := false
 	for {
-		n, v, err := u.response.Await(r.Context(), offset, headerSent, buf)
+		n, v, err := u.buffer.Await(r.Context(), offset, headerSent, buf)
 		if err != nil {
 			s.abortStream(w, headerSent, err)
 			return
@@ -228,7 +228,7 @@
 		if u == nil {
 			continue
 		}
-		u.response.Ack(a.Offset)
+		u.buffer.Ack(a.Offset)
 		if a.Done {
 			u.markDelivered()
 		}
--- a/slot/run.go
+++ b/slot/run.go
@@ -17,7 +17,7 @@
 	"lynxramp.org/internal/once"
 )
 
-const readBufferSize = 16 << 10
+const readBufferSize = 16 << 10 // bytes
 
 // maxResumes is how many times a lost stream of the endpoint is resumed.
 const maxResumes = 3
@@ -47,10 +47,10 @@
 
 // run is one dispatched request.
 type run struct {
-	call     call
-	response *ResponseBuffer
-	cancel   context.CancelFunc
-	mu       sync.Mutex
+	call   call
+	buffer *ResponseBuffer
+	cancel context.CancelFunc
+	mu     sync.Mutex
 	// readers is the number of connections of entries that read the response.
 	readers int
 	// idleSince is when the last reader disconnected.
@@ -89,7 +89,7 @@
 	case err != nil:
 		err = errors.Wrap(errConnLost, err.Error())
 	default:
-		u.response.Begin(response.StatusCode, response.Header)
+		u.buffer.Begin(response.StatusCode, response.Header)
 		err = s.copyResponse(ctx, u, response.Body)
 	}
 	for attempt := 0; attempt < maxResumes && errors.Is(err, errConnLost); attempt++ {
@@ -112,7 +112,7 @@
 				s.recordTokens(now, bytes.Count(buf[:n], streamEventPrefix), now.Sub(last))
 			}
 			last = now
-			if err := u.response.Append(ctx, buf[:n]); err != nil {
+			if err := u.buffer.Append(ctx, buf[:n]); err != nil {
 				return err
 			}
 		}
@@ -133,12 +133,12 @@
 	if !s.config.Model {
 		return errors.New("connection to the endpoint was lost, and a plain service cannot resume")
 	}
-	response, err := s.fetchFromEngine(ctx, u.call.id, u.response.Size())
+	response, err := s.fetchFromEngine(ctx, u.call.id, u.buffer.Size())
 	if err != nil {
 		return err
 	}
-	if u.response.Size() == 0 {
-		u.response.Begin(http.StatusOK, response.Header)
+	if u.buffer.Size() == 0 {
+		u.buffer.Begin(http.StatusOK, response.Header)
 	}
 	return s.copyResponse(ctx, u, response.Body)
 }
@@ -170,7 +170,7 @@
 		cancel()
 		return nil
 	}
-	u := &run{call: call{id: id}, response: newResponseBufferAt(offset), cancel: cancel, idleSince: s.clock.Now()}
+	u := &run{call: call{id: id}, buffer: newResponseBufferAt(offset), cancel: cancel, idleSince: s.clock.Now()}
 	s.mu.Lock()
 	if other := s.runs[id]; other != nil || !s.guard.Adopt(s.clock.Now(), id) {
 		s.mu.Unlock()
@@ -180,7 +180,7 @@
 	}
 	s.runs[id] = u
 	s.mu.Unlock()
-	u.response.Begin(response.StatusCode, response.Header)
+	u.buffer.Begin(response.StatusCode, response.Header)
 	go func() {
 		err := s.copyResponse(ctx, u, response.Body)
 		cancel()
--- a/slot/slot.go
+++ b/slot/slot.go
@@ -87,7 +87,7 @@
 		return nil, d
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	u := &run{call: c, response: NewResponseBuffer(c.retain), cancel: cancel, idleSince: now}
+	u := &run{call: c, buffer: NewResponseBuffer(c.retain), cancel: cancel, idleSince: now}
 	s.runs[c.id] = u
 	go func() {
 		err := s.dispatch(ctx, u)
@@ -115,7 +115,7 @@
 		s.guard.End(s.clock.Now(), u.call.id)
 	}
 	s.mu.Unlock()
-	u.response.End(err)
+	u.buffer.End(err)
 }
 
 // void ensures that id never starts in this incarnation.
@@ -131,7 +131,8 @@
 	return s.runs[id]
 }
 
-// cancelRun cancels a run without a reader, unless it may not be repeated.
+// cancelRun cancels a run whose response is no longer wanted, unless it may not be
+// repeated.
 func (s *Slot) cancelRun(u *run) {
 	if u.call.noRepeat {
 		return
@@ -161,7 +162,7 @@
 	defer s.mu.Unlock()
 	inFlight := 0
 	for _, u := range s.runs {
-		if !u.response.Ended() || !u.isDelivered() {
+		if !u.buffer.Ended() || !u.isDelivered() {
 			inFlight++
 		}
 	}
@@ -204,7 +205,7 @@
 	s.mu.Lock()
 	s.guard.Sweep(now)
 	for id, u := range s.runs {
-		ended := u.response.Ended()
+		ended := u.buffer.Ended()
 		idle, delivered := u.idleFor(now)
 		switch {
 		case ended && (delivered && !u.call.retain || idle > responseRetention):
@@ -233,7 +234,7 @@
 	r.TokenGap = s.meter.Gap(s.clock.Now())
 	r.Leaving = s.guard.IsDraining()
 	for id, u := range s.runs {
-		if !u.response.Ended() {
+		if !u.buffer.Ended() {
 			r.Running = append(r.Running, id)
 		}
 	}
--- a/slot/slot_test.go
+++ b/slot/slot_test.go
@@ -32,7 +32,7 @@
 	go hangUpOnSecond(l, &calls)
 	s := New(Config{EndpointURL: "http://" + l.Addr().String(), MaxBody: 1 << 20}, 1, zap.NewNop())
 	for i, id := range []event.DispatchID{"first", "second"} {
-		u := &run{call: call{id: id, method: http.MethodGet, path: "/"}, response: NewResponseBuffer(false)}
+		u := &run{call: call{id: id, method: http.MethodGet, path: "/"}, buffer: NewResponseBuffer(false)}
 		err := s.dispatch(context.Background(), u)
 		if (err != nil) != (i == 1) {
 			t.Errorf("call %s: %v", id, err)
