--- a/registry/piece.go
+++ b/registry/piece.go
@@ -8,49 +8,49 @@
 	"sort"
 )
 
-// change says that an endpoint changed, or ended, at a revision.
+// change is an update or a removal of an endpoint at a revision.
 type change struct {
-	revision uint64
-	id       string
-	isEnd    bool
+	revision  uint64
+	id        string
+	isRemoval bool
 }
 
-// Piece is some of what changed after a revision, in the order of the changes: who has taken
-// it knows all up to UpTo, and can go on from there with any owner.
+// Page is a part of the changes after a revision, in their order. A reader that applied it has
+// all changes up to Revision and can resume from there with any owner.
 type Piece struct {
 	Endpoints []Endpoint
 	Gone      []string
 	UpTo      uint64
-	More      bool // there is more after UpTo
+	More      bool // there are changes after Revision
 }
 
-// Size returns about how many bytes an endpoint takes.
+// Size returns about how many bytes the endpoint takes in a message.
 func (e *Endpoint) Size() int {
-	const rest = 12 // lengths, marks of fields and numbers
-	return rest + len(e.ID) + len(e.Service) + len(e.Address) + len(e.DataCentre)
+	const overhead = 12 // lengths, field tags and numbers
+	return overhead + len(e.ID) + len(e.Service) + len(e.Address) + len(e.DataCentre)
 }
 
-// After returns what changed after a revision, as much as has so many bytes and all of one
-// revision at the least. What has changed again since comes with its last change. After 0 it
-// is all that is there.
-func (s *State) After(revision uint64, bytes int) Piece {
-	s.index()
+// ChangesAfter returns the changes after a revision, up to about maxBytes but at least all of
+// one revision. An endpoint that changed several times is listed once, at its last change.
+// Revision 0 starts from the beginning.
+func (s *State) After(revision uint64, maxBytes int) Piece {
+	s.ensureIndex()
 	p := Piece{UpTo: s.Revision}
 	first := 0
 	if revision > 0 {
-		first = sort.Search(len(s.order), func(i int) bool { return s.order[i].revision > revision })
+		first = sort.Search(len(s.changes), func(i int) bool { return s.changes[i].revision > revision })
 	}
 	size := 0
-	for i := first; i < len(s.order); i++ {
-		c := s.order[i]
-		if size >= bytes && c.revision > s.order[i-1].revision {
-			p.UpTo, p.More = s.order[i-1].revision, true
+	for i := first; i < len(s.changes); i++ {
+		c := s.changes[i]
+		if size >= maxBytes && c.revision > s.changes[i-1].revision {
+			p.UpTo, p.More = s.changes[i-1].revision, true
 			break
 		}
-		if !s.isLast(c) {
+		if !s.isLatest(c) {
 			continue
 		}
-		if c.isEnd {
+		if c.isRemoval {
 			p.Gone = append(p.Gone, c.id)
 			size += len(c.id)
 			continue
@@ -62,36 +62,36 @@
 	return p
 }
 
-// isLast reports whether nothing of a change's endpoint was noted after it.
-func (s *State) isLast(c change) bool {
-	if c.isEnd {
+// isLatest reports whether a change is the last one of its endpoint.
+func (s *State) isLatest(c change) bool {
+	if c.isRemoval {
 		return s.IsGone(c.id)
 	}
 	_, ok := s.Endpoints[c.id]
 	return ok && s.Changed[c.id] == c.revision
 }
 
-// note keeps a change. Those that were followed by others are left out now and then, so that
-// what is kept grows with endpoints and ends.
-func (s *State) note(c change) {
-	n := len(s.order)
-	s.order = append(s.order, c)
+// recordChange appends a change. Outdated changes are dropped from time to time, so that the list stays
+// proportional to the endpoints and removals.
+func (s *State) recordChange(c change) {
+	n := len(s.changes)
+	s.changes = append(s.changes, c)
 	const spare = 64
-	if n > 2*(len(s.Endpoints)+len(s.Gone))+spare || (n > 0 && s.order[n-1].revision > c.revision) {
+	if n > 2*(len(s.Endpoints)+len(s.Gone))+spare || (n > 0 && s.changes[n-1].revision > c.revision) {
 		s.sortChanges()
 	}
 }
 
-// sortChanges makes the list of changes from what is known of each endpoint.
+// sortChanges rebuilds the list of changes from the endpoints and removals.
 func (s *State) sortChanges() {
-	s.order = s.order[:0]
+	s.changes = s.changes[:0]
 	for id := range s.Endpoints {
-		s.order = append(s.order, change{revision: s.Changed[id], id: id})
+		s.changes = append(s.changes, change{revision: s.Changed[id], id: id})
 	}
 	for i, id := range s.Gone {
-		s.order = append(s.order, change{revision: s.GoneAt[i], id: id, isEnd: true})
+		s.changes = append(s.changes, change{revision: s.GoneAt[i], id: id, isRemoval: true})
 	}
-	slices.SortFunc(s.order, func(a, b change) int {
+	slices.SortFunc(s.changes, func(a, b change) int {
 		return cmp.Or(cmp.Compare(a.revision, b.revision), cmp.Compare(a.id, b.id))
 	})
 }
--- a/registry/piece_test.go
+++ b/registry/piece_test.go
@@ -11,11 +11,11 @@
 	"pgregory.net/rapid"
 )
 
-// reader takes pieces of a State one after the other.
+// reader follows a State page by page.
 type reader struct {
 	revision uint64
 	known    map[string]Endpoint
-	whole    bool
+	caughtUp bool
 }
 
 func (r *reader) read(s *State, bytes int) {
@@ -26,13 +26,13 @@
 	for _, id := range p.Gone {
 		delete(r.known, id)
 	}
-	r.revision, r.whole = p.UpTo, !p.More
+	r.revision, r.caughtUp = p.UpTo, !p.More
 }
 
-// TestPiecesLeadToWhatIsThere: whoever reads piece by piece, while endpoints come, change, go
-// and take each other's addresses, and while the State is read from a snapshot, has in the end
-// what is there.
-func TestPiecesLeadToWhatIsThere(t *testing.T) {
+// TestPagesConvergeToState: a reader that applies page after page must end with the endpoints of
+// the State, while these are added, changed, removed and replaced, and the State is restored from
+// snapshots.
+func TestPagesConvergeToState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &State{}
 		r := &reader{known: make(map[string]Endpoint)}
@@ -45,22 +45,22 @@
 			case 1, 2, 3:
 				r.read(s, bytes)
 			case 4:
-				s = reload(t, s)
+				s = reloadFromSnapshot(t, s)
 			default:
 				address := fmt.Sprint("10.0.0.", rapid.IntRange(0, 40).Draw(t, "address"))
 				s.Put(Endpoint{ID: id, Address: address, Sequence: revision}, revision)
 			}
 		}
 		for range 100 {
-			if r.read(s, bytes); r.whole {
+			if r.read(s, bytes); r.caughtUp {
 				break
 			}
 		}
-		if diff := cmp.Diff(s.Endpoints, r.known, emptyIsNil); diff != "" || !r.whole {
-			t.Errorf("read by pieces, whole %v: %s", r.whole, diff)
+		if diff := cmp.Diff(s.Endpoints, r.known, emptyIsNil); diff != "" || !r.caughtUp {
+			t.Errorf("endpoints read page by page (-want +got), caught up %v: %s", r.caughtUp, diff)
 		}
-		if most := 2*(len(s.Endpoints)+len(s.Gone)) + 65; len(s.order) > most {
-			t.Errorf("%d changes kept of %d endpoints and %d ends", len(s.order), len(s.Endpoints), len(s.Gone))
+		if limit := 2*(len(s.Endpoints)+len(s.Gone)) + 65; len(s.changes) > limit {
+			t.Errorf("%d changes kept for %d endpoints and %d removals", len(s.changes), len(s.Endpoints), len(s.Gone))
 		}
 	})
 }
@@ -72,8 +72,8 @@
 	return m
 })
 
-// reload returns a State as it is read from a snapshot.
-func reload(t *rapid.T, s *State) *State {
+// reloadFromSnapshot returns the State restored from its own snapshot.
+func reloadFromSnapshot(t *rapid.T, s *State) *State {
 	data, err := json.Marshal(s)
 	if err != nil {
 		t.Fatal(err)
@@ -85,30 +85,30 @@
 	return &again
 }
 
-// TestPieceIsBounded: a piece has so many bytes, and one change more at the most.
-func TestPieceIsBounded(t *testing.T) {
+// TestPageSizeIsBounded: a page must not exceed its byte limit by more than one change.
+func TestPageSizeIsBounded(t *testing.T) {
 	var s State
 	for i := range uint64(500) {
 		s.Put(Endpoint{ID: fmt.Sprint("e", i), Address: fmt.Sprint("10.0.0.", i), Sequence: 1}, i+1)
 	}
-	pieces := 0
-	for p := (Piece{More: true}); p.More; pieces++ {
+	pages := 0
+	for p := (Piece{More: true}); p.More; pages++ {
 		p = s.After(p.UpTo, 1000)
 		size := 0
 		for i := range p.Endpoints {
 			size += p.Endpoints[i].Size()
 		}
 		if size > 1100 {
-			t.Fatalf("a piece of %d bytes, want about 1000", size)
+			t.Fatalf("a page of %d bytes, want about 1000", size)
 		}
 	}
-	if pieces < 10 || pieces > 20 {
-		t.Errorf("%d pieces", pieces)
+	if pages < 10 || pages > 20 {
+		t.Errorf("%d pages, want 10 to 20", pages)
 	}
 }
 
-// BenchmarkAfter measures one piece of some 1,000 endpoints from the middle of all.
-func BenchmarkAfter(b *testing.B) {
+// BenchmarkChangesAfter measures building one page from the middle of the changes.
+func BenchmarkChangesAfter(b *testing.B) {
 	for _, n := range []int{3000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var s State
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -12,74 +12,73 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestLateWordIsNoNews(t *testing.T) {
+func TestOutdatedHeartbeatIsIgnored(t *testing.T) {
 	var s State
 	s.Put(Endpoint{ID: "a", Address: "10.0.0.1:80", Sequence: 4, Leaving: true}, 1)
 	s.Put(Endpoint{ID: "a", Address: "10.0.0.1:80", Sequence: 3}, 2)
 	if !s.Endpoints["a"].Leaving {
-		t.Error("a late message took back that the endpoint is leaving")
+		t.Error("an outdated heartbeat reset the draining state")
 	}
 }
 
-func TestGoneStaysGone(t *testing.T) {
+func TestRemovedEndpointStaysRemoved(t *testing.T) {
 	var s State
 	s.Put(Endpoint{ID: "a", Address: "10.0.0.1:80", Sequence: 1}, 3)
 	s.Remove("a", 9)
 	s.Put(Endpoint{ID: "a", Address: "10.0.0.1:80", Sequence: 9}, 4)
 	if len(s.Endpoints) != 0 {
-		t.Error("an endpoint that had ended came back")
+		t.Error("a heartbeat registered a removed endpoint again")
 	}
 }
 
-func TestAddressHasOneEndpoint(t *testing.T) {
+func TestOneEndpointPerAddress(t *testing.T) {
 	var s State
 	s.Put(Endpoint{ID: "a", Address: "10.0.0.1:80", Sequence: 1}, 5)
 	s.Put(Endpoint{ID: "b", Address: "10.0.0.1:80", Sequence: 1}, 6)
 	if _, ok := s.Endpoints["a"]; ok || len(s.Endpoints) != 1 {
-		t.Errorf("two endpoints at one address: %v", s.Endpoints)
+		t.Errorf("endpoints at one address: %v, want only b", s.Endpoints)
 	}
 }
 
-// TestFollowedComesBack: an endpoint whose address a late word of another took comes back
-// when it tells of itself anew, and is not told to be gone then. One that said that it ended
-// does not, nor does a word from before.
-func TestFollowedComesBack(t *testing.T) {
+// TestReplacedEndpointIsReinstated: an endpoint that a delayed message of another replaced must be
+// registered again by its next heartbeat, but not by an older one, nor after its termination.
+func TestReplacedEndpointIsReinstated(t *testing.T) {
 	var s State
 	s.Put(Endpoint{ID: "new", Address: "10.0.0.1:80", Sequence: 7}, 1)
 	s.Put(Endpoint{ID: "old", Address: "10.0.0.1:80", Sequence: 1}, 2)
 	if !s.IsGone("new") || s.Accepts(Endpoint{ID: "new", Address: "10.0.0.1:80", Sequence: 7}) {
-		t.Error("a word from before was taken")
+		t.Error("an old heartbeat of a replaced endpoint was accepted")
 	}
 	again := Endpoint{ID: "new", Address: "10.0.0.1:80", Sequence: 8}
 	if other := s.Contests(again); other != "old" || !s.Accepts(again) {
-		t.Errorf("contests %q, accepted %v", other, s.Accepts(again))
+		t.Errorf("conflicts with %q, accepted %v", other, s.Accepts(again))
 	}
 	s.Put(again, 3)
 	_, there := s.Endpoints["new"]
 	if !there || s.IsGone("new") || !s.IsGone("old") {
-		t.Errorf("%v, gone %v", s.Endpoints, s.Gone)
+		t.Errorf("endpoints %v, removed %v", s.Endpoints, s.Gone)
 	}
-	if changed, gone, ok := since(&s, 1); !ok || len(changed) != 1 || len(gone) != 1 || gone[0] != "old" {
-		t.Errorf("since its first word: %v, %v, %v", changed, gone, ok)
+	if changed, removed, ok := changesSince(&s, 1); !ok || len(changed) != 1 || len(removed) != 1 || removed[0] != "old" {
+		t.Errorf("changes since its first heartbeat: %v, removed %v, %v", changed, removed, ok)
 	}
 	s.Remove("old", 4)
 	if s.Accepts(Endpoint{ID: "old", Address: "10.0.0.1:80", Sequence: 99}) {
-		t.Error("an endpoint that ended came back")
+		t.Error("a heartbeat of a terminated endpoint was accepted")
 	}
 }
 
-func TestGoneIsBounded(t *testing.T) {
+func TestRemovedIsBounded(t *testing.T) {
 	var s State
-	for i := range 3 * maxGone {
+	for i := range 3 * maxRemoved {
 		s.Remove(string(rune('a'+i%26))+string(rune(i)), uint64(i+1))
 	}
-	if len(s.Gone) != maxGone || len(s.isGone) != maxGone || len(s.GoneAt) != maxGone {
-		t.Errorf("%d endpoints that are gone are remembered, want %d", len(s.Gone), maxGone)
+	if len(s.Gone) != maxRemoved || len(s.removedIDs) != maxRemoved || len(s.GoneAt) != maxRemoved {
+		t.Errorf("%d removed endpoints are kept, want %d", len(s.Gone), maxRemoved)
 	}
 }
 
-// since returns all that changed after a revision; false where that is not known.
-func since(s *State, revision uint64) (changed []Endpoint, gone []string, ok bool) {
+// changesSince returns all changes after a revision; false if some are no longer known.
+func changesSince(s *State, revision uint64) (changed []Endpoint, removed []string, ok bool) {
 	if !s.Reaches(revision) {
 		return nil, nil, false
 	}
@@ -87,9 +86,9 @@
 	return p.Endpoints, p.Gone, true
 }
 
-// TestSinceTellsEachChangeOnce follows a registry through random changes: who applies what
-// it is told since the revision that it has seen knows what is there.
-func TestSinceTellsEachChangeOnce(t *testing.T) {
+// TestChangesReproduceState: a reader that applies the changes since its last revision must have the
+// same endpoints as the State, through random changes.
+func TestChangesReproduceState(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var s State
 	seen := make(map[string]Endpoint)
@@ -104,12 +103,12 @@
 		if random.IntN(40) != 0 {
 			continue
 		}
-		changed, gone, ok := since(&s, revision)
+		changed, removed, ok := changesSince(&s, revision)
 		if !ok {
 			clear(seen)
 			changed = s.List()
 		}
-		for _, id := range gone {
+		for _, id := range removed {
 			delete(seen, id)
 		}
 		for _, e := range changed {
@@ -122,25 +121,25 @@
 	}
 }
 
-// TestSinceAsksForAllWhereItDoesNotKnow: of a revision whose later ends are forgotten, and
-// of one that is ahead of this log.
-func TestSinceAsksForAllWhereItDoesNotKnow(t *testing.T) {
+// TestResumeRefusedWhenChangesAreMissing: a revision whose later removals were compacted, or one
+// ahead of this log, must not be resumed from.
+func TestResumeRefusedWhenChangesAreMissing(t *testing.T) {
 	var s State
-	for i := range uint64(2 * maxGone) {
+	for i := range uint64(2 * maxRemoved) {
 		s.Remove(fmt.Sprint(i), i+1)
 	}
-	for _, revision := range []uint64{0, 1, maxGone - 1, 2*maxGone + 1} {
-		if _, _, ok := since(&s, revision); ok {
-			t.Errorf("changes since revision %d are told, though some may be missing", revision)
+	for _, revision := range []uint64{0, 1, maxRemoved - 1, 2*maxRemoved + 1} {
+		if _, _, ok := changesSince(&s, revision); ok {
+			t.Errorf("resumed from revision %d, though changes may be missing", revision)
 		}
 	}
-	if _, gone, ok := since(&s, 2*maxGone-3); !ok || len(gone) != 3 {
-		t.Errorf("%d ends since the revision before the last three, %v", len(gone), ok)
+	if _, removed, ok := changesSince(&s, 2*maxRemoved-3); !ok || len(removed) != 3 {
+		t.Errorf("%d removals, resumed %v; want the last three", len(removed), ok)
 	}
 }
 
-// TestSnapshotKeepsRevisions: a State that was read from a snapshot goes on as the one that
-// was written.
+// TestSnapshotKeepsRevisions: a State restored from a snapshot must know the same changes and
+// addresses as before.
 func TestSnapshotKeepsRevisions(t *testing.T) {
 	var s, again State
 	s.Put(Endpoint{ID: "a", Address: "10.0.0.1:80", Sequence: 1}, 3)
@@ -153,12 +152,12 @@
 	if err := json.Unmarshal(data, &again); err != nil {
 		t.Fatal(err)
 	}
-	changed, gone, ok := since(&again, 3)
-	if !ok || len(changed) != 0 || len(gone) != 1 || gone[0] != "b" {
-		t.Errorf("since revision 3: %v, %v, %v; want that b is gone", changed, gone, ok)
+	changed, removed, ok := changesSince(&again, 3)
+	if !ok || len(changed) != 0 || len(removed) != 1 || removed[0] != "b" {
+		t.Errorf("since revision 3: %v, %v, %v; want only the removal of b", changed, removed, ok)
 	}
 	again.Put(Endpoint{ID: "c", Address: "10.0.0.1:80", Sequence: 1}, 9)
 	if !again.IsGone("a") {
-		t.Error("an endpoint at the address of a new one is still there")
+		t.Error("an endpoint was not replaced by a new one at its address")
 	}
 }
--- a/registry/start.go
+++ b/registry/start.go
@@ -8,31 +8,31 @@
 	"strings"
 )
 
-// An endpoint may start again under the name that it had. Each start is an endpoint of its own here, and
-// so for all that goes by ids: places, measured speeds, what is kept of prompts, connections, drains,
-// suspicion. Its id has the name and when it started, as in "i-7f3a91c2/1764740000123". That of a start
-// that does not tell when it was is the name alone.
+// An endpoint may restart under the same name. Each instance is an endpoint of its own for all state that
+// is keyed by ID, such as capacity, measured speeds, cached prompts, connections, drains and suspicions. The
+// ID has the name and the start time, such as "i-7f3a91c2/1764740000123", or only the name if the endpoint
+// doesn't report its start time.
 
-// startMark stands in an id between name and time. No name has it: it ends a part of a path.
-const startMark = "/"
+// instanceSeparator separates name and start time in an ID. No name contains it, as names are path segments.
+const instanceSeparator = "/"
 
-// StartID returns the id of a start.
+// InstanceID returns the ID of an endpoint's instance; the name alone if born is 0.
 func StartID(name string, born uint64) string {
 	if born == 0 {
 		return name
 	}
-	return name + startMark + strconv.FormatUint(born, 10)
+	return name + instanceSeparator + strconv.FormatUint(born, 10)
 }
 
-// Name returns the name by which the endpoint of an id goes to others.
+// Name returns the endpoint's name in an instance ID. Instances of an endpoint share it.
 func Name(id string) string {
-	name, _, _ := strings.Cut(id, startMark)
+	name, _, _ := strings.Cut(id, instanceSeparator)
 	return name
 }
 
-// bornOf returns when the start of an id was; 0 if the id does not tell.
-func bornOf(id string) uint64 {
-	_, text, _ := strings.Cut(id, startMark)
+// startTimeOf returns the start time in an instance ID; 0 if it has none.
+func startTimeOf(id string) uint64 {
+	_, text, _ := strings.Cut(id, instanceSeparator)
 	born, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
 		return 0
@@ -40,83 +40,83 @@
 	return born
 }
 
-// start is the last start of a name.
-type start struct {
+// instance is the newest known instance of an endpoint name.
+type instance struct {
 	id   string
 	born uint64
 }
 
-// indexStarts finds the last start of each name.
-func (s *State) indexStarts() {
-	s.starts = make(map[string]start, len(s.Endpoints))
+// indexInstances finds the newest instance of each name.
+func (s *State) indexInstances() {
+	s.lastInstances = make(map[string]instance, len(s.Endpoints))
 	for _, id := range s.Gone {
-		s.noteStart(id, 0)
+		s.recordInstance(id, 0)
 	}
 	for id, e := range s.Endpoints {
-		s.noteStart(id, e.Born)
+		s.recordInstance(id, e.Born)
 	}
 }
 
-// noteStart takes note of a start that tells when it was in its id or beside it. It comes out the same in any
-// order: members that began with a snapshot must not differ from others.
-func (s *State) noteStart(id string, born uint64) {
-	born = max(born, bornOf(id))
-	last, ok := s.starts[Name(id)]
+// recordInstance records an instance if it is the newest of its name; born is its start time if the ID has none.
+// The result doesn't depend on the order of calls: members restored from a snapshot must agree with the others.
+func (s *State) recordInstance(id string, born uint64) {
+	born = max(born, startTimeOf(id))
+	last, ok := s.lastInstances[Name(id)]
 	switch {
-	case !ok || born > last.born || s.isThere(id) && born == last.born:
-	case born == last.born && !s.isThere(last.id) && len(id) > len(last.id):
+	case !ok || born > last.born || s.isPresent(id) && born == last.born:
+	case born == last.born && !s.isPresent(last.id) && len(id) > len(last.id):
 	default:
 		return
 	}
-	s.starts[Name(id)] = start{id: id, born: born}
+	s.lastInstances[Name(id)] = instance{id: id, born: born}
 }
 
-func (s *State) isThere(id string) bool {
+func (s *State) isPresent(id string) bool {
 	_, ok := s.Endpoints[id]
 	return ok
 }
 
-// Start returns an endpoint's word on itself with the id of the start that it is of. It is false for a
-// word that counts for nothing: it is of an earlier start than the last one, or does not tell of which
-// though the endpoint has told that before.
-func (s *State) Start(told Endpoint) (Endpoint, bool) {
-	s.index()
-	name := told.ID
-	last, known := s.starts[name]
+// ResolveInstance returns a heartbeat with its name replaced by the ID of its instance. It returns false for
+// a stale heartbeat: one of an earlier instance than the last one, or one without a start time though the
+// endpoint has reported it before.
+func (s *State) Start(received Endpoint) (Endpoint, bool) {
+	s.ensureIndex()
+	name := received.ID
+	last, known := s.lastInstances[name]
 	switch {
-	case known && told.Born < last.born:
-		return told, false
-	case known && told.Born == last.born:
-		told.ID = last.id
-	case known && last.born == 0 && s.isThere(last.id) && told.Sequence > s.Endpoints[last.id].Sequence:
-		// It has not told when it started until now, as nobody would have heard it.
-		told.ID = last.id
+	case known && received.Born < last.born:
+		return received, false
+	case known && received.Born == last.born:
+		received.ID = last.id
+	case known && last.born == 0 && s.isPresent(last.id) && received.Sequence > s.Endpoints[last.id].Sequence:
+		// The same instance: the group's format version had no start times until now.
+		received.ID = last.id
 	default:
-		told.ID = StartID(name, told.Born)
+		received.ID = StartID(name, received.Born)
 	}
-	return told, true
+	return received, true
 }
 
-// Ending returns the id of the start that an endpoint says to end: the last one of its name, if it does not
-// tell when that was.
+// ResolveTermination returns the ID of the instance that an endpoint reports as terminated: the last one of
+// the name if born is 0.
 func (s *State) Ending(name string, born uint64) string {
 	if born == 0 {
 		return s.LastStart(name)
 	}
-	if e, counts := s.Start(Endpoint{ID: name, Born: born, Sequence: math.MaxUint64}); counts {
+	if e, ok := s.Start(Endpoint{ID: name, Born: born, Sequence: math.MaxUint64}); ok {
 		return e.ID
 	}
 	return StartID(name, born)
 }
 
-// LastStart returns the id of the last start of a name; the name itself if there was none.
+// LastInstance returns the ID of the newest instance of a name; the name itself if there is none.
 func (s *State) LastStart(name string) string {
-	s.index()
-	if last, ok := s.starts[name]; ok {
+	s.ensureIndex()
+	if last, ok := s.lastInstances[name]; ok {
 		return last.id
 	}
 	return name
 }
 
-// ParseID returns the name in an id, and when the start was; 0 if the id does not tell.
-func ParseID(id string) (name string, born uint64) { return Name(id), bornOf(id) }
+// ParseID returns the name and the start time in an instance ID; 0 if it has no start time.
+func ParseID(id string) (name string, born uint64) { return Name(id), startTimeOf(id) }
