--- a/message/forms.go
+++ b/message/forms.go
@@ -13,26 +13,26 @@
 	"lynxramp.org/link"
 )
 
-// This file has how messages look for boxes of other builds, and how it is known what those read.
+// This file encodes messages for boxes of other builds, and detects the format version that a peer reads.
 
-// Introduced returns a message that tells, besides, what this box reads and is: the first one of a
-// connection.
+// WithLevel returns a copy of the message with the format version and build of this box, as sent first on
+// a connection.
 func (e *Envelope) Introduced() *Envelope {
 	m := *e
 	m.Level, m.Build = level.Newest, level.Build()
 	return &m
 }
 
-// Peer is the other side of a connection: what it reads. The zero Peer is one that has said nothing
-// yet. It may be used by several goroutines.
-type Peer struct{ reads atomic.Uint32 }
+// Peer is the other side of a connection and the format version that it reads. The zero Peer has sent
+// nothing yet. It is safe for concurrent use.
+type Peer struct{ level atomic.Uint32 }
 
-// Reads returns the level that the peer reads; 0 until its first bytes have come.
-func (p *Peer) Reads() level.Level { return level.Level(p.reads.Load()) }
+// Level returns the format version that the peer reads; 0 before its first bytes.
+func (p *Peer) Reads() level.Level { return level.Level(p.level.Load()) }
 
-// marks are names of fields that a level's messages have and earlier ones' have not, with their
-// lengths, as they stand in definitions of types. The newest level comes first.
-var marks = []struct {
+// levelFields are names of fields that messages have from a level on, each with its length as in gob's type
+// definitions. The newest level comes first.
+var levelFields = []struct {
 	level level.Level
 	field string
 }{
@@ -43,61 +43,61 @@
 	{level.Packed, "\x08Revision"},
 }
 
-// begins takes a peer's first bytes, which define the types of all its messages. From Told on the
-// first message tells the level.
-func (p *Peer) begins(begun []byte) {
-	for _, m := range marks {
-		if bytes.Contains(begun, []byte(m.field)) {
-			p.reads.Store(uint32(m.level))
+// detectLevel sets the level by a peer's first bytes, which hold the gob type definitions of its messages.
+// From level.Negotiated on the first message has the exact level (updateLevel).
+func (p *Peer) detectLevel(definitions []byte) {
+	for _, m := range levelFields {
+		if bytes.Contains(definitions, []byte(m.field)) {
+			p.level.Store(uint32(m.level))
 			return
 		}
 	}
-	p.reads.Store(uint32(level.Listed))
+	p.level.Store(uint32(level.Listed))
 }
 
-func (p *Peer) hears(m *Envelope) {
+func (p *Peer) updateLevel(m *Envelope) {
 	if m != nil && m.Level > 0 {
-		p.reads.Store(uint32(m.Level))
+		p.level.Store(uint32(m.Level))
 	}
 }
 
-// Asking returns the forms of a connection to a control box.
+// ClientEncodings returns the encodings of a connection that this box opened to a control box.
 func (p *Peer) Asking() link.Forms[Envelope] {
 	return link.Forms[Envelope]{Frame: frameToControl, Reader: p.readerOf(readListed)}
 }
 
-// Answering returns the forms of a connection that another box made to this one, a control box.
+// ServerEncodings returns the encodings of a connection that another box opened to this control box.
 func (p *Peer) Answering() link.Forms[Envelope] {
-	return link.Forms[Envelope]{Frame: p.frameAnswer, Reader: p.readerOf(readToControl)}
+	return link.Forms[Envelope]{Frame: p.frameReply, Reader: p.readerOf(readToControl)}
 }
 
-// readerOf returns a link.Forms.Reader, with the way to read what a peer sends whose type of a View
-// is another than ours.
+// readerOf returns a link.Forms.Reader. It reads with older what a peer below level.Compressed sends, whose
+// View has other types.
 func (p *Peer) readerOf(older link.Reader[Envelope]) func([]byte) link.Reader[Envelope] {
-	return func(begun []byte) link.Reader[Envelope] {
-		p.begins(begun)
-		read := readUsual
+	return func(definitions []byte) link.Reader[Envelope] {
+		p.detectLevel(definitions)
+		read := readCurrent
 		if p.Reads() < level.Packed {
 			read = older
 		}
 		return func(in *gob.Decoder) (*Envelope, error) {
 			m, err := read(in)
-			p.hears(m)
+			p.updateLevel(m)
 			return m, err
 		}
 	}
 }
 
-type usualFrame struct{ Message *Envelope }
+type currentFrame struct{ Message *Envelope }
 
-func readUsual(in *gob.Decoder) (*Envelope, error) {
-	var f usualFrame
+func readCurrent(in *gob.Decoder) (*Envelope, error) {
+	var f currentFrame
 	err := in.Decode(&f)
 	return f.Message, err
 }
 
-// toControl is what control boxes are sent. It has no type that differs between levels: boxes of
-// Listed could read no message at all of a connection whose View is not theirs.
+// toControl has the messages to control boxes. It has no type that differs between levels: a box of
+// level.Listed can read no message of a connection on which the type of View isn't its own.
 type toControl struct {
 	Hello     *Hello
 	Redirect  *Redirect
@@ -135,20 +135,20 @@
 	}, nil
 }
 
-// frameAnswer returns a message for a box that connected. Until it is known what that reads nothing
-// but empty messages are sent to it.
-func (p *Peer) frameAnswer(m *Envelope) any {
-	switch reads := p.Reads(); {
-	case reads == 0:
+// frameReply returns the frame of a message to a box that connected to this one. Until the peer's level is
+// known only empty messages are sent.
+func (p *Peer) frameReply(m *Envelope) any {
+	switch peerLevel := p.Reads(); {
+	case peerLevel == 0:
 		return frameToControl(m)
-	case reads < level.Packed:
+	case peerLevel < level.Packed:
 		return frameListed(m)
 	default:
-		return usualFrame{m}
+		return currentFrame{m}
 	}
 }
 
-// listed is what entries of level Listed are sent.
+// listed has the messages to entries of level.Listed.
 type listed struct {
 	Redirect  *Redirect
 	Pong      *Pong
@@ -175,7 +175,7 @@
 	if v := m.View; v != nil {
 		list, err := v.Endpoints.Unpack()
 		if err != nil {
-			panic(err) // this process packed it
+			panic(err) // can't fail: packed by this process
 		}
 		f.Message.View = &listedView{
 			Document: v.Document, Version: v.Version, Whole: v.Whole, Endpoints: list, Gone: v.Gone, Members: v.Members,
--- a/message/forms_test.go
+++ b/message/forms_test.go
@@ -19,14 +19,14 @@
 	"lynxramp.org/registry"
 )
 
-// The files of testdata are what a connection's dialler or an owner of a commit sends: a first message
-// and then nothing. They were recorded with link.Dial of that commit.
-var recorded = map[string]level.Level{
+// recordedLevels has the level of each build recorded in testdata, by commit. A file has the bytes that a
+// control box or an entry of that build sends after dialling, or an owner to an entry: one message.
+var recordedLevels = map[string]level.Level{
 	"d61e540": level.Listed, "50d3523": level.Packed, "e994de1": level.Parts, "53e223b": level.Parts, "de049ca": level.Suspects,
 	"9c63b0b": level.Told, "a229638": level.Starts,
 }
 
-// replay serves a connection whose other side sends recorded bytes, and returns the messages that come.
+// replay serves a connection on which a peer sends recorded bytes, and returns the messages received.
 func replay(t *testing.T, file string, forms link.Forms[Envelope]) []*Envelope {
 	t.Helper()
 	data, err := os.ReadFile("testdata/" + file)
@@ -43,7 +43,7 @@
 	served := make(chan struct{})
 	l, err := link.Listen("127.0.0.1:0", func(c *link.Conn[Envelope]) {
 		c.SetForms(forms)
-		_ = c.Serve(receive) // it ends with the bytes
+		_ = c.Serve(receive) // returns at the end of the bytes
 		close(served)
 	})
 	if err != nil {
@@ -61,29 +61,29 @@
 	select {
 	case <-served:
 	case <-time.After(5 * time.Second):
-		t.Error("the connection does not end")
+		t.Error("the connection was not closed")
 	}
 	_ = raw.Close()
 }
 
-// TestEarlierBuildsAreRead: what boxes of earlier builds send is read, and it is known by it which forms
-// they read. Messages of d61e540 had ended each connection: the type of one field was another.
-func TestEarlierBuildsAreRead(t *testing.T) {
-	for commit, want := range recorded {
+// TestReadsMessagesOfEarlierBuilds: messages of earlier builds must be decoded, also where a field's type has changed
+// since, and must reveal the format version that the sender reads.
+func TestReadsMessagesOfEarlierBuilds(t *testing.T) {
+	for commit, want := range recordedLevels {
 		var peer Peer
 		list := replay(t, commit+"-control.bytes", peer.Answering())
 		if len(list) != 1 || list[0].Consensus == nil || string(list[0].Consensus.Entries[0].Data) != "data" || peer.Reads() != want {
-			t.Errorf("%s: a control box reads level %d, want %d; it said %+v", commit, peer.Reads(), want, list)
+			t.Errorf("%s: a control box reads level %d, want %d; received %+v", commit, peer.Reads(), want, list)
 		}
 		peer = Peer{}
 		list = replay(t, commit+"-entry.bytes", peer.Answering())
 		if len(list) != 1 || list[0].Hello == nil || list[0].Hello.Entry != "entry-1" || peer.Reads() != want {
-			t.Errorf("%s: an entry reads level %d, want %d; it said %+v", commit, peer.Reads(), want, list)
+			t.Errorf("%s: an entry reads level %d, want %d; received %+v", commit, peer.Reads(), want, list)
 		}
 		peer = Peer{}
 		list = replay(t, commit+"-owner.bytes", peer.Asking())
 		if len(list) != 1 || list[0].View == nil {
-			t.Errorf("%s: an owner said %+v", commit, list)
+			t.Errorf("%s: received %+v from an owner", commit, list)
 			continue
 		}
 		checkView(t, commit, list[0].View, want)
@@ -97,11 +97,11 @@
 		t.Errorf("%s: %+v, %v: %+v", commit, v, err, endpoints)
 	}
 	if whole := string(v.Document) == `{"version":4}`; whole != (reads < level.Parts) {
-		t.Errorf("%s: the configuration came whole: %v", commit, whole)
+		t.Errorf("%s: received the whole configuration: %v", commit, whole)
 	}
 }
 
-// frameOfListed and frameOfPacked are the types that builds of those levels read views with.
+// frameOfListed and frameOfPacked are the types into which builds of those levels decode views.
 type (
 	frameOfListed struct {
 		Message *struct {
@@ -124,8 +124,8 @@
 	}
 )
 
-// encoded returns frames as a connection has them.
-func encoded(t *testing.T, frames ...any) *gob.Decoder {
+// encodeFrames returns a decoder of frames encoded as on a connection.
+func encodeFrames(t *testing.T, frames ...any) *gob.Decoder {
 	t.Helper()
 	var wire bytes.Buffer
 	out := gob.NewEncoder(&wire)
@@ -137,17 +137,17 @@
 	return gob.NewDecoder(&wire)
 }
 
-// TestEarlierBuildsRead: boxes of earlier builds read what they are sent, also what comes before it is
-// known what they read.
-func TestEarlierBuildsRead(t *testing.T) {
+// TestEarlierBuildsReadOurMessages: boxes of earlier builds must be able to decode what they are sent, also before
+// their level is known.
+func TestEarlierBuildsReadOurMessages(t *testing.T) {
 	list := []Endpoint{{Endpoint: registry.Endpoint{ID: "i-1", Address: "a"}, Down: true}}
 	view := &Envelope{View: &View{Version: 4, Document: []byte("{}"), Endpoints: Pack(list), Revision: 5, Silent: []event.EndpointID{"i-1"}}}
 	hello := (&Envelope{Consensus: &consensus.Message{From: "a", To: "b"}}).Introduced()
 
 	listedPeer := &Peer{}
-	first := listedPeer.frameAnswer(nil)
-	listedPeer.reads.Store(uint32(level.Listed))
-	in := encoded(t, first, frameToControl(hello), listedPeer.frameAnswer(nil), listedPeer.frameAnswer(view))
+	first := listedPeer.frameReply(nil)
+	listedPeer.level.Store(uint32(level.Listed))
+	in := encodeFrames(t, first, frameToControl(hello), listedPeer.frameReply(nil), listedPeer.frameReply(view))
 	var f frameOfListed
 	for range 4 {
 		f = frameOfListed{}
@@ -160,9 +160,9 @@
 	}
 
 	packedPeer := &Peer{}
-	first = packedPeer.frameAnswer(nil)
-	packedPeer.reads.Store(uint32(level.Packed))
-	in = encoded(t, first, frameToControl(hello), packedPeer.frameAnswer(view))
+	first = packedPeer.frameReply(nil)
+	packedPeer.level.Store(uint32(level.Packed))
+	in = encodeFrames(t, first, frameToControl(hello), packedPeer.frameReply(view))
 	var p frameOfPacked
 	for range 3 {
 		p = frameOfPacked{}
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestLevelIsTold: a box of this build says what it reads with its first message, in few bytes.
-func TestLevelIsTold(t *testing.T) {
+// TestFirstMessageCarriesLevel: the first message of a box must have its level and build, in few bytes.
+func TestFirstMessageCarriesLevel(t *testing.T) {
 	var wire bytes.Buffer
 	out := gob.NewEncoder(&wire)
 	hello := &Envelope{Hello: &Hello{Entry: "e", Life: 1}}
@@ -184,30 +184,30 @@
 		t.Fatal(err)
 	}
 	var peer Peer
-	said := 0
+	received := 0
 	serveBytes(t, bytes.Clone(wire.Bytes()), peer.Answering(), func(m *Envelope) {
-		said++
+		received++
 		if m.Hello == nil || m.Level != level.Newest || m.Build != level.Build() {
 			t.Errorf("%+v", m)
 		}
 	})
-	if said != 1 || peer.Reads() != level.Newest {
-		t.Errorf("%d messages, level %d", said, peer.Reads())
+	if received != 1 || peer.Reads() != level.Newest {
+		t.Errorf("%d messages, level %d", received, peer.Reads())
 	}
 	var without bytes.Buffer
 	if err := gob.NewEncoder(&without).Encode(frameToControl(hello)); err != nil {
 		t.Fatal(err)
 	}
-	// The two fields in the definition of the type come on top: their names, types and lengths.
+	// Not counted: the names, types and lengths of the two fields in the type definition.
 	const definition = len("Level") + len("Build") + 2*5
-	if most, got := 64, wire.Len()-without.Len()+definition; got > most {
-		t.Errorf("a level takes %d bytes of a connection, want %d at the most", got, most)
+	if limit, got := 64, wire.Len()-without.Len()+definition; got > limit {
+		t.Errorf("level and build take %d bytes, want at most %d", got, limit)
 	}
 }
 
-// FuzzPeer: whatever a peer sends, the connection ends and nothing breaks.
+// FuzzPeer: no bytes of a peer may cause a panic or keep the connection open.
 func FuzzPeer(f *testing.F) {
-	for commit := range recorded {
+	for commit := range recordedLevels {
 		for _, who := range []string{"control", "entry", "owner"} {
 			data, err := os.ReadFile("testdata/" + commit + "-" + who + ".bytes")
 			if err != nil {
--- a/message/listing.go
+++ b/message/listing.go
@@ -17,26 +17,25 @@
 	"lynxramp.org/registry"
 )
 
-// Listing is a list of endpoints, column by column and compressed, for boxes that read level.Starts. It has
-// what entries need: not the count of an endpoint's messages. 1,000 endpoints with their starts take 13 kB
-// (BenchmarkListing), as Packed 22, and 29 with the counts: that is most of what a thousand entries are sent when all processes
-// start anew.
+// Listing is a list of endpoints, encoded by column and compressed, for boxes that read level.Instances. It
+// leaves out the sequence, which entries don't need. It is smaller than Packed, as endpoints are most of what
+// is sent to entries when all processes restart.
 type Listing []byte
 
-// columns are the endpoints of a listing.
+// columns is a decompressed Listing.
 type columns struct {
-	// Prefix is what all names begin with, and Names the rest of each, of NameBytes if they are all as long,
-	// else separated by blanks, which no name has.
+	// Prefix is the common prefix of all names, Names the remainder of each. If these are equally long,
+	// NameBytes is their length; else it is 0 and they are separated by spaces, which no name contains.
 	Prefix, Names string
 	NameBytes     int
-	Earliest      uint64 // the earliest start that any tells
-	// Born is how long after Earliest each started, plus one, as varints; 0 for one that does not tell.
+	Earliest      uint64 // earliest start time of the endpoints that report one
+	// Born has each start time as milliseconds since Earliest plus one, as varints; 0 for an unknown one.
 	Born []byte
-	// Hosts and Ports are the addresses: all first bytes of hosts, then all second ones and so on, and two bytes
-	// a port. If there is an address of another form, all are in Addresses.
+	// Hosts has the IPv4 addresses: the first bytes of all, then the second bytes and so on. Ports has two bytes
+	// for each. If any address isn't an IPv4 address with port, all are in Addresses instead.
 	Hosts, Ports []byte
 	Addresses    []string
-	// Service and DataCentre are indexes into the texts, two bytes each.
+	// Service and DataCentre are indexes into Texts, two bytes each.
 	Texts               []string
 	Service, DataCentre []byte
 	Slots               []int
@@ -45,22 +44,22 @@
 
 // Flags of an endpoint in a listing.
 const (
-	flagLeaving = 1 << iota
+	flagDraining = 1 << iota
 	flagDown
 )
 
-// List makes a listing.
+// NewListing encodes a list of endpoints.
 func List(list []Endpoint) Listing {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
 	if err != nil {
-		panic(err) // the level is one that there is
+		panic(err) // can't fail: the compression level is valid
 	}
 	if err := gob.NewEncoder(w).Encode(columnsOf(list)); err != nil {
-		panic(err) // texts and numbers always encode
+		panic(err) // can't fail for strings and numbers
 	}
 	if err := w.Close(); err != nil {
-		panic(err) // a buffer takes all
+		panic(err) // can't fail for a bytes.Buffer
 	}
 	return b.Bytes()
 }
@@ -98,7 +97,7 @@
 		c.Slots = append(c.Slots, e.Slots)
 		flags := byte(0)
 		if e.Leaving {
-			flags |= flagLeaving
+			flags |= flagDraining
 		}
 		if e.Down {
 			flags |= flagDown
@@ -109,7 +108,7 @@
 	return c
 }
 
-// addNames writes the names of a list.
+// addNames sets Prefix, Names and NameBytes.
 func (c *columns) addNames(names []string) {
 	if len(names) == 0 {
 		return
@@ -121,10 +120,10 @@
 		}
 	}
 	c.NameBytes = len(names[0]) - len(c.Prefix)
-	rests := make([]string, len(names))
+	suffixes := make([]string, len(names))
 	for i, name := range names {
-		rests[i] = name[len(c.Prefix):]
-		if len(rests[i]) != c.NameBytes {
+		suffixes[i] = name[len(c.Prefix):]
+		if len(suffixes[i]) != c.NameBytes {
 			c.NameBytes = 0
 		}
 	}
@@ -132,23 +131,23 @@
 	if c.NameBytes > 0 {
 		separator = ""
 	}
-	c.Names = strings.Join(rests, separator)
+	c.Names = strings.Join(suffixes, separator)
 }
 
-// names returns the names of a list of n endpoints; fewer or more if they don't fit.
+// names returns the names without the prefix. The caller checks their number.
 func (c *columns) names() []string {
 	if c.NameBytes <= 0 {
 		return strings.Split(c.Names, " ")
 	}
 	var list []string
-	for rest := range slices.Chunk([]byte(c.Names), c.NameBytes) {
-		list = append(list, string(rest))
+	for suffix := range slices.Chunk([]byte(c.Names), c.NameBytes) {
+		list = append(list, string(suffix))
 	}
 	return list
 }
 
-// born returns the starts of n endpoints.
-func (c *columns) born(n int) ([]uint64, error) {
+// startTimes returns the start times of n endpoints.
+func (c *columns) startTimes(n int) ([]uint64, error) {
 	list := make([]uint64, n)
 	rest := c.Born
 	for i := range list {
@@ -167,7 +166,7 @@
 	return list, nil
 }
 
-// addAddresses writes the addresses of a list in the shorter form, if all have it.
+// addAddresses sets Hosts and Ports if all endpoints have IPv4 addresses, else Addresses.
 func (c *columns) addAddresses(list []Endpoint) {
 	n := len(list)
 	c.Hosts = make([]byte, 4*n)
@@ -187,18 +186,18 @@
 	}
 }
 
-// errListing says that a listing's columns don't fit together.
-var errListing = errors.New("the columns of listed endpoints don't fit together")
+// errListing is returned for a listing whose columns don't match in length or content.
+var errListing = errors.New("endpoint listing has inconsistent columns")
 
-// Endpoints returns the list; none of no bytes.
+// Endpoints decodes the list; an empty Listing has no endpoints.
 func (l Listing) Endpoints() ([]Endpoint, error) {
 	if len(l) == 0 {
 		return nil, nil
 	}
 	c := &columns{}
-	r := io.LimitReader(flate.NewReader(bytes.NewReader(l)), packedMost)
+	r := io.LimitReader(flate.NewReader(bytes.NewReader(l)), maxUnpackedBytes)
 	if err := gob.NewDecoder(r).Decode(c); err != nil {
-		return nil, errors.Wrap(err, "listed endpoints")
+		return nil, errors.Wrap(err, "decoding an endpoint listing")
 	}
 	n := len(c.Flags)
 	names := c.names()
@@ -207,7 +206,7 @@
 	if len(names) != n || len(c.Service) != 2*n || len(c.DataCentre) != 2*n || len(c.Slots) != n || !short && !long {
 		return nil, errListing
 	}
-	born, err := c.born(n)
+	born, err := c.startTimes(n)
 	if err != nil {
 		return nil, err
 	}
@@ -220,7 +219,7 @@
 		e := &list[i]
 		e.ID = registry.StartID(c.Prefix+names[i], born[i])
 		e.Service, e.DataCentre, e.Slots = c.Texts[service], c.Texts[dataCentre], c.Slots[i]
-		e.Leaving, e.Down = c.Flags[i]&flagLeaving != 0, c.Flags[i]&flagDown != 0
+		e.Leaving, e.Down = c.Flags[i]&flagDraining != 0, c.Flags[i]&flagDown != 0
 		if long {
 			e.Address = c.Addresses[i]
 			continue
@@ -231,7 +230,7 @@
 	return slices.Clip(list), nil
 }
 
-// List returns the endpoints that a view tells of, in either form.
+// DecodeEndpoints returns the endpoints of the view in either encoding.
 func (v *View) List() ([]Endpoint, error) {
 	if len(v.Listed) > 0 {
 		return v.Listed.Endpoints()
--- a/message/listing_test.go
+++ b/message/listing_test.go
@@ -15,8 +15,8 @@
 	"lynxramp.org/registry"
 )
 
-// started returns endpoints as unlike as those of users, with their starts.
-func started(n int) []Endpoint {
+// makeInstances returns n endpoints with varied names, start times and addresses.
+func makeInstances(n int) []Endpoint {
 	r := rand.New(rand.NewPCG(1, 2))
 	var all []Endpoint
 	for i := range n {
@@ -29,12 +29,12 @@
 	return all
 }
 
-func TestListingComesBack(t *testing.T) {
-	odd := started(5)
-	odd[0].Address, odd[1].Address, odd[2].ID, odd[3].ID, odd[4].Service = "[::1]:80", "name:80", "bare", "", ""
-	six := started(3)
-	six[1].ID = "bare"
-	for _, list := range [][]Endpoint{started(1), started(40), started(3000), odd, six} {
+func TestListingRoundTrip(t *testing.T) {
+	irregular := makeInstances(5)
+	irregular[0].Address, irregular[1].Address, irregular[2].ID, irregular[3].ID, irregular[4].Service = "[::1]:80", "name:80", "bare", "", ""
+	mixed := makeInstances(3)
+	mixed[1].ID = "bare"
+	for _, list := range [][]Endpoint{makeInstances(1), makeInstances(40), makeInstances(3000), irregular, mixed} {
 		got, err := List(list).Endpoints()
 		if err != nil {
 			t.Fatal(err)
@@ -44,21 +44,21 @@
 		}
 	}
 	if got, err := Listing(nil).Endpoints(); err != nil || len(got) != 0 {
-		t.Errorf("nothing came back as %v, %v", got, err)
+		t.Errorf("an empty listing decoded to %v, %v", got, err)
 	}
 }
 
-// TestListingIsShort: a thousand entries that start anew before 10,000 endpoints are sent ten million of them.
-func TestListingIsShort(t *testing.T) {
-	all := started(1000)
+// TestListingIsSmallerThanPacked: endpoint lists are most of what entries are sent after a restart of all processes.
+func TestListingIsSmallerThanPacked(t *testing.T) {
+	all := makeInstances(1000)
 	if listed, packed := len(List(all)), len(Pack(all)); listed > packed*6/10 {
-		t.Errorf("%d bytes for 1,000 endpoints, %d row by row", listed, packed)
+		t.Errorf("%d bytes for 1,000 endpoints, %d bytes packed", listed, packed)
 	}
 }
 
-func TestOddListingIsNotRead(t *testing.T) {
+func TestInvalidListingIsRejected(t *testing.T) {
 	encode := func(change func(*columns)) Listing {
-		c := columnsOf(started(4))
+		c := columnsOf(makeInstances(4))
 		change(c)
 		var b bytes.Buffer
 		w, err := flate.NewWriter(&b, flate.BestSpeed)
@@ -74,25 +74,25 @@
 		return b.Bytes()
 	}
 	for name, l := range map[string]Listing{
-		"nonsense": []byte("nonsense"), "cut short": List(started(40))[:60],
-		"a name less":       encode(func(c *columns) { c.Names = "a b c" }),
-		"a place less":      encode(func(c *columns) { c.Ports = c.Ports[1:] }),
-		"both forms":        encode(func(c *columns) { c.Addresses = []string{"a", "b", "c", "d"} }),
-		"no text":           encode(func(c *columns) { c.Texts = nil }),
-		"a start less":      encode(func(c *columns) { c.Born = c.Born[:len(c.Born)-1] }),
-		"no flags":          encode(func(c *columns) { c.Flags = nil }),
-		"no slots":          encode(func(c *columns) { c.Slots = nil }),
-		"a service too far": encode(func(c *columns) { c.Service[0] = 255 }),
+		"nonsense": []byte("nonsense"), "truncated": List(makeInstances(40))[:60],
+		"missing name":         encode(func(c *columns) { c.Names = "a b c" }),
+		"missing port byte":    encode(func(c *columns) { c.Ports = c.Ports[1:] }),
+		"both address forms":   encode(func(c *columns) { c.Addresses = []string{"a", "b", "c", "d"} }),
+		"no texts":             encode(func(c *columns) { c.Texts = nil }),
+		"missing start time":   encode(func(c *columns) { c.Born = c.Born[:len(c.Born)-1] }),
+		"no flags":             encode(func(c *columns) { c.Flags = nil }),
+		"no slots":             encode(func(c *columns) { c.Slots = nil }),
+		"service out of range": encode(func(c *columns) { c.Service[0] = 255 }),
 	} {
 		if got, err := l.Endpoints(); err == nil {
-			t.Errorf("%s: read as %+v", name, got)
+			t.Errorf("%s: decoded to %+v", name, got)
 		}
 	}
 }
 
-// FuzzListing: whatever bytes come, they are read as a list that comes back, or not at all.
+// FuzzListing: any bytes are either rejected or decode to a list that can be encoded and decoded again.
 func FuzzListing(f *testing.F) {
-	f.Add([]byte(List(started(3))))
+	f.Add([]byte(List(makeInstances(3))))
 	f.Add([]byte{1})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		list, err := Listing(data).Endpoints()
@@ -105,10 +105,9 @@
 	})
 }
 
-// BenchmarkListing measures what 1,000 endpoints with their starts take, in bytes, and in time to make and to read,
-// column by column and row by row.
+// BenchmarkListing measures the size, encoding and decoding of 1,000 endpoints as Listing and as Packed.
 func BenchmarkListing(b *testing.B) {
-	all := started(1000)
+	all := makeInstances(1000)
 	listed, packed := List(all), Pack(all)
 	b.Run("list", func(b *testing.B) {
 		for range b.N {
--- a/message/message.go
+++ b/message/message.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 
-// Package message has what the processes of a fleet tell each other over links:
-// control boxes among themselves (the replicated log), and entries and the owner
-// (tickets, decisions, and the view of the deployment).
+// Package message defines the messages that boxes send each other over links:
+// among control boxes those of the replicated log, between entries and the owner
+// tickets, decisions and the view of the deployment. They are encoded with gob.
 package message
 
 import (
@@ -16,12 +16,12 @@
 	"lynxramp.org/registry"
 )
 
-// RepeatLife is how long after its submission a request that was sent before may be sent
-// again. An entry drops it after that, so that no repeat arrives later than the retry
-// budget counts it. It is below the time in which callers give a silent stream up.
+// RetryWindow is how long after its submission a request may be retried. An entry drops it
+// afterwards, so that no retry arrives after the retry budget has stopped counting it. It is
+// shorter than the time after which callers abandon a stream without output.
 const RepeatLife = 2 * event.Second
 
-// Envelope is one message; exactly one field of a pointer is set.
+// Envelope is one message. Exactly one of its pointers is set.
 type Envelope struct {
 	Hello     *Hello
 	Redirect  *Redirect
@@ -35,32 +35,30 @@
 	Decisions *Decisions
 	Want      *Want
 	Nodes     *Nodes
-	// Level and Build are what the sender reads and is. They come with the first message of a
-	// box on a connection; see Peer.
+	// Level is the format version that the sender reads, Build its build. They are set in the
+	// first message of a connection; see Peer.
 	Level level.Level
 	Build string
 }
 
-// Hello begins a connection. An entry sends it with what a new owner must know
-// of it.
+// Hello begins a session. An entry sends the state that a new owner needs of it.
 type Hello struct {
-	// Entry is the entry's name and life; empty of a control box.
+	// Entry is the entry's name and instance; empty if a control box sends it.
 	Entry event.BoxID
-	// Life tells the lives of the process apart.
+	// Life identifies the instance of the process.
 	Life uint64
-	// Held is what the entry may spend and has spent without an owner since its start, and
-	// Running what it has running: as much as a message may have. More says that there is
-	// more of Held. Pings tell the rest.
+	// Held has the entry's leases with what it has spent of them, Running its running requests:
+	// as many as fit into a message. Pings carry the rest; More is set if there is more of Held.
 	Held    []budget.Holding
 	More    bool
 	Running []Running
-	// Entries is how many entries share endpoints, as last told by an owner.
+	// Entries is the number of entries that share endpoints, as last received from an owner.
 	Entries int
-	// Revision is that of the newest change of the registry that the entry was told.
+	// Revision is the newest registry revision that the entry has received.
 	Revision uint64
 }
 
-// Running is a request that runs by the word of an entry.
+// Running is a request that an entry reports as running.
 type Running struct {
 	Ticket   event.Ticket
 	Endpoint event.EndpointID
@@ -73,179 +71,178 @@
 	Members []string // link addresses of all members
 }
 
-// Ping asks the owner whether it still is, and tells how long the sender has
-// gone without it.
+// Ping asks the owner for a Pong, which confirms that it still owns the pools.
 type Ping struct {
-	Sent event.Time // by the sender's clock; given back
-	// Has is the number of the last message that lent the sender something, and Spent
-	// what it spent of it since it last told.
+	Sent event.Time // by the sender's clock; returned in the Pong
+	// Has is the number of the last lease update that the sender has, Spent the leases of which
+	// it has spent since its last report.
 	Has   uint64
 	Spent []budget.Holding
-	// Revision is that of the newest change of the registry that the sender was told.
+	// Revision is the newest registry revision that the sender has received.
 	Revision uint64
-	// More says that there is more to tell of what was held when the session began, and
-	// Running is more of what ran then.
+	// More is set if leases held when the session began are still to be reported. Running has
+	// further requests that ran then.
 	More    bool
 	Running []Running
-	// Owned says that the sender leaves decisions to this owner. Entries that read level.Asked say it.
+	// Owned is set if the sender leaves decisions to this owner. Entries that read level.Feedback
+	// set it.
 	Owned bool
 }
 
-// Pong answers a Ping: the sender owned the pools when it was sent, and Version
-// was the newest configuration.
+// Pong answers a Ping: the sender owned the pools at the time Sent of the Ping.
 type Pong struct {
-	Sent    event.Time
-	Version uint64
-	Entries int // how many entries share endpoints
-	// Lent is what the entry may spend without an owner.
+	Sent    event.Time // of the Ping
+	Version uint64     // newest configuration version
+	Entries int        // number of entries that share endpoints
+	// Lent has the leases of the entry, which it may spend without an owner.
 	Lent budget.Lent
-	// Ends is up to which number the entry's ends are in the log.
+	// Ends is the number up to which the entry's Batch.Ends are committed to the log.
 	Ends uint64
 }
 
-// Heard tells the leader which endpoints another box of the group has heard, with
-// nothing new about them.
+// Heartbeats tells the leader from which endpoints another control box has received
+// heartbeats that change nothing else.
 type Heard struct{ Endpoints []string }
 
-// View brings news of the deployment.
+// View sends an entry the state of the deployment, or changes of it.
 type View struct {
-	// Version is that of the newest configuration, and Root the root of its tree, whose nodes the
-	// owner gives who asks (Want). 0 in a View that says nothing of it.
+	// Version is the newest configuration version, Root the root of its hash tree, whose nodes are
+	// requested with Want. Version is 0 in a View without configuration.
 	Version uint64
 	Root    hashtree.Sum
-	// Document is the configuration of that version as its operator sent it, for entries that
-	// read no trees.
+	// Document is the configuration as the operator sent it, for entries that don't read hash
+	// trees.
 	Document []byte
-	// Whole says that Endpoints replaces all that was known.
+	// Whole is set if the endpoints replace all known ones.
 	Whole     bool
 	Endpoints Packed
-	// Listed takes the place of Endpoints for boxes that read level.Starts.
+	// Listed replaces Endpoints for boxes that read level.Instances.
 	Listed Listing
-	Gone   []event.EndpointID
-	// Revision is that of the registry with these changes; 0 in a View that has not all up to
-	// one.
+	Gone   []event.EndpointID // removed
+	// Revision is the registry revision after these changes; 0 if the View doesn't have all
+	// changes up to one.
 	Revision uint64
-	// More says that there is more to tell of what the session begins with, which the owner
-	// sends when a Ping says that this is there.
+	// More is set if further Views complete the session's initial state. The owner sends the
+	// next one when a Ping acknowledges this one.
 	More bool
-	// Signs says that all endpoints give signs of life but those in Silent. An owner begins
-	// a session with it: what an earlier one believed counts no more.
+	// Signs is set if all endpoints are reachable but those in Silent. An owner begins a session
+	// with it, which replaces what an earlier owner has sent.
 	Signs   bool
 	Silent  []event.EndpointID
-	Members []string
-	// Asked is what endpoints ask for, of those of whom that changed. It is sent to entries that read level.Asked.
+	Members []string // link addresses of the control group
+	// Asked has the feedback of endpoints whose feedback changed, for entries that read
+	// level.Feedback.
 	Asked []backpressure.State
-	// Suspects has the requests, if it is set, that must not run without an owner.
+	// Suspects, if set, has the requests that must not run without an owner.
 	Suspects *Suspects
 }
 
-// Suspects are requests under which endpoints ended.
+// Suspects are the fingerprints of requests during which endpoints terminated.
 type Suspects struct{ List []poison.Print }
 
-// Endpoint is an endpoint and whether it gives signs of life.
+// Endpoint is an endpoint and whether it is unreachable.
 type Endpoint struct {
 	registry.Endpoint
 	Down bool
 }
 
-// Want asks the owner for nodes of the configuration's tree.
+// Want asks the owner for nodes of the configuration's hash tree.
 type Want struct{ Sums []hashtree.Sum }
 
-// Nodes answers a Want. Unknown are those that the owner does not have: they are of another version
-// than its newest.
+// Nodes answers a Want. Unknown has the requested nodes that the owner doesn't have, as they belong to
+// another version than its newest.
 type Nodes struct {
 	List    []Node
 	Unknown []hashtree.Sum
 }
 
-// Node is one node.
+// Node is a node of the configuration's hash tree.
 type Node struct {
 	Sum    hashtree.Sum
 	Packed hashtree.Packed
 }
 
-// Batch is what an entry tells the owner. Ends go before all else: what a run did to its endpoint
-// is known before the call that ran is submitted again.
+// Batch is what an entry reports to the owner. Ends are applied first, so that the effect of a run on its
+// endpoint is known before the same call is submitted again.
 type Batch struct {
 	Submit   []Submission
 	Withdraw []Withdrawal
 	Begun    []event.Begun
 	Finish   []Finish
-	// Heard has what endpoints asked for in answers. It is sent to owners that read level.Asked.
+	// Heard has the feedback of endpoints, for owners that read level.Feedback.
 	Heard []backpressure.Heard
-	// Ends are told again in each session until a Pong says that they are in the log.
+	// Ends are sent again in each session until a Pong confirms that they are committed.
 	Ends []poison.End
-	// Well has the requests of which a run ended well while no owner was told.
+	// Well has the requests of which a run succeeded while the entry was degraded.
 	Well []poison.Print
 }
 
-// Submission is a request that waits for a decision.
+// Submission queues a request for a decision.
 type Submission struct {
 	Ticket event.Ticket
-	// Quota is what the request counts against its team's quota.
+	// Quota is the request's cost in its team's quota.
 	Quota int
-	// Repeat says that an endpoint had the request before; it draws on the retry
-	// budget of its service.
+	// Repeat is set for a retry: an endpoint had the request before. It draws on the
+	// retry budget of its service.
 	Repeat bool
-	// Print tells requests of the same content.
+	// Print is the fingerprint of the request's content.
 	Print poison.Print
 }
 
-// Withdrawal takes a submission back.
+// Withdrawal cancels a submission.
 type Withdrawal struct {
 	ID      event.RequestID
 	Service string
 }
 
-// Finish ends a request that was granted.
+// Finish reports the end of a granted request.
 type Finish struct {
 	event.Finished
-	// Unsent says that not a byte left for the endpoint.
+	// Unsent is set if no byte was sent to the endpoint.
 	Unsent bool
-	// Suspect says that the endpoint could not be reached or did not answer as
-	// itself.
+	// Suspect is set if the endpoint was unreachable or answered under another
+	// identity.
 	Suspect  bool
 	Endpoint event.EndpointID
 	Print    poison.Print
-	// Ran is what the run told of its request.
-	Ran Ran
+	Ran      Ran
 }
 
-// Ran is what a run told of its request.
+// Outcome is the outcome of a run, as far as it bears on whether the request is poisonous.
 type Ran uint8
 
-// What a run may tell.
 const (
-	// RanUnclear: nothing. An End tells that the endpoint ended.
+	// OutcomeUnknown: the run allows no conclusion. A termination of the endpoint is reported
+	// as an End.
 	RanUnclear Ran = iota
-	// RanWell: the endpoint answered it whole, with no failure.
+	// OutcomeSuccess: the endpoint answered completely, without failure.
 	RanWell
-	// RanAlive: the endpoint failed it, or has not run it, and said so.
+	// OutcomeFailed: the endpoint reported that it failed or didn't run the request, so the
+	// request hasn't terminated it.
 	RanAlive
 )
 
-// Decisions is what the owner decided.
+// Decisions are the owner's decisions on submissions.
 type Decisions struct {
 	Grants   []event.Granted
 	Refusals []event.Refused
 }
 
-// What an account and a running request take in a message, about, in bytes.
+// Approximate size of a lease and of a running request in a message, in bytes.
 const (
-	holdingSize = 40
+	leaseSize   = 40
 	runningSize = 120
 )
 
-// About how long a word on a request, what an endpoint asks for, its id and a print are as gob, in bytes.
+// Approximate size in gob of a report on a request, an endpoint's feedback, its ID and a fingerprint, in bytes.
 const (
-	wordBytes  = 150
-	askedBytes = 40
-	idBytes    = 12
-	printBytes = 18
+	ticketBytes      = 150
+	feedbackBytes    = 40
+	idBytes          = 12
+	fingerprintBytes = 18
 )
 
-// Size implements link.Sized: about how many bytes the message takes. What is of fixed size in it
-// counts as nothing.
+// Size implements link.Sized: the approximate size in bytes, without the parts of fixed size.
 func (e *Envelope) Size() int {
 	size := 0
 	switch {
@@ -257,20 +254,20 @@
 			size += len(s.Data)
 		}
 	case e.Hello != nil:
-		size += holdingSize*len(e.Hello.Held) + runningSize*len(e.Hello.Running)
+		size += leaseSize*len(e.Hello.Held) + runningSize*len(e.Hello.Running)
 	case e.Ping != nil:
-		size += holdingSize*len(e.Ping.Spent) + runningSize*len(e.Ping.Running)
+		size += leaseSize*len(e.Ping.Spent) + runningSize*len(e.Ping.Running)
 	case e.Pong != nil:
-		size += holdingSize * len(e.Pong.Lent.UpTo)
+		size += leaseSize * len(e.Pong.Lent.UpTo)
 	case e.Batch != nil:
 		b := e.Batch
-		size += (len(b.Submit)+len(b.Withdraw)+len(b.Begun)+len(b.Finish)+len(b.Ends))*wordBytes + len(b.Heard)*askedBytes + len(b.Well)*printBytes
+		size += (len(b.Submit)+len(b.Withdraw)+len(b.Begun)+len(b.Finish)+len(b.Ends))*ticketBytes + len(b.Heard)*feedbackBytes + len(b.Well)*fingerprintBytes
 	case e.Decisions != nil:
-		size += (len(e.Decisions.Grants) + len(e.Decisions.Refusals)) * wordBytes
+		size += (len(e.Decisions.Grants) + len(e.Decisions.Refusals)) * ticketBytes
 	case e.View != nil:
-		size += len(e.View.Document) + len(e.View.Endpoints) + len(e.View.Listed) + (len(e.View.Gone)+len(e.View.Silent))*idBytes + len(e.View.Asked)*askedBytes
+		size += len(e.View.Document) + len(e.View.Endpoints) + len(e.View.Listed) + (len(e.View.Gone)+len(e.View.Silent))*idBytes + len(e.View.Asked)*feedbackBytes
 		if s := e.View.Suspects; s != nil {
-			size += len(s.List) * printBytes
+			size += len(s.List) * fingerprintBytes
 		}
 	case e.Nodes != nil:
 		for i := range e.Nodes.List {
--- a/message/pack_test.go
+++ b/message/pack_test.go
@@ -11,7 +11,7 @@
 	"lynxramp.org/registry"
 )
 
-func list(n int) []Endpoint {
+func makeEndpoints(n int) []Endpoint {
 	var all []Endpoint
 	for i := range n {
 		all = append(all, Endpoint{Down: i%7 == 0, Endpoint: registry.Endpoint{
@@ -22,34 +22,33 @@
 	return all
 }
 
-func TestPackedComesBack(t *testing.T) {
+func TestPackRoundTrip(t *testing.T) {
 	for _, n := range []int{1, 40, 3000} {
-		got, err := Pack(list(n)).Unpack()
+		got, err := Pack(makeEndpoints(n)).Unpack()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(list(n), got); diff != "" {
+		if diff := cmp.Diff(makeEndpoints(n), got); diff != "" {
 			t.Errorf("%d endpoints: %s", n, diff)
 		}
 	}
 	if got, err := Packed(nil).Unpack(); err != nil || len(got) != 0 {
-		t.Errorf("nothing came back as %v, %v", got, err)
+		t.Errorf("an empty list decoded to %v, %v", got, err)
 	}
 }
 
-func TestDamagedIsNotRead(t *testing.T) {
-	for _, data := range []Packed{{1}, []byte("nonsense"), Pack(list(40))[:60]} {
+func TestDamagedPackedIsRejected(t *testing.T) {
+	for _, data := range []Packed{{1}, []byte("nonsense"), Pack(makeEndpoints(40))[:60]} {
 		if got, err := data.Unpack(); err == nil {
-			t.Errorf("%d bytes were read as %v", len(data), got)
+			t.Errorf("%d damaged bytes decoded to %v", len(data), got)
 		}
 	}
 }
 
-// BenchmarkPack measures what a list costs who sends it and who reads it: a piece, as an owner
-// sends them, and all at once.
+// BenchmarkPack measures encoding and decoding of a page, as an owner sends it, and of larger lists.
 func BenchmarkPack(b *testing.B) {
 	for _, n := range []int{1000, 3000, 10000} {
-		all := list(n)
+		all := makeEndpoints(n)
 		packed := Pack(all)
 		b.Run(fmt.Sprintf("pack %d", n), func(b *testing.B) {
 			for range b.N {
--- a/message/size_test.go
+++ b/message/size_test.go
@@ -9,9 +9,9 @@
 	"lynxramp.org/hashtree"
 )
 
-// TestSizeCountsWhatGrows: links bound what waits for a peer by bytes; all that grows with a
-// deployment has to count.
-func TestSizeCountsWhatGrows(t *testing.T) {
+// TestSizeCountsVariableParts: links bound a peer's send queue in bytes, so Size must count all
+// parts that grow with a deployment.
+func TestSizeCountsVariableParts(t *testing.T) {
 	data := make([]byte, 1000)
 	for name, m := range map[string]*Envelope{
 		"entries":  {Consensus: &consensus.Message{Entries: []consensus.Entry{{Data: data[:400]}, {Data: data[:600]}}}},
