--- a/machine/command.go
+++ b/machine/command.go
@@ -11,27 +11,27 @@
 	"lynxramp.org/event"
 )
 
-// Command is one entry of the log. The fields that are set say what is done.
+// Command is one entry of the log. Apply executes the parts that are set.
 type Command struct {
-	// Time is when the leader made the command, in milliseconds since 1970. It
-	// only serves to forget what is old.
+	// Time is when the leader made the command, in Unix milliseconds. It is only
+	// used to expire claims.
 	Time     int64          `json:"time"`
 	Catalog  *CatalogChange `json:"catalog,omitempty"`
 	Claims   []Claim        `json:"claims,omitempty"`
 	Releases []Claim        `json:"releases,omitempty"`
 }
 
-// CatalogChange is an operator's command.
+// CatalogChange is an operator's command to change the catalog.
 type CatalogChange struct {
-	// ID is the operator's. The result of an ID that was seen is given again.
+	// ID is chosen by the operator. A command with a known ID is not applied again.
 	ID       string `json:"id"`
 	Operator string `json:"operator"`
-	// Expect is the version to which the changes are made.
+	// Expect is the version on which the changes are based.
 	Expect  uint64           `json:"expect"`
 	Changes []catalog.Change `json:"changes"`
 }
 
-// Claim binds a team's key to the one request that may run for it.
+// Claim binds a team's idempotency key to the one request that may run for it.
 type Claim struct {
 	Team    string          `json:"team"`
 	Key     string          `json:"key"`
@@ -46,7 +46,7 @@
 func (c Command) Encode() []byte {
 	data, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // these types always encode
+		panic(err) // can't fail for these types
 	}
 	return data
 }
@@ -54,14 +54,15 @@
 func decode(data []byte) (Command, error) {
 	var c Command
 	err := json.Unmarshal(data, &c)
-	return c, errors.Wrap(err, "command")
+	return c, errors.Wrap(err, "decoding a command")
 }
 
-// Result is what became of an operator's command.
+// Result is the result of an operator's command.
 type Result struct {
 	ID      string `json:"id"`
 	Version uint64 `json:"version"`
-	// Conflict names the command that made the version which was not expected.
+	// Conflict names the command that made the current version, if this isn't the
+	// expected one.
 	Conflict string   `json:"conflict,omitempty"`
 	Problems []string `json:"problems,omitempty"`
 }
--- a/machine/machine_test.go
+++ b/machine/machine_test.go
@@ -13,8 +13,8 @@
 	"lynxramp.org/event"
 )
 
-func command(t *rapid.T, n int) Command {
-	c := Command{Time: rapid.Int64Range(0, 4*ClaimTime).Draw(t, "time")}
+func randomCommand(t *rapid.T, n int) Command {
+	c := Command{Time: rapid.Int64Range(0, 4*ClaimTTL).Draw(t, "time")}
 	tier := catalog.Tier{Name: fmt.Sprintf("t%d", rapid.IntRange(1, 3).Draw(t, "tier")), Rank: rapid.IntRange(1, 4).Draw(t, "rank")}
 	claim := Claim{
 		Team: "team", Key: rapid.SampledFrom([]string{"k", "l"}).Draw(t, "key"),
@@ -34,15 +34,15 @@
 	return c
 }
 
-// TestReplicasAgree applies the same commands to a machine and to one that is
-// restored from a snapshot somewhere on the way. Both end alike, versions never
-// go back, a command's result never changes, a claim has one holder.
+// TestReplicasAgree applies the same commands to two machines, one of which is
+// restored from snapshots in between. Both must reach the same state; versions must
+// not decrease, a command's result must not change, a claim must keep its holder.
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a, b State
 		results := make(map[string]string)
 		for n := range rapid.IntRange(1, 30).Draw(t, "commands") {
-			c := command(t, n)
+			c := randomCommand(t, n)
 			data := c.Encode()
 			_, before := a.Catalog()
 			held, wasHeld := a.Claim("team", "k")
@@ -54,16 +54,16 @@
 			if _, after := a.Catalog(); after < before {
 				t.Fatalf("version %d after %d", after, before)
 			}
-			if h, ok := a.Claim("team", "k"); ok && wasHeld && h.Request != held.Request && len(c.Releases) == 0 && h.Time-held.Time <= ClaimTime {
-				t.Fatalf("a claim went from %s to %s", held.Request, h.Request)
+			if h, ok := a.Claim("team", "k"); ok && wasHeld && h.Request != held.Request && len(c.Releases) == 0 && h.Time-held.Time <= ClaimTTL {
+				t.Fatalf("a claim in force moved from request %s to %s", held.Request, h.Request)
 			}
 			if c.Catalog != nil {
 				r, ok := a.Result(c.Catalog.ID)
-				said := fmt.Sprint(r)
-				if first, seen := results[c.Catalog.ID]; !ok || (seen && first != said) {
-					t.Fatalf("command %s: %s, at first %s", c.Catalog.ID, said, first)
+				result := fmt.Sprint(r)
+				if first, seen := results[c.Catalog.ID]; !ok || (seen && first != result) {
+					t.Fatalf("command %s: result %s, at first %s", c.Catalog.ID, result, first)
 				}
-				results[c.Catalog.ID] = said
+				results[c.Catalog.ID] = result
 			}
 			if rapid.IntRange(0, 5).Draw(t, "snapshot") == 0 {
 				if err := b.Restore(b.Snapshot()); err != nil {
--- a/machine/size_test.go
+++ b/machine/size_test.go
@@ -10,8 +10,8 @@
 	"lynxramp.org/catalog"
 )
 
-// BenchmarkApply measures a change of one team, and reports the bytes of the
-// whole catalog and of the change.
+// BenchmarkApply measures a change of one team, and reports the size of the whole
+// catalog and of the change.
 func BenchmarkApply(b *testing.B) {
 	for _, teams := range [...]int{5, 120, 1200} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
