--- a/control/count.go
+++ b/control/count.go
@@ -12,8 +12,8 @@
 	"lynxramp.org/sched"
 )
 
-// groupsOf has, by what is asked for, how a scheduler counts it.
-var groupsOf = map[string]func(*sched.State) map[sched.Group]int{
+// groupCounts maps a request's What to the scheduler's counts.
+var groupCounts = map[string]func(*sched.State) map[sched.Group]int{
 	"waiting": (*sched.State).WaitingGroups,
 	"running": (*sched.State).RunningGroups,
 	"refused": (*sched.State).RefusedGroups,
@@ -21,13 +21,13 @@
 
 // Count implements rpc.Operator.
 func (s *Service) Count(ctx context.Context, r *rpc.CountRequest) (*rpc.CountResponse, error) {
-	groups, ok := groupsOf[r.What]
+	groups, ok := groupCounts[r.What]
 	if !ok {
 		return nil, twirp.InvalidArgumentError("what", "must be waiting, running or refused")
 	}
 	answer := &rpc.CountResponse{}
 	err := s.loop.Inspect(ctx, func(now event.Time, state *State) {
-		answer.Leads = state.owns(now)
+		answer.Leads = state.isOwner(now)
 		answer.Rows = state.count(groups)
 	})
 	if err != nil {
@@ -36,7 +36,7 @@
 	return answer, nil
 }
 
-// count returns the groups of all pools.
+// count returns a row for each group of requests in each pool.
 func (s *State) count(groups func(*sched.State) map[sched.Group]int) []*rpc.CountRow {
 	c, _ := s.machine.Catalog()
 	tiers := make(map[int]string)
@@ -44,7 +44,7 @@
 		tiers[t.Rank] = t.Name
 	}
 	var rows []*rpc.CountRow
-	for _, pool := range s.names {
+	for _, pool := range s.poolNames {
 		for g, n := range groups(s.pools[pool]) {
 			row := &rpc.CountRow{Team: g.Team, Tier: tiers[g.Rank], Pool: pool, Endpoint: string(g.Endpoint), Count: uint32(n)}
 			if g.Reason != event.ReasonNone {
--- a/control/doc.go
+++ b/control/doc.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 
-// Package control is the deciding half of a box. State is the root reducer: it
-// hands each event to the part that it concerns. Loop is the one goroutine that
-// owns the State; traffic goroutines post events to it and the effects that
-// follow are laid into outboxes, from which the entries' calls take them.
+// Package control implements a control box. State is the root reducer: it
+// passes each event to the parts that it concerns. Loop is the one goroutine that
+// owns the State; other goroutines post events to it. The resulting decisions
+// are stored in outboxes, from which the entries' calls fetch them.
 package control
--- a/control/events.go
+++ b/control/events.go
@@ -8,34 +8,34 @@
 	"lynxramp.org/machine"
 )
 
-// MessageReceived is a message of the replicated log.
+// MessageReceived is a consensus message from another member.
 type MessageReceived struct{ Message consensus.Message }
 
-// LogSaved says that the log is on disk up to an entry.
+// LogSaved reports that the log is on disk up to an entry.
 type LogSaved struct {
 	Index consensus.Index
 	Term  consensus.Term
 }
 
-// JoinAsked is a box's wish to be a member. Its Answer comes at once.
-type JoinAsked struct {
+// JoinRequested asks to add a box as a member. It is answered in the same step.
+type JoinRequested struct {
 	Member consensus.Member
 	Token  uint64
 }
 
-// ChangeAsked is an operator's command. Its Answer comes when it is applied.
-type ChangeAsked struct {
+// ChangeRequested is an operator's change of the catalog. It is answered when it is applied.
+type ChangeRequested struct {
 	Change machine.CatalogChange
 	Token  uint64
-	// Wall is the time in milliseconds since 1970.
+	// Wall is the wall-clock time in Unix milliseconds.
 	Wall int64
 }
 
-// StopAsked says that this box is to stop: another is to lead.
+// StopRequested makes this box transfer leadership, as it is about to stop.
 type StopAsked struct{}
 
-// WallClock brings the time in milliseconds since 1970, for what is written
-// with a time into the log.
+// WallClock sets the wall-clock time in Unix milliseconds for the timestamps of
+// log entries.
 type WallClock struct{ Millis int64 }
 
 // IsEvent implements event.Event.
@@ -45,10 +45,10 @@
 func (*LogSaved) IsEvent() {}
 
 // IsEvent implements event.Event.
-func (*JoinAsked) IsEvent() {}
+func (*JoinRequested) IsEvent() {}
 
 // IsEvent implements event.Event.
-func (*ChangeAsked) IsEvent() {}
+func (*ChangeRequested) IsEvent() {}
 
 // IsEvent implements event.Event.
 func (*StopAsked) IsEvent() {}
@@ -56,26 +56,26 @@
 // IsEvent implements event.Event.
 func (*WallClock) IsEvent() {}
 
-// Answer is what became of an event with a token.
+// Answer is the result of an event with a token.
 type Answer struct {
 	Token uint64
-	// Leads is false when this box does not lead: nothing is known then.
-	Leads bool
-	// Done is a join's: the box is a voter.
-	Done bool
-	// Result is a change's. Again is set when it was known before.
-	Result machine.Result
-	Again  bool
+	// IsLeader is set if this box leads; without it the other fields aren't valid.
+	IsLeader bool
+	// IsVoter is set by JoinRequested if the box is a voter.
+	IsVoter bool
+	// Result is that of a ChangeRequested. Duplicate is set if the result was known before.
+	Result    machine.Result
+	Duplicate bool
 }
 
-// Effects is all that follows from steps.
+// Effects collects the effects of steps.
 type Effects struct {
 	event.Effects
-	// Epoch is the owner's to whom grants and refusals belong.
+	// Epoch is that of the owner that made the grants and refusals.
 	Epoch event.Epoch
-	// NewEpoch is set when this box became the owner in these steps.
+	// NewEpoch is set if this box became the owner in these steps.
 	NewEpoch bool
-	// NewCatalog is set when the owner has another version in force.
+	// NewCatalog is set if the owner changed to another catalog version.
 	NewCatalog bool
 	Ready      consensus.Ready
 	Answers    []Answer
@@ -91,13 +91,13 @@
 	e.Answers = e.Answers[:0]
 }
 
-// Status is what callers need to know of a State after their events.
+// Status is the state that callers get after their events.
 type Status struct {
-	// Owner is set while this box owns the pools.
+	// Owner is set if this box owns the pools.
 	Owner bool
 	Epoch event.Epoch
-	// Leader is the address of the box that leads, if it is known.
+	// Leader is the address of the leader; empty if unknown.
 	Leader string
-	// Version is of the catalog that this box has applied.
+	// Version is that of the catalog applied on this box.
 	Version uint64
 }
--- a/control/founding.go
+++ b/control/founding.go
@@ -16,63 +16,64 @@
 	"lynxramp.org/store"
 )
 
-// Times of founding and joining.
+// Intervals and timeouts of creating and joining a group.
 const (
-	askEvery     = 100 * time.Millisecond
-	askTimeout   = 500 * time.Millisecond
-	sayEvery     = 2 * time.Second
-	joinEvery    = 200 * time.Millisecond
-	joinTimeout  = 2 * time.Second
-	foundingSlot = consensus.Index(1)
+	helloInterval = 100 * time.Millisecond
+	helloTimeout  = 500 * time.Millisecond
+	warnInterval  = 2 * time.Second
+	joinInterval  = 200 * time.Millisecond
+	joinTimeout   = 2 * time.Second
+	initialIndex  = consensus.Index(1)
 )
 
-// course is what a box without a group does next.
-type course int
+// bootstrapAction is the next action of a box without a group.
+type bootstrapAction int
 
 const (
-	courseWait course = iota
-	// courseFound: all boxes are there and empty, and this one is the first of
-	// them by name.
-	courseFound
-	// courseAdopt: the group counts this box, in this life, among its founders.
-	courseAdopt
-	// courseJoin: there is a group that does not know this life of the box.
-	courseJoin
+	actionWait bootstrapAction = iota
+	// actionCreate: all boxes are reachable and without a group, and this one is
+	// the first by name.
+	actionCreate
+	// actionAdopt: the group has this box with its present disk among its founders.
+	actionAdopt
+	// actionJoin: there is a group that doesn't have this box with its present disk
+	// as a founder.
+	actionJoin
 )
 
-// decide chooses the course of a box without a group, by the greetings of the
-// other boxes. A group is only ever founded when every box that the settings
-// name is there and empty: a box that lost its disk sees the group of the others,
-// or waits for them.
-func decide(self consensus.Member, boxes []event.BoxID, greetings map[event.BoxID]*rpc.HelloResponse) (course, string, []consensus.Member) {
+// chooseAction returns the next action of a box without a group, by the Hello
+// responses of the other boxes. A group is created only when every box in the
+// settings is reachable and without a group, so that a box that lost its disk
+// finds the group of the others or waits for them.
+func chooseAction(self consensus.Member, boxes []event.BoxID, hellos map[event.BoxID]*rpc.HelloResponse) (bootstrapAction, string, []consensus.Member) {
 	founders := []consensus.Member{self}
 	for _, box := range boxes {
 		if box == self.ID.Box() {
 			continue
 		}
-		g := greetings[box]
+		g := hellos[box]
 		if g == nil {
 			continue
 		}
 		if g.Group != "" {
 			members := rpc.Members(g.Founders)
 			if slices.ContainsFunc(members, func(m consensus.Member) bool { return m.ID == self.ID }) {
-				return courseAdopt, g.Group, members
+				return actionAdopt, g.Group, members
 			}
-			return courseJoin, g.Group, nil
+			return actionJoin, g.Group, nil
 		}
 		founders = append(founders, consensus.Member{
 			ID: consensus.MakeID(box, event.Incarnation(g.Disk)), Address: g.Address,
 		})
 	}
 	if len(founders) < len(boxes) || slices.Min(boxes) != self.ID.Box() {
-		return courseWait, "", nil
+		return actionWait, "", nil
 	}
-	return courseFound, rand.Text(), founders
+	return actionCreate, rand.Text(), founders
 }
 
-// Belong returns when the box belongs to a group, by its disk, by founding one
-// or by finding one, with what its disk then holds.
+// Bootstrap waits until the box belongs to a group: the one on its disk, one that
+// it creates or one that it finds. It returns the resulting persistent state.
 func (p *Peers) Belong(ctx context.Context, disk *store.Store, r consensus.Restored) (consensus.Restored, error) {
 	self := p.Self()
 	boxes := make([]event.BoxID, 0, len(p.addresses))
@@ -80,35 +81,35 @@
 		boxes = append(boxes, box)
 	}
 	slices.Sort(boxes)
-	said := time.Now()
+	warned := time.Now()
 	for p.group() == "" {
-		greetings := p.greet(ctx)
-		course, group, founders := decide(self, boxes, greetings)
-		switch course {
-		case courseWait:
-			if time.Since(said) > sayEvery {
-				said = time.Now()
-				p.log.Warn("waiting for the other control boxes; a group is founded only when all are there and empty",
-					zap.Int("answered", len(greetings)), zap.Int("boxes", len(boxes)))
+		hellos := p.helloAll(ctx)
+		action, group, founders := chooseAction(self, boxes, hellos)
+		switch action {
+		case actionWait:
+			if time.Since(warned) > warnInterval {
+				warned = time.Now()
+				p.log.Warn("waiting for the other control boxes; a group is created only when all are reachable and belong to no group",
+					zap.Int("answered", len(hellos)), zap.Int("boxes", len(boxes)))
 			}
 			select {
-			case <-time.After(askEvery):
+			case <-time.After(helloInterval):
 				continue
 			case <-ctx.Done():
 				return r, ctx.Err()
 			}
-		case courseFound, courseAdopt:
+		case actionCreate, actionAdopt:
 			r = consensus.Restored{Snapshot: consensus.Snapshot{
-				Index: foundingSlot, Members: consensus.Membership{Voters: founders},
+				Index: initialIndex, Members: consensus.Membership{Voters: founders},
 			}}
 			if err := disk.Save(&consensus.Ready{Snapshot: &r.Snapshot}); err != nil {
 				return r, err
 			}
 		}
-		if err := p.enter(disk, group, founders); err != nil {
+		if err := p.saveGroup(disk, group, founders); err != nil {
 			return r, err
 		}
-		p.log.Info("belongs to a group", zap.String("group", group), zap.Bool("founder", course != courseJoin))
+		p.log.Info("joined a control group", zap.String("group", group), zap.Bool("founder", action != actionJoin))
 	}
 	return r, nil
 }
@@ -119,8 +120,8 @@
 	return p.identity.Group
 }
 
-// enter writes down that the box belongs to a group, and tells of it.
-func (p *Peers) enter(disk *store.Store, group string, founders []consensus.Member) error {
+// saveGroup stores the box's group on disk, then publishes it to other boxes.
+func (p *Peers) saveGroup(disk *store.Store, group string, founders []consensus.Member) error {
 	p.mu.Lock()
 	identity := p.identity
 	p.mu.Unlock()
@@ -135,40 +136,40 @@
 	return nil
 }
 
-// greet asks all other boxes who they are.
-func (p *Peers) greet(ctx context.Context) map[event.BoxID]*rpc.HelloResponse {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// helloAll sends Hello to all other boxes and returns the valid responses.
+func (p *Peers) helloAll(ctx context.Context) map[event.BoxID]*rpc.HelloResponse {
+	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
-	type greeting struct {
+	type hello struct {
 		box    event.BoxID
 		answer *rpc.HelloResponse
 	}
-	all := make(chan greeting, len(p.clients))
+	all := make(chan hello, len(p.clients))
 	for box, client := range p.clients {
 		go func() {
 			answer, err := client.Hello(ctx, &rpc.HelloRequest{})
 			if err != nil || answer.Box != string(box) {
 				answer = nil
 			}
-			all <- greeting{box: box, answer: answer}
+			all <- hello{box: box, answer: answer}
 		}()
 	}
-	greetings := make(map[event.BoxID]*rpc.HelloResponse)
+	hellos := make(map[event.BoxID]*rpc.HelloResponse)
 	for range p.clients {
-		if g := <-all; g.answer != nil {
-			greetings[g.box] = g.answer
+		if h := <-all; h.answer != nil {
+			hellos[h.box] = h.answer
 		}
 	}
-	return greetings
+	return hellos
 }
 
-// StayMember asks the others to take this box in while it is no voter, until
-// ctx ends.
+// MaintainMembership asks the other boxes to add this one while it isn't a voter,
+// until ctx is done.
 func (p *Peers) StayMember(ctx context.Context, loop *Loop) {
 	self := p.Self()
-	ticker := time.NewTicker(joinEvery)
+	ticker := time.NewTicker(joinInterval)
 	defer ticker.Stop()
-	led := time.Now()
+	lastLeader := time.Now()
 	for {
 		select {
 		case <-ticker.C:
@@ -179,12 +180,12 @@
 		err := loop.Inspect(ctx, func(_ event.Time, s *State) {
 			voter = slices.Contains(s.Node().Members().Voters, self)
 			if s.Node().Leader() != "" {
-				led = time.Now()
+				lastLeader = time.Now()
 			}
 		})
-		if time.Since(led) > sayEvery {
-			led = time.Now()
-			p.log.Warn("no quorum: nobody has led the control group for a while; if most disks are lost for good, see the operators' page on recovery")
+		if time.Since(lastLeader) > warnInterval {
+			lastLeader = time.Now()
+			p.log.Warn("no quorum: the control group has had no leader for a while; if most disks are lost for good, see the operators' page on recovery")
 		}
 		if err != nil || voter {
 			continue
@@ -199,8 +200,8 @@
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	request := &rpc.JoinRequest{Group: p.group(), Member: &rpc.Member{Id: string(self.ID), Address: self.Address}}
-	// A box that does not lead, or does not answer, is asked again later.
+	// A box that isn't the leader or doesn't answer is asked again later.
 	if answer, err := client.Join(ctx, request); err == nil && answer.Done {
-		p.log.Info("is a voter again")
+		p.log.Info("added to the control group as a voter")
 	}
 }
--- a/control/keys.go
+++ b/control/keys.go
@@ -10,38 +10,38 @@
 	"lynxramp.org/machine"
 )
 
-// placeBound is how long it is remembered where a request with a key ran.
-const placeBound = 10 * 60 * event.Second
+// keyedRequestTTL is how long the endpoint of a request with a key is kept.
+const keyedRequestTTL = 10 * 60 * event.Second
 
-// keyed is a request with a key.
-type keyed struct {
+// keyedRequest is a request with an idempotency key.
+type keyedRequest struct {
 	claim machine.Claim
-	// submitted is the request while its claim is on its way.
+	// submitted is the request while its claim is being committed; nil afterwards.
 	submitted *event.Submitted
-	// place is where it was granted; without an address it was not.
-	place event.Granted
+	// grant is the request's grant; without an address there is none.
+	grant event.Granted
 	since event.Time
-	// attached are other requests of the key that wait for the place.
+	// attached are other requests with the key that wait for the grant.
 	attached []event.Submitted
 }
 
-// keyTable knows the requests with a key that this owner has met.
+// keyTable holds the requests with a key that this owner has received.
 type keyTable struct {
-	byID map[event.RequestID]*keyed
-	// claims and releases are to be proposed.
+	byID map[event.RequestID]*keyedRequest
+	// claims and releases are still to be proposed.
 	claims, releases []machine.Claim
 }
 
-func newKeyTable() keyTable { return keyTable{byID: make(map[event.RequestID]*keyed)} }
+func newKeyTable() keyTable { return keyTable{byID: make(map[event.RequestID]*keyedRequest)} }
 
-// holdsKey reports whether a request may go on to its pool. If not, it waits
-// for its claim, is attached to the request that has the key, or is refused.
-func (s *State) holdsKey(now event.Time, e *event.Submitted, out *Effects) bool {
+// checkKey reports whether a request holds its key and may be scheduled. If not, it
+// waits for its claim, is attached to the request that holds the key, or is refused.
+func (s *State) checkKey(now event.Time, e *event.Submitted, out *Effects) bool {
 	t := &e.Ticket
 	held, ok := s.machine.Claim(t.Team, t.Key)
 	if ok && held.Request == t.ID {
 		if s.keys.byID[t.ID] == nil {
-			s.keys.byID[t.ID] = &keyed{claim: held, since: now}
+			s.keys.byID[t.ID] = &keyedRequest{claim: held, since: now}
 		}
 		return true
 	}
@@ -51,13 +51,13 @@
 	}
 	if k := s.keys.byID[t.ID]; k == nil || k.submitted == nil {
 		claim := machine.Claim{Team: t.Team, Key: t.Key, Request: t.ID, Digest: t.Digest}
-		s.keys.byID[t.ID] = &keyed{claim: claim, submitted: e, since: now}
+		s.keys.byID[t.ID] = &keyedRequest{claim: claim, submitted: e, since: now}
 		s.keys.claims = append(s.keys.claims, claim)
 	}
 	return false
 }
 
-// attach sends a request to the answer of the one that has its key.
+// attach attaches a request to the answer of the one that holds its key.
 func (s *State) attach(held machine.Claim, e *event.Submitted, out *Effects) {
 	k := s.keys.byID[held.Request]
 	switch {
@@ -65,36 +65,36 @@
 		refuse(e, event.ReasonKeyReused, out)
 	case k == nil:
 		refuse(e, event.ReasonClaimed, out)
-	case k.place.Address == "":
+	case k.grant.Address == "":
 		k.attached = append(k.attached, *e)
 	default:
-		out.Grants = append(out.Grants, attachment(k.place, e))
+		out.Grants = append(out.Grants, attachment(k.grant, e))
 	}
 }
 
-// attachment tells an entry where the answer of another request is.
-func attachment(place event.Granted, e *event.Submitted) event.Granted {
-	place.Attach = place.ID.Dispatch(place.Attempt)
-	place.ID = e.Ticket.ID
-	place.Entry = e.Entry
-	return place
+// attachment returns a grant that attaches a request to the answer of another one.
+func attachment(grant event.Granted, e *event.Submitted) event.Granted {
+	grant.Attach = grant.ID.Dispatch(grant.Attempt)
+	grant.ID = e.Ticket.ID
+	grant.Entry = e.Entry
+	return grant
 }
 
-// proposeClaims writes claims and releases into the log, all in one command.
+// proposeClaims proposes the pending claims and releases in one command.
 func (s *State) proposeClaims(now event.Time, out *Effects) {
 	if len(s.keys.claims)+len(s.keys.releases) == 0 {
 		return
 	}
-	command := machine.Command{Time: s.wall, Claims: s.keys.claims, Releases: s.keys.releases}
+	command := machine.Command{Time: s.wallMillis, Claims: s.keys.claims, Releases: s.keys.releases}
 	if _, err := s.node.Propose(now, command.Encode(), &out.Ready); err != nil {
-		return // the lease is over; the next owner is asked again
+		return // the lease has expired; entries submit to the next owner again
 	}
 	s.keys.claims, s.keys.releases = nil, nil
 }
 
-// settleClaims lets requests go on whose claims were decided.
-func (s *State) settleClaims(now event.Time, out *Effects) {
-	var decided []*keyed
+// resumeClaimed steps the requests whose claims were committed, in the order of their IDs.
+func (s *State) resumeClaimed(now event.Time, out *Effects) {
+	var decided []*keyedRequest
 	for _, k := range s.keys.byID {
 		if k.submitted == nil {
 			continue
@@ -103,7 +103,7 @@
 			decided = append(decided, k)
 		}
 	}
-	slices.SortFunc(decided, func(a, b *keyed) int {
+	slices.SortFunc(decided, func(a, b *keyedRequest) int {
 		return cmp.Compare(a.claim.Request, b.claim.Request)
 	})
 	for _, k := range decided {
@@ -117,10 +117,10 @@
 	}
 }
 
-// releaseKey gives the key of a request back that has not run and will not.
+// releaseKey releases the key of a request that has not run and will not run.
 func (s *State) releaseKey(id event.RequestID, out *Effects) {
 	k := s.keys.byID[id]
-	if k == nil || k.place.Address != "" {
+	if k == nil || k.grant.Address != "" {
 		return
 	}
 	delete(s.keys.byID, id)
@@ -130,31 +130,31 @@
 	}
 }
 
-// voided takes note that a request was granted in vain: it has not run.
-func (t *keyTable) voided(id event.RequestID) {
+// clearGrant drops the grant of a request that has not run.
+func (t *keyTable) clearGrant(id event.RequestID) {
 	if k := t.byID[id]; k != nil {
-		k.place = event.Granted{}
+		k.grant = event.Granted{}
 	}
 }
 
-// granted takes note of where a request with a key runs.
-func (t *keyTable) granted(g event.Granted, out *Effects) {
+// recordGrant records the grant of a request with a key and attaches the waiting ones.
+func (t *keyTable) recordGrant(g event.Granted, out *Effects) {
 	k := t.byID[g.ID]
 	if k == nil || g.Attach != "" {
 		return
 	}
-	k.place = g
+	k.grant = g
 	for i := range k.attached {
 		out.Grants = append(out.Grants, attachment(g, &k.attached[i]))
 	}
 	k.attached = nil
 }
 
-// report takes note of requests that run since before this epoch.
-func (t *keyTable) report(r event.Report) {
+// recordRunning records requests that have been running since before this epoch.
+func (t *keyTable) recordRunning(r event.Report) {
 	for _, d := range r.Running {
-		if k := t.byID[d.Request()]; k != nil && k.place.Address == "" {
-			k.place = event.Granted{
+		if k := t.byID[d.Request()]; k != nil && k.grant.Address == "" {
+			k.grant = event.Granted{
 				ID: d.Request(), Attempt: d.Attempt(),
 				Endpoint: r.Endpoint, Address: r.Address, Incarnation: r.Incarnation,
 			}
@@ -162,10 +162,10 @@
 	}
 }
 
-// sweep forgets where requests ran long ago.
-func (t *keyTable) sweep(now event.Time) {
+// expire drops requests older than keyedRequestTTL.
+func (t *keyTable) expire(now event.Time) {
 	for id, k := range t.byID {
-		if now.Sub(k.since) > placeBound {
+		if now.Sub(k.since) > keyedRequestTTL {
 			delete(t.byID, id)
 		}
 	}
--- a/control/loop.go
+++ b/control/loop.go
@@ -11,50 +11,50 @@
 	"lynxramp.org/store"
 )
 
-// tickEvery is how often the State is told that time passed.
-const tickEvery = 100 * time.Millisecond
+// tickInterval is the interval of Tick events.
+const tickInterval = 100 * time.Millisecond
 
-// inputDepth is how many batches of events may wait for the loop.
+// inputDepth is the number of batches that may be queued for the loop.
 const inputDepth = 256
 
-// Carrier carries out effects. It must not wait for the loop and must copy what
-// it keeps.
-type Carrier interface {
-	// Decide takes grants, refusals and answers.
-	Decide(e *Effects)
-	// Keep takes what is to be saved and sent. It owns r.
-	Keep(r consensus.Ready)
-	// Saved is where it tells what was saved.
+// Executor executes effects. It must not wait for the loop, and must copy what it
+// retains.
+type Executor interface {
+	// Deliver delivers grants, refusals and answers.
+	Deliver(e *Effects)
+	// Enqueue queues what is to be saved and sent. It takes ownership of r.
+	Enqueue(r consensus.Ready)
+	// Saved returns the channel of completed saves.
 	Saved() <-chan store.Saved
 }
 
-// Loop is the goroutine that owns a State.
+// Loop owns a State, in one goroutine.
 type Loop struct {
-	state   *State
-	clock   event.Clock
-	carrier Carrier
-	input   chan batch
+	state    *State
+	clock    event.Clock
+	executor Executor
+	input    chan batch
 }
 
 type batch struct {
-	events []event.Event
-	inside func(event.Time, *State)
-	done   chan<- Status
+	events  []event.Event
+	inspect func(event.Time, *State)
+	done    chan<- Status
 }
 
-// NewLoop returns a loop over state; Run starts it.
-func NewLoop(state *State, clock event.Clock, carrier Carrier) *Loop {
+// NewLoop returns a loop that owns state; Run runs it.
+func NewLoop(state *State, clock event.Clock, executor Executor) *Loop {
 	return &Loop{
-		state:   state,
-		clock:   clock,
-		carrier: carrier,
-		input:   make(chan batch, inputDepth),
+		state:    state,
+		clock:    clock,
+		executor: executor,
+		input:    make(chan batch, inputDepth),
 	}
 }
 
-// Run steps the state until ctx ends.
+// Run steps the state until ctx is done.
 func (l *Loop) Run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	var effects Effects
 	for {
@@ -63,7 +63,7 @@
 		case <-ctx.Done():
 			return
 		case b = <-l.input:
-		case e := <-l.carrier.Saved():
+		case e := <-l.executor.Saved():
 			b.events = []event.Event{&LogSaved{Index: e.Index, Term: e.Term}}
 		case t := <-ticker.C:
 			b.events = []event.Event{&WallClock{Millis: t.UnixMilli()}, &event.Tick{}}
@@ -78,18 +78,18 @@
 	for _, e := range b.events {
 		l.state.Step(now, e, effects)
 	}
-	if b.inside != nil {
-		b.inside(now, l.state)
+	if b.inspect != nil {
+		b.inspect(now, l.state)
 	}
 	status := l.state.Status(now)
 	if !status.Owner {
-		// A lease that ended takes its undelivered decisions with it.
+		// Undelivered decisions expire with the leader's lease.
 		effects.Grants = effects.Grants[:0]
 		effects.Refusals = effects.Refusals[:0]
 	}
-	l.carrier.Decide(effects)
+	l.executor.Deliver(effects)
 	if effects.Ready.MustSave() || len(effects.Ready.Early)+len(effects.Ready.Messages) > 0 {
-		l.carrier.Keep(effects.Ready)
+		l.executor.Enqueue(effects.Ready)
 		effects.Ready = consensus.Ready{}
 	}
 	if b.done != nil {
@@ -97,15 +97,15 @@
 	}
 }
 
-// Post hands events to the state, waits until their effects were handed on and
-// returns the status after them.
+// Post steps the state with events, waits until their effects are with the executor
+// and returns the status after them.
 func (l *Loop) Post(ctx context.Context, events ...event.Event) (Status, error) {
 	return l.post(ctx, batch{events: events})
 }
 
-// Inspect calls f with the state, on the loop's goroutine. f must not keep it.
+// Inspect calls f with the state, on the loop's goroutine. f must not retain it.
 func (l *Loop) Inspect(ctx context.Context, f func(event.Time, *State)) error {
-	_, err := l.post(ctx, batch{inside: f})
+	_, err := l.post(ctx, batch{inspect: f})
 	return err
 }
 
--- a/control/operator.go
+++ b/control/operator.go
@@ -18,7 +18,7 @@
 	"lynxramp.org/sched"
 )
 
-// Apply implements rpc.Operator. It answers when the change is committed.
+// Apply implements rpc.Operator. It returns when the change is committed.
 func (s *Service) Apply(ctx context.Context, r *rpc.ApplyRequest) (*rpc.ApplyResponse, error) {
 	if r.Id == "" {
 		return nil, twirp.RequiredArgumentError("id")
@@ -27,9 +27,9 @@
 	if err := json.Unmarshal(r.Changes, &changes); err != nil {
 		return nil, twirp.InvalidArgumentError("changes", err.Error())
 	}
-	token, answered := s.boxes.Expect()
-	defer s.boxes.Forget(token)
-	status, err := s.loop.Post(ctx, &ChangeAsked{
+	token, answered := s.outboxes.NewToken()
+	defer s.outboxes.DropToken(token)
+	status, err := s.loop.Post(ctx, &ChangeRequested{
 		Token: token,
 		Wall:  time.Now().UnixMilli(),
 		Change: machine.CatalogChange{
@@ -42,8 +42,8 @@
 	select {
 	case a := <-answered:
 		return &rpc.ApplyResponse{
-			Leads: a.Leads, Leader: status.Leader, Version: a.Result.Version,
-			Conflict: a.Result.Conflict, Problems: a.Result.Problems, Again: a.Again,
+			Leads: a.IsLeader, Leader: status.Leader, Version: a.Result.Version,
+			Conflict: a.Result.Conflict, Problems: a.Result.Problems, Again: a.Duplicate,
 		}, nil
 	case <-ctx.Done():
 		return nil, twirp.NewError(twirp.DeadlineExceeded, "the command's result is not known; send it again with the same id")
@@ -60,22 +60,22 @@
 	return answer, nil
 }
 
-// show fills an answer for operators.
+// show fills in the response for operators.
 func (s *State) show(now event.Time, r *rpc.ShowResponse) {
 	c, version := s.machine.Catalog()
-	r.Leads = s.owns(now)
+	r.Leads = s.isOwner(now)
 	r.Leader = s.leaderAddress()
 	r.Version = version
 	r.Catalog = mustJSON(c)
 	r.Epoch = uint64(s.epoch)
 	r.Members = rpc.MembershipMessage(s.node.Members())
-	for id, b := range s.seen {
+	for id, b := range s.entries {
 		r.Boxes = append(r.Boxes, &rpc.BoxVersion{
-			Box: string(id), Version: b.version, SilentMs: uint32(now.Sub(b.at).Milliseconds()),
+			Box: string(id), Version: b.version, SilentMs: uint32(now.Sub(b.lastHeartbeat).Milliseconds()),
 		})
 	}
 	slices.SortFunc(r.Boxes, func(a, b *rpc.BoxVersion) int { return cmp.Compare(a.Box, b.Box) })
-	for _, name := range s.names {
+	for _, name := range s.poolNames {
 		p := s.pools[name]
 		r.Pools = append(r.Pools, &rpc.PoolStatus{
 			Name: name, Waiting: uint32(p.Waiting()), Running: uint32(p.Running()), Endpoints: endpointMessages(p.Endpoints(now)),
--- a/control/outbox.go
+++ b/control/outbox.go
@@ -11,14 +11,14 @@
 	"lynxramp.org/store"
 )
 
-// outboxLimit bounds the decisions kept for an entry that does not fetch them.
-// A dropped grant is made good: the entry registers its request again.
-const outboxLimit = 100_000
+// maxOutboxDecisions bounds the decisions kept for an entry that doesn't fetch them.
+// The oldest is dropped; the entry submits such a request again.
+const maxOutboxDecisions = 100_000
 
-// Outboxes keeps the decisions for each entry until the entry has them, and the
-// answers for the calls that wait for them. It implements Carrier.
+// Outboxes holds the decisions for each entry until it acknowledges them, and the
+// channels of calls that wait for an Answer. It implements Executor.
 type Outboxes struct {
-	keeper *store.Keeper
+	writer *store.Keeper
 
 	mu      sync.Mutex
 	epoch   event.Epoch
@@ -28,30 +28,29 @@
 }
 
 type outbox struct {
-	next      uint64 // number of the next decision
-	decisions []*rpc.Decision
-	changed   chan struct{} // closed at the next decision or catalog
-	life      uint64        // the entry's incarnation
+	next        uint64 // number of the next decision
+	decisions   []*rpc.Decision
+	changed     chan struct{} // closed at the next decision or catalog version
+	incarnation uint64        // the entry's incarnation
 }
 
-// NewOutboxes returns Outboxes without any decision, which hand what is to be
-// kept on to keeper.
-func NewOutboxes(keeper *store.Keeper) *Outboxes {
+// NewOutboxes returns empty Outboxes that save and send through writer.
+func NewOutboxes(writer *store.Keeper) *Outboxes {
 	return &Outboxes{
-		keeper:  keeper,
+		writer:  writer,
 		boxes:   make(map[event.BoxID]*outbox),
 		answers: make(map[uint64]chan Answer),
 	}
 }
 
-// Keep implements Carrier.
-func (o *Outboxes) Keep(r consensus.Ready) { o.keeper.Keep(r) }
+// Enqueue implements Executor.
+func (o *Outboxes) Enqueue(r consensus.Ready) { o.writer.Keep(r) }
 
-// Saved implements Carrier.
-func (o *Outboxes) Saved() <-chan store.Saved { return o.keeper.Saved() }
+// Saved implements Executor.
+func (o *Outboxes) Saved() <-chan store.Saved { return o.writer.Saved() }
 
-// Decide implements Carrier: it lays each decision into its entry's outbox.
-func (o *Outboxes) Decide(e *Effects) {
+// Deliver implements Executor: it adds each decision to its entry's outbox.
+func (o *Outboxes) Deliver(e *Effects) {
 	if len(e.Grants)+len(e.Refusals)+len(e.Answers) == 0 && !e.NewEpoch && !e.NewCatalog {
 		return
 	}
@@ -65,15 +64,15 @@
 	}
 	for _, g := range e.Grants {
 		b := o.box(g.Entry)
-		b.put(rpc.GrantDecision(b.next, g))
+		b.add(rpc.GrantDecision(b.next, g))
 	}
 	for _, r := range e.Refusals {
 		b := o.box(r.Entry)
-		b.put(rpc.RefusalDecision(b.next, r))
+		b.add(rpc.RefusalDecision(b.next, r))
 	}
 	if e.NewCatalog {
 		for _, b := range o.boxes {
-			b.wake()
+			b.notify()
 		}
 	}
 	for _, a := range e.Answers {
@@ -84,8 +83,8 @@
 	}
 }
 
-// Expect returns a token and the channel on which its answer comes.
-func (o *Outboxes) Expect() (uint64, <-chan Answer) {
+// NewToken returns a new token and the channel that receives its answer.
+func (o *Outboxes) NewToken() (uint64, <-chan Answer) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.tokens++
@@ -94,28 +93,28 @@
 	return o.tokens, c
 }
 
-// Forget drops a token whose caller is gone.
-func (o *Outboxes) Forget(token uint64) {
+// DropToken drops a token whose caller no longer waits.
+func (o *Outboxes) DropToken(token uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.answers, token)
 }
 
-// Begin takes note of which life of an entry calls. Decisions for an earlier
-// life are dropped.
-func (o *Outboxes) Begin(entry event.BoxID, life uint64) {
+// SetIncarnation sets the entry's incarnation. Decisions for an earlier one are
+// dropped.
+func (o *Outboxes) SetIncarnation(entry event.BoxID, incarnation uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	b := o.box(entry)
-	if b.life != life {
-		b.life = life
+	if b.incarnation != incarnation {
+		b.incarnation = incarnation
 		b.decisions = nil
 	}
 }
 
-// After drops an entry's decisions up to number ack and returns the rest, with
-// a channel that is closed when there is another one.
-func (o *Outboxes) After(entry event.BoxID, ack uint64) ([]*rpc.Decision, <-chan struct{}) {
+// Fetch drops an entry's decisions up to number ack and returns the rest, with
+// a channel that is closed at the next decision or catalog version.
+func (o *Outboxes) Fetch(entry event.BoxID, ack uint64) ([]*rpc.Decision, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	b := o.box(entry)
@@ -136,17 +135,17 @@
 	return b
 }
 
-func (b *outbox) put(d *rpc.Decision) {
+func (b *outbox) add(d *rpc.Decision) {
 	b.next++
-	if len(b.decisions) >= outboxLimit {
+	if len(b.decisions) >= maxOutboxDecisions {
 		b.decisions = b.decisions[1:]
 	}
 	b.decisions = append(b.decisions, d)
-	b.wake()
+	b.notify()
 }
 
-// wake ends the waiting of the entry's call.
-func (b *outbox) wake() {
+// notify wakes the entry's waiting call.
+func (b *outbox) notify() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
--- a/control/peers.go
+++ b/control/peers.go
@@ -19,13 +19,13 @@
 	"lynxramp.org/store"
 )
 
-// Bounds of the messages between members.
+// Limits for messages between members.
 const (
-	deliverTimeout = 700 * time.Millisecond
-	peerQueue      = 64
+	deliverTimeout  = 700 * time.Millisecond
+	peerQueueLength = 64
 )
 
-// Messages that were refused, by why.
+// Rejected messages, by reason.
 var (
 	refusedGroup   = metrics.NewCounter(`lynxramp_control_messages_refused_total{why="group"}`)
 	refusedUnknown = metrics.NewCounter(`lynxramp_control_messages_refused_total{why="unknown_box"}`)
@@ -33,8 +33,8 @@
 	refusedAddress = metrics.NewCounter(`lynxramp_control_messages_refused_total{why="not_for_this_member"}`)
 )
 
-// Peers carries messages between the members of the control group. It
-// implements Sender and rpc.Control.
+// Peers sends and receives messages between the members of the control group. It
+// implements store.Sender and rpc.Control.
 type Peers struct {
 	log       *zap.Logger
 	addresses map[event.BoxID]string
@@ -45,13 +45,13 @@
 	mu       sync.Mutex
 	identity store.Identity
 	loop     *Loop // nil until the box belongs to a group
-	boxes    *Outboxes
+	outboxes *Outboxes
 	tokens   uint64
 	replies  map[uint64]chan consensus.Message
 }
 
-// NewPeers returns the box's way to the other boxes of the control group, which
-// are reached at addresses (IP:port) by box.
+// NewPeers returns the Peers of a box. addresses has the IP:port of each box of the
+// control group.
 func NewPeers(identity store.Identity, addresses map[event.BoxID]string, c *http.Client, log *zap.Logger) *Peers {
 	p := &Peers{
 		log:       log,
@@ -65,28 +65,28 @@
 	for box, address := range addresses {
 		if box != identity.Box {
 			p.clients[box] = rpc.NewControlProtobufClient("http://"+address, c)
-			p.queues[box] = make(chan consensus.Message, peerQueue)
+			p.queues[box] = make(chan consensus.Message, peerQueueLength)
 		}
 	}
 	return p
 }
 
-// Self returns the member that this box is.
+// Self returns this box as a member.
 func (p *Peers) Self() consensus.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return consensus.Member{ID: p.identity.Member(), Address: p.address}
 }
 
-// Start hands incoming messages to loop from now on.
+// Start passes incoming messages to loop from now on.
 func (p *Peers) Start(loop *Loop, boxes *Outboxes) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.loop = loop
-	p.boxes = boxes
+	p.outboxes = boxes
 }
 
-// Run sends what is queued until ctx ends.
+// Run sends queued messages until ctx is done.
 func (p *Peers) Run(ctx context.Context) {
 	var wait sync.WaitGroup
 	for box, queue := range p.queues {
@@ -95,8 +95,9 @@
 	wait.Wait()
 }
 
-// Send implements Sender. A reply goes out as the response of its request;
-// anything else is queued, or dropped when the queue is full: it is sent again.
+// Send implements store.Sender. A reply is returned as the response of its request.
+// Other messages are queued, or dropped if the queue is full: consensus sends them
+// again.
 func (p *Peers) Send(m consensus.Message) {
 	if m.Token != 0 {
 		p.mu.Lock()
@@ -133,7 +134,7 @@
 	defer cancel()
 	answer, err := client.Deliver(ctx, rpc.MessageEnvelope(group, m))
 	if err != nil {
-		p.log.Debug("message not delivered", zap.String("to", string(m.To)), logx.Err(err))
+		p.log.Debug("sending a consensus message failed; consensus will send it again", zap.String("to", string(m.To)), logx.Err(err))
 		return
 	}
 	reply := answer.Message()
@@ -141,7 +142,7 @@
 		refusedInvalid.Inc()
 		return
 	}
-	// The context's end is seen by the caller.
+	// The caller checks ctx.
 	_, _ = loop.Post(ctx, &MessageReceived{Message: reply})
 }
 
@@ -169,19 +170,19 @@
 		return nil, twirp.NewError(twirp.Unavailable, "the box belongs to no group yet")
 	case e.Group != group:
 		refusedGroup.Inc()
-		return nil, twirp.NewError(twirp.FailedPrecondition, "the message is of another group")
+		return nil, twirp.NewError(twirp.FailedPrecondition, "the message is from another group")
 	case p.addresses[m.From.Box()] == "":
 		refusedUnknown.Inc()
-		return nil, twirp.NewError(twirp.PermissionDenied, "the message is of an unknown box")
+		return nil, twirp.NewError(twirp.PermissionDenied, "the message is from an unknown box")
 	case !m.Valid():
 		refusedInvalid.Inc()
 		return nil, twirp.NewError(twirp.InvalidArgument, "the message is malformed")
 	case m.To != self:
 		refusedAddress.Inc()
-		return nil, twirp.NewError(twirp.NotFound, "the message is for another life of this box")
+		return nil, twirp.NewError(twirp.NotFound, "the message is for another incarnation of this box")
 	}
-	token, reply := p.expect()
-	defer p.forget(token)
+	token, reply := p.newToken()
+	defer p.dropToken(token)
 	m.Token = token
 	if _, err := loop.Post(ctx, &MessageReceived{Message: m}); err != nil {
 		return nil, twirp.InternalErrorWith(err)
@@ -190,11 +191,11 @@
 	case r := <-reply:
 		return rpc.MessageEnvelope(group, r), nil
 	case <-ctx.Done():
-		return nil, twirp.NewError(twirp.DeadlineExceeded, "no reply in time")
+		return nil, twirp.NewError(twirp.DeadlineExceeded, "timeout waiting for the reply")
 	}
 }
 
-func (p *Peers) expect() (uint64, <-chan consensus.Message) {
+func (p *Peers) newToken() (uint64, <-chan consensus.Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tokens++
@@ -203,7 +204,7 @@
 	return p.tokens, c
 }
 
-func (p *Peers) forget(token uint64) {
+func (p *Peers) dropToken(token uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.replies, token)
@@ -212,7 +213,7 @@
 // Join implements rpc.Control.
 func (p *Peers) Join(ctx context.Context, r *rpc.JoinRequest) (*rpc.JoinResponse, error) {
 	p.mu.Lock()
-	loop, boxes, group := p.loop, p.boxes, p.identity.Group
+	loop, boxes, group := p.loop, p.outboxes, p.identity.Group
 	p.mu.Unlock()
 	if loop == nil || r.Member == nil {
 		return nil, twirp.NewError(twirp.Unavailable, "the box belongs to no group yet")
@@ -220,14 +221,14 @@
 	member := consensus.Member{ID: consensus.ID(r.Member.Id), Address: r.Member.Address}
 	if p.addresses[member.ID.Box()] != member.Address || r.Group != group {
 		refusedUnknown.Inc()
-		return nil, twirp.NewError(twirp.PermissionDenied, "the settings know no such box, or it is of another group")
+		return nil, twirp.NewError(twirp.PermissionDenied, "the box is not in the settings or belongs to another group")
 	}
-	token, answered := boxes.Expect()
-	defer boxes.Forget(token)
-	status, err := loop.Post(ctx, &JoinAsked{Member: member, Token: token})
+	token, answered := boxes.NewToken()
+	defer boxes.DropToken(token)
+	status, err := loop.Post(ctx, &JoinRequested{Member: member, Token: token})
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
 	a := <-answered
-	return &rpc.JoinResponse{Done: a.Done, Leads: a.Leads, Leader: status.Leader, Group: group}, nil
+	return &rpc.JoinResponse{Done: a.IsVoter, Leads: a.IsLeader, Leader: status.Leader, Group: group}, nil
 }
--- a/control/pools.go
+++ b/control/pools.go
@@ -9,7 +9,7 @@
 	"lynxramp.org/sched"
 )
 
-// changePools makes the schedulers fit the catalog that is applied.
+// changePools creates and updates the schedulers after the applied catalog.
 func (s *State) changePools(now event.Time, out *Effects) {
 	c, version := s.machine.Catalog()
 	if version == s.version {
@@ -24,12 +24,12 @@
 			continue
 		}
 		s.pools[p.Name] = sched.New(now, q, s.seed)
-		s.names = append(s.names, p.Name)
+		s.poolNames = append(s.poolNames, p.Name)
 	}
-	slices.Sort(s.names)
+	slices.Sort(s.poolNames)
 }
 
-// stepPools hands an event to the schedulers that it concerns.
+// stepPools passes an event to the schedulers that it concerns.
 func (s *State) stepPools(now event.Time, e event.Event, out *Effects) {
 	refused, dropped := len(out.Refusals), len(out.Dropped)
 	granted := len(out.Grants)
@@ -42,22 +42,22 @@
 	case *event.Finished:
 		s.stepPool(now, e.Pool, e, out)
 		if e.Void {
-			s.keys.voided(e.ID)
+			s.keys.clearGrant(e.ID)
 		}
 	case *event.SlotReported:
-		s.keys.report(e.Report)
+		s.keys.recordRunning(e.Report)
 		s.stepPool(now, e.Report.Pool, e, out)
 	case *event.EntrySeen:
-		s.seen[e.Entry] = boxSeen{version: e.Version, at: now}
+		s.entries[e.Entry] = entryStatus{version: e.Version, lastHeartbeat: now}
 		s.stepAll(now, e, out)
 	case *event.PlatformListed:
 		s.stepAll(now, e, out)
 	case *event.Tick:
 		s.stepAll(now, e, out)
-		s.keys.sweep(now)
+		s.keys.expire(now)
 	}
 	for _, g := range out.Grants[granted:] {
-		s.keys.granted(g, out)
+		s.keys.recordGrant(g, out)
 	}
 	for _, r := range out.Refusals[refused:] {
 		s.releaseKey(r.ID, out)
@@ -69,25 +69,25 @@
 }
 
 func (s *State) stepAll(now event.Time, e event.Event, out *Effects) {
-	for _, name := range s.names {
+	for _, name := range s.poolNames {
 		s.pools[name].Step(now, e, &out.Effects)
 	}
 }
 
-// stepPool hands an event to one pool's scheduler.
+// stepPool passes an event to one pool's scheduler.
 func (s *State) stepPool(now event.Time, pool string, e event.Event, out *Effects) {
 	if p, ok := s.pools[pool]; ok {
 		p.Step(now, e, &out.Effects)
 	}
 }
 
-// submit registers a request; one with a key first has to claim it.
+// submit passes a request to its pool; a request with a key has to claim it first.
 func (s *State) submit(now event.Time, e *event.Submitted, out *Effects) {
 	if _, ok := s.pools[e.Ticket.Pool]; !ok {
 		refuse(e, event.ReasonNoPool, out)
 		return
 	}
-	if e.Ticket.Key != "" && !s.holdsKey(now, e, out) {
+	if e.Ticket.Key != "" && !s.checkKey(now, e, out) {
 		return
 	}
 	s.stepPool(now, e.Ticket.Pool, e, out)
--- a/control/service.go
+++ b/control/service.go
@@ -15,22 +15,22 @@
 	"lynxramp.org/rpc"
 )
 
-// maxWait bounds how long an exchange may wait for a decision.
-const maxWait = 3 * time.Second
+// maxExchangeWait bounds how long an Exchange may wait for a decision.
+const maxExchangeWait = 3 * time.Second
 
-// Service is the face of a control box towards entries, slots and operators. It
+// Service is the API of a control box for entries, slots and operators. It
 // implements rpc.Scheduler and rpc.Operator.
 type Service struct {
-	loop  *Loop
-	boxes *Outboxes
+	loop     *Loop
+	outboxes *Outboxes
 
-	mu   sync.Mutex
-	news *rpc.CatalogNews // the last that was made
+	mu       sync.Mutex
+	lastNews *rpc.CatalogNews // the last built
 }
 
-// NewService returns the face of the box whose state loop owns.
+// NewService returns the service of the box whose state loop owns.
 func NewService(loop *Loop, boxes *Outboxes) *Service {
-	return &Service{loop: loop, boxes: boxes}
+	return &Service{loop: loop, outboxes: boxes}
 }
 
 // Exchange implements rpc.Scheduler.
@@ -39,7 +39,7 @@
 	if entry == "" {
 		return nil, twirp.RequiredArgumentError("entry")
 	}
-	s.boxes.Begin(entry, r.Incarnation)
+	s.outboxes.SetIncarnation(entry, r.Incarnation)
 	status, err := s.loop.Post(ctx, r.Events()...)
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
@@ -63,25 +63,25 @@
 	return answer, err
 }
 
-// await returns the decisions after ack, if need be after waiting for one.
+// await returns the decisions after ack; if there are none, it waits for the next one.
 func (s *Service) await(ctx context.Context, entry event.BoxID, ack uint64, wait time.Duration) []*rpc.Decision {
-	decisions, changed := s.boxes.After(entry, ack)
+	decisions, changed := s.outboxes.Fetch(entry, ack)
 	if len(decisions) > 0 || wait == 0 {
 		return decisions
 	}
-	timer := time.NewTimer(min(wait, maxWait))
+	timer := time.NewTimer(min(wait, maxExchangeWait))
 	defer timer.Stop()
 	select {
 	case <-changed:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	decisions, _ = s.boxes.After(entry, ack)
+	decisions, _ = s.outboxes.Fetch(entry, ack)
 	return decisions
 }
 
-// catalogNews returns what brings a box from a version to the present one; nil
-// if it has that.
+// catalogNews returns the update from a version to the current one; nil if there is
+// none.
 func (s *Service) catalogNews(ctx context.Context, since uint64) (*rpc.CatalogNews, error) {
 	var news *rpc.CatalogNews
 	err := s.loop.Inspect(ctx, func(now event.Time, state *State) {
@@ -95,7 +95,7 @@
 	return news, nil
 }
 
-// makeNews makes a catalog's news, or takes the last ones if they fit.
+// makeNews builds an update of the catalog, or reuses the last one if it matches.
 func (s *Service) makeNews(m *machine.State, since uint64) *rpc.CatalogNews {
 	c, version := m.Catalog()
 	if version == since {
@@ -103,21 +103,21 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n := s.news; n != nil && n.Version == version && n.Since == since {
+	if n := s.lastNews; n != nil && n.Version == version && n.Since == since {
 		return n
 	}
 	n := &rpc.CatalogNews{Version: version, Since: since, Hash: machine.Hash(c)}
-	if changes, ok := m.Since(since); ok && since > 0 {
+	if changes, ok := m.ChangesSince(since); ok && since > 0 {
 		n.Changes = mustJSON(changes)
 	} else {
 		n.Since = 0
 		n.Whole = mustJSON(c)
 	}
-	s.news = n
+	s.lastNews = n
 	return n
 }
 
-// mustJSON encodes a value of the catalog's types, which cannot fail.
+// mustJSON encodes a value of the catalog's types, which can't fail.
 func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/control/state.go
+++ b/control/state.go
@@ -10,51 +10,52 @@
 	"lynxramp.org/sched"
 )
 
-// compactEvery is how many entries are applied between snapshots.
+// compactEvery is the number of log entries applied between snapshots.
 const compactEvery = 4096
 
-// boxSeen is what is known of an entry box.
-type boxSeen struct {
-	version uint64
-	at      event.Time
+// entryStatus is the last reported state of an entry box.
+type entryStatus struct {
+	version       uint64
+	lastHeartbeat event.Time
 }
 
 // State is the root reducer of a control box. It is not safe for concurrent
 // use.
 type State struct {
-	seed    uint64
-	node    *consensus.Node
-	machine machine.State
-	first   catalog.Catalog // proposed while there is none
-	wall    int64           // milliseconds since 1970, about
+	seed           uint64
+	node           *consensus.Node
+	machine        machine.State
+	initialCatalog catalog.Catalog // proposed if the group has none
+	wallMillis     int64           // Unix milliseconds, updated once a tick
 
-	// Of the owner: all pools are the leader's, its term is their epoch.
-	epoch    event.Epoch
-	pools    map[string]*sched.State
-	names    []string // of the pools, in order
-	seen     map[event.BoxID]boxSeen
-	keys     keyTable
-	waiting  map[string][]uint64 // tokens by command id
-	compact  consensus.Index
-	proposed bool // the first catalog
-	version  uint64
-	listed   *event.PlatformListed // the last one, for pools that begin later
+	// Only valid while this box is the owner. The leader owns all pools; its term is
+	// their epoch.
+	epoch           event.Epoch
+	pools           map[string]*sched.State
+	poolNames       []string // sorted
+	entries         map[event.BoxID]entryStatus
+	keys            keyTable
+	changeTokens    map[string][]uint64 // tokens by command id
+	compacted       consensus.Index
+	catalogProposed bool // the initial catalog
+	version         uint64
+	drainList       *event.PlatformListed // the last one, for pools created later
 }
 
-// NewState returns the state of a member of the group. first is the catalog that
-// a group without one begins with.
-func NewState(now event.Time, id consensus.ID, r consensus.Restored, first catalog.Catalog, seed uint64) (*State, error) {
+// NewState returns the state of a member of the group. initial is the catalog that
+// is proposed if the group has none.
+func NewState(now event.Time, id consensus.ID, r consensus.Restored, initial catalog.Catalog, seed uint64) (*State, error) {
 	s := &State{
-		seed:    seed,
-		node:    consensus.New(now, id, r, seed),
-		first:   first,
-		waiting: make(map[string][]uint64),
-		compact: r.Snapshot.Index,
+		seed:           seed,
+		node:           consensus.New(now, id, r, seed),
+		initialCatalog: initial,
+		changeTokens:   make(map[string][]uint64),
+		compacted:      r.Snapshot.Index,
 	}
 	return s, s.machine.Restore(r.Snapshot.Data)
 }
 
-// Step takes one event and adds to out what follows from it.
+// Step applies one event and appends its effects to out.
 func (s *State) Step(now event.Time, e event.Event, out *Effects) {
 	switch e := e.(type) {
 	case *event.Tick:
@@ -64,58 +65,58 @@
 	case *LogSaved:
 		s.node.Saved(now, e.Index, e.Term, &out.Ready)
 	case *WallClock:
-		s.wall = e.Millis
-	case *JoinAsked:
+		s.wallMillis = e.Millis
+	case *JoinRequested:
 		done, err := s.node.Join(now, e.Member, &out.Ready)
-		out.Answers = append(out.Answers, Answer{Token: e.Token, Leads: err == nil, Done: done})
-	case *ChangeAsked:
-		s.ask(now, e, out)
+		out.Answers = append(out.Answers, Answer{Token: e.Token, IsLeader: err == nil, IsVoter: done})
+	case *ChangeRequested:
+		s.proposeChange(now, e, out)
 	case *event.PlatformListed:
-		s.listed = e
-		if s.leavesAlone(e.Leaving) {
+		s.drainList = e
+		if s.shouldTransferLeadership(e.Leaving) {
 			s.node.Transfer(now, nil, &out.Ready)
 		}
 	case *StopAsked:
 		s.node.Transfer(now, nil, &out.Ready)
 	}
-	s.settle(now, out)
-	if s.owns(now) {
+	s.applyReady(now, out)
+	if s.isOwner(now) {
 		s.stepPools(now, e, out)
-		s.settle(now, out)
+		s.applyReady(now, out)
 	}
 	out.Epoch = s.epoch
 }
 
-// Status returns what callers need to know.
+// Status returns the current status.
 func (s *State) Status(now event.Time) Status {
 	_, version := s.machine.Catalog()
-	return Status{Owner: s.owns(now), Epoch: s.epoch, Leader: s.leaderAddress(), Version: version}
+	return Status{Owner: s.isOwner(now), Epoch: s.epoch, Leader: s.leaderAddress(), Version: version}
 }
 
-// Node returns the box's part in the replicated log.
+// Node returns the box's consensus node.
 func (s *State) Node() *consensus.Node { return s.node }
 
-// Machine returns the replicated state as far as it is applied here.
+// Machine returns the replicated state as applied on this box.
 func (s *State) Machine() *machine.State { return &s.machine }
 
 func (s *State) leaderAddress() string { return s.address(s.node.Leader()) }
 
 func (s *State) selfAddress() string { return s.address(s.node.ID()) }
 
-// leavesAlone reports whether this box is leaving and another voter is not.
-func (s *State) leavesAlone(leaving map[string]bool) bool {
-	if !leaving[event.Host(s.selfAddress())] {
+// shouldTransferLeadership reports whether this box is draining and another voter isn't.
+func (s *State) shouldTransferLeadership(draining map[string]bool) bool {
+	if !draining[event.Host(s.selfAddress())] {
 		return false
 	}
 	for _, v := range s.node.Members().Voters {
-		if !leaving[event.Host(v.Address)] {
+		if !draining[event.Host(v.Address)] {
 			return true
 		}
 	}
 	return false
 }
 
-// address returns where a voter is reached; empty if it is none.
+// address returns the address of a voter; empty if id isn't one.
 func (s *State) address(id consensus.ID) string {
 	for _, v := range s.node.Members().Voters {
 		if v.ID == id {
@@ -125,18 +126,18 @@
 	return ""
 }
 
-// owns reports whether this box owns the pools: no other can.
-func (s *State) owns(now event.Time) bool {
+// isOwner reports whether this box owns the pools. Its lease excludes any other owner.
+func (s *State) isOwner(now event.Time) bool {
 	return s.epoch != 0 && s.node.HasLease(now) && event.Epoch(s.node.Term()) == s.epoch
 }
 
-// settle applies what was committed and takes up or lays down the ownership.
-func (s *State) settle(now event.Time, out *Effects) {
-	if snap := out.Ready.Snapshot; snap != nil && snap.Index > s.compact {
-		s.compact = snap.Index
-		// A snapshot of ours is what is applied here; one of the leader's is news.
+// applyReady applies snapshots and committed entries, and begins or ends ownership.
+func (s *State) applyReady(now event.Time, out *Effects) {
+	if snap := out.Ready.Snapshot; snap != nil && snap.Index > s.compacted {
+		s.compacted = snap.Index
+		// The snapshot came from the leader: our own are never newer than compacted.
 		if err := s.machine.Restore(snap.Data); err != nil {
-			panic(err) // it was checked when it was taken
+			panic(err) // can't fail: checked when it was taken
 		}
 	}
 	for len(out.Ready.Committed) > 0 {
@@ -146,9 +147,9 @@
 			s.apply(now, entry, out)
 		}
 	}
-	s.takeOwnership(now, out)
-	if applied := s.node.Applied(); applied >= s.compact+compactEvery {
-		s.compact = applied
+	s.updateOwnership(now, out)
+	if applied := s.node.Applied(); applied >= s.compacted+compactEvery {
+		s.compacted = applied
 		s.node.Compact(applied, s.machine.Snapshot(), &out.Ready)
 	}
 }
@@ -158,20 +159,19 @@
 		return
 	}
 	if err := s.machine.Apply(entry.Data); err != nil {
-		// A command that no version of this program can read does nothing,
-		// on every box alike.
+		// An unreadable command is skipped on every box alike.
 		return
 	}
 	s.answerChanges(out)
-	if s.owns(now) {
+	if s.isOwner(now) {
 		s.changePools(now, out)
-		s.settleClaims(now, out)
+		s.resumeClaimed(now, out)
 	}
 }
 
-// takeOwnership begins a new epoch when this box has come to lead, and ends one
-// that is over.
-func (s *State) takeOwnership(now event.Time, out *Effects) {
+// updateOwnership begins a new epoch when this box has become the leader, and ends
+// the epoch when it no longer leads in that term.
+func (s *State) updateOwnership(now event.Time, out *Effects) {
 	leads := s.node.Leads()
 	if s.epoch != 0 && (!leads || event.Epoch(s.node.Term()) != s.epoch) {
 		s.endEpoch(out)
@@ -181,80 +181,80 @@
 	}
 	s.epoch = event.Epoch(s.node.Term())
 	s.pools = make(map[string]*sched.State)
-	s.names = nil
-	s.seen = make(map[event.BoxID]boxSeen)
+	s.poolNames = nil
+	s.entries = make(map[event.BoxID]entryStatus)
 	s.keys = newKeyTable()
 	s.version = 0
-	s.proposed = false
+	s.catalogProposed = false
 	out.NewEpoch = true
 	s.changePools(now, out)
-	if s.listed != nil {
-		s.stepAll(now, s.listed, out)
+	if s.drainList != nil {
+		s.stepAll(now, s.drainList, out)
 	}
-	s.proposeFirst(now, out)
+	s.proposeInitialCatalog(now, out)
 }
 
-// endEpoch forgets all that an owner knows. Entries and slots tell the next one.
+// endEpoch drops the owner's state. Entries and slots report theirs to the next owner.
 func (s *State) endEpoch(out *Effects) {
 	s.epoch = 0
 	s.pools = nil
-	s.names = nil
-	for id, tokens := range s.waiting {
+	s.poolNames = nil
+	for id, tokens := range s.changeTokens {
 		for _, t := range tokens {
 			out.Answers = append(out.Answers, Answer{Token: t})
 		}
-		delete(s.waiting, id)
+		delete(s.changeTokens, id)
 	}
 }
 
-// firstCatalog is the id of the command that brings a group's first catalog.
-const firstCatalog = "first-catalog"
+// initialCatalogID is the ID of the command that sets a group's initial catalog.
+const initialCatalogID = "first-catalog"
 
-// proposeFirst proposes the settings' catalog to a group that has none.
-func (s *State) proposeFirst(now event.Time, out *Effects) {
-	if _, version := s.machine.Catalog(); version > 0 || s.proposed {
+// proposeInitialCatalog proposes the catalog from the settings to a group that has none.
+func (s *State) proposeInitialCatalog(now event.Time, out *Effects) {
+	if _, version := s.machine.Catalog(); version > 0 || s.catalogProposed {
 		return
 	}
-	s.proposed = true
+	s.catalogProposed = true
 	change := machine.CatalogChange{
-		ID: firstCatalog, Operator: "settings", Changes: []catalog.Change{{Whole: &s.first}},
+		ID: initialCatalogID, Operator: "settings", Changes: []catalog.Change{{Whole: &s.initialCatalog}},
 	}
-	// A lease lost in this instant leaves it to the next leader.
-	_, _ = s.node.Propose(now, machine.Command{Time: s.wall, Catalog: &change}.Encode(), &out.Ready)
+	// If the lease is lost, the next leader proposes it.
+	_, _ = s.node.Propose(now, machine.Command{Time: s.wallMillis, Catalog: &change}.Encode(), &out.Ready)
 }
 
-// ask proposes an operator's command, or gives the result that is known.
-func (s *State) ask(now event.Time, e *ChangeAsked, out *Effects) {
-	if !s.owns(now) {
+// proposeChange proposes an operator's command, or answers with its known result.
+func (s *State) proposeChange(now event.Time, e *ChangeRequested, out *Effects) {
+	if !s.isOwner(now) {
 		out.Answers = append(out.Answers, Answer{Token: e.Token})
 		return
 	}
 	if r, ok := s.machine.Result(e.Change.ID); ok {
-		out.Answers = append(out.Answers, Answer{Token: e.Token, Leads: true, Result: r, Again: true})
+		out.Answers = append(out.Answers, Answer{Token: e.Token, IsLeader: true, Result: r, Duplicate: true})
 		return
 	}
-	first := len(s.waiting[e.Change.ID]) == 0
-	s.waiting[e.Change.ID] = append(s.waiting[e.Change.ID], e.Token)
+	first := len(s.changeTokens[e.Change.ID]) == 0
+	s.changeTokens[e.Change.ID] = append(s.changeTokens[e.Change.ID], e.Token)
 	if !first {
 		return
 	}
 	command := machine.Command{Time: e.Wall, Catalog: &e.Change}
 	if _, err := s.node.Propose(now, command.Encode(), &out.Ready); err != nil {
-		delete(s.waiting, e.Change.ID)
+		delete(s.changeTokens, e.Change.ID)
 		out.Answers = append(out.Answers, Answer{Token: e.Token})
 	}
 }
 
-// answerChanges answers the commands whose results are there.
+// answerChanges answers the commands whose results are known.
 func (s *State) answerChanges(out *Effects) {
-	for id, tokens := range s.waiting {
+	for id, tokens := range s.changeTokens {
 		r, ok := s.machine.Result(id)
 		if !ok {
 			continue
 		}
 		for i, t := range tokens {
-			out.Answers = append(out.Answers, Answer{Token: t, Leads: true, Result: r, Again: i > 0})
+			out.Answers = append(out.Answers, Answer{Token: t, IsLeader: true, Result: r, Duplicate: i > 0})
 		}
-		delete(s.waiting, id)
+		delete(s.changeTokens, id)
 	}
 }
