--- a/control/peers.go
+++ b/control/peers.go
@@ -79,11 +79,11 @@
 }
 
 // Start passes incoming messages to loop from now on.
-func (p *Peers) Start(loop *Loop, boxes *Outboxes) {
+func (p *Peers) Start(loop *Loop, outboxes *Outboxes) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.loop = loop
-	p.outboxes = boxes
+	p.outboxes = outboxes
 }
 
 // Run sends queued messages until ctx is done.
@@ -213,7 +213,7 @@
 // Join implements rpc.Control.
 func (p *Peers) Join(ctx context.Context, r *rpc.JoinRequest) (*rpc.JoinResponse, error) {
 	p.mu.Lock()
-	loop, boxes, group := p.loop, p.outboxes, p.identity.Group
+	loop, outboxes, group := p.loop, p.outboxes, p.identity.Group
 	p.mu.Unlock()
 	if loop == nil || r.Member == nil {
 		return nil, twirp.NewError(twirp.Unavailable, "the box belongs to no group yet")
@@ -223,8 +223,8 @@
 		refusedUnknown.Inc()
 		return nil, twirp.NewError(twirp.PermissionDenied, "the box is not in the settings or belongs to another group")
 	}
-	token, answered := boxes.NewToken()
-	defer boxes.DropToken(token)
+	token, answered := outboxes.NewToken()
+	defer outboxes.DropToken(token)
 	status, err := loop.Post(ctx, &JoinRequested{Member: member, Token: token})
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
--- a/control/service.go
+++ b/control/service.go
@@ -29,8 +29,8 @@
 }
 
 // NewService returns the service of the box whose state loop owns.
-func NewService(loop *Loop, boxes *Outboxes) *Service {
-	return &Service{loop: loop, outboxes: boxes}
+func NewService(loop *Loop, outboxes *Outboxes) *Service {
+	return &Service{loop: loop, outboxes: outboxes}
 }
 
 // Exchange implements rpc.Scheduler.
--- a/control/state.go
+++ b/control/state.go
@@ -42,13 +42,13 @@
 	drainList       *event.PlatformListed // the last one, for pools created later
 }
 
-// NewState returns the state of a member of the group. initial is the catalog that
-// is proposed if the group has none.
-func NewState(now event.Time, id consensus.ID, r consensus.Restored, initial catalog.Catalog, seed uint64) (*State, error) {
+// NewState returns the state of a member of the group. initialCatalog is proposed if
+// the group has no catalog.
+func NewState(now event.Time, id consensus.ID, r consensus.Restored, initialCatalog catalog.Catalog, seed uint64) (*State, error) {
 	s := &State{
 		seed:           seed,
 		node:           consensus.New(now, id, r, seed),
-		initialCatalog: initial,
+		initialCatalog: initialCatalog,
 		changeTokens:   make(map[string][]uint64),
 		compacted:      r.Snapshot.Index,
 	}
--- a/message/forms.go
+++ b/message/forms.go
@@ -25,10 +25,10 @@
 
 // Peer is the other side of a connection and the format version that it reads. The zero Peer has sent
 // nothing yet. It is safe for concurrent use.
-type Peer struct{ level atomic.Uint32 }
+type Peer struct{ formatLevel atomic.Uint32 }
 
 // Level returns the format version that the peer reads; 0 before its first bytes.
-func (p *Peer) Reads() level.Level { return level.Level(p.level.Load()) }
+func (p *Peer) Reads() level.Level { return level.Level(p.formatLevel.Load()) }
 
 // levelFields are names of fields that messages have from a level on, each with its length as in gob's type
 // definitions. The newest level comes first.
@@ -48,16 +48,16 @@
 func (p *Peer) detectLevel(definitions []byte) {
 	for _, m := range levelFields {
 		if bytes.Contains(definitions, []byte(m.field)) {
-			p.level.Store(uint32(m.level))
+			p.formatLevel.Store(uint32(m.level))
 			return
 		}
 	}
-	p.level.Store(uint32(level.Listed))
+	p.formatLevel.Store(uint32(level.Listed))
 }
 
 func (p *Peer) updateLevel(m *Envelope) {
 	if m != nil && m.Level > 0 {
-		p.level.Store(uint32(m.Level))
+		p.formatLevel.Store(uint32(m.Level))
 	}
 }
 
--- a/message/forms_test.go
+++ b/message/forms_test.go
@@ -146,7 +146,7 @@
 
 	listedPeer := &Peer{}
 	first := listedPeer.frameReply(nil)
-	listedPeer.level.Store(uint32(level.Listed))
+	listedPeer.formatLevel.Store(uint32(level.Listed))
 	in := encodeFrames(t, first, frameToControl(hello), listedPeer.frameReply(nil), listedPeer.frameReply(view))
 	var f frameOfListed
 	for range 4 {
@@ -161,7 +161,7 @@
 
 	packedPeer := &Peer{}
 	first = packedPeer.frameReply(nil)
-	packedPeer.level.Store(uint32(level.Packed))
+	packedPeer.formatLevel.Store(uint32(level.Packed))
 	in = encodeFrames(t, first, frameToControl(hello), packedPeer.frameReply(view))
 	var p frameOfPacked
 	for range 3 {
--- a/registry/start_test.go
+++ b/registry/start_test.go
@@ -40,7 +40,7 @@
 				{ID: "a", Born: 1000, Address: "10.0.0.1:80", Sequence: 901, Leaving: true},
 				{ID: "a", Address: "10.0.0.1:80", Sequence: 902},
 			} {
-				if _, ok := s.Start(late); ok {
+				if _, accepted := s.Start(late); accepted {
 					t.Errorf("a heartbeat of the earlier instance was accepted: %+v", late)
 				}
 			}
@@ -146,8 +146,8 @@
 			if r.IntN(3) == 0 {
 				s = *again
 			}
-			for sequence := heartbeats + 1; sequence <= heartbeats+2; sequence++ {
-				s.heartbeat(Endpoint{ID: name, Born: born, Address: address, Sequence: sequence}, next())
+			for seq := heartbeats + 1; seq <= heartbeats+2; seq++ {
+				s.heartbeat(Endpoint{ID: name, Born: born, Address: address, Sequence: seq}, next())
 			}
 			id := StartID(name, born)
 			if e := s.Endpoints[id]; e.Address != address || e.Leaving {
