--- a/admission/poison.go
+++ b/admission/poison.go
@@ -99,10 +99,10 @@
 	switch {
 	case f.Unsent:
 		s.poison.RecordUnsent(f.ID)
-	case f.Ran == message.RanWell:
+	case f.Ran == message.OutcomeSuccess:
 		s.poison.RecordSuccess(now, f.Print)
 	}
-	s.poison.RecordFinish(now, f.ID, f.Ran == message.RanAlive)
+	s.poison.RecordFinish(now, f.ID, f.Ran == message.OutcomeFailed)
 	if s.poison.TakeUnblocked() {
 		s.ReleaseHeld(now, out)
 	}
--- a/admission/poison_test.go
+++ b/admission/poison_test.go
@@ -83,7 +83,7 @@
 
 func (r *poisonRig) succeed(id int, p poison.Fingerprint) {
 	r.Finish(r.now, &message.Finish{
-		Finished: event.Finished{ID: event.RequestID(fmt.Sprint(id)), Pool: "s"}, Endpoint: r.granted(id), Print: p, Ran: message.RanWell,
+		Finished: event.Finished{ID: event.RequestID(fmt.Sprint(id)), Pool: "s"}, Endpoint: r.granted(id), Print: p, Ran: message.OutcomeSuccess,
 	}, &r.out)
 }
 
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -49,7 +49,7 @@
 	r, ok := s.runs[f.ID]
 	switch {
 	case !ok:
-	case f.Unsent, f.Ran != message.RanUnclear:
+	case f.Unsent, f.Ran != message.OutcomeUnknown:
 		delete(s.runs, f.ID)
 	default:
 		r.finishedAt, r.keptUntil = now, now.Add(inconclusiveRunTTL)
--- a/box/box.go
+++ b/box/box.go
@@ -102,13 +102,13 @@
 		})
 	}
 	return entry.New(entry.Config{
-		Box:         s.ID,
-		Life:        uint64(l),
-		Key:         keys.Boxes,
-		MaxBody:     s.Limits.BodyBytes,
-		BodyTime:    time.Duration(s.Limits.BodyTime),
-		MaxRequests: s.Limits.Requests,
-		MaxHeld:     s.Limits.HeldBytes,
+		Box:          s.ID,
+		Instance:     uint64(l),
+		Key:          keys.Boxes,
+		MaxBody:      s.Limits.BodyBytes,
+		BodyTimeout:  time.Duration(s.Limits.BodyTime),
+		MaxRequests:  s.Limits.Requests,
+		MaxHeldBytes: s.Limits.HeldBytes,
 	}, schedulers, log)
 }
 
@@ -154,10 +154,10 @@
 func (b *Box) drain() error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(b.settings.Drain.Bound))
 	defer cancel()
-	b.log.Info("draining", zap.Int("requests", b.entry.Requests()))
+	b.log.Info("draining", zap.Int("requests", b.entry.InFlight()))
 	var err error
 	if b.callers != nil {
-		b.entry.StartDrain()
+		b.entry.StartDraining()
 		wait.For(ctx, time.Duration(b.settings.Drain.Notice))
 		err = b.callers.drain(ctx)
 	}
--- a/box/control.go
+++ b/box/control.go
@@ -112,7 +112,7 @@
 }
 
 func (p *controlPart) belongAndRun(ctx context.Context) error {
-	restored, err := p.peers.Belong(ctx, p.disk, p.restored)
+	restored, err := p.peers.Bootstrap(ctx, p.disk, p.restored)
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -133,7 +133,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { loop.Run(ctx); return nil })
 	group.Go(func() error { p.peers.Run(ctx); return nil })
-	group.Go(func() error { p.peers.StayMember(ctx, loop); return nil })
+	group.Go(func() error { p.peers.MaintainMembership(ctx, loop); return nil })
 	group.Go(func() error { p.watchPlatform(ctx, loop); return nil })
 	group.Go(func() error { return keeper.Run(ctx) })
 	return group.Wait()
@@ -177,7 +177,7 @@
 		if err != nil || !leads || alone {
 			break
 		}
-		if _, err := loop.Post(ctx, &control.StopAsked{}); err != nil {
+		if _, err := loop.Post(ctx, &control.StopRequested{}); err != nil {
 			break
 		}
 		wait.For(ctx, handoverPoll)
--- a/box/slot.go
+++ b/box/slot.go
@@ -68,7 +68,7 @@
 	case <-work.Done():
 		return group.Wait()
 	}
-	s.log.Info("draining", zap.Int("held", s.slot.Held()))
+	s.log.Info("draining", zap.Int("held", s.slot.InFlight()))
 	bound, cancel := context.WithTimeout(context.Background(), time.Duration(s.settings.Drain.Bound))
 	defer cancel()
 	err := s.slot.Drain(bound)
--- a/cluster/endpoints.go
+++ b/cluster/endpoints.go
@@ -13,7 +13,7 @@
 // instanceOf returns the reported endpoint with the id of its instance; false if the report is void. Start
 // times are ignored until all boxes of the group support them.
 func (s *State) instanceOf(reported registry.Endpoint) (registry.Endpoint, bool) {
-	return s.machine.registry.Start(s.toGroupFormat(reported))
+	return s.machine.registry.ResolveInstance(s.toGroupFormat(reported))
 }
 
 // toGroupFormat drops the fields of a reported endpoint that some boxes of the group don't support.
@@ -27,7 +27,7 @@
 // receiveHeartbeat applies the state that an endpoint reports.
 func (s *State) receiveHeartbeat(now event.Time, t *HeartbeatReceived, out *Effects) {
 	e, valid := s.instanceOf(t.Endpoint)
-	isNoop := !valid || !s.machine.registry.Accepts(e) || !s.machine.registry.Changes(e) ||
+	isNoop := !valid || !s.machine.registry.Accepts(e) || !s.machine.registry.WouldChange(e) ||
 		(s.owner != nil && s.owner.isAddressTaken(now, e, s))
 	switch {
 	case isNoop && s.sawLeaderRecently(now):
@@ -55,8 +55,8 @@
 // removeEndpoint removes an endpoint that reported its termination.
 func (s *State) removeEndpoint(now event.Time, e *EndpointRemoved, out *Effects) {
 	removed := s.toGroupFormat(registry.Endpoint{ID: e.Name, Born: e.Born})
-	isNoop := s.machine.registry.IsGone(s.machine.registry.Ending(removed.ID, removed.Born))
-	s.propose(now, e.CallID, encodeRemove(registry.StartID(removed.ID, removed.Born)), isNoop, out)
+	isNoop := s.machine.registry.IsRemoved(s.machine.registry.ResolveTermination(removed.ID, removed.Born))
+	s.propose(now, e.CallID, encodeRemove(registry.InstanceID(removed.ID, removed.Born)), isNoop, out)
 }
 
 // ownAddress returns the operator address of this box; empty if it is not a member.
--- a/cluster/fleet_sim_test.go
+++ b/cluster/fleet_sim_test.go
@@ -449,7 +449,7 @@
 	if f.random.IntN(50) == 0 {
 		arrived = arrived.Add(event.Duration(f.random.IntN(3000)) * event.Millisecond)
 	}
-	if c.repeat && arrived.Sub(c.sent) > message.RepeatLife {
+	if c.repeat && arrived.Sub(c.sent) > message.RetryWindow {
 		end.Void, end.Unused, end.Unsent = true, true, true
 		e.client.Finish(now, end)
 		return
--- a/cluster/folders_test.go
+++ b/cluster/folders_test.go
@@ -63,8 +63,8 @@
 			continue
 		}
 		m := &state.machine
-		if m.document.Version != 9 || len(m.registry.Endpoints) != 3 || len(m.registry.Gone) != 300 {
-			t.Errorf("%s: version %d, %d endpoints, %d ended; want 9, 3 and 300", commit, m.document.Version, len(m.registry.Endpoints), len(m.registry.Gone))
+		if m.document.Version != 9 || len(m.registry.Endpoints) != 3 || len(m.registry.Removed) != 300 {
+			t.Errorf("%s: version %d, %d endpoints, %d ended; want 9, 3 and 300", commit, m.document.Version, len(m.registry.Endpoints), len(m.registry.Removed))
 		}
 		if state.node.Members().Voters == nil || state.snapshotIndex <= 1 {
 			t.Errorf("%s: members %+v, a snapshot at %d", commit, state.node.Members(), state.snapshotIndex)
--- a/cluster/levels_test.go
+++ b/cluster/levels_test.go
@@ -55,7 +55,7 @@
 // contents is all that a machine has, for comparisons.
 func (m *stateMachine) contents(t *testing.T) string {
 	t.Helper()
-	m.registry.IsGone("") // it makes what is derived, which is there or not after a snapshot
+	m.registry.IsRemoved("") // it makes what is derived, which is there or not after a snapshot
 	data, err := json.Marshal([]any{
 		m.formatVersion, m.document.Version, m.document.Data, m.upload.key, m.upload.parts, m.registry, m.spending.Record(), m.poison.Record(),
 	})
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -146,7 +146,7 @@
 		}
 		return m.putEndpoint(index, e), nil
 	case commandRemoveEndpoint:
-		id := m.registry.Ending(registry.ParseID(string(body)))
+		id := m.registry.ResolveTermination(registry.ParseID(string(body)))
 		m.registry.Remove(id, uint64(index))
 		return change{removed: []string{id}}, nil
 	case commandSpending:
@@ -181,7 +181,7 @@
 
 // putEndpoint stores the state reported by an endpoint, unless it is outdated.
 func (m *stateMachine) putEndpoint(index consensus.Index, reported registry.Endpoint) change {
-	e, valid := m.registry.Start(reported)
+	e, valid := m.registry.ResolveInstance(reported)
 	if !valid || !m.registry.Accepts(e) {
 		return change{}
 	}
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -37,10 +37,10 @@
 	startedAt        event.Time
 	entryRetention   event.Duration
 	budgets          *budget.Allocator
-	recordIndex      consensus.Index           // of the last budget record in the log
-	poison           *poison.Tracker           // poison requests
-	changedEndpoints map[string]bool           // ids of endpoints whose change is not yet sent to the entries
-	pieces           map[uint64]registry.Piece // by the preceding revision, valid at piecesRevision
+	recordIndex      consensus.Index          // of the last budget record in the log
+	poison           *poison.Tracker          // poison requests
+	changedEndpoints map[string]bool          // ids of endpoints whose change is not yet sent to the entries
+	pieces           map[uint64]registry.Page // by the preceding revision, valid at piecesRevision
 	piecesRevision   uint64
 	packed           map[pieceKey]packedPiece
 	budgetsLoggedAt  event.Time // when high budgets were last logged
@@ -75,7 +75,7 @@
 		startedAt:        now,
 		entryRetention:   s.settings.ConfigValidity + s.settings.Limits.QuotaWindow,
 		changedEndpoints: make(map[string]bool),
-		pieces:           make(map[uint64]registry.Piece),
+		pieces:           make(map[uint64]registry.Page),
 		packed:           make(map[pieceKey]packedPiece),
 	}
 	o.poison = poison.NewTracker(now, &s.machine.poison)
@@ -253,7 +253,7 @@
 // counts; otherwise an endpoint whose address was taken by a delayed message of a dead one would
 // never get requests again.
 func (o *owner) isAddressTaken(now event.Time, e registry.Endpoint, s *State) bool {
-	other := s.machine.registry.Contests(e)
+	other := s.machine.registry.AddressConflict(e)
 	return other != "" && other != e.ID && now.Sub(o.lastHeartbeat[other]) < event.Duration(reclaimAfterHeartbeats*float64(s.settings.HeartbeatInterval))
 }
 
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -93,8 +93,8 @@
 	conn, err := link.Dial[message.Envelope](remote.address)
 	var other message.Peer
 	if err == nil {
-		conn.SetForms(other.Asking())
-		conn.Send(first.Introduced())
+		conn.SetForms(other.ClientEncodings())
+		conn.Send(first.WithLevel())
 	}
 	p.mu.Lock()
 	remote.dialing = false
--- a/cluster/peers_test.go
+++ b/cluster/peers_test.go
@@ -36,7 +36,7 @@
 	served := make(chan error, 1)
 	go func() { served <- c.Serve(func(*message.Envelope) {}) }()
 	join := &message.Envelope{Join: &consensus.Member{ID: consensus.MakeID("127.0.0.2:1", 7), Address: "127.0.0.2:2"}}
-	c.Send(join.Introduced())
+	c.Send(join.WithLevel())
 	first := nextEvent(t, s.logEvents)
 	if told, ok := first.(*PeerConnected); !ok || told.Box != "127.0.0.2:1" || told.FormatVersion != level.Newest {
 		t.Fatalf("first came %T %+v", first, first)
--- a/cluster/poison_sim_test.go
+++ b/cluster/poison_sim_test.go
@@ -149,7 +149,7 @@
 			if f.now < r.ends {
 				return false
 			}
-			g.finish(r, f.now, message.RanWell, nil, e)
+			g.finish(r, f.now, message.OutcomeSuccess, nil, e)
 			return true
 		})
 	}
@@ -203,7 +203,7 @@
 		}
 	}
 	for _, r := range runs {
-		g.finish(r, f.now, message.RanUnclear, &poison.End{
+		g.finish(r, f.now, message.OutcomeUnknown, &poison.End{
 			Print: r.call.print, Endpoint: e.id, Request: r.call.id, Attempt: r.call.attempt, Ran: f.now.Sub(r.began),
 		}, e)
 		// Some callers have us send it again at once.
@@ -214,11 +214,11 @@
 }
 
 // finish tells the entry of a run's end, if it still lives.
-func (g *simEnding) finish(r *simRun, at event.Time, ran message.Ran, end *poison.End, e *simEndpoint) {
+func (g *simEnding) finish(r *simRun, at event.Time, ran message.Outcome, end *poison.End, e *simEndpoint) {
 	if r.entry.client != r.client || r.client == nil {
 		return
 	}
-	if ran == message.RanWell && g.inTouchOnAsked[r.call] {
+	if ran == message.OutcomeSuccess && g.inTouchOnAsked[r.call] {
 		if r.call.print == hotPrint {
 			g.served++
 		} else {
@@ -226,8 +226,8 @@
 		}
 	}
 	r.entry.ends = append(r.entry.ends, fleetEnd{at: at, end: end, f: message.Finish{
-		Finished: event.Finished{ID: r.call.id, Pool: "s", Failed: ran != message.RanWell},
-		Endpoint: e.id, Print: r.call.print, Ran: ran, Suspect: ran != message.RanWell,
+		Finished: event.Finished{ID: r.call.id, Pool: "s", Failed: ran != message.OutcomeSuccess},
+		Endpoint: e.id, Print: r.call.print, Ran: ran, Suspect: ran != message.OutcomeSuccess,
 	}})
 }
 
--- a/cluster/server.go
+++ b/cluster/server.go
@@ -276,7 +276,7 @@
 		}
 	}
 	if len(out.Heartbeats) > 0 {
-		s.peers.send(string(out.Leader.Box()), &message.Envelope{Heard: &message.Heard{Endpoints: out.Heartbeats}})
+		s.peers.send(string(out.Leader.Box()), &message.Envelope{Heard: &message.Heartbeats{Endpoints: out.Heartbeats}})
 	}
 	for _, a := range out.Answers {
 		if call, ok := s.calls[a.CallID]; ok {
--- a/cluster/size_test.go
+++ b/cluster/size_test.go
@@ -127,7 +127,7 @@
 // unpack returns the endpoints of a view.
 func unpack(t *testing.T, v *message.View) []message.Endpoint {
 	t.Helper()
-	list, err := v.List()
+	list, err := v.DecodeEndpoints()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cluster/starts_test.go
+++ b/cluster/starts_test.go
@@ -43,7 +43,7 @@
 	s.step(s.mustOwner(), &EndpointRemoved{CallID: 99, Name: "e", Born: 1000})
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: &message.Batch{Finish: []message.Finish{
 		{Finished: event.Finished{ID: "a", Pool: "s"}, Endpoint: "e/1000", Suspect: true},
-		{Finished: event.Finished{ID: "b", Pool: "s"}, Endpoint: "e/2000", Ran: message.RanWell},
+		{Finished: event.Finished{ID: "b", Pool: "s"}, Endpoint: "e/2000", Ran: message.OutcomeSuccess},
 	}}})
 	s.run(second / 2)
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("c")})
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -338,7 +338,7 @@
 	if err := again.restore(m.snapshot(), level.Newest); err != nil {
 		t.Fatal(err)
 	}
-	if string(again.document.Data) != `{"version": 4}` || len(again.registry.Endpoints) != 1 || len(again.registry.Gone) != 1 {
+	if string(again.document.Data) != `{"version": 4}` || len(again.registry.Endpoints) != 1 || len(again.registry.Removed) != 1 {
 		t.Errorf("restored %+v", again)
 	}
 	for _, bad := range [][]byte{nil, {99}, {commandDocument, 1}, append([]byte{commandEndpoint}, '{')} {
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -54,7 +54,7 @@
 	case len(list) == 0:
 		return packedPiece{}
 	case s.machine.formatVersion >= level.Instances:
-		return packedPiece{listed: message.List(list)}
+		return packedPiece{listed: message.NewListing(list)}
 	}
 	return packedPiece{packed: message.Pack(list)}
 }
@@ -117,7 +117,7 @@
 	if sess.formatVersion < level.Chunked {
 		return o.wholeView(sess, revision, s)
 	}
-	reaches := s.machine.registry.Reaches(revision)
+	reaches := s.machine.registry.CanResumeFrom(revision)
 	if !reaches {
 		revision = 0
 	}
@@ -129,19 +129,19 @@
 
 // wholeView returns the initial view in one message, for an entry that does not support pieces.
 func (o *owner) wholeView(sess *session, revision uint64, s *State) *message.View {
-	if sess.formatVersion < level.Compressed || !s.machine.registry.Reaches(revision) {
+	if sess.formatVersion < level.Compressed || !s.machine.registry.CanResumeFrom(revision) {
 		revision = 0
 	}
-	p := s.machine.registry.After(revision, math.MaxInt)
-	sess.view = viewProgress{revision: p.UpTo}
+	p := s.machine.registry.ChangesAfter(revision, math.MaxInt)
+	sess.view = viewProgress{revision: p.Revision}
 	list := toMessageEndpoints(p.Endpoints)
 	for i := range list {
 		list[i].Down = o.down[list[i].ID]
 	}
 	view := &message.View{
-		Whole: revision == 0, Endpoints: message.Pack(list), Revision: p.UpTo, Signs: true, Members: s.memberLinkAddresses(),
+		Whole: revision == 0, Endpoints: message.Pack(list), Revision: p.Revision, Signs: true, Members: s.memberLinkAddresses(),
 	}
-	for _, id := range p.Gone {
+	for _, id := range p.Removed {
 		view.Gone = append(view.Gone, event.EndpointID(id))
 	}
 	for _, id := range slices.Sorted(maps.Keys(o.down)) {
@@ -164,16 +164,16 @@
 func (o *owner) nextView(sess *session, s *State) *message.View {
 	v := &sess.view
 	p := o.pieceAfter(v.revision, s)
-	view := &message.View{Revision: p.UpTo}
+	view := &message.View{Revision: p.Revision}
 	o.pack(v.revision, p, s).addTo(view)
-	for _, id := range p.Gone {
+	for _, id := range p.Removed {
 		view.Gone = append(view.Gone, event.EndpointID(id))
 	}
-	v.revision = p.UpTo
-	if !p.More {
+	v.revision = p.Revision
+	if !p.HasMore {
 		view.Silent = o.nextUnreachable(v)
 	}
-	v.isIncomplete = p.More || len(v.unreachable) > 0
+	v.isIncomplete = p.HasMore || len(v.unreachable) > 0
 	view.More = v.isIncomplete
 	return view
 }
@@ -195,22 +195,22 @@
 
 // pieceAfter returns the piece of the registry after a revision. It is cached, as all sessions need the
 // same pieces after a change of owner.
-func (o *owner) pieceAfter(revision uint64, s *State) registry.Piece {
+func (o *owner) pieceAfter(revision uint64, s *State) registry.Page {
 	if at := s.machine.registry.Revision; o.piecesRevision != at {
 		clear(o.pieces)
 		o.piecesRevision = at
 	}
 	p, ok := o.pieces[revision]
 	if !ok {
-		p = s.machine.registry.After(revision, maxViewBytes)
+		p = s.machine.registry.ChangesAfter(revision, maxViewBytes)
 		o.pieces[revision] = p
 	}
 	return p
 }
 
 // pack returns the endpoints of a piece, encoded once for all sessions that need it.
-func (o *owner) pack(after uint64, p registry.Piece, s *State) packedPiece {
-	key := pieceKey{after, p.UpTo, len(p.Endpoints)}
+func (o *owner) pack(after uint64, p registry.Page, s *State) packedPiece {
+	key := pieceKey{after, p.Revision, len(p.Endpoints)}
 	packed, ok := o.packed[key]
 	if !ok {
 		if len(o.packed) >= maxPackedPieces {
--- a/control/events.go
+++ b/control/events.go
@@ -32,7 +32,7 @@
 }
 
 // StopRequested makes this box transfer leadership, as it is about to stop.
-type StopAsked struct{}
+type StopRequested struct{}
 
 // WallClock sets the wall-clock time in Unix milliseconds for the timestamps of
 // log entries.
@@ -51,7 +51,7 @@
 func (*ChangeRequested) IsEvent() {}
 
 // IsEvent implements event.Event.
-func (*StopAsked) IsEvent() {}
+func (*StopRequested) IsEvent() {}
 
 // IsEvent implements event.Event.
 func (*WallClock) IsEvent() {}
--- a/control/founding.go
+++ b/control/founding.go
@@ -74,7 +74,7 @@
 
 // Bootstrap waits until the box belongs to a group: the one on its disk, one that
 // it creates or one that it finds. It returns the resulting persistent state.
-func (p *Peers) Belong(ctx context.Context, disk *store.Store, r consensus.PersistentState) (consensus.PersistentState, error) {
+func (p *Peers) Bootstrap(ctx context.Context, disk *store.Store, r consensus.PersistentState) (consensus.PersistentState, error) {
 	self := p.Self()
 	boxes := make([]event.BoxID, 0, len(p.addresses))
 	for box := range p.addresses {
@@ -165,7 +165,7 @@
 
 // MaintainMembership asks the other boxes to add this one while it isn't a voter,
 // until ctx is done.
-func (p *Peers) StayMember(ctx context.Context, loop *Loop) {
+func (p *Peers) MaintainMembership(ctx context.Context, loop *Loop) {
 	self := p.Self()
 	ticker := time.NewTicker(joinInterval)
 	defer ticker.Stop()
--- a/control/state.go
+++ b/control/state.go
@@ -76,7 +76,7 @@
 		if s.shouldTransferLeadership(e.Draining) {
 			s.node.TransferLeadership(now, nil, &out.Ready)
 		}
-	case *StopAsked:
+	case *StopRequested:
 		s.node.TransferLeadership(now, nil, &out.Ready)
 	}
 	s.applyReady(now, out)
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -23,11 +23,11 @@
 const SampleStride = 8
 
 // SampleTokens is the number of prompt tokens per sampled hash.
-const MarkTokens = SampleStride * BlockTokens
+const SampleTokens = SampleStride * BlockTokens
 
 // SampleHashes returns the hash of every SampleStride-th block. This is enough to
 // estimate how much of a prompt an engine has cached, and keeps tickets small.
-func Marks(blocks []uint64) []uint64 {
+func SampleHashes(blocks []uint64) []uint64 {
 	samples := make([]uint64, 0, len(blocks)/SampleStride)
 	for i := SampleStride - 1; i < len(blocks); i += SampleStride {
 		samples = append(samples, blocks[i])
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -23,17 +23,17 @@
 type Config struct {
 	Box event.BoxID
 	// Instance differs between runs of the box's process.
-	Life uint64
+	Instance uint64
 	// Key is the key that the system's processes share.
 	Key string
 	// MaxBody is the maximum size of a request body, in bytes.
 	MaxBody int64
 	// BodyTimeout limits how long a caller may take to send a body.
-	BodyTime time.Duration
+	BodyTimeout time.Duration
 	// MaxRequests is the maximum number of requests in flight.
 	MaxRequests int
 	// MaxHeldBytes is the maximum total size of the bodies in memory, in bytes.
-	MaxHeld int64
+	MaxHeldBytes int64
 }
 
 // Entry accepts callers' requests.
@@ -69,7 +69,7 @@
 		byTeam: make(map[string]int),
 	}
 	e.index.Store(&versionedCatalog{Index: catalog.NewIndex(catalog.Catalog{})})
-	e.owner = NewOwnerClient(c.Box, c.Life, schedulers, e, log)
+	e.owner = NewOwnerClient(c.Box, c.Instance, schedulers, e, log)
 	e.metricSet = newMetricSet(e)
 	return e
 }
@@ -125,10 +125,10 @@
 }
 
 // StartDraining makes /readyz fail, so that the load balancer sends no new requests.
-func (e *Entry) StartDrain() { e.draining.Store(true) }
+func (e *Entry) StartDraining() { e.draining.Store(true) }
 
 // InFlight returns the number of unfinished requests.
-func (e *Entry) Requests() int {
+func (e *Entry) InFlight() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.requests
@@ -150,7 +150,7 @@
 			RetryAfter: localRetryAfter,
 		}
 	}
-	if e.requests >= e.config.MaxRequests || e.heldBytes+bytes > e.config.MaxHeld {
+	if e.requests >= e.config.MaxRequests || e.heldBytes+bytes > e.config.MaxHeldBytes {
 		return &Failure{
 			Status:     http.StatusServiceUnavailable,
 			Code:       "box_full",
--- a/entry/meters.go
+++ b/entry/meters.go
@@ -18,7 +18,7 @@
 
 func newMetricSet(e *Entry) *metricSet {
 	m := &metricSet{set: metrics.NewSet()}
-	m.set.NewGauge("lynxramp_entry_requests", func() float64 { return float64(e.Requests()) })
+	m.set.NewGauge("lynxramp_entry_requests", func() float64 { return float64(e.InFlight()) })
 	return m
 }
 
--- a/entry/request.go
+++ b/entry/request.go
@@ -65,7 +65,7 @@
 		return nil, tooLarge(e.config.MaxBody)
 	}
 	control := http.NewResponseController(w)
-	if err := control.SetReadDeadline(time.Now().Add(e.config.BodyTime)); err != nil {
+	if err := control.SetReadDeadline(time.Now().Add(e.config.BodyTimeout)); err != nil {
 		return nil, badRequest("body", "cannot set a deadline for reading the body")
 	}
 	body, err := readAll(http.MaxBytesReader(w, r.Body, e.config.MaxBody), r.ContentLength)
@@ -118,7 +118,7 @@
 	q.path = r.URL.Path
 	q.ticket.PromptTokens = engine.EstimateTokens(text)
 	q.ticket.OutputTokens = parsed.MaxTokens
-	q.ticket.Prefix = engine.Marks(engine.BlockHashes(parsed.Model, text))
+	q.ticket.Prefix = engine.SampleHashes(engine.BlockHashes(parsed.Model, text))
 	return q, nil
 }
 
--- a/event/event.go
+++ b/event/event.go
@@ -63,7 +63,7 @@
 	// PromptTokens and OutputTokens are estimates; both are 0 for plain services.
 	PromptTokens int
 	OutputTokens int
-	// Prefix has cumulative hashes of the prompt, one for every engine.MarkTokens
+	// Prefix has cumulative hashes of the prompt, one for every engine.SampleTokens
 	// tokens.
 	Prefix []uint64
 	// Deadline is the remaining time, counted from when the ticket is received.
--- a/gateway/agent.go
+++ b/gateway/agent.go
@@ -172,9 +172,9 @@
 	}
 	one := <-id
 	var owner message.Peer
-	conn.SetForms(owner.Asking())
+	conn.SetForms(owner.ClientEncodings())
 	err = conn.Serve(func(m *message.Envelope) {
-		reads := owner.Reads()
+		reads := owner.Level()
 		a.input <- func(now event.Time) {
 			a.client.Reads(one, reads)
 			a.client.Received(now, one, m)
--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -77,7 +77,7 @@
 // noteWell takes note that a run ended well of which no owner is told. The next owner may know
 // that endpoints ended under the request, and nothing that speaks for it.
 func (a *OwnerClient) noteWell(f *message.Finish) {
-	if f.Ran != message.RanWell || f.Print == "" || len(a.well) >= maxWell {
+	if f.Ran != message.OutcomeSuccess || f.Print == "" || len(a.well) >= maxWell {
 		return
 	}
 	if a.well == nil {
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -55,20 +55,20 @@
 		path   string
 		script answer
 		isEnd  bool
-		ran    message.Ran
+		ran    message.Outcome
 	}{
-		"whole":               {"/once/1", whole(200, "x"), false, message.RanWell},
-		"not found":           {"/once/1", whole(404, "x"), false, message.RanWell},
-		"stream":              {"/single/1", events(2, false), false, message.RanWell},
-		"failure":             {"/once/1", whole(500, "x"), false, message.RanAlive},
-		"not run":             {"/once/1", notRun, false, message.RanAlive},
-		"reset":               {"/once/1", reset, true, message.RanUnclear},
-		"cut":                 {"/once/1", cut, true, message.RanUnclear},
-		"cut in a long one":   {"/once/1", longCut, true, message.RanUnclear},
-		"cut in a stream":     {"/single/1", events(2, true), true, message.RanUnclear},
-		"end that is no sign": {"/once/1", unframed, false, message.RanUnclear},
-		"foreign":             {"/once/1", foreign, false, message.RanUnclear},
-		"no answer in time":   {"/once/1", silent, false, message.RanUnclear},
+		"whole":               {"/once/1", whole(200, "x"), false, message.OutcomeSuccess},
+		"not found":           {"/once/1", whole(404, "x"), false, message.OutcomeSuccess},
+		"stream":              {"/single/1", events(2, false), false, message.OutcomeSuccess},
+		"failure":             {"/once/1", whole(500, "x"), false, message.OutcomeFailed},
+		"not run":             {"/once/1", notRun, false, message.OutcomeFailed},
+		"reset":               {"/once/1", reset, true, message.OutcomeUnknown},
+		"cut":                 {"/once/1", cut, true, message.OutcomeUnknown},
+		"cut in a long one":   {"/once/1", longCut, true, message.OutcomeUnknown},
+		"cut in a stream":     {"/single/1", events(2, true), true, message.OutcomeUnknown},
+		"end that is no sign": {"/once/1", unframed, false, message.OutcomeUnknown},
+		"foreign":             {"/once/1", foreign, false, message.OutcomeUnknown},
+		"no answer in time":   {"/once/1", silent, false, message.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -130,7 +130,7 @@
 	}
 	a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Ends: 1}})
 	a.Lost(0, 1, nil)
-	a.Finish(0, message.Finish{Print: "w", Ran: message.RanWell})
+	a.Finish(0, message.Finish{Print: "w", Ran: message.OutcomeSuccess})
 	later := event.Time(event.Second)
 	a.Dialed(later, 2, "box")
 	a.Received(later, 2, &message.Envelope{Pong: &message.Pong{}})
--- a/gateway/owner_session.go
+++ b/gateway/owner_session.go
@@ -73,7 +73,7 @@
 	hello.More = a.lent.HasMore()
 	a.ponged = now
 	a.came = 0
-	a.send((&message.Envelope{Hello: hello}).Introduced())
+	a.send((&message.Envelope{Hello: hello}).WithLevel())
 	a.ask(now)
 	a.batch = message.Batch{}
 	a.log.Debug("asks control box", zap.String("address", address), zap.Int("waiting", len(a.waiting)), zap.Int("running", len(a.running)))
@@ -179,7 +179,7 @@
 // see takes news of the deployment.
 func (a *OwnerClient) see(now event.Time, v *message.View) {
 	a.Know(v.Members)
-	endpoints, err := v.List()
+	endpoints, err := v.DecodeEndpoints()
 	if err != nil {
 		// The rest of the view is of no use without them: the next session asks for all.
 		a.log.Error("endpoints not read", logx.Err(err))
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -92,14 +92,14 @@
 func (a *attempt) wasSent() bool { return a.outcome != outcomeStopped && a.outcome != outcomeNotSent }
 
 // ran returns what the attempt told of its request.
-func (a *attempt) ran() message.Ran {
+func (a *attempt) ran() message.Outcome {
 	switch {
 	case a.outcome == outcomeDone && a.err == nil && a.isFramed:
-		return message.RanWell
+		return message.OutcomeSuccess
 	case a.outcome == outcomeFailed, a.outcome == outcomeNotRun:
-		return message.RanAlive
+		return message.OutcomeFailed
 	default:
-		return message.RanUnclear
+		return message.OutcomeUnknown
 	}
 }
 
@@ -179,7 +179,7 @@
 			c.endNotRun(http.StatusServiceUnavailable, retryUnready, "the configuration changed")
 			return d, false
 		}
-		if d.Granted && repeat && clock.Now().Sub(submitted) > message.RepeatLife {
+		if d.Granted && repeat && clock.Now().Sub(submitted) > message.RetryWindow {
 			c.unused(d)
 			c.giveUp(last)
 			return d, false
--- a/message/forms.go
+++ b/message/forms.go
@@ -17,7 +17,7 @@
 
 // WithLevel returns a copy of the message with the format version and build of this box, as sent first on
 // a connection.
-func (e *Envelope) Introduced() *Envelope {
+func (e *Envelope) WithLevel() *Envelope {
 	m := *e
 	m.Level, m.Build = level.Newest, level.Build()
 	return &m
@@ -28,7 +28,7 @@
 type Peer struct{ formatLevel atomic.Uint32 }
 
 // Level returns the format version that the peer reads; 0 before its first bytes.
-func (p *Peer) Reads() level.Level { return level.Level(p.formatLevel.Load()) }
+func (p *Peer) Level() level.Level { return level.Level(p.formatLevel.Load()) }
 
 // levelFields are names of fields that messages have from a level on, each with its length as in gob's type
 // definitions. The newest level comes first.
@@ -62,12 +62,12 @@
 }
 
 // ClientEncodings returns the encodings of a connection that this box opened to a control box.
-func (p *Peer) Asking() link.Forms[Envelope] {
+func (p *Peer) ClientEncodings() link.Forms[Envelope] {
 	return link.Forms[Envelope]{Frame: frameToControl, Reader: p.readerOf(readListed)}
 }
 
 // ServerEncodings returns the encodings of a connection that another box opened to this control box.
-func (p *Peer) Answering() link.Forms[Envelope] {
+func (p *Peer) ServerEncodings() link.Forms[Envelope] {
 	return link.Forms[Envelope]{Frame: p.frameReply, Reader: p.readerOf(readToControl)}
 }
 
@@ -77,7 +77,7 @@
 	return func(definitions []byte) link.Reader[Envelope] {
 		p.detectLevel(definitions)
 		read := readCurrent
-		if p.Reads() < level.Compressed {
+		if p.Level() < level.Compressed {
 			read = older
 		}
 		return func(in *gob.Decoder) (*Envelope, error) {
@@ -102,7 +102,7 @@
 	Hello     *Hello
 	Redirect  *Redirect
 	Consensus *consensus.Message
-	Heard     *Heard
+	Heard     *Heartbeats
 	Join      *consensus.Member
 	Ping      *Ping
 	Batch     *Batch
@@ -138,7 +138,7 @@
 // frameReply returns the frame of a message to a box that connected to this one. Until the peer's level is
 // known only empty messages are sent.
 func (p *Peer) frameReply(m *Envelope) any {
-	switch peerLevel := p.Reads(); {
+	switch peerLevel := p.Level(); {
 	case peerLevel == 0:
 		return frameToControl(m)
 	case peerLevel < level.Compressed:
--- a/message/forms_test.go
+++ b/message/forms_test.go
@@ -71,17 +71,17 @@
 func TestReadsMessagesOfEarlierBuilds(t *testing.T) {
 	for commit, want := range recordedLevels {
 		var peer Peer
-		list := replay(t, commit+"-control.bytes", peer.Answering())
-		if len(list) != 1 || list[0].Consensus == nil || string(list[0].Consensus.Entries[0].Data) != "data" || peer.Reads() != want {
-			t.Errorf("%s: a control box reads level %d, want %d; received %+v", commit, peer.Reads(), want, list)
+		list := replay(t, commit+"-control.bytes", peer.ServerEncodings())
+		if len(list) != 1 || list[0].Consensus == nil || string(list[0].Consensus.Entries[0].Data) != "data" || peer.Level() != want {
+			t.Errorf("%s: a control box reads level %d, want %d; received %+v", commit, peer.Level(), want, list)
 		}
 		peer = Peer{}
-		list = replay(t, commit+"-entry.bytes", peer.Answering())
-		if len(list) != 1 || list[0].Hello == nil || list[0].Hello.Entry != "entry-1" || peer.Reads() != want {
-			t.Errorf("%s: an entry reads level %d, want %d; received %+v", commit, peer.Reads(), want, list)
+		list = replay(t, commit+"-entry.bytes", peer.ServerEncodings())
+		if len(list) != 1 || list[0].Hello == nil || list[0].Hello.Entry != "entry-1" || peer.Level() != want {
+			t.Errorf("%s: an entry reads level %d, want %d; received %+v", commit, peer.Level(), want, list)
 		}
 		peer = Peer{}
-		list = replay(t, commit+"-owner.bytes", peer.Asking())
+		list = replay(t, commit+"-owner.bytes", peer.ClientEncodings())
 		if len(list) != 1 || list[0].View == nil {
 			t.Errorf("%s: received %+v from an owner", commit, list)
 			continue
@@ -92,7 +92,7 @@
 
 func checkView(t *testing.T, commit string, v *View, reads level.Level) {
 	t.Helper()
-	endpoints, err := v.List()
+	endpoints, err := v.DecodeEndpoints()
 	if err != nil || len(endpoints) != 1 || endpoints[0].Address != "127.0.0.9:80" || !v.Whole || v.Version != 4 {
 		t.Errorf("%s: %+v, %v: %+v", commit, v, err, endpoints)
 	}
@@ -142,7 +142,7 @@
 func TestEarlierBuildsReadOurMessages(t *testing.T) {
 	list := []Endpoint{{Endpoint: registry.Endpoint{ID: "i-1", Address: "a"}, Down: true}}
 	view := &Envelope{View: &View{Version: 4, Document: []byte("{}"), Endpoints: Pack(list), Revision: 5, Silent: []event.EndpointID{"i-1"}}}
-	hello := (&Envelope{Consensus: &consensus.Message{From: "a", To: "b"}}).Introduced()
+	hello := (&Envelope{Consensus: &consensus.Message{From: "a", To: "b"}}).WithLevel()
 
 	listedPeer := &Peer{}
 	first := listedPeer.frameReply(nil)
@@ -180,19 +180,19 @@
 	var wire bytes.Buffer
 	out := gob.NewEncoder(&wire)
 	hello := &Envelope{Hello: &Hello{Entry: "e", Life: 1}}
-	if err := out.Encode(frameToControl(hello.Introduced())); err != nil {
+	if err := out.Encode(frameToControl(hello.WithLevel())); err != nil {
 		t.Fatal(err)
 	}
 	var peer Peer
 	received := 0
-	serveBytes(t, bytes.Clone(wire.Bytes()), peer.Answering(), func(m *Envelope) {
+	serveBytes(t, bytes.Clone(wire.Bytes()), peer.ServerEncodings(), func(m *Envelope) {
 		received++
 		if m.Hello == nil || m.Level != level.Newest || m.Build != level.Build() {
 			t.Errorf("%+v", m)
 		}
 	})
-	if received != 1 || peer.Reads() != level.Newest {
-		t.Errorf("%d messages, level %d", received, peer.Reads())
+	if received != 1 || peer.Level() != level.Newest {
+		t.Errorf("%d messages, level %d", received, peer.Level())
 	}
 	var without bytes.Buffer
 	if err := gob.NewEncoder(&without).Encode(frameToControl(hello)); err != nil {
@@ -218,7 +218,7 @@
 	}
 	f.Add([]byte{0xfc, 0x7f, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		for _, forms := range []link.Forms[Envelope]{(&Peer{}).Answering(), (&Peer{}).Asking()} {
+		for _, forms := range []link.Forms[Envelope]{(&Peer{}).ServerEncodings(), (&Peer{}).ClientEncodings()} {
 			serveBytes(t, data, forms, func(m *Envelope) {
 				if m.Consensus != nil {
 					m.Consensus.Valid()
--- a/message/listing.go
+++ b/message/listing.go
@@ -49,7 +49,7 @@
 )
 
 // NewListing encodes a list of endpoints.
-func List(list []Endpoint) Listing {
+func NewListing(list []Endpoint) Listing {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
 	if err != nil {
@@ -217,7 +217,7 @@
 			return nil, errListing
 		}
 		e := &list[i]
-		e.ID = registry.StartID(c.Prefix+names[i], born[i])
+		e.ID = registry.InstanceID(c.Prefix+names[i], born[i])
 		e.Service, e.DataCentre, e.Slots = c.Texts[service], c.Texts[dataCentre], c.Slots[i]
 		e.Leaving, e.Down = c.Flags[i]&flagDraining != 0, c.Flags[i]&flagDown != 0
 		if long {
@@ -231,7 +231,7 @@
 }
 
 // DecodeEndpoints returns the endpoints of the view in either encoding.
-func (v *View) List() ([]Endpoint, error) {
+func (v *View) DecodeEndpoints() ([]Endpoint, error) {
 	if len(v.Listed) > 0 {
 		return v.Listed.Endpoints()
 	}
--- a/message/listing_test.go
+++ b/message/listing_test.go
@@ -21,7 +21,7 @@
 	var all []Endpoint
 	for i := range n {
 		all = append(all, Endpoint{Down: i%7 == 0, Endpoint: registry.Endpoint{
-			ID:      registry.StartID(fmt.Sprintf("i-%010x", r.Uint64N(1<<40)), 1764740000000+r.Uint64N(30000)),
+			ID:      registry.InstanceID(fmt.Sprintf("i-%010x", r.Uint64N(1<<40)), 1764740000000+r.Uint64N(30000)),
 			Service: fmt.Sprint("huvo", i%2), Slots: 6 + 2*(i%2), Leaving: i%50 == 0,
 			Address: fmt.Sprintf("10.%d.64.%d:%d", i%6, r.IntN(250), 8000+r.IntN(700)), DataCentre: fmt.Sprint("hall-", i%6),
 		}})
@@ -35,7 +35,7 @@
 	mixed := makeInstances(3)
 	mixed[1].ID = "bare"
 	for _, list := range [][]Endpoint{makeInstances(1), makeInstances(40), makeInstances(3000), irregular, mixed} {
-		got, err := List(list).Endpoints()
+		got, err := NewListing(list).Endpoints()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,7 +51,7 @@
 // TestListingIsSmallerThanPacked: endpoint lists are most of what entries are sent after a restart of all processes.
 func TestListingIsSmallerThanPacked(t *testing.T) {
 	all := makeInstances(1000)
-	if listed, packed := len(List(all)), len(Pack(all)); listed > packed*6/10 {
+	if listed, packed := len(NewListing(all)), len(Pack(all)); listed > packed*6/10 {
 		t.Errorf("%d bytes for 1,000 endpoints, %d bytes packed", listed, packed)
 	}
 }
@@ -74,7 +74,7 @@
 		return b.Bytes()
 	}
 	for name, l := range map[string]Listing{
-		"nonsense": []byte("nonsense"), "truncated": List(makeInstances(40))[:60],
+		"nonsense": []byte("nonsense"), "truncated": NewListing(makeInstances(40))[:60],
 		"missing name":         encode(func(c *columns) { c.Names = "a b c" }),
 		"missing port byte":    encode(func(c *columns) { c.Ports = c.Ports[1:] }),
 		"both address forms":   encode(func(c *columns) { c.Addresses = []string{"a", "b", "c", "d"} }),
@@ -92,14 +92,14 @@
 
 // FuzzListing: any bytes are either rejected or decode to a list that can be encoded and decoded again.
 func FuzzListing(f *testing.F) {
-	f.Add([]byte(List(makeInstances(3))))
+	f.Add([]byte(NewListing(makeInstances(3))))
 	f.Add([]byte{1})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		list, err := Listing(data).Endpoints()
 		if err != nil || len(list) == 0 {
 			return
 		}
-		if _, err := List(list).Endpoints(); err != nil {
+		if _, err := NewListing(list).Endpoints(); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -108,10 +108,10 @@
 // BenchmarkListing measures the size, encoding and decoding of 1,000 endpoints as Listing and as Packed.
 func BenchmarkListing(b *testing.B) {
 	all := makeInstances(1000)
-	listed, packed := List(all), Pack(all)
+	listed, packed := NewListing(all), Pack(all)
 	b.Run("list", func(b *testing.B) {
 		for range b.N {
-			List(all)
+			NewListing(all)
 		}
 		b.ReportMetric(float64(len(listed)), "bytes")
 	})
--- a/message/message.go
+++ b/message/message.go
@@ -19,14 +19,14 @@
 // RetryWindow is how long after its submission a request may be retried. An entry drops it
 // afterwards, so that no retry arrives after the retry budget has stopped counting it. It is
 // shorter than the time after which callers abandon a stream without output.
-const RepeatLife = 2 * event.Second
+const RetryWindow = 2 * event.Second
 
 // Envelope is one message. Exactly one of its pointers is set.
 type Envelope struct {
 	Hello     *Hello
 	Redirect  *Redirect
 	Consensus *consensus.Message
-	Heard     *Heard
+	Heard     *Heartbeats
 	Join      *consensus.Member
 	Ping      *Ping
 	Pong      *Pong
@@ -102,7 +102,7 @@
 
 // Heartbeats tells the leader from which endpoints another control box has received
 // heartbeats that change nothing else.
-type Heard struct{ Endpoints []string }
+type Heartbeats struct{ Endpoints []string }
 
 // View sends an entry the state of the deployment, or changes of it.
 type View struct {
@@ -205,21 +205,21 @@
 	Suspect  bool
 	Endpoint event.EndpointID
 	Print    poison.Fingerprint
-	Ran      Ran
+	Ran      Outcome
 }
 
 // Outcome is the outcome of a run, as far as it bears on whether the request is poisonous.
-type Ran uint8
+type Outcome uint8
 
 const (
 	// OutcomeUnknown: the run allows no conclusion. A termination of the endpoint is reported
 	// as an End.
-	RanUnclear Ran = iota
+	OutcomeUnknown Outcome = iota
 	// OutcomeSuccess: the endpoint answered completely, without failure.
-	RanWell
+	OutcomeSuccess
 	// OutcomeFailed: the endpoint reported that it failed or didn't run the request, so the
 	// request hasn't terminated it.
-	RanAlive
+	OutcomeFailed
 )
 
 // Decisions are the owner's decisions on submissions.
--- a/registry/piece.go
+++ b/registry/piece.go
@@ -17,11 +17,11 @@
 
 // Page is a part of the changes after a revision, in their order. A reader that applied it has
 // all changes up to Revision and can resume from there with any owner.
-type Piece struct {
+type Page struct {
 	Endpoints []Endpoint
-	Gone      []string
-	UpTo      uint64
-	More      bool // there are changes after Revision
+	Removed   []string
+	Revision  uint64
+	HasMore   bool // there are changes after Revision
 }
 
 // Size returns about how many bytes the endpoint takes in a message.
@@ -33,9 +33,9 @@
 // ChangesAfter returns the changes after a revision, up to about maxBytes but at least all of
 // one revision. An endpoint that changed several times is listed once, at its last change.
 // Revision 0 starts from the beginning.
-func (s *State) After(revision uint64, maxBytes int) Piece {
+func (s *State) ChangesAfter(revision uint64, maxBytes int) Page {
 	s.ensureIndex()
-	p := Piece{UpTo: s.Revision}
+	p := Page{Revision: s.Revision}
 	first := 0
 	if revision > 0 {
 		first = sort.Search(len(s.changes), func(i int) bool { return s.changes[i].revision > revision })
@@ -44,14 +44,14 @@
 	for i := first; i < len(s.changes); i++ {
 		c := s.changes[i]
 		if size >= maxBytes && c.revision > s.changes[i-1].revision {
-			p.UpTo, p.More = s.changes[i-1].revision, true
+			p.Revision, p.HasMore = s.changes[i-1].revision, true
 			break
 		}
 		if !s.isLatest(c) {
 			continue
 		}
 		if c.isRemoval {
-			p.Gone = append(p.Gone, c.id)
+			p.Removed = append(p.Removed, c.id)
 			size += len(c.id)
 			continue
 		}
@@ -65,7 +65,7 @@
 // isLatest reports whether a change is the last one of its endpoint.
 func (s *State) isLatest(c change) bool {
 	if c.isRemoval {
-		return s.IsGone(c.id)
+		return s.IsRemoved(c.id)
 	}
 	_, ok := s.Endpoints[c.id]
 	return ok && s.Changed[c.id] == c.revision
@@ -77,7 +77,7 @@
 	n := len(s.changes)
 	s.changes = append(s.changes, c)
 	const spare = 64
-	if n > 2*(len(s.Endpoints)+len(s.Gone))+spare || (n > 0 && s.changes[n-1].revision > c.revision) {
+	if n > 2*(len(s.Endpoints)+len(s.Removed))+spare || (n > 0 && s.changes[n-1].revision > c.revision) {
 		s.sortChanges()
 	}
 }
@@ -88,8 +88,8 @@
 	for id := range s.Endpoints {
 		s.changes = append(s.changes, change{revision: s.Changed[id], id: id})
 	}
-	for i, id := range s.Gone {
-		s.changes = append(s.changes, change{revision: s.GoneAt[i], id: id, isRemoval: true})
+	for i, id := range s.Removed {
+		s.changes = append(s.changes, change{revision: s.RemovedAt[i], id: id, isRemoval: true})
 	}
 	slices.SortFunc(s.changes, func(a, b change) int {
 		return cmp.Or(cmp.Compare(a.revision, b.revision), cmp.Compare(a.id, b.id))
--- a/registry/piece_test.go
+++ b/registry/piece_test.go
@@ -19,14 +19,14 @@
 }
 
 func (r *reader) read(s *State, bytes int) {
-	p := s.After(r.revision, bytes)
+	p := s.ChangesAfter(r.revision, bytes)
 	for _, e := range p.Endpoints {
 		r.known[e.ID] = e
 	}
-	for _, id := range p.Gone {
+	for _, id := range p.Removed {
 		delete(r.known, id)
 	}
-	r.revision, r.caughtUp = p.UpTo, !p.More
+	r.revision, r.caughtUp = p.Revision, !p.HasMore
 }
 
 // TestPagesConvergeToState: a reader that applies page after page must end with the endpoints of
@@ -59,8 +59,8 @@
 		if diff := cmp.Diff(s.Endpoints, r.known, emptyIsNil); diff != "" || !r.caughtUp {
 			t.Errorf("endpoints read page by page (-want +got), caught up %v: %s", r.caughtUp, diff)
 		}
-		if limit := 2*(len(s.Endpoints)+len(s.Gone)) + 65; len(s.changes) > limit {
-			t.Errorf("%d changes kept for %d endpoints and %d removals", len(s.changes), len(s.Endpoints), len(s.Gone))
+		if limit := 2*(len(s.Endpoints)+len(s.Removed)) + 65; len(s.changes) > limit {
+			t.Errorf("%d changes kept for %d endpoints and %d removals", len(s.changes), len(s.Endpoints), len(s.Removed))
 		}
 	})
 }
@@ -92,8 +92,8 @@
 		s.Put(Endpoint{ID: fmt.Sprint("e", i), Address: fmt.Sprint("10.0.0.", i), Sequence: 1}, i+1)
 	}
 	pages := 0
-	for p := (Piece{More: true}); p.More; pages++ {
-		p = s.After(p.UpTo, 1000)
+	for p := (Page{HasMore: true}); p.HasMore; pages++ {
+		p = s.ChangesAfter(p.Revision, 1000)
 		size := 0
 		for i := range p.Endpoints {
 			size += p.Endpoints[i].Size()
@@ -116,7 +116,7 @@
 				s.Put(Endpoint{ID: fmt.Sprintf("i-%08x", i), Address: fmt.Sprint("10.0.0.", i), Sequence: 1}, i+1)
 			}
 			for b.Loop() {
-				s.After(uint64(n/2), 48<<10)
+				s.ChangesAfter(uint64(n/2), 48<<10)
 			}
 		})
 	}
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -41,19 +41,19 @@
 	Endpoints map[string]Endpoint `json:"endpoints"`
 	// Removed holds the IDs of endpoints that reported their termination or were replaced by
 	// another endpoint at their address, oldest first.
-	Gone []string `json:"gone"`
+	Removed []string `json:"gone"`
 	// Replaced holds the last sequence of the endpoints in Removed whose address another
 	// endpoint took. The message that replaced them may have been a delayed one of a terminated
 	// endpoint, so a newer heartbeat reinstates them.
-	Followed map[string]uint64 `json:"followed,omitempty"`
+	Replaced map[string]uint64 `json:"followed,omitempty"`
 	// Revision is that of the newest change; 0 if there is none.
 	Revision uint64 `json:"revision,omitempty"`
 	// Changed holds the revision of each endpoint's last change, RemovedAt that of each removal
 	// in Removed.
-	Changed map[string]uint64 `json:"changed,omitempty"`
-	GoneAt  []uint64          `json:"gone_at,omitempty"`
+	Changed   map[string]uint64 `json:"changed,omitempty"`
+	RemovedAt []uint64          `json:"gone_at,omitempty"`
 	// CompactedRevision is the revision up to which removals may be missing in Removed.
-	Forgotten uint64 `json:"forgotten,omitempty"`
+	CompactedRevision uint64 `json:"forgotten,omitempty"`
 
 	// Derived by ensureIndex, not stored.
 	byAddress     map[string]string
@@ -73,18 +73,18 @@
 	if s.Changed == nil {
 		s.Changed = make(map[string]uint64)
 	}
-	if s.Followed == nil {
-		s.Followed = make(map[string]uint64)
+	if s.Replaced == nil {
+		s.Replaced = make(map[string]uint64)
 	}
-	for len(s.GoneAt) < len(s.Gone) {
-		s.GoneAt = append([]uint64{0}, s.GoneAt...) // the snapshot has no revisions
+	for len(s.RemovedAt) < len(s.Removed) {
+		s.RemovedAt = append([]uint64{0}, s.RemovedAt...) // the snapshot has no revisions
 	}
 	s.byAddress = make(map[string]string, len(s.Endpoints))
 	for id, e := range s.Endpoints {
 		s.byAddress[e.Address] = id
 	}
-	s.removedIDs = make(map[string]struct{}, len(s.Gone))
-	for _, id := range s.Gone {
+	s.removedIDs = make(map[string]struct{}, len(s.Removed))
+	for _, id := range s.Removed {
 		s.removedIDs[id] = struct{}{}
 	}
 	s.indexInstances()
@@ -93,7 +93,7 @@
 
 // IsRemoved reports whether an endpoint reported its termination or was replaced by another at
 // its address.
-func (s *State) IsGone(id string) bool {
+func (s *State) IsRemoved(id string) bool {
 	s.ensureIndex()
 	_, removed := s.removedIDs[id]
 	return removed
@@ -102,8 +102,8 @@
 // Accepts reports whether a heartbeat is newer than the last one of its endpoint, and the
 // endpoint isn't removed for good.
 func (s *State) Accepts(e Endpoint) bool {
-	if s.IsGone(e.ID) {
-		last, replaced := s.Followed[e.ID]
+	if s.IsRemoved(e.ID) {
+		last, replaced := s.Replaced[e.ID]
 		return replaced && e.Sequence > last
 	}
 	known, ok := s.Endpoints[e.ID]
@@ -113,16 +113,16 @@
 // AddressConflict returns the ID of the endpoint that holds the address of a replaced endpoint
 // that sends heartbeats again; empty if there is none. Only one of the two is alive: the
 // caller, which receives the heartbeats of both, decides whether to apply this one.
-func (s *State) Contests(e Endpoint) string {
+func (s *State) AddressConflict(e Endpoint) string {
 	s.ensureIndex()
-	if _, replaced := s.Followed[e.ID]; !replaced {
+	if _, replaced := s.Replaced[e.ID]; !replaced {
 		return ""
 	}
 	return s.byAddress[e.Address]
 }
 
 // WouldChange reports whether a heartbeat changes more than the sequence.
-func (s *State) Changes(e Endpoint) bool {
+func (s *State) WouldChange(e Endpoint) bool {
 	known, ok := s.Endpoints[e.ID]
 	known.Sequence = e.Sequence
 	return !ok || known != e
@@ -140,7 +140,7 @@
 		last := s.Endpoints[other].Sequence
 		s.Remove(other, revision)
 		if Name(other) != Name(e.ID) {
-			s.Followed[other] = last
+			s.Replaced[other] = last
 		}
 	}
 	if before := s.lastInstances[Name(e.ID)].id; before != e.ID && s.isPresent(before) {
@@ -162,14 +162,14 @@
 
 // reinstate takes a replaced endpoint out of the removed ones.
 func (s *State) reinstate(id string) {
-	if _, replaced := s.Followed[id]; !replaced {
+	if _, replaced := s.Replaced[id]; !replaced {
 		return
 	}
-	delete(s.Followed, id)
+	delete(s.Replaced, id)
 	delete(s.removedIDs, id)
-	if i := slices.Index(s.Gone, id); i >= 0 {
-		s.Gone = slices.Delete(s.Gone, i, i+1)
-		s.GoneAt = slices.Delete(s.GoneAt, i, i+1)
+	if i := slices.Index(s.Removed, id); i >= 0 {
+		s.Removed = slices.Delete(s.Removed, i, i+1)
+		s.RemovedAt = slices.Delete(s.RemovedAt, i, i+1)
 	}
 }
 
@@ -187,13 +187,13 @@
 	born := max(s.Endpoints[id].Born, startTimeOf(id))
 	delete(s.Endpoints, id)
 	delete(s.Changed, id)
-	delete(s.Followed, id)
-	if s.IsGone(id) {
+	delete(s.Replaced, id)
+	if s.IsRemoved(id) {
 		return
 	}
 	s.recordInstance(id, born)
 	s.addRemoved(id, revision)
-	if withStart := StartID(Name(id), born); withStart != id && !s.IsGone(withStart) {
+	if withStart := InstanceID(Name(id), born); withStart != id && !s.IsRemoved(withStart) {
 		// The instance is registered under the bare name: reject later heartbeats with its
 		// instance ID too.
 		s.addRemoved(withStart, revision)
@@ -203,8 +203,8 @@
 
 func (s *State) addRemoved(id string, revision uint64) {
 	s.removedIDs[id] = struct{}{}
-	s.Gone = append(s.Gone, id)
-	s.GoneAt = append(s.GoneAt, revision)
+	s.Removed = append(s.Removed, id)
+	s.RemovedAt = append(s.RemovedAt, revision)
 	s.recordInstance(id, 0)
 	s.recordChange(change{revision: revision, id: id, isRemoval: true})
 	s.Revision = max(s.Revision, revision)
@@ -212,28 +212,28 @@
 
 // trimRemoved drops the oldest removals beyond maxRemoved.
 func (s *State) trimRemoved() {
-	over := len(s.Gone) - maxRemoved
+	over := len(s.Removed) - maxRemoved
 	if over <= 0 {
 		return
 	}
-	for _, id := range s.Gone[:over] {
+	for _, id := range s.Removed[:over] {
 		delete(s.removedIDs, id)
-		delete(s.Followed, id)
+		delete(s.Replaced, id)
 		if name := Name(id); s.lastInstances[name].id == id {
 			delete(s.lastInstances, name)
 		}
 	}
-	s.Forgotten = s.GoneAt[over-1]
-	s.Gone = slices.Delete(s.Gone, 0, over)
-	s.GoneAt = slices.Delete(s.GoneAt, 0, over)
+	s.CompactedRevision = s.RemovedAt[over-1]
+	s.Removed = slices.Delete(s.Removed, 0, over)
+	s.RemovedAt = slices.Delete(s.RemovedAt, 0, over)
 }
 
 // List returns all endpoints, sorted by ID.
 func (s *State) List() []Endpoint { return s.changedAfter(0) }
 
 // CanResumeFrom reports whether all changes after a revision are still known.
-func (s *State) Reaches(revision uint64) bool {
-	return revision != 0 && revision >= s.Forgotten && revision <= s.Revision
+func (s *State) CanResumeFrom(revision uint64) bool {
+	return revision != 0 && revision >= s.CompactedRevision && revision <= s.Revision
 }
 
 // changedAfter returns the endpoints that changed after a revision, sorted by ID; all of them
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -46,17 +46,17 @@
 	var s State
 	s.Put(Endpoint{ID: "new", Address: "10.0.0.1:80", Sequence: 7}, 1)
 	s.Put(Endpoint{ID: "old", Address: "10.0.0.1:80", Sequence: 1}, 2)
-	if !s.IsGone("new") || s.Accepts(Endpoint{ID: "new", Address: "10.0.0.1:80", Sequence: 7}) {
+	if !s.IsRemoved("new") || s.Accepts(Endpoint{ID: "new", Address: "10.0.0.1:80", Sequence: 7}) {
 		t.Error("an old heartbeat of a replaced endpoint was accepted")
 	}
 	again := Endpoint{ID: "new", Address: "10.0.0.1:80", Sequence: 8}
-	if other := s.Contests(again); other != "old" || !s.Accepts(again) {
+	if other := s.AddressConflict(again); other != "old" || !s.Accepts(again) {
 		t.Errorf("conflicts with %q, accepted %v", other, s.Accepts(again))
 	}
 	s.Put(again, 3)
 	_, there := s.Endpoints["new"]
-	if !there || s.IsGone("new") || !s.IsGone("old") {
-		t.Errorf("endpoints %v, removed %v", s.Endpoints, s.Gone)
+	if !there || s.IsRemoved("new") || !s.IsRemoved("old") {
+		t.Errorf("endpoints %v, removed %v", s.Endpoints, s.Removed)
 	}
 	if changed, removed, ok := changesSince(&s, 1); !ok || len(changed) != 1 || len(removed) != 1 || removed[0] != "old" {
 		t.Errorf("changes since its first heartbeat: %v, removed %v, %v", changed, removed, ok)
@@ -72,18 +72,18 @@
 	for i := range 3 * maxRemoved {
 		s.Remove(string(rune('a'+i%26))+string(rune(i)), uint64(i+1))
 	}
-	if len(s.Gone) != maxRemoved || len(s.removedIDs) != maxRemoved || len(s.GoneAt) != maxRemoved {
-		t.Errorf("%d removed endpoints are kept, want %d", len(s.Gone), maxRemoved)
+	if len(s.Removed) != maxRemoved || len(s.removedIDs) != maxRemoved || len(s.RemovedAt) != maxRemoved {
+		t.Errorf("%d removed endpoints are kept, want %d", len(s.Removed), maxRemoved)
 	}
 }
 
 // changesSince returns all changes after a revision; false if some are no longer known.
 func changesSince(s *State, revision uint64) (changed []Endpoint, removed []string, ok bool) {
-	if !s.Reaches(revision) {
+	if !s.CanResumeFrom(revision) {
 		return nil, nil, false
 	}
-	p := s.After(revision, math.MaxInt)
-	return p.Endpoints, p.Gone, true
+	p := s.ChangesAfter(revision, math.MaxInt)
+	return p.Endpoints, p.Removed, true
 }
 
 // TestChangesReproduceState: a reader that applies the changes since its last revision must have the
@@ -157,7 +157,7 @@
 		t.Errorf("since revision 3: %v, %v, %v; want only the removal of b", changed, removed, ok)
 	}
 	again.Put(Endpoint{ID: "c", Address: "10.0.0.1:80", Sequence: 1}, 9)
-	if !again.IsGone("a") {
+	if !again.IsRemoved("a") {
 		t.Error("an endpoint was not replaced by a new one at its address")
 	}
 }
--- a/registry/start.go
+++ b/registry/start.go
@@ -17,7 +17,7 @@
 const instanceSeparator = "/"
 
 // InstanceID returns the ID of an endpoint's instance; the name alone if born is 0.
-func StartID(name string, born uint64) string {
+func InstanceID(name string, born uint64) string {
 	if born == 0 {
 		return name
 	}
@@ -49,7 +49,7 @@
 // indexInstances finds the newest instance of each name.
 func (s *State) indexInstances() {
 	s.lastInstances = make(map[string]instance, len(s.Endpoints))
-	for _, id := range s.Gone {
+	for _, id := range s.Removed {
 		s.recordInstance(id, 0)
 	}
 	for id, e := range s.Endpoints {
@@ -79,7 +79,7 @@
 // ResolveInstance returns a heartbeat with its name replaced by the ID of its instance. It returns false for
 // a stale heartbeat: one of an earlier instance than the last one, or one without a start time though the
 // endpoint has reported it before.
-func (s *State) Start(received Endpoint) (Endpoint, bool) {
+func (s *State) ResolveInstance(received Endpoint) (Endpoint, bool) {
 	s.ensureIndex()
 	name := received.ID
 	last, known := s.lastInstances[name]
@@ -92,25 +92,25 @@
 		// The same instance: the group's format version had no start times until now.
 		received.ID = last.id
 	default:
-		received.ID = StartID(name, received.Born)
+		received.ID = InstanceID(name, received.Born)
 	}
 	return received, true
 }
 
 // ResolveTermination returns the ID of the instance that an endpoint reports as terminated: the last one of
 // the name if born is 0.
-func (s *State) Ending(name string, born uint64) string {
+func (s *State) ResolveTermination(name string, born uint64) string {
 	if born == 0 {
-		return s.LastStart(name)
+		return s.LastInstance(name)
 	}
-	if e, ok := s.Start(Endpoint{ID: name, Born: born, Sequence: math.MaxUint64}); ok {
+	if e, ok := s.ResolveInstance(Endpoint{ID: name, Born: born, Sequence: math.MaxUint64}); ok {
 		return e.ID
 	}
-	return StartID(name, born)
+	return InstanceID(name, born)
 }
 
 // LastInstance returns the ID of the newest instance of a name; the name itself if there is none.
-func (s *State) LastStart(name string) string {
+func (s *State) LastInstance(name string) string {
 	s.ensureIndex()
 	if last, ok := s.lastInstances[name]; ok {
 		return last.id
--- a/registry/start_test.go
+++ b/registry/start_test.go
@@ -13,7 +13,7 @@
 
 // heartbeat applies a heartbeat as an owner and the log do.
 func (s *State) heartbeat(e Endpoint, revision uint64) (removed []string) {
-	if e, ok := s.Start(e); ok {
+	if e, ok := s.ResolveInstance(e); ok {
 		return s.Put(e, revision)
 	}
 	return nil
@@ -27,11 +27,11 @@
 			var s State
 			s.heartbeat(Endpoint{ID: "a", Born: 1000, Address: "10.0.0.1:80", Sequence: 900}, 1)
 			if terminated {
-				s.Remove(s.LastStart("a"), 2)
+				s.Remove(s.LastInstance("a"), 2)
 			}
 			removed := s.heartbeat(Endpoint{ID: "a", Born: 2000, Address: address, Sequence: 1}, 3)
-			if e, ok := s.Endpoints["a/2000"]; !ok || e.Address != address || len(s.Endpoints) != 1 || !s.IsGone("a/1000") {
-				t.Errorf("at %s, terminated %v: %+v, removed %v", address, terminated, s.Endpoints, s.Gone)
+			if e, ok := s.Endpoints["a/2000"]; !ok || e.Address != address || len(s.Endpoints) != 1 || !s.IsRemoved("a/1000") {
+				t.Errorf("at %s, terminated %v: %+v, removed %v", address, terminated, s.Endpoints, s.Removed)
 			}
 			if !terminated && !cmp.Equal(removed, []string{"a/1000"}) {
 				t.Errorf("at %s: removed %v, want the earlier instance", address, removed)
@@ -40,7 +40,7 @@
 				{ID: "a", Born: 1000, Address: "10.0.0.1:80", Sequence: 901, Leaving: true},
 				{ID: "a", Address: "10.0.0.1:80", Sequence: 902},
 			} {
-				if _, accepted := s.Start(late); accepted {
+				if _, accepted := s.ResolveInstance(late); accepted {
 					t.Errorf("a heartbeat of the earlier instance was accepted: %+v", late)
 				}
 			}
@@ -52,10 +52,10 @@
 func TestEndpointWithoutStartTime(t *testing.T) {
 	var s State
 	s.heartbeat(Endpoint{ID: "a", Address: "10.0.0.1:80", Sequence: 4}, 1)
-	if e, ok := s.Start(Endpoint{ID: "a", Address: "10.0.0.1:80", Sequence: 3}); !ok || e.ID != "a" || s.Accepts(e) {
+	if e, ok := s.ResolveInstance(Endpoint{ID: "a", Address: "10.0.0.1:80", Sequence: 3}); !ok || e.ID != "a" || s.Accepts(e) {
 		t.Errorf("%+v, %v", e, ok)
 	}
-	s.Remove(s.LastStart("a"), 2)
+	s.Remove(s.LastInstance("a"), 2)
 	s.heartbeat(Endpoint{ID: "a", Address: "10.0.0.1:80", Sequence: 5}, 3)
 	if len(s.Endpoints) != 0 {
 		t.Error("a heartbeat registered a removed endpoint again")
@@ -76,7 +76,7 @@
 	if removed := s.heartbeat(Endpoint{ID: "a", Born: 2000, Address: "10.0.0.1:80", Sequence: 1}, 3); !cmp.Equal(removed, []string{"a"}) {
 		t.Errorf("removed %v, want the earlier instance", removed)
 	}
-	s.Remove(s.LastStart("a"), 4)
+	s.Remove(s.LastInstance("a"), 4)
 	s.heartbeat(Endpoint{ID: "a", Born: 1000, Address: "10.0.0.1:80", Sequence: 9}, 5)
 	s.heartbeat(Endpoint{ID: "a", Born: 2000, Address: "10.0.0.1:80", Sequence: 9}, 6)
 	if len(s.Endpoints) != 0 {
@@ -86,8 +86,8 @@
 	s = State{}
 	s.heartbeat(Endpoint{ID: "b", Address: "10.0.0.1:80", Sequence: 4}, 1)
 	s.heartbeat(Endpoint{ID: "b", Born: 1000, Address: "10.0.0.1:80", Sequence: 5}, 2)
-	s.Remove(s.LastStart("b"), 3)
-	if e, ok := s.Start(Endpoint{ID: "b", Born: 1000, Address: "10.0.0.1:80", Sequence: 6}); ok && s.Accepts(e) {
+	s.Remove(s.LastInstance("b"), 3)
+	if e, ok := s.ResolveInstance(Endpoint{ID: "b", Born: 1000, Address: "10.0.0.1:80", Sequence: 6}); ok && s.Accepts(e) {
 		t.Errorf("a heartbeat of a removed instance was accepted as %s", e.ID)
 	}
 }
@@ -95,10 +95,10 @@
 // TestTerminationBeforeFirstHeartbeat: a termination received before the first heartbeat must end that instance alone.
 func TestTerminationBeforeFirstHeartbeat(t *testing.T) {
 	var s State
-	s.Remove(s.Ending("a", 1000), 1)
+	s.Remove(s.ResolveTermination("a", 1000), 1)
 	s.heartbeat(Endpoint{ID: "a", Born: 1000, Address: "10.0.0.1:80", Sequence: 1}, 2)
-	if len(s.Endpoints) != 0 || !cmp.Equal(s.Gone, []string{"a/1000"}) {
-		t.Errorf("endpoints %v, removed %v", s.Endpoints, s.Gone)
+	if len(s.Endpoints) != 0 || !cmp.Equal(s.Removed, []string{"a/1000"}) {
+		t.Errorf("endpoints %v, removed %v", s.Endpoints, s.Removed)
 	}
 	s.heartbeat(Endpoint{ID: "a", Born: 2000, Address: "10.0.0.1:80", Sequence: 1}, 3)
 	if _, ok := s.Endpoints["a/2000"]; !ok {
@@ -134,13 +134,13 @@
 				}
 			}
 			if r.IntN(4) == 0 {
-				s.Remove(s.LastStart(name), next())
+				s.Remove(s.LastInstance(name), next())
 				continue
 			}
 			again := restoreFromSnapshot(t, &s)
 			for n := range 3 {
-				if name := fmt.Sprint("n", n); s.LastStart(name) != again.LastStart(name) {
-					t.Fatalf("seed %d: last instance %s, after a snapshot %s", seed, s.LastStart(name), again.LastStart(name))
+				if name := fmt.Sprint("n", n); s.LastInstance(name) != again.LastInstance(name) {
+					t.Fatalf("seed %d: last instance %s, after a snapshot %s", seed, s.LastInstance(name), again.LastInstance(name))
 				}
 			}
 			if r.IntN(3) == 0 {
@@ -149,9 +149,9 @@
 			for seq := heartbeats + 1; seq <= heartbeats+2; seq++ {
 				s.heartbeat(Endpoint{ID: name, Born: born, Address: address, Sequence: seq}, next())
 			}
-			id := StartID(name, born)
+			id := InstanceID(name, born)
 			if e := s.Endpoints[id]; e.Address != address || e.Leaving {
-				t.Fatalf("seed %d: %s is not registered after two heartbeats in order: %v, removed %v", seed, id, s.Endpoints, s.Gone)
+				t.Fatalf("seed %d: %s is not registered after two heartbeats in order: %v, removed %v", seed, id, s.Endpoints, s.Removed)
 			}
 			for other := range s.Endpoints {
 				if Name(other) == name && other != id {
--- a/replay/run.go
+++ b/replay/run.go
@@ -158,7 +158,7 @@
 	one := &request{Request: q, arrived: r.now, blocks: q.Blocks()}
 	one.ticket = event.Ticket{
 		ID: event.RequestID(q.ID), Team: q.Team, Rank: q.Rank, Pool: r.pool.Name,
-		PromptTokens: q.PromptTokens(), OutputTokens: q.Output, Prefix: engine.Marks(one.blocks),
+		PromptTokens: q.PromptTokens(), OutputTokens: q.Output, Prefix: engine.SampleHashes(one.blocks),
 		Deadline: event.Duration(q.Deadline) * event.Millisecond,
 	}
 	r.requests[one.ticket.ID] = one
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -40,7 +40,7 @@
 		Pool: pool, PromptTokens: 100 + random.IntN(4000), OutputTokens: 10 + random.IntN(400), Deadline: 3600 * event.Second,
 	}
 	document := random.Uint64N(500)
-	for b := range k.PromptTokens / engine.MarkTokens {
+	for b := range k.PromptTokens / engine.SampleTokens {
 		k.Prefix = append(k.Prefix, document<<32|uint64(b))
 	}
 	return k
--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -21,7 +21,7 @@
 
 // prefixIndex estimates which prompt prefixes endpoints have in their cache, from
 // the requests recently granted to them. It maps marks, hashes of prefixes at
-// each engine.MarkTokens, to endpoints, so the cost of a search does not grow
+// each engine.SampleTokens, to endpoints, so the cost of a search does not grow
 // with the number of endpoints.
 type prefixIndex struct {
 	holders map[uint64][]*endpoint
@@ -99,7 +99,7 @@
 			break
 		}
 		// The cached prefix ends somewhere before the next mark.
-		cached := min(promptTokens, (i+1)*engine.MarkTokens+engine.MarkTokens/2)
+		cached := min(promptTokens, (i+1)*engine.SampleTokens+engine.SampleTokens/2)
 		for _, e := range list {
 			if len(p.results) == maxHolders {
 				return p.results
--- a/slot/slot.go
+++ b/slot/slot.go
@@ -157,7 +157,7 @@
 
 // InFlight returns the number of requests that are running or whose response has not
 // been delivered.
-func (s *Slot) Held() int {
+func (s *Slot) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	inFlight := 0
@@ -175,7 +175,7 @@
 	s.StartDraining()
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
-	for s.Held() > 0 {
+	for s.InFlight() > 0 {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
--- a/slot/slot_test.go
+++ b/slot/slot_test.go
@@ -148,8 +148,8 @@
 	for _, body := range []string{"", strings.Repeat("x", 100)} {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/v1/run", strings.NewReader(body)))
-		if w.Code != http.StatusBadRequest || s.Held() != 0 {
-			t.Errorf("status %d, %d in flight", w.Code, s.Held())
+		if w.Code != http.StatusBadRequest || s.InFlight() != 0 {
+			t.Errorf("status %d, %d in flight", w.Code, s.InFlight())
 		}
 	}
 }
