--- a/gateway/agent.go
+++ b/gateway/agent.go
@@ -16,11 +16,11 @@
 
 // Times and bounds of an agent.
 const (
-	agentTick = 50 * time.Millisecond
-	// startPatience is how long requests wait in a process that has just started
+	tickInterval = 50 * time.Millisecond
+	// startTimeout is how long requests wait in a process that has just started
 	// and knows no configuration yet.
-	startPatience = 2 * event.Second
-	inputDepth    = 4096
+	startTimeout   = 2 * event.Second
+	inputQueueSize = 4096
 	// maxBatch is how many requests' news go in one message.
 	maxBatch = 256
 )
@@ -28,11 +28,11 @@
 // Agent runs an OwnerClient: its loop owns the client and the connections to control
 // boxes.
 type Agent struct {
-	client *OwnerClient
-	clock  event.Clock
-	input  chan func(event.Time)
-	links  map[LinkID]*link.Conn[message.Envelope]
-	next   LinkID
+	client   *OwnerClient
+	clock    event.Clock
+	input    chan func(event.Time)
+	links    map[LinkID]*link.Conn[message.Envelope]
+	lastLink LinkID
 }
 
 // NewAgent returns an agent; Run starts it.
@@ -40,7 +40,7 @@
 	return &Agent{
 		client: NewOwnerClient(c),
 		clock:  event.NewClock(),
-		input:  make(chan func(event.Time), inputDepth),
+		input:  make(chan func(event.Time), inputQueueSize),
 		links:  make(map[LinkID]*link.Conn[message.Envelope]),
 	}
 }
@@ -56,13 +56,13 @@
 // started and knows none yet, it waits for the first one, for startPatience at the
 // most.
 func (a *Agent) AwaitTable(ctx context.Context) *routing.Table {
-	if t := a.Table(); t != nil || a.clock.Now() > event.Time(startPatience) {
+	if t := a.Table(); t != nil || a.clock.Now() > event.Time(startTimeout) {
 		return t
 	}
-	timer := time.NewTimer(startPatience)
+	timer := time.NewTimer(startTimeout)
 	defer timer.Stop()
 	select {
-	case <-a.client.known:
+	case <-a.client.hasTable:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -92,24 +92,24 @@
 	a.input <- func(now event.Time) { a.client.finish(now, f) }
 }
 
-// Ended says that an endpoint ended under a run of a request.
-func (a *Agent) Ended(e poison.End) {
-	a.input <- func(now event.Time) { a.client.ended(now, e) }
+// RecordEnd says that an endpoint ended under a run of a request.
+func (a *Agent) RecordEnd(e poison.End) {
+	a.input <- func(now event.Time) { a.client.recordEnd(now, e) }
 }
 
-// Heard says what an endpoint asked for in an answer.
-func (a *Agent) Heard(h backpressure.Heard) {
-	a.input <- func(now event.Time) { a.client.heard(now, h) }
+// ObserveFeedback says what an endpoint asked for in an answer.
+func (a *Agent) ObserveFeedback(h backpressure.Heard) {
+	a.input <- func(now event.Time) { a.client.observeFeedback(now, h) }
 }
 
 // SetControl takes other addresses of control boxes.
 func (a *Agent) SetControl(control []string) {
-	a.input <- func(event.Time) { a.client.Know(control) }
+	a.input <- func(event.Time) { a.client.AddControlBoxes(control) }
 }
 
 // Run serves until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
-	ticker := time.NewTicker(agentTick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -119,27 +119,27 @@
 			}
 			return
 		case in := <-a.input:
-			a.take(in)
+			a.apply(in)
 			for range min(len(a.input), maxBatch) {
-				a.take(<-a.input)
+				a.apply(<-a.input)
 			}
 		case <-ticker.C:
 			for id, c := range a.links {
-				a.client.Came(id, c.Received())
+				a.client.SetReceivedBytes(id, c.Received())
 			}
 			a.client.Tick(a.clock.Now())
 		}
-		a.carryOut(a.client.Take())
+		a.execute(a.client.Take())
 	}
 }
 
-func (a *Agent) take(in func(event.Time)) {
+func (a *Agent) apply(in func(event.Time)) {
 	now := a.clock.Now()
 	in(now)
-	a.client.settle(now)
+	a.client.deliverDecisions(now)
 }
 
-func (a *Agent) carryOut(out ClientEffects) {
+func (a *Agent) execute(out ClientEffects) {
 	for _, s := range out.Sends {
 		if c, ok := a.links[s.Link]; ok {
 			c.Send(s.Message)
@@ -165,10 +165,10 @@
 	}
 	id := make(chan LinkID, 1)
 	a.input <- func(now event.Time) {
-		a.next++
-		a.links[a.next] = conn
-		id <- a.next
-		a.client.Dialed(now, a.next, address)
+		a.lastLink++
+		a.links[a.lastLink] = conn
+		id <- a.lastLink
+		a.client.Dialed(now, a.lastLink, address)
 	}
 	one := <-id
 	var owner message.Peer
--- a/gateway/asked.go
+++ b/gateway/asked.go
@@ -15,17 +15,17 @@
 
 // This file is how a call takes what an endpoint asks for in its answer.
 
-// hear takes what an endpoint asks for. The words on an answer of another endpoint than the one that was called
+// receiveFeedback takes what an endpoint asks for. The words on an answer of another endpoint than the one that was called
 // are of nobody.
-func (c *call) hear(a *attempt, r *http.Response) (w backpressure.Word) {
+func (c *call) receiveFeedback(a *attempt, r *http.Response) (w backpressure.Word) {
 	g := c.gateway
 	if g.config.Word == nil || r.StatusCode == http.StatusMisdirectedRequest {
 		return w
 	}
 	w, err := g.config.Word(r.StatusCode, r.Header)
 	if err != nil {
-		g.meters.asked(wordUnread).Inc()
-		if g.wordBudget.Allow(time.Now(), 1) {
+		g.meters.feedback(feedbackInvalid).Inc()
+		if g.feedbackBudget.Allow(time.Now(), 1) {
 			g.log.Warn("what an endpoint asks for can't be read", zap.String("endpoint", string(a.decision.Endpoint)),
 				zap.String("request", c.callerID), logx.Err(err))
 		}
@@ -37,20 +37,20 @@
 	now := g.agent.clock.Now()
 	isKept := !a.decision.Alone && a.decision.Permit != backpressure.PermitBlind
 	isNew := g.agent.client.gate.Hear(now, now.Add(-time.Since(a.sent)), endpoint, w, isKept)
-	g.agent.Heard(backpressure.Heard{Endpoint: endpoint, Request: c.id, Word: w})
-	g.countWord(w)
-	fields := append(wordFields(w), zap.String("endpoint", string(endpoint)), zap.Int("answered", r.StatusCode))
+	g.agent.ObserveFeedback(backpressure.Heard{Endpoint: endpoint, Request: c.id, Word: w})
+	g.countFeedback(w)
+	fields := append(feedbackFields(w), zap.String("endpoint", string(endpoint)), zap.Int("answered", r.StatusCode))
 	if w.Asks() {
-		c.note(stepAsked, fields...)
+		c.addStep(stepFeedback, fields...)
 	}
-	if isNew && g.wordBudget.Allow(time.Now(), 1) {
-		g.log.With(zap.String("request", c.callerID)).Info(stepAsked, fields...)
+	if isNew && g.feedbackBudget.Allow(time.Now(), 1) {
+		g.log.With(zap.String("request", c.callerID)).Info(stepFeedback, fields...)
 	}
 	return w
 }
 
-// stops reports whether a grant must not be used, and why: the endpoint asked for less than whoever gave it knew.
-func (c *call) stops(d Decision) backpressure.Stopped {
+// checkGate reports whether a grant must not be used, and why: the endpoint asked for less than whoever gave it knew.
+func (c *call) checkGate(d Decision) backpressure.Stopped {
 	gate := &c.gateway.agent.client.gate
 	if !gate.IsAsked() {
 		return backpressure.StoppedNot
@@ -58,28 +58,28 @@
 	return gate.Stops(c.gateway.agent.clock.Now(), d.Endpoint, d.Permit)
 }
 
-// stopped takes note that a grant is not used, and tells who gave it why.
-func (c *call) stopped(a *attempt, why backpressure.Stopped) {
+// reportStopped takes note that a grant is not used, and tells who gave it why.
+func (c *call) reportStopped(a *attempt, why backpressure.Stopped) {
 	agent := c.gateway.agent
-	a.outcome, a.untried = outcomeStopped, true
+	a.outcome, a.notTried = outcomeStopped, true
 	a.err = errors.Errorf("stopped by what the endpoint asks for: %s", why)
-	c.gateway.meters.stopped(why).Inc()
-	agent.Heard(agent.client.gate.Belief(agent.clock.Now(), a.decision.Endpoint))
+	c.gateway.meters.stoppedGrants(why).Inc()
+	agent.ObserveFeedback(agent.client.gate.Belief(agent.clock.Now(), a.decision.Endpoint))
 }
 
-func (g *Gateway) countWord(w backpressure.Word) {
+func (g *Gateway) countFeedback(w backpressure.Word) {
 	if w.Limited {
-		g.meters.asked(wordLimit).Inc()
+		g.meters.feedback(feedbackLimit).Inc()
 	}
 	if w.Rest > 0 {
-		g.meters.asked(wordRest).Inc()
+		g.meters.feedback(feedbackCooldown).Inc()
 	}
 	if w.Leaving {
-		g.meters.asked(wordLeaving).Inc()
+		g.meters.feedback(feedbackDraining).Inc()
 	}
 }
 
-func wordFields(w backpressure.Word) []zap.Field {
+func feedbackFields(w backpressure.Word) []zap.Field {
 	var fields []zap.Field
 	if w.Limited {
 		fields = append(fields, zap.Float64("limit_per_s", w.Rate))
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -13,21 +13,21 @@
 	"lynxramp.org/poison"
 )
 
-// bodySilence is how long no byte of a body may come. How long the whole may take is up to
+// bodyIdleTimeout is how long no byte of a body may come. How long the whole may take is up to
 // the request's own deadline: many callers share an entry's link.
-const bodySilence = 10 * time.Second
+const bodyIdleTimeout = 10 * time.Second
 
-// defaultBody is the most that a body may have where the configuration says
-// nothing, and firstBody what is taken for one before its bytes are there, in bytes.
+// defaultMaxBody is the most that a body may have where the configuration says
+// nothing, and initialBodyBuffer what is taken for one before its bytes are there, in bytes.
 const (
-	defaultBody = 4 << 20
-	firstBody   = 4 << 10
+	defaultMaxBody    = 4 << 20
+	initialBodyBuffer = 4 << 10
 )
 
 // Reasons to read no more of a body.
 var (
-	errBodyLong = errors.New("the body is too long")
-	errBodyFull = errors.New("too much is held")
+	errBodyTooLong = errors.New("the body is too long")
+	errTooMuchHeld = errors.New("too much is held")
 )
 
 // readBody reads the request's body whole: only a whole request may leave for an
@@ -35,50 +35,50 @@
 func (c *call) readBody() bool {
 	limit := c.table.Limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBody
 	}
 	if c.r.ContentLength > limit {
-		c.end(http.StatusRequestEntityTooLarge, 0, errBodyLong.Error())
+		c.respondError(http.StatusRequestEntityTooLarge, 0, errBodyTooLong.Error())
 		return false
 	}
 	printer := poison.NewPrinter(c.teamName(), c.r.Method, c.r.Host, c.r.RequestURI)
-	defer func() { c.print = printer.Print() }()
+	defer func() { c.fingerprint = printer.Print() }()
 	if c.r.ContentLength == 0 {
 		return true
 	}
-	body := progress.Reader{Body: c.r.Body, Control: http.NewResponseController(c.w), Silence: c.gateway.bodySilence, Until: time.Now().Add(c.left())}
-	err := c.takeBody(io.TeeReader(&body, printer), limit)
+	body := progress.Reader{Body: c.r.Body, Control: http.NewResponseController(c.w), Silence: c.gateway.bodyIdleTimeout, Until: time.Now().Add(c.remaining())}
+	err := c.receiveBody(io.TeeReader(&body, printer), limit)
 	body.End()
 	switch {
 	case err == nil:
 		return true
-	case errors.Is(err, errBodyLong):
-		c.end(http.StatusRequestEntityTooLarge, 0, err.Error())
-	case errors.Is(err, errBodyFull):
-		c.end(http.StatusServiceUnavailable, retryFull, err.Error())
-	case c.left() <= 0:
-		c.end(http.StatusServiceUnavailable, retryRejected, "the body did not come in time")
+	case errors.Is(err, errBodyTooLong):
+		c.respondError(http.StatusRequestEntityTooLarge, 0, err.Error())
+	case errors.Is(err, errTooMuchHeld):
+		c.respondError(http.StatusServiceUnavailable, retryAfterFull, err.Error())
+	case c.remaining() <= 0:
+		c.respondError(http.StatusServiceUnavailable, retryAfterNotRun, "the body did not come in time")
 	default:
-		c.end(http.StatusBadRequest, 0, "the body was not sent whole")
+		c.respondError(http.StatusBadRequest, 0, "the body was not sent whole")
 	}
 	return false
 }
 
-// takeBody keeps a body's bytes. They count as held from their coming.
-func (c *call) takeBody(body io.Reader, limit int64) error {
-	c.body = make([]byte, 0, firstBody)
+// receiveBody keeps a body's bytes. They count as held from their coming.
+func (c *call) receiveBody(body io.Reader, limit int64) error {
+	c.body = make([]byte, 0, initialBodyBuffer)
 	for {
 		if len(c.body) == cap(c.body) {
 			c.body = append(c.body, 0)[:len(c.body)]
 		}
 		n, err := body.Read(c.body[len(c.body):cap(c.body)])
 		c.body = c.body[:len(c.body)+n]
-		held := c.gateway.bytes.Add(int64(n))
+		held := c.gateway.bodyBytes.Add(int64(n))
 		switch {
 		case int64(len(c.body)) > limit:
-			return errBodyLong
+			return errBodyTooLong
 		case held > c.gateway.config.HeldBytes:
-			return errBodyFull
+			return errTooMuchHeld
 		case err == io.EOF:
 			return nil
 		case err != nil:
@@ -87,8 +87,8 @@
 	}
 }
 
-// dropBody forgets the body when it is not needed any more.
-func (c *call) dropBody() {
-	c.gateway.bytes.Add(-int64(len(c.body)))
+// releaseBody forgets the body when it is not needed any more.
+func (c *call) releaseBody() {
+	c.gateway.bodyBytes.Add(-int64(len(c.body)))
 	c.body = nil
 }
--- a/gateway/body_test.go
+++ b/gateway/body_test.go
@@ -54,7 +54,7 @@
 		t.Run(name, func(t *testing.T) {
 			e := newStandIn(t, whole(200, "answer"))
 			r := newRig(t, e)
-			r.gateway.bodySilence = 300 * time.Millisecond
+			r.gateway.bodyIdleTimeout = 300 * time.Millisecond
 			status, _ := r.sendBody(t, &trickle{pieces: 12, pause: 100 * time.Millisecond}, chunked, "2500")
 			if status != http.StatusOK || e.runs() != 1 {
 				t.Fatalf("status %d and %d runs, want 200 and 1", status, e.runs())
@@ -62,7 +62,7 @@
 			if want := strings.Repeat(trickled, 12); e.bodies[0] != want {
 				t.Errorf("the endpoint got %q, want %q", e.bodies[0], want)
 			}
-			waitFor(t, "nothing is held", func() bool { return r.gateway.bytes.Load() == 0 })
+			waitFor(t, "nothing is held", func() bool { return r.gateway.bodyBytes.Load() == 0 })
 		})
 	}
 }
@@ -81,7 +81,7 @@
 		t.Run(name, func(t *testing.T) {
 			e := newStandIn(t, whole(200, "answer"))
 			r := newRig(t, e)
-			r.gateway.bodySilence = 400 * time.Millisecond
+			r.gateway.bodyIdleTimeout = 400 * time.Millisecond
 			status, took := r.sendBody(t, &c.body, true, c.deadline)
 			if status != c.want || e.runs() != 0 {
 				t.Errorf("status %d and %d runs, want %d and none", status, e.runs(), c.want)
@@ -89,7 +89,7 @@
 			if took > time.Second {
 				t.Errorf("it took %v", took)
 			}
-			waitFor(t, "nothing is held", func() bool { return r.gateway.bytes.Load() == 0 })
+			waitFor(t, "nothing is held", func() bool { return r.gateway.bodyBytes.Load() == 0 })
 		})
 	}
 }
@@ -101,11 +101,11 @@
 	r := newRig(t, e)
 	r.gateway.config.HeldBytes = 100
 	go r.sendBody(t, &trickle{pieces: 8, pause: time.Millisecond, stall: time.Second}, true, "2500")
-	waitFor(t, "what has come is held", func() bool { return r.gateway.bytes.Load() == 70 })
+	waitFor(t, "what has come is held", func() bool { return r.gateway.bodyBytes.Load() == 70 })
 	if status, _ := r.sendBody(t, &trickle{pieces: 4}, true, "2500"); status != http.StatusServiceUnavailable {
 		t.Errorf("status %d beyond the bound, want 503", status)
 	}
-	waitFor(t, "nothing is held", func() bool { return r.gateway.bytes.Load() == 0 })
+	waitFor(t, "nothing is held", func() bool { return r.gateway.bodyBytes.Load() == 0 })
 	if e.runs() != 1 {
 		t.Errorf("%d runs, want the first only", e.runs())
 	}
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -47,8 +47,8 @@
 		return false
 	}
 	longCut := func(c net.Conn, r *http.Request) bool {
-		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", head(r, 200, ""), 3*maxWhole)
-		_, _ = c.Write(bytes.Repeat([]byte("x"), 2*maxWhole)) // the rest never comes
+		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", head(r, 200, ""), 3*maxBufferedResponse)
+		_, _ = c.Write(bytes.Repeat([]byte("x"), 2*maxBufferedResponse)) // the rest never comes
 		return false
 	}
 	for name, one := range map[string]struct {
@@ -142,14 +142,14 @@
 		t.Errorf("told of runs that ended well: %v", well)
 	}
 	a.Received(later, 2, &message.Envelope{Pong: &message.Pong{Ends: 2}})
-	if len(a.ends) != 0 {
-		t.Errorf("%d ends are kept that the log has", len(a.ends))
+	if len(a.unsavedEnds) != 0 {
+		t.Errorf("%d ends are kept that the log has", len(a.unsavedEnds))
 	}
-	for i := range 5 * maxUntold {
+	for i := range 5 * maxUnsavedEnds {
 		a.Ended(later, poison.End{Print: poison.Print(fmt.Sprint(i)), Endpoint: "e"})
 	}
-	if len(a.ends) > maxUntold {
-		t.Errorf("%d ends are kept", len(a.ends))
+	if len(a.unsavedEnds) > maxUnsavedEnds {
+		t.Errorf("%d ends are kept", len(a.unsavedEnds))
 	}
 }
 
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -23,7 +23,7 @@
 }
 
 func newEventReader(r io.Reader) *eventReader {
-	return &eventReader{reader: bufio.NewReaderSize(r, readBuffer)}
+	return &eventReader{reader: bufio.NewReaderSize(r, readBufferSize)}
 }
 
 // next returns the next event with the blank line that ends it, and its id; the id
--- a/gateway/fresh.go
+++ b/gateway/fresh.go
@@ -13,39 +13,39 @@
 // it: an operator whose changes follow each other faster than each is decoded, fetched and read would
 // else have all entries refuse from Fresh on, as each word is of a version that they don't have yet.
 
-// newestWord is an owner's word that a version was the newest one.
-type newestWord struct {
+// versionConfirmation is an owner's word that a version was the newest one.
+type versionConfirmation struct {
 	version uint64
 	asked   event.Time // when the entry asked for it: the version was the newest at some time since
 }
 
-// hearNewest takes an owner's word that a version was the newest one.
-func (a *OwnerClient) hearNewest(now event.Time, w newestWord) {
-	a.newest = slices.DeleteFunc(a.newest, func(old newestWord) bool {
+// confirmVersion takes an owner's word that a version was the newest one.
+func (a *OwnerClient) confirmVersion(now event.Time, w versionConfirmation) {
+	a.confirmations = slices.DeleteFunc(a.confirmations, func(old versionConfirmation) bool {
 		return old.version == w.version || now.Sub(old.asked) >= a.config.Fresh
 	})
-	a.newest = append(a.newest, w)
-	a.refresh()
+	a.confirmations = append(a.confirmations, w)
+	a.extendValidity()
 }
 
-// refresh takes how long the configuration that is in force may be used. A version at least as high as
+// extendValidity takes how long the configuration that is in force may be used. A version at least as high as
 // the one that was the newest has all that was acknowledged before the entry asked.
-func (a *OwnerClient) refresh() {
+func (a *OwnerClient) extendValidity() {
 	t := a.table.Load()
 	if t == nil {
 		return
 	}
-	until := a.fresh.Load()
+	until := a.validUntil.Load()
 	wasKnown := until != 0
-	a.newest = slices.DeleteFunc(a.newest, func(w newestWord) bool {
+	a.confirmations = slices.DeleteFunc(a.confirmations, func(w versionConfirmation) bool {
 		if w.version > t.Version {
 			return false
 		}
 		until = max(until, int64(w.asked.Add(a.config.Fresh)))
 		return true
 	})
-	a.fresh.Store(until)
+	a.validUntil.Store(until)
 	if !wasKnown && until != 0 {
-		close(a.known)
+		close(a.hasTable)
 	}
 }
--- a/gateway/fresh_test.go
+++ b/gateway/fresh_test.go
@@ -45,8 +45,8 @@
 		if a.Table(now.Add(100*event.Millisecond)) == nil {
 			t.Fatalf("refuses at version %d, %v after the beginning", version, now)
 		}
-		if len(a.newest) > 20 {
-			t.Fatalf("%d words kept", len(a.newest))
+		if len(a.confirmations) > 20 {
+			t.Fatalf("%d words kept", len(a.confirmations))
 		}
 	}
 }
@@ -57,7 +57,7 @@
 	a, put := freshClient()
 	at := func(ms int) event.Time { return event.Time(event.Span(ms) * event.Millisecond) }
 	hear := func(ms int, version uint64) {
-		a.hearNewest(at(ms), newestWord{version: version, asked: at(ms)})
+		a.confirmVersion(at(ms), versionConfirmation{version: version, asked: at(ms)})
 	}
 	serves := func(ms int) bool { return a.Table(at(ms)) != nil }
 	put(0, 1)
@@ -83,7 +83,7 @@
 		t.Error("a word of 3 s counts at 9.6 s")
 	}
 	select {
-	case <-a.known:
+	case <-a.hasTable:
 	default:
 		t.Error("it is not told that a configuration is in force")
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -23,18 +23,18 @@
 
 // Bounds of what an entry holds.
 const (
-	maxHeld = 2000 // requests, where descriptors do not bound them first
-	// heldDescriptors is what a request takes of descriptors: its caller's connection
+	maxInFlight = 2000 // requests, where descriptors do not bound them first
+	// descriptorsPerRequest is what a request takes of descriptors: its caller's connection
 	// and its endpoint's. spareDescriptors are for all else.
-	heldDescriptors  = 2
-	spareDescriptors = 400
-	// retryUnready is what a caller is told who comes while the entry knows no
+	descriptorsPerRequest = 2
+	reservedDescriptors   = 400
+	// retryAfterNoConfig is what a caller is told who comes while the entry knows no
 	// configuration.
-	retryUnready = 1500 * event.Millisecond
-	retryFull    = event.Second
-	// retryElsewhere is what a caller is told whom another entry can serve at once.
-	retryElsewhere = 50 * event.Millisecond
-	sweepEvery     = time.Second
+	retryAfterNoConfig = 1500 * event.Millisecond
+	retryAfterFull     = event.Second
+	// retryAfterDraining is what a caller is told whom another entry can serve at once.
+	retryAfterDraining = 50 * event.Millisecond
+	sweepInterval      = time.Second
 )
 
 // Config is what a Gateway needs.
@@ -56,43 +56,43 @@
 
 // Gateway serves callers. It is an http.Handler.
 type Gateway struct {
-	config   Config
-	agent    *Agent
-	log      *zap.Logger
-	upstream *upstream
-	longest  *longest
-	mayHold  int64        // requests
-	held     atomic.Int64 // requests
-	streams  atomic.Int64 // of these
-	bytes    atomic.Int64 // of their bodies
-	// bodySilence is how long no byte of a body may come.
-	bodySilence time.Duration
-	// callerSilence is how long a caller may take no byte of its answer.
-	callerSilence time.Duration
-	count         atomic.Uint64
-	stopping      atomic.Bool
-	closing       atomic.Bool // streams are not taken any more
-	meters        meters
+	config        Config
+	agent         *Agent
+	log           *zap.Logger
+	upstream      *upstream
+	maxTimeouts   *maxTimeouts
+	inFlightLimit int64        // requests
+	inFlight      atomic.Int64 // requests
+	streams       atomic.Int64 // of these
+	bodyBytes     atomic.Int64 // of their bodies
+	// bodyIdleTimeout is how long no byte of a body may come.
+	bodyIdleTimeout time.Duration
+	// callerWriteTimeout is how long a caller may take no byte of its answer.
+	callerWriteTimeout time.Duration
+	requestCount       atomic.Uint64
+	draining           atomic.Bool
+	refusesStreams     atomic.Bool // streams are not taken any more
+	meters             meters
 
-	failedBudget, briefBudget, wellBudget, wordBudget *logx.Budget
+	failedBudget, briefBudget, sampledBudget, feedbackBudget *logx.Budget
 }
 
 // New returns a gateway; Run keeps it tidy.
 func New(c Config) *Gateway {
-	g := &Gateway{config: c, agent: c.Agent, log: c.Log, upstream: newUpstream(), longest: newLongest(), mayHold: mayHold(c.Descriptors), bodySilence: bodySilence, callerSilence: callerSilence}
-	g.upstream.most = MayConnect(c.Descriptors)
+	g := &Gateway{config: c, agent: c.Agent, log: c.Log, upstream: newUpstream(), maxTimeouts: newMaxTimeouts(), inFlightLimit: inFlightLimit(c.Descriptors), bodyIdleTimeout: bodyIdleTimeout, callerWriteTimeout: callerWriteTimeout}
+	g.upstream.maxConnections = MayConnect(c.Descriptors)
 	g.meters = newMeters(g)
-	g.failedBudget, g.briefBudget, g.wellBudget = logx.NewBudget(failedLines), logx.NewBudget(briefLines), logx.NewBudget(wellLines)
-	g.wordBudget = logx.NewBudget(wordLines)
+	g.failedBudget, g.briefBudget, g.sampledBudget = logx.NewBudget(failedLines), logx.NewBudget(briefLines), logx.NewBudget(sampledLines)
+	g.feedbackBudget = logx.NewBudget(feedbackLines)
 	return g
 }
 
-// mayHold returns how many requests may be held with so many descriptors.
-func mayHold(descriptors int) int64 {
+// inFlightLimit returns how many requests may be held with so many descriptors.
+func inFlightLimit(descriptors int) int64 {
 	if descriptors == 0 {
-		return maxHeld
+		return maxInFlight
 	}
-	return int64(min(maxHeld, MayConnect(descriptors)))
+	return int64(min(maxInFlight, MayConnect(descriptors)))
 }
 
 // MayConnect returns how many connections callers may have to a process with so many
@@ -101,12 +101,12 @@
 	if descriptors == 0 {
 		return 0
 	}
-	return max(1, (descriptors-spareDescriptors)/heldDescriptors)
+	return max(1, (descriptors-reservedDescriptors)/descriptorsPerRequest)
 }
 
 // Run drops connections that are not used until ctx ends.
 func (g *Gateway) Run(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -114,14 +114,14 @@
 			return
 		case <-ticker.C:
 			g.upstream.sweep()
-			g.longest.sweep(time.Now())
-			g.tellLeftOut()
+			g.maxTimeouts.sweep(time.Now())
+			g.logSuppressed()
 		}
 	}
 }
 
 // Ready reports whether new callers may come.
-func (g *Gateway) Ready() bool { return !g.stopping.Load() && g.agent.Table() != nil }
+func (g *Gateway) Ready() bool { return !g.draining.Load() && g.agent.Table() != nil }
 
 // IdleTimeout returns how long a caller's connection may rest; 0 is without a limit.
 func (g *Gateway) IdleTimeout() time.Duration {
@@ -132,73 +132,73 @@
 }
 
 // Stop says that the process will end: Ready is false from now on.
-func (g *Gateway) Stop() { g.stopping.Store(true) }
+func (g *Gateway) Stop() { g.draining.Store(true) }
 
 // RefuseStreams says that the process will end sooner than a stream may.
-func (g *Gateway) RefuseStreams() { g.closing.Store(true) }
+func (g *Gateway) RefuseStreams() { g.refusesStreams.Store(true) }
 
 // Held returns how many requests are under way, and how many of them are streams.
-func (g *Gateway) Held() (all, streams int) { return int(g.held.Load()), int(g.streams.Load()) }
+func (g *Gateway) Held() (all, streams int) { return int(g.inFlight.Load()), int(g.streams.Load()) }
 
 // call is one request from its arrival to its last byte.
 type call struct {
-	gateway  *Gateway
-	w        http.ResponseWriter
-	r        *http.Request
-	table    *routing.Table
-	route    *routing.Route
-	team     *routing.Team
-	service  string
-	id       event.RequestID // ours
-	callerID string
-	body     []byte
-	print    poison.Print // tells that two calls are of the same request
-	prompt   int          // tokens
-	output   int          // tokens that may be generated at the most
-	arrived  time.Time
-	came     event.Time    // arrived, by the agent's clock
-	allowed  time.Duration // how long it may take in all
-	attempts int           // endpoints that the request was sent to
-	avoid    []event.EndpointID
-	placed   bool // it was granted an endpoint before
-	returned bool // its caller was refused before
+	gateway         *Gateway
+	w               http.ResponseWriter
+	r               *http.Request
+	table           *routing.Table
+	route           *routing.Route
+	team            *routing.Team
+	service         string
+	id              event.RequestID // ours
+	callerID        string
+	body            []byte
+	fingerprint     poison.Print // tells that two calls are of the same request
+	promptTokens    int          // tokens
+	maxOutputTokens int          // tokens that may be generated at the most
+	arrived         time.Time
+	arrivedClock    event.Time    // arrived, by the agent's clock
+	timeout         time.Duration // how long it may take in all
+	attempts        int           // endpoints that the request was sent to
+	tried           []event.EndpointID
+	wasGranted      bool // it was granted an endpoint before
+	wasRefused      bool // its caller was refused before
 	// mayHaveRun is set once an endpoint had the request and did not say that it has
 	// not run it.
 	mayHaveRun bool
-	comeBack   event.Span // when some endpoint takes its requests again, as last told; 0 for now
-	record     record
+	cooldown   event.Span // when some endpoint takes its requests again, as last told; 0 for now
+	record     requestRecord
 
-	// Of a stream that has begun:
-	begun     bool
-	lastEvent string
-	events    int
+	// Of a stream that has headSent:
+	headSent    bool
+	lastEventID string
+	eventsSent  int
 }
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	defer g.held.Add(-1)
-	if g.held.Add(1) > g.mayHold {
-		refuse(w, http.StatusServiceUnavailable, retryFull, "too many requests are held")
+	defer g.inFlight.Add(-1)
+	if g.inFlight.Add(1) > g.inFlightLimit {
+		writeError(w, http.StatusServiceUnavailable, retryAfterFull, "too many requests are held")
 		return
 	}
-	if g.stopping.Load() {
+	if g.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	caller := newCallerWriter(w, g.callerSilence)
-	defer caller.extend() // for what the server writes after the handler
-	c := &call{gateway: g, w: caller, r: r, arrived: time.Now(), came: g.agent.clock.Now(), callerID: r.Header.Get(g.config.Names.RequestID)}
-	c.id = event.RequestID(fmt.Sprintf("%s-%x-%x", g.config.Entry, g.config.Life&0xffff, g.count.Add(1)))
-	c.dropReserved()
-	defer c.writeRecord()
-	defer c.dropBody()
+	caller := newCallerWriter(w, g.callerWriteTimeout)
+	defer caller.extendDeadline() // for what the server writes after the handler
+	c := &call{gateway: g, w: caller, r: r, arrived: time.Now(), arrivedClock: g.agent.clock.Now(), callerID: r.Header.Get(g.config.Names.RequestID)}
+	c.id = event.RequestID(fmt.Sprintf("%s-%x-%x", g.config.Entry, g.config.Life&0xffff, g.requestCount.Add(1)))
+	c.removeReservedHeaders()
+	defer c.logSteps()
+	defer c.releaseBody()
 	if !c.admit() {
 		return
 	}
 	if c.route.Kind == routing.KindStream {
 		g.streams.Add(1)
 		defer g.streams.Add(-1)
-		if g.closing.Load() {
-			c.end(http.StatusServiceUnavailable, retryElsewhere, "the entry is about to end")
+		if g.refusesStreams.Load() {
+			c.respondError(http.StatusServiceUnavailable, retryAfterDraining, "the entry is about to end")
 			return
 		}
 	}
@@ -208,27 +208,27 @@
 // age returns how long ago the request arrived, and left how long it may still take. Both count the time
 // for which the computer was suspended, which a deadline by package time would not: endpoints would be given
 // more time than the caller waits.
-func (c *call) age() time.Duration  { return c.gateway.agent.clock.Now().Sub(c.came) }
-func (c *call) left() time.Duration { return c.allowed - c.age() }
+func (c *call) age() time.Duration       { return c.gateway.agent.clock.Now().Sub(c.arrivedClock) }
+func (c *call) remaining() time.Duration { return c.timeout - c.age() }
 
-// over returns why the call must not go on; nil if it may.
-func (c *call) over(ctx context.Context) error {
+// checkDeadline returns why the call must not go on; nil if it may.
+func (c *call) checkDeadline(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if c.left() <= 0 {
+	if c.remaining() <= 0 {
 		return context.DeadlineExceeded
 	}
 	return nil
 }
 
-// dropReserved takes off what the system alone may tell endpoints, so that nothing that
+// removeReservedHeaders takes off what the system alone may tell endpoints, so that nothing that
 // copies the request's headers can pass it on. It counts names, never values.
-func (c *call) dropReserved() {
+func (c *call) removeReservedHeaders() {
 	for _, name := range c.gateway.config.Names.Reserved {
 		if _, ok := c.r.Header[http.CanonicalHeaderKey(name)]; ok {
 			c.r.Header.Del(name)
-			c.gateway.meters.reserved(name).Inc()
+			c.gateway.meters.reservedHeaders(name).Inc()
 		}
 	}
 }
@@ -238,31 +238,31 @@
 func (c *call) admit() bool {
 	g := c.gateway
 	if c.table = g.agent.AwaitTable(c.r.Context()); c.table == nil {
-		c.end(http.StatusServiceUnavailable, retryUnready, "no configuration is known to be the newest")
+		c.respondError(http.StatusServiceUnavailable, retryAfterNoConfig, "no configuration is known to be the newest")
 		return false
 	}
 	path, _, _ := strings.Cut(c.r.RequestURI, "?")
 	if c.route = c.table.Match(c.r.Host, path); c.route == nil {
-		c.end(http.StatusNotFound, 0, "no route")
+		c.respondError(http.StatusNotFound, 0, "no route")
 		return false
 	}
-	if !c.identify() {
-		c.end(http.StatusUnauthorized, 0, "unknown key")
+	if !c.authenticate() {
+		c.respondError(http.StatusUnauthorized, 0, "unknown key")
 		return false
 	}
 	c.service = c.route.Pick(rand.Float64())
-	c.allowed = c.route.Timeout
+	c.timeout = c.route.Timeout
 	if ms, err := strconv.ParseFloat(c.r.Header.Get(g.config.Names.Deadline), 64); err == nil && ms > 0 {
-		c.allowed = time.Duration(min(float64(c.allowed), ms*float64(time.Millisecond)))
-		c.returned = g.longest.isShort(c.arrived, c.route.Name, c.allowed)
+		c.timeout = time.Duration(min(float64(c.timeout), ms*float64(time.Millisecond)))
+		c.wasRefused = g.maxTimeouts.observe(c.arrived, c.route.Name, c.timeout)
 	}
 	if !c.readBody() {
 		return false
 	}
-	c.prompt, c.output = c.tokens()
-	c.note(stepAdmitted, zap.String("route", c.route.Name), zap.String("service", c.service), zap.String("team", c.teamName()),
-		zap.Stringer("print", c.print), zap.Int("rank", c.rank()), zap.Int("prompt_tokens", c.prompt), zap.Int("output_tokens", c.output), zap.Int("guessed_tokens", c.guess()),
-		zap.Duration("left", c.left()), zap.Uint64("version", c.table.Version))
+	c.promptTokens, c.maxOutputTokens = c.declaredTokens()
+	c.addStep(stepAdmitted, zap.String("route", c.route.Name), zap.String("service", c.service), zap.String("team", c.teamName()),
+		zap.Stringer("print", c.fingerprint), zap.Int("rank", c.rank()), zap.Int("prompt_tokens", c.promptTokens), zap.Int("output_tokens", c.maxOutputTokens), zap.Int("guessed_tokens", c.expectedOutputTokens()),
+		zap.Duration("left", c.remaining()), zap.Uint64("version", c.table.Version))
 	return true
 }
 
@@ -282,8 +282,8 @@
 	return c.table.Version
 }
 
-// identify finds the team that holds the request's key. Public routes need none.
-func (c *call) identify() bool {
+// authenticate finds the team that holds the request's key. Public routes need none.
+func (c *call) authenticate() bool {
 	if c.route.Public || len(c.table.Teams) == 0 {
 		return true
 	}
@@ -295,10 +295,10 @@
 	return c.team != nil
 }
 
-// stillAllowed reports whether the configuration that is now known to be in force
+// isStillAllowed reports whether the configuration that is now known to be in force
 // lets the request go to an endpoint: its key may have been taken away while it
 // waited, and its route may be gone.
-func (c *call) stillAllowed() bool {
+func (c *call) isStillAllowed() bool {
 	table := c.gateway.agent.Table()
 	if table == nil {
 		return false
@@ -309,14 +309,14 @@
 	c.table = table
 	path, _, _ := strings.Cut(c.r.RequestURI, "?")
 	route := table.Match(c.r.Host, path)
-	if route == nil || !allows(route, c.service) {
+	if route == nil || !splitIncludes(route, c.service) {
 		return false
 	}
 	c.route = route
-	return c.identify()
+	return c.authenticate()
 }
 
-func allows(route *routing.Route, service string) bool {
+func splitIncludes(route *routing.Route, service string) bool {
 	for _, s := range route.Split {
 		if s.Service == service && s.Weight > 0 {
 			return true
@@ -325,20 +325,20 @@
 	return false
 }
 
-// end answers with a status of our own. A stream that has begun has its status:
+// respondError answers with a status of our own. A stream that has begun has its status:
 // it is cut off instead, so that it does not look whole.
-func (c *call) end(status int, retryAfter event.Span, why string) {
-	if c.begun {
-		c.cut(why, nil)
+func (c *call) respondError(status int, retryAfter event.Span, why string) {
+	if c.headSent {
+		c.abortResponse(why, nil)
 	}
-	c.gateway.meters.ended(status, c.rankLabel())
+	c.gateway.meters.countResponse(status, c.rankLabel())
 	c.record.failed = true
-	c.note(stepEnded, zap.Int("status", status), zap.String("why", why), zap.Int("attempts", c.attempts),
+	c.addStep(stepEnded, zap.Int("status", status), zap.String("why", why), zap.Int("attempts", c.attempts),
 		zap.Duration("retry_after", retryAfter), zap.Uint64("version", c.version()))
-	refuse(c.w, status, retryAfter, why)
+	writeError(c.w, status, retryAfter, why)
 }
 
-func refuse(w http.ResponseWriter, status int, retryAfter event.Span, why string) {
+func writeError(w http.ResponseWriter, status int, retryAfter event.Span, why string) {
 	h := w.Header()
 	if retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -382,12 +382,12 @@
 	if status, _, _ := r.do(t, r.request("POST", "/stream/x", "question")); status != 503 {
 		t.Errorf("status %d, want 503", status)
 	}
-	waitFor(t, "nothing is held", func() bool { return r.gateway.bytes.Load() == 0 })
+	waitFor(t, "nothing is held", func() bool { return r.gateway.bodyBytes.Load() == 0 })
 }
 
 func TestDescriptorsBoundWhatIsHeld(t *testing.T) {
-	for descriptors, want := range map[int]int64{0: maxHeld, 100: 1, 1400: 500, 100000: maxHeld} {
-		if got := mayHold(descriptors); got != want {
+	for descriptors, want := range map[int]int64{0: maxInFlight, 100: 1, 1400: 500, 100000: maxInFlight} {
+		if got := inFlightLimit(descriptors); got != want {
 			t.Errorf("%d requests with %d descriptors, want %d", got, descriptors, want)
 		}
 	}
@@ -397,9 +397,9 @@
 // dispatch, and a grant that comes after its request was withdrawn, end as never sent.
 func TestGrantThatNobodyTakesGivesBack(t *testing.T) {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", Limits: admission.Limits{QuotaWindow: event.Second, RetryWindow: event.Second}, Log: zap.NewNop()})
-	a.link, a.owned = 1, true
+	a.link, a.hasOwner = 1, true
 	a.endpoints["e1"] = message.Endpoint{Endpoint: registry.Endpoint{ID: "e1", Service: "s"}}
-	granted := func(id event.RequestID) { a.decided(0, []event.Granted{{ID: id, Endpoint: "e1"}}, nil, false) }
+	granted := func(id event.RequestID) { a.applyDecisions(0, []event.Granted{{ID: id, Endpoint: "e1"}}, nil, false) }
 	submit := func(id event.RequestID) {
 		a.submit(0, &waiter{submission: message.Submission{Ticket: event.Ticket{ID: id, Service: "s"}}, decision: make(chan Decision, 1)})
 	}
--- a/gateway/gone_test.go
+++ b/gateway/gone_test.go
@@ -118,7 +118,7 @@
 			scenario(t, r, c, m)
 			waitFor(t, "nothing is held", func() bool {
 				all, streams := r.gateway.Held()
-				return all == 0 && streams == 0 && r.gateway.bytes.Load() == 0
+				return all == 0 && streams == 0 && r.gateway.bodyBytes.Load() == 0
 			})
 		})
 	}
@@ -306,9 +306,9 @@
 			}
 			before := e.runs()
 			c.send("/safe/x", "half of", 100)
-			waitFor(t, "the half is there", func() bool { return r.gateway.bytes.Load() == 7 })
+			waitFor(t, "the half is there", func() bool { return r.gateway.bodyBytes.Load() == 7 })
 			left := c.leave(m)
-			waitFor(t, "nothing is held", func() bool { all, _ := r.gateway.Held(); return all == 0 && r.gateway.bytes.Load() == 0 })
+			waitFor(t, "nothing is held", func() bool { all, _ := r.gateway.Held(); return all == 0 && r.gateway.bodyBytes.Load() == 0 })
 			if took := time.Since(left); took > goneWithin {
 				t.Errorf("the request was held for %v", took)
 			}
@@ -337,8 +337,8 @@
 	cancel()
 	const tries = 50
 	for range tries {
-		late := &call{gateway: r.gateway, r: r.request("POST", "/safe/x", "").WithContext(ctx), id: "late", callerID: "late", came: r.agent.clock.Now(), allowed: time.Second}
-		late.tell(late.try(ctx, Decision{Granted: true, Endpoint: "e1", Address: e.address}))
+		late := &call{gateway: r.gateway, r: r.request("POST", "/safe/x", "").WithContext(ctx), id: "late", callerID: "late", arrivedClock: r.agent.clock.Now(), timeout: time.Second}
+		late.reportAttempt(late.try(ctx, Decision{Granted: true, Endpoint: "e1", Address: e.address}))
 	}
 	waitFor(t, "the grants are given back", func() bool { return len(r.owner.ended()) == 1+tries })
 	if e.runs() != 1 {
--- a/gateway/longest.go
+++ b/gateway/longest.go
@@ -8,52 +8,52 @@
 )
 
 const (
-	// longestSpan is how long a route's longest time counts, at least.
-	longestSpan = 10 * time.Second
-	// returnedPart is the part of its route's longest time that a request has left at
+	// maxTimeoutWindow is how long a route's longest time counts, at least.
+	maxTimeoutWindow = 10 * time.Second
+	// retryFraction is the part of its route's longest time that a request has left at
 	// most when its caller was refused before.
-	returnedPart = 0.98
+	retryFraction = 0.98
 )
 
-// longest knows, for each route, the most time that callers lately gave a request.
+// maxTimeouts knows, for each route, the most time that callers lately gave a request.
 // Who has less left has asked before. It is safe for concurrent use.
-type longest struct {
+type maxTimeouts struct {
 	mu     sync.Mutex
-	routes map[string]*longestTime
+	routes map[string]*routeMax
 }
 
-// longestTime is the most time left in the span that began at since, and in the one
+// routeMax is the most time left in the span that began at since, and in the one
 // before.
-type longestTime struct {
-	now, before time.Duration
-	since       time.Time
+type routeMax struct {
+	current, previous time.Duration
+	since             time.Time
 }
 
-func newLongest() *longest { return &longest{routes: make(map[string]*longestTime)} }
+func newMaxTimeouts() *maxTimeouts { return &maxTimeouts{routes: make(map[string]*routeMax)} }
 
-// isShort takes note of a request that has so much time left, and reports whether
+// observe takes note of a request that has so much time left, and reports whether
 // others of its route lately had more.
-func (l *longest) isShort(at time.Time, route string, left time.Duration) bool {
+func (l *maxTimeouts) observe(at time.Time, route string, left time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t, ok := l.routes[route]
 	if !ok {
-		t = &longestTime{since: at}
+		t = &routeMax{since: at}
 		l.routes[route] = t
 	}
-	if at.Sub(t.since) >= longestSpan {
-		t.now, t.before, t.since = 0, t.now, at
+	if at.Sub(t.since) >= maxTimeoutWindow {
+		t.current, t.previous, t.since = 0, t.current, at
 	}
-	t.now = max(t.now, left)
-	return float64(left) < returnedPart*float64(max(t.now, t.before))
+	t.current = max(t.current, left)
+	return float64(left) < retryFraction*float64(max(t.current, t.previous))
 }
 
 // sweep forgets the routes that nobody asked for in the last two spans.
-func (l *longest) sweep(at time.Time) {
+func (l *maxTimeouts) sweep(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for route, t := range l.routes {
-		if at.Sub(t.since) > 2*longestSpan {
+		if at.Sub(t.since) > 2*maxTimeoutWindow {
 			delete(l.routes, route)
 		}
 	}
--- a/gateway/longest_test.go
+++ b/gateway/longest_test.go
@@ -11,7 +11,7 @@
 // their requests, not what the route allows: those who always give less would else
 // stand behind all others for good.
 func TestReturnedCallerHasLessTimeThanOthers(t *testing.T) {
-	l := newLongest()
+	l := newMaxTimeouts()
 	at := time.Unix(100, 0)
 	for _, step := range []struct {
 		after time.Duration
@@ -27,7 +27,7 @@
 		{22 * time.Second, "a", 3 * time.Second, false}, // callers give less now
 		{23 * time.Second, "a", 2 * time.Second, true},
 	} {
-		if got := l.isShort(at.Add(step.after), step.route, step.left); got != step.want {
+		if got := l.observe(at.Add(step.after), step.route, step.left); got != step.want {
 			t.Errorf("after %v on %s with %v left: %v", step.after, step.route, step.left, got)
 		}
 	}
--- a/gateway/owner_client.go
+++ b/gateway/owner_client.go
@@ -22,14 +22,14 @@
 
 // Times of an owner client.
 const (
-	pingEvery = 200 * event.Millisecond
-	// aloneAfter is how long an entry is without an owner before it decides by
+	pingInterval = 200 * event.Millisecond
+	// degradedDelay is how long an entry is without an owner before it decides by
 	// itself.
-	aloneAfter = 100 * event.Millisecond
-	redialWait = 60 * event.Millisecond
-	// ownerSilence is how long an owner may leave an entry without an answer before the
+	degradedDelay = 100 * event.Millisecond
+	redialDelay   = 60 * event.Millisecond
+	// ownerTimeout is how long an owner may leave an entry without an answer before the
 	// entry takes it for lost: two of its questions and some.
-	ownerSilence = 500 * event.Millisecond
+	ownerTimeout = 500 * event.Millisecond
 )
 
 // Decision is what became of a submission.
@@ -85,55 +85,55 @@
 // decides by itself while there is none. It is a reducer and not safe for concurrent
 // use, but for what is atomic.
 type OwnerClient struct {
-	config ClientConfig
-	log    *zap.Logger
-	table  atomic.Pointer[routing.Table]
-	fresh  atomic.Int64  // event.Time until which the table may be used
-	pace   atomic.Int64  // entries that share endpoints
-	told   atomic.Uint64 // the newest version that an owner told of
-	nodes  atomic.Int64  // bytes of configurations' nodes that came
-	known  chan struct{} // closed when a configuration is in force for the first time
-	// newest are words of owners on versions that are not in force yet.
-	newest []newestWord
-
-	link      LinkID
-	address   string // of the control box behind link
-	owned     bool   // the other side of link said that it is the owner
-	dialing   bool
-	dialAt    event.Time
-	lostAt    event.Time
-	pinged    event.Time
-	ponged    event.Time
-	came      int64    // bytes that came on the present link, as last looked at
-	members   []string // known control boxes
-	hint      string   // the leader, as last told
-	nextTry   int
-	waiting   map[event.RequestID]*waiter
-	running   map[event.RequestID]*message.Running
-	endpoints map[event.EndpointID]message.Endpoint
-	revision  uint64 // of the registry, as endpoints has it
+	config           ClientConfig
+	log              *zap.Logger
+	table            atomic.Pointer[routing.Table]
+	validUntil       atomic.Int64  // event.Time until which the table may be used
+	entryCount       atomic.Int64  // entries that share endpoints
+	announcedVersion atomic.Uint64 // the newest version that an owner told of
+	nodeBytes        atomic.Int64  // bytes of configurations' nodes that came
+	hasTable         chan struct{} // closed when a configuration is in force for the first time
+	// confirmations are words of owners on versions that are not in force yet.
+	confirmations []versionConfirmation
+
+	link          LinkID
+	address       string // of the control box behind link
+	hasOwner      bool   // the other side of link said that it is the owner
+	dialing       bool
+	dialAt        event.Time
+	ownerLostAt   event.Time
+	lastPing      event.Time
+	lastPong      event.Time
+	receivedBytes int64    // bytes that came on the present link, as last looked at
+	controlBoxes  []string // known control boxes
+	leaderHint    string   // the leader, as last told
+	nextTry       int
+	waiting       map[event.RequestID]*waiter
+	running       map[event.RequestID]*message.Running
+	endpoints     map[event.EndpointID]message.Endpoint
+	revision      uint64 // of the registry, as endpoints has it
 	// listed are the endpoints that an owner has named since it began to list all; nil while
 	// none does.
-	listed  map[event.EndpointID]bool
-	lent    budget.Allowances     // what may be spent without an owner
-	untold  []event.RequestID     // requests that ran when the session began, not told yet
-	unasked []*waiter             // that waited when the owner was found, not submitted to it yet
-	ends    []untoldEnd           // that the log may not have
-	lastEnd uint64                // number of the last one
-	well    map[poison.Print]bool // requests that ended well without an owner
+	listed        map[event.EndpointID]bool
+	leases        budget.Allowances     // what may be spent without an owner
+	unreported    []event.RequestID     // requests that ran when the session began, not told yet
+	unsubmitted   []*waiter             // that waited when the owner was found, not submitted to it yet
+	unsavedEnds   []unsavedEnd          // that the log may not have
+	lastEndNumber uint64                // number of the last one
+	succeeded     map[poison.Print]bool // requests that ended well without an owner
 	// suspects are the requests that must not run without an owner, by the last one's word.
 	suspects []poison.Print
 	fetch    configFetch
-	alone    *admission.State // nil while there is an owner
-	// alonePoison is what alone knows of requests that end endpoints.
-	alonePoison *poison.Book
+	degraded *admission.State // nil while there is an owner
+	// degradedPoison is what alone knows of requests that end endpoints.
+	degradedPoison *poison.Book
 	// gate has what endpoints ask for, for the calls too.
-	gate    backpressure.Gate
-	sweepAt event.Time  // of gate
-	reads   level.Level // what the owner reads
-	batch   message.Batch
-	effects event.Effects
-	out     ClientEffects
+	gate          backpressure.Gate
+	nextGateSweep event.Time  // of gate
+	ownerLevel    level.Level // what the owner reads
+	batch         message.Batch
+	effects       event.Effects
+	out           ClientEffects
 }
 
 // waiter is a request without a decision.
@@ -156,31 +156,31 @@
 // NewOwnerClient returns a client that knows no owner yet.
 func NewOwnerClient(c ClientConfig) *OwnerClient {
 	a := &OwnerClient{
-		config:    c,
-		log:       c.Log,
-		members:   slices.Clone(c.Control),
-		waiting:   make(map[event.RequestID]*waiter),
-		running:   make(map[event.RequestID]*message.Running),
-		endpoints: make(map[event.EndpointID]message.Endpoint),
-		known:     make(chan struct{}),
-		nextTry:   int(c.Life % uint64(len(c.Control)+1)),
-		fetch:     configFetch{window: windowMost},
+		config:       c,
+		log:          c.Log,
+		controlBoxes: slices.Clone(c.Control),
+		waiting:      make(map[event.RequestID]*waiter),
+		running:      make(map[event.RequestID]*message.Running),
+		endpoints:    make(map[event.EndpointID]message.Endpoint),
+		hasTable:     make(chan struct{}),
+		nextTry:      int(c.Life % uint64(len(c.Control)+1)),
+		fetch:        configFetch{window: maxWindow},
 	}
-	a.pace.Store(1)
+	a.entryCount.Store(1)
 	return a
 }
 
 // Table returns the configuration that requests are served by at now; nil while there
 // is none, or while it is not known to be the newest. Any goroutine may call it.
 func (a *OwnerClient) Table(now event.Time) *routing.Table {
-	if int64(now) >= a.fresh.Load() {
+	if int64(now) >= a.validUntil.Load() {
 		return nil
 	}
 	return a.table.Load()
 }
 
 // Owned reports whether an owner decides for this entry.
-func (a *OwnerClient) Owned() bool { return a.owned }
+func (a *OwnerClient) Owned() bool { return a.hasOwner }
 
 // Take returns what the world is to do about all that happened since the last call.
 func (a *OwnerClient) Take() ClientEffects {
@@ -194,35 +194,35 @@
 // for it.
 func (a *OwnerClient) Submit(now event.Time, m message.Submission, decision chan<- Decision) {
 	a.submit(now, &waiter{submission: m, arrived: now, decision: decision})
-	a.settle(now)
+	a.deliverDecisions(now)
 }
 
 // Withdraw takes a request back whose decision is not awaited any more.
 func (a *OwnerClient) Withdraw(now event.Time, id event.RequestID) {
 	a.withdraw(now, id)
-	a.settle(now)
+	a.deliverDecisions(now)
 }
 
 // Begin says that a granted request's answer has begun.
 func (a *OwnerClient) Begin(now event.Time, b event.Begun) {
 	a.begin(now, b)
-	a.settle(now)
+	a.deliverDecisions(now)
 }
 
 // Finish says that a granted request does not use its endpoint any more.
 func (a *OwnerClient) Finish(now event.Time, f message.Finish) {
 	a.finish(now, f)
-	a.settle(now)
+	a.deliverDecisions(now)
 }
 
 func (a *OwnerClient) submit(now event.Time, w *waiter) {
 	id := w.submission.Ticket.ID
 	a.waiting[id] = w
 	switch {
-	case a.owned:
+	case a.hasOwner:
 		a.batch.Submit = append(a.batch.Submit, w.submission)
-	case a.alone != nil:
-		a.alone.Submit(now, a.config.Entry, &w.submission, &a.effects)
+	case a.degraded != nil:
+		a.degraded.Submit(now, a.config.Entry, &w.submission, &a.effects)
 	}
 }
 
@@ -241,19 +241,19 @@
 	delete(a.waiting, id)
 	withdrawal := message.Withdrawal{ID: id, Service: w.submission.Ticket.Service}
 	switch {
-	case a.owned:
+	case a.hasOwner:
 		a.batch.Withdraw = append(a.batch.Withdraw, withdrawal)
-	case a.alone != nil:
-		a.alone.Withdraw(now, a.config.Entry, withdrawal, &a.effects)
+	case a.degraded != nil:
+		a.degraded.Withdraw(now, a.config.Entry, withdrawal, &a.effects)
 	}
 }
 
 func (a *OwnerClient) begin(now event.Time, b event.Begun) {
-	if a.owned {
+	if a.hasOwner {
 		a.batch.Begun = append(a.batch.Begun, b)
 	}
-	if a.alone != nil {
-		a.alone.Begin(now, &b, &a.effects)
+	if a.degraded != nil {
+		a.degraded.Begin(now, &b, &a.effects)
 	}
 }
 
@@ -262,29 +262,29 @@
 	if a.link != 0 {
 		a.batch.Finish = append(a.batch.Finish, f)
 	}
-	if !a.owned {
-		a.noteWell(&f)
+	if !a.hasOwner {
+		a.recordSuccess(&f)
 	}
-	if a.alone != nil {
-		a.alone.Finish(now, &f, &a.effects)
+	if a.degraded != nil {
+		a.degraded.Finish(now, &f, &a.effects)
 	}
 }
 
-// settle hands on what was decided here alone.
-func (a *OwnerClient) settle(now event.Time) {
+// deliverDecisions hands on what was decided here alone.
+func (a *OwnerClient) deliverDecisions(now event.Time) {
 	for len(a.effects.Grants)+len(a.effects.Refusals) > 0 {
 		grants, refusals := a.effects.Grants, a.effects.Refusals
 		a.effects = event.Effects{}
-		a.decided(now, grants, refusals, true)
+		a.applyDecisions(now, grants, refusals, true)
 	}
 }
 
-// decided tells the waiting requests what was decided.
-func (a *OwnerClient) decided(now event.Time, grants []event.Granted, refusals []event.Refused, alone bool) {
+// applyDecisions tells the waiting requests what was applyDecisions.
+func (a *OwnerClient) applyDecisions(now event.Time, grants []event.Granted, refusals []event.Refused, alone bool) {
 	for _, g := range grants {
 		w, ok := a.waiting[g.ID]
 		if !ok {
-			a.refuseGrant(now, g)
+			a.returnGrant(now, g)
 			continue
 		}
 		delete(a.waiting, g.ID)
@@ -301,8 +301,8 @@
 	}
 }
 
-// refuseGrant gives back a grant that nobody waits for.
-func (a *OwnerClient) refuseGrant(now event.Time, g event.Granted) {
+// returnGrant gives back a grant that nobody waits for.
+func (a *OwnerClient) returnGrant(now event.Time, g event.Granted) {
 	if _, ok := a.running[g.ID]; ok {
 		return
 	}
@@ -333,56 +333,56 @@
 func (a *OwnerClient) Tick(now event.Time) {
 	switch {
 	case a.link != 0:
-		a.keepOwner(now)
+		a.checkOwner(now)
 	case !a.dialing && now >= a.dialAt:
 		a.dial()
 	}
-	if !a.owned && a.alone == nil && now.Sub(a.lostAt) > aloneAfter && a.table.Load() != nil {
-		a.goAlone(now)
+	if !a.hasOwner && a.degraded == nil && now.Sub(a.ownerLostAt) > degradedDelay && a.table.Load() != nil {
+		a.enterDegraded(now)
 	}
-	if a.alone != nil {
-		a.alone.EntrySeen(now, a.config.Entry, &a.effects)
-		a.alone.Tick(now, &a.effects)
+	if a.degraded != nil {
+		a.degraded.EntrySeen(now, a.config.Entry, &a.effects)
+		a.degraded.Tick(now, &a.effects)
 		a.logSuspicions()
 	}
 	a.sweepGate(now)
-	a.settle(now)
+	a.deliverDecisions(now)
 }
 
-// inOrder returns what waits, in the order of arrival.
-func (a *OwnerClient) inOrder() []*waiter {
+// waitingByArrival returns what waits, in the order of arrival.
+func (a *OwnerClient) waitingByArrival() []*waiter {
 	return slices.SortedFunc(maps.Values(a.waiting), func(v, w *waiter) int {
 		return cmp.Or(cmp.Compare(v.arrived, w.arrived), cmp.Compare(v.submission.Ticket.ID, w.submission.Ticket.ID))
 	})
 }
 
-// goAlone begins to decide without an owner.
-func (a *OwnerClient) goAlone(now event.Time) {
-	entries := int(a.pace.Load())
-	a.alonePoison = poison.NewAlone(a.suspects)
-	a.alone = admission.New(a.config.Limits, a.config.Life, &a.lent, a.alonePoison)
-	a.alone.SetPart(now, 1/float64(entries), &a.effects)
-	a.alone.SetTable(now, a.table.Load())
+// enterDegraded begins to decide without an owner.
+func (a *OwnerClient) enterDegraded(now event.Time) {
+	entries := int(a.entryCount.Load())
+	a.degradedPoison = poison.NewAlone(a.suspects)
+	a.degraded = admission.New(a.config.Limits, a.config.Life, &a.leases, a.degradedPoison)
+	a.degraded.SetPart(now, 1/float64(entries), &a.effects)
+	a.degraded.SetTable(now, a.table.Load())
 	for _, id := range slices.Sorted(maps.Keys(a.endpoints)) {
 		e := a.endpoints[id]
 		e.Slots = max(1, (e.Slots+entries-1)/entries)
-		a.alone.SetEndpoint(now, e, &a.effects)
+		a.degraded.SetEndpoint(now, e, &a.effects)
 	}
 	for _, s := range a.gate.States() {
-		a.alone.Learn(now, s, &a.effects)
+		a.degraded.Learn(now, s, &a.effects)
 	}
 	for _, h := range a.gate.Rests(now) {
-		a.alone.Hear(now, a.config.Entry, &h, &a.effects)
+		a.degraded.Hear(now, a.config.Entry, &h, &a.effects)
 	}
-	for _, one := range a.ends {
-		a.alone.Ended(now, []poison.End{one.end}, &a.effects)
+	for _, one := range a.unsavedEnds {
+		a.degraded.Ended(now, []poison.End{one.end}, &a.effects)
 	}
 	for _, r := range a.running {
-		a.alone.Adopt(now, a.config.Entry, *r, &a.effects)
+		a.degraded.Adopt(now, a.config.Entry, *r, &a.effects)
 	}
-	for _, w := range a.inOrder() {
+	for _, w := range a.waitingByArrival() {
 		m := w.resubmission(now)
-		a.alone.Submit(now, a.config.Entry, &m, &a.effects)
+		a.degraded.Submit(now, a.config.Entry, &m, &a.effects)
 	}
 	a.log.Warn("decides without an owner", zap.Int("entries", entries), zap.Int("waiting", len(a.waiting)), zap.Int("running", len(a.running)))
 }
--- a/gateway/owner_config.go
+++ b/gateway/owner_config.go
@@ -18,9 +18,9 @@
 
 // Bounds of what an owner may have on its way to an entry, in bytes of nodes.
 const (
-	windowMost = 32 << 10
-	// windowLeast is one node at a time.
-	windowLeast = 1 << 10
+	maxWindow = 32 << 10
+	// minWindow is one node at a time.
+	minWindow = 1 << 10
 	// windowStep is what the window grows by with each answer, after a loss had halved it.
 	windowStep = 1 << 10
 )
@@ -29,23 +29,23 @@
 type configFetch struct {
 	hashtree.Fetch
 	window int
-	// offered says that the present owner told which version is the newest: it has its nodes.
-	offered bool
-	began   event.Time
+	// hasOffer says that the present owner told which version is the newest: it has its nodes.
+	hasOffer bool
+	started  event.Time
 }
 
-// linkLost takes note that the connection to the owner has ended. If nodes were on their way, the
+// disconnected takes note that the connection to the owner has ended. If nodes were on their way, the
 // link may be too full for as many of them beside all else.
-func (c *configFetch) linkLost() {
-	if c.offered && c.Waiting() > 0 {
-		c.window = max(windowLeast, c.window/2)
+func (c *configFetch) disconnected() {
+	if c.hasOffer && c.Waiting() > 0 {
+		c.window = max(minWindow, c.window/2)
 	}
-	c.offered = false
+	c.hasOffer = false
 	c.Restart()
 }
 
-// aim begins to gather a configuration. An entry never goes back to an older one.
-func (a *OwnerClient) aim(now event.Time, v *message.View) {
+// setFetchTarget begins to gather a configuration. An entry never goes back to an older one.
+func (a *OwnerClient) setFetchTarget(now event.Time, v *message.View) {
 	if v.Version < a.fetch.Version() || v.Version <= a.version() {
 		return
 	}
@@ -53,18 +53,18 @@
 		a.log.Error("configuration told of without its tree", zap.Uint64("version", v.Version))
 		return
 	}
-	a.fetch.offered = true
-	a.told.Store(v.Version)
+	a.fetch.hasOffer = true
+	a.announcedVersion.Store(v.Version)
 	if v.Version > a.fetch.Version() {
-		a.fetch.began = now
+		a.fetch.started = now
 	}
 	a.fetch.Aim(v.Version, v.Root)
-	a.gather(now)
+	a.continueFetch(now)
 }
 
-// takeDocument puts a configuration in force that came whole, from an owner below level.Parts. It is
+// applyDocument puts a configuration in force that came whole, from an owner below level.Parts. It is
 // read in the client's loop: owners that send it so are there only while boxes are replaced.
-func (a *OwnerClient) takeDocument(v *message.View) {
+func (a *OwnerClient) applyDocument(v *message.View) {
 	if v.Version <= a.version() {
 		return
 	}
@@ -73,16 +73,16 @@
 		a.log.Error("configuration not read", zap.Uint64("version", v.Version), logx.Err(err))
 		return
 	}
-	a.told.Store(v.Version)
+	a.announcedVersion.Store(v.Version)
 	a.table.Store(table)
-	a.refresh()
+	a.extendValidity()
 	a.log.Info("configuration in force", zap.Uint64("version", table.Version), zap.Int("routes", len(table.Routes)),
 		zap.Int("bytes", len(v.Document)))
 }
 
-// gather asks for more of the configuration, and puts it in force once it is whole.
-func (a *OwnerClient) gather(now event.Time) {
-	if !a.fetch.offered {
+// continueFetch asks for more of the configuration, and puts it in force once it is whole.
+func (a *OwnerClient) continueFetch(now event.Time) {
+	if !a.fetch.hasOffer {
 		return
 	}
 	if a.fetch.Busy() {
@@ -96,36 +96,36 @@
 	}
 	table := a.fetch.Table()
 	a.table.Store(table)
-	a.refresh()
+	a.extendValidity()
 	nodes, bytes := a.fetch.Came()
 	a.log.Info("configuration in force", zap.Uint64("version", table.Version), zap.Int("routes", len(table.Routes)),
-		zap.Int("nodes", nodes), zap.Int("bytes", bytes), zap.Duration("after", now.Sub(a.fetch.began)))
+		zap.Int("nodes", nodes), zap.Int("bytes", bytes), zap.Duration("after", now.Sub(a.fetch.started)))
 }
 
-// takeNodes takes nodes that were asked for.
-func (a *OwnerClient) takeNodes(now event.Time, m *message.Nodes) {
+// receiveNodes takes nodes that were asked for.
+func (a *OwnerClient) receiveNodes(now event.Time, m *message.Nodes) {
 	for _, n := range m.List {
 		if err := a.fetch.Take(n.Sum, n.Packed); err != nil {
 			a.log.Error("node of the configuration not read", zap.Uint64("version", a.fetch.Version()), logx.Err(err))
-			a.lose(now, "node not read", err)
+			a.disconnect(now, "node not read", err)
 			return
 		}
-		a.nodes.Add(int64(len(n.Packed)))
+		a.nodeBytes.Add(int64(len(n.Packed)))
 	}
 	if len(m.List) > 0 {
-		a.fetch.window = min(windowMost, a.fetch.window+windowStep)
+		a.fetch.window = min(maxWindow, a.fetch.window+windowStep)
 	}
-	if a.fetch.lacks(m.Unknown) {
+	if a.fetch.markUnavailable(m.Unknown) {
 		// The next session begins with what its owner has.
-		a.lose(now, "the owner lacks nodes of the configuration that it told of", nil)
+		a.disconnect(now, "the owner lacks nodes of the configuration that it told of", nil)
 		return
 	}
-	a.gather(now)
+	a.continueFetch(now)
 }
 
-// lacks reports whether one of the nodes that the owner does not have is still asked for. Those of
+// markUnavailable reports whether one of the nodes that the owner does not have is still asked for. Those of
 // an earlier version are not, once a newer one was told of.
-func (c *configFetch) lacks(unknown []hashtree.Sum) bool {
+func (c *configFetch) markUnavailable(unknown []hashtree.Sum) bool {
 	lacks := false
 	for _, sum := range unknown {
 		lacks = c.Lost(sum) || lacks
--- a/gateway/owner_session.go
+++ b/gateway/owner_session.go
@@ -17,32 +17,32 @@
 // This file is a client's way to the owner: finding it, keeping it, and what it
 // tells of the deployment.
 
-// keepOwner asks the owner whether it still is.
-func (a *OwnerClient) keepOwner(now event.Time) {
-	if now.Sub(a.ponged) > ownerSilence {
-		a.lose(now, "owner does not answer", nil)
+// checkOwner asks the owner whether it still is.
+func (a *OwnerClient) checkOwner(now event.Time) {
+	if now.Sub(a.lastPong) > ownerTimeout {
+		a.disconnect(now, "owner does not answer", nil)
 		return
 	}
-	if now.Sub(a.pinged) >= pingEvery {
-		a.ask(now)
+	if now.Sub(a.lastPing) >= pingInterval {
+		a.ping(now)
 	}
 }
 
-// Know adds control boxes to those that are asked.
-func (a *OwnerClient) Know(control []string) {
+// AddControlBoxes adds control boxes to those that are asked.
+func (a *OwnerClient) AddControlBoxes(control []string) {
 	for _, address := range control {
-		if !slices.Contains(a.members, address) {
-			a.members = append(a.members, address)
+		if !slices.Contains(a.controlBoxes, address) {
+			a.controlBoxes = append(a.controlBoxes, address)
 		}
 	}
 }
 
 // dial connects to the leader as last told, or to the next box that is known.
 func (a *OwnerClient) dial() {
-	address := a.hint
-	a.hint = ""
+	address := a.leaderHint
+	a.leaderHint = ""
 	if address == "" {
-		address = a.members[a.nextTry%len(a.members)]
+		address = a.controlBoxes[a.nextTry%len(a.controlBoxes)]
 		a.nextTry++
 	}
 	a.dialing = true
@@ -52,29 +52,29 @@
 // DialFailed takes note that a control box was not reached.
 func (a *OwnerClient) DialFailed(now event.Time, address string, err error) {
 	a.dialing = false
-	a.dialAt = now.Add(redialWait)
+	a.dialAt = now.Add(redialDelay)
 	a.log.Debug("control box not reached", zap.String("address", address), logx.Err(err))
 }
 
 // Dialed begins a session on a new connection to a control box.
 func (a *OwnerClient) Dialed(now event.Time, link LinkID, address string) {
 	a.dialing = false
-	a.dialAt = now.Add(redialWait)
-	a.link, a.address, a.reads = link, address, 0
-	if int64(now) >= a.fresh.Load() {
+	a.dialAt = now.Add(redialDelay)
+	a.link, a.address, a.ownerLevel = link, address, 0
+	if int64(now) >= a.validUntil.Load() {
 		// It was out of touch for longer than it may use what it was lent.
-		a.lent.Drop()
+		a.leases.Drop()
 	}
-	a.untold = slices.Sorted(maps.Keys(a.running))
+	a.unreported = slices.Sorted(maps.Keys(a.running))
 	hello := &message.Hello{
-		Entry: a.config.Entry, Life: a.config.Life, Entries: int(a.pace.Load()), Held: a.lent.Greet(),
-		Running: a.tellRunning(), Revision: a.revision,
+		Entry: a.config.Entry, Life: a.config.Life, Entries: int(a.entryCount.Load()), Held: a.leases.Greet(),
+		Running: a.takeUnreported(), Revision: a.revision,
 	}
-	hello.More = a.lent.More()
-	a.ponged = now
-	a.came = 0
+	hello.More = a.leases.More()
+	a.lastPong = now
+	a.receivedBytes = 0
 	a.send((&message.Envelope{Hello: hello}).Introduced())
-	a.ask(now)
+	a.ping(now)
 	a.batch = message.Batch{}
 	a.log.Debug("asks control box", zap.String("address", address), zap.Int("waiting", len(a.waiting)), zap.Int("running", len(a.running)))
 }
@@ -82,33 +82,33 @@
 // Reads takes what the other side of a connection reads.
 func (a *OwnerClient) Reads(link LinkID, l level.Level) {
 	if link == a.link {
-		a.reads = l
+		a.ownerLevel = l
 	}
 }
 
-// lose gives up the connection to the owner.
-func (a *OwnerClient) lose(now event.Time, why string, err error) {
+// disconnect gives up the connection to the owner.
+func (a *OwnerClient) disconnect(now event.Time, why string, err error) {
 	a.out.Closes = append(a.out.Closes, a.link)
 	a.link = 0
-	a.fetch.linkLost()
+	a.fetch.disconnected()
 	lineLevel := zap.DebugLevel
-	if a.owned {
-		a.lostAt = now
+	if a.hasOwner {
+		a.ownerLostAt = now
 		lineLevel = zap.WarnLevel
 	}
-	a.owned = false
-	a.unasked = nil
+	a.hasOwner = false
+	a.unsubmitted = nil
 	a.dialAt = now
 	a.batch = message.Batch{}
-	a.log.Log(lineLevel, "owner lost", zap.String("why", why), logx.Err(err), zap.Duration("answered_ago", now.Sub(a.ponged)),
-		zap.Int64("bytes", a.came), zap.Uint64("version", a.version()))
+	a.log.Log(lineLevel, "owner lost", zap.String("why", why), logx.Err(err), zap.Duration("answered_ago", now.Sub(a.lastPong)),
+		zap.Int64("bytes", a.receivedBytes), zap.Uint64("version", a.version()))
 }
 
-// Came takes note of how many bytes have come on a connection, whole messages or not. A line on a
+// SetReceivedBytes takes note of how many bytes have come on a connection, whole messages or not. A line on a
 // lost owner tells with it a link that is silent from one that is full.
-func (a *OwnerClient) Came(link LinkID, bytes int64) {
+func (a *OwnerClient) SetReceivedBytes(link LinkID, bytes int64) {
 	if link == a.link {
-		a.came = bytes
+		a.receivedBytes = bytes
 	}
 }
 
@@ -123,7 +123,7 @@
 // Lost takes note that a connection has ended.
 func (a *OwnerClient) Lost(now event.Time, link LinkID, err error) {
 	if link == a.link {
-		a.lose(now, "connection ended", err)
+		a.disconnect(now, "connection ended", err)
 	}
 }
 
@@ -133,65 +133,65 @@
 	if link != a.link {
 		return
 	}
-	defer a.settle(now)
+	defer a.deliverDecisions(now)
 	switch {
 	case m.Redirect != nil:
-		a.Know(m.Redirect.Members)
-		a.hint = m.Redirect.Leader
-		a.lose(now, "not the owner", nil)
-		if a.hint == "" {
-			a.dialAt = now.Add(redialWait)
+		a.AddControlBoxes(m.Redirect.Members)
+		a.leaderHint = m.Redirect.Leader
+		a.disconnect(now, "not the owner", nil)
+		if a.leaderHint == "" {
+			a.dialAt = now.Add(redialDelay)
 		}
 	case m.View != nil:
-		a.see(now, m.View)
+		a.receiveView(now, m.View)
 	case m.Nodes != nil:
-		a.takeNodes(now, m.Nodes)
+		a.receiveNodes(now, m.Nodes)
 	case m.Pong != nil:
-		a.pong(now, m.Pong)
+		a.receivePong(now, m.Pong)
 	case m.Decisions != nil:
-		a.decided(now, m.Decisions.Grants, m.Decisions.Refusals, false)
+		a.applyDecisions(now, m.Decisions.Grants, m.Decisions.Refusals, false)
 	}
 }
 
-// pong takes the owner's word that the configuration is the newest.
-func (a *OwnerClient) pong(now event.Time, p *message.Pong) {
-	a.ponged = now
-	a.pace.Store(int64(max(1, p.Entries)))
-	a.lent.Take(p.Lent)
-	a.endsSaved(p.Ends)
-	if !a.owned {
-		a.beginOwned(now)
+// receivePong takes the owner's word that the configuration is the newest.
+func (a *OwnerClient) receivePong(now event.Time, p *message.Pong) {
+	a.lastPong = now
+	a.entryCount.Store(int64(max(1, p.Entries)))
+	a.leases.Take(p.Lent)
+	a.dropSavedEnds(p.Ends)
+	if !a.hasOwner {
+		a.ownerFound(now)
 	}
 	a.submitWaiting(now)
-	a.hearNewest(now, newestWord{version: p.Version, asked: p.Sent})
+	a.confirmVersion(now, versionConfirmation{version: p.Version, asked: p.Sent})
 }
 
-// beginOwned hands what waits to the owner that was found.
-func (a *OwnerClient) beginOwned(now event.Time) {
-	a.owned = true
-	a.alone = nil
-	a.unasked = a.inOrder()
-	a.tellEnds(now)
-	a.tellAsked(now)
-	a.log.Info("owner found", zap.String("address", a.address), zap.Int("waiting", len(a.waiting)), zap.Int("entries", int(a.pace.Load())))
+// ownerFound hands what waits to the owner that was found.
+func (a *OwnerClient) ownerFound(now event.Time) {
+	a.hasOwner = true
+	a.degraded = nil
+	a.unsubmitted = a.waitingByArrival()
+	a.reportEnds(now)
+	a.reportFeedback(now)
+	a.log.Info("owner found", zap.String("address", a.address), zap.Int("waiting", len(a.waiting)), zap.Int("entries", int(a.entryCount.Load())))
 }
 
-// see takes news of the deployment.
-func (a *OwnerClient) see(now event.Time, v *message.View) {
-	a.Know(v.Members)
+// receiveView takes news of the deployment.
+func (a *OwnerClient) receiveView(now event.Time, v *message.View) {
+	a.AddControlBoxes(v.Members)
 	endpoints, err := v.List()
 	if err != nil {
 		// The rest of the view is of no use without them: the next session asks for all.
 		a.log.Error("endpoints not read", logx.Err(err))
 		a.revision = 0
-		a.lose(now, "endpoints not read", err)
+		a.disconnect(now, "endpoints not read", err)
 		return
 	}
 	if v.Whole {
 		a.listed = make(map[event.EndpointID]bool)
 	}
 	for _, e := range endpoints {
-		a.list(e)
+		a.updateEndpoint(e)
 	}
 	for _, id := range v.Gone {
 		delete(a.endpoints, id)
@@ -207,23 +207,23 @@
 		a.suspects = v.Suspects.List
 	}
 	if v.Signs {
-		a.seeSigns()
+		a.markAllUp()
 	}
-	a.seeSilent(v.Silent)
-	a.seeAsked(now, v.Asked)
+	a.markDown(v.Silent)
+	a.applyFeedbackStates(now, v.Asked)
 	if v.More {
-		a.ask(now)
+		a.ping(now)
 	}
 	switch {
 	case len(v.Document) > 0:
-		a.takeDocument(v)
+		a.applyDocument(v)
 	case v.Version > 0:
-		a.aim(now, v)
+		a.setFetchTarget(now, v)
 	}
 }
 
-// list takes an owner's word on an endpoint.
-func (a *OwnerClient) list(e message.Endpoint) {
+// updateEndpoint takes an owner's word on an endpoint.
+func (a *OwnerClient) updateEndpoint(e message.Endpoint) {
 	id := event.EndpointID(e.ID)
 	a.endpoints[id] = e
 	if a.listed != nil {
@@ -245,8 +245,8 @@
 	a.listed = nil
 }
 
-// seeSigns takes that all endpoints give signs of life.
-func (a *OwnerClient) seeSigns() {
+// markAllUp takes that all endpoints give signs of life.
+func (a *OwnerClient) markAllUp() {
 	for id, e := range a.endpoints {
 		if e.Down {
 			e.Down = false
@@ -255,8 +255,8 @@
 	}
 }
 
-// seeSilent takes which endpoints give none.
-func (a *OwnerClient) seeSilent(silent []event.EndpointID) {
+// markDown takes which endpoints give none.
+func (a *OwnerClient) markDown(silent []event.EndpointID) {
 	for _, id := range silent {
 		if e, ok := a.endpoints[id]; ok {
 			e.Down = true
--- a/gateway/owner_word.go
+++ b/gateway/owner_word.go
@@ -13,38 +13,38 @@
 // take longer than an owner may be silent.
 
 const (
-	// waitingBytes bounds the waiting requests in one message: 20 ms of a link of 1.25 MB/s.
-	waitingBytes = 24 << 10
-	// waitingRest is the most that one takes in a message beside its names and marks, and
+	// maxWaitingBytes bounds the waiting requests in one message: 20 ms of a link of 1.25 MB/s.
+	maxWaitingBytes = 24 << 10
+	// waitingOverhead is the most that one takes in a message beside its names and marks, and
 	// markBytes the most that a mark of its prompt takes.
-	waitingRest = 80
-	markBytes   = 9
-	// runningBytes bounds the requests in one message: 13 ms of a link of 1.25 MB/s.
-	runningBytes = 16 << 10
-	// runningRest is the most that a request takes in a message beside its names.
-	runningRest = 72
+	waitingOverhead = 80
+	prefixHashBytes = 9
+	// maxRunningBytes bounds the requests in one message: 13 ms of a link of 1.25 MB/s.
+	maxRunningBytes = 16 << 10
+	// runningOverhead is the most that a request takes in a message beside its names.
+	runningOverhead = 72
 )
 
-// ask asks the owner whether it still is.
-func (a *OwnerClient) ask(now event.Time) {
-	a.pinged = now
-	ping := &message.Ping{Sent: now, Running: a.tellRunning(), Revision: a.revision, Owned: a.owned}
-	ping.Has, ping.Spent = a.lent.Changes()
-	ping.More = a.lent.More()
+// ping asks the owner whether it still is.
+func (a *OwnerClient) ping(now event.Time) {
+	a.lastPing = now
+	ping := &message.Ping{Sent: now, Running: a.takeUnreported(), Revision: a.revision, Owned: a.hasOwner}
+	ping.Has, ping.Spent = a.leases.Changes()
+	ping.More = a.leases.More()
 	a.send(&message.Envelope{Ping: ping})
 }
 
-// tellRunning returns requests that the owner does not know to run, as many as one message
+// takeUnreported returns requests that the owner does not know to run, as many as one message
 // may have.
-func (a *OwnerClient) tellRunning() []message.Running {
+func (a *OwnerClient) takeUnreported() []message.Running {
 	var list []message.Running
-	for bytes := 0; len(a.untold) > 0; a.untold = a.untold[1:] {
-		r, ok := a.running[a.untold[0]]
+	for bytes := 0; len(a.unreported) > 0; a.unreported = a.unreported[1:] {
+		r, ok := a.running[a.unreported[0]]
 		if !ok {
 			continue // it has ended since
 		}
-		told := briefly(r)
-		if bytes += runningSize(&told); bytes > runningBytes && len(list) > 0 {
+		told := runningSummary(r)
+		if bytes += runningSize(&told); bytes > maxRunningBytes && len(list) > 0 {
 			break
 		}
 		list = append(list, told)
@@ -52,8 +52,8 @@
 	return list
 }
 
-// briefly returns what an owner must know of a request that runs.
-func briefly(r *message.Running) message.Running {
+// runningSummary returns what an owner must know of a request that runs.
+func runningSummary(r *message.Running) message.Running {
 	t := &r.Ticket
 	return message.Running{Endpoint: r.Endpoint, Print: r.Print, Ticket: event.Ticket{
 		ID: t.ID, Team: t.Team, Rank: t.Rank, Service: t.Service, OutputTokens: t.OutputTokens, Attempt: t.Attempt, Deadline: t.Deadline,
@@ -61,33 +61,33 @@
 }
 
 func runningSize(r *message.Running) int {
-	return runningRest + len(r.Ticket.ID) + len(r.Ticket.Team) + len(r.Ticket.Service) + len(r.Endpoint)
+	return runningOverhead + len(r.Ticket.ID) + len(r.Ticket.Team) + len(r.Ticket.Service) + len(r.Endpoint)
 }
 
 // submitWaiting submits requests that waited when the owner was found, in the order of their
 // arrival and as many as one message may have. The answer to a question that follows them
 // brings the next ones.
 func (a *OwnerClient) submitWaiting(now event.Time) {
-	if len(a.unasked) == 0 {
+	if len(a.unsubmitted) == 0 {
 		return
 	}
-	for bytes := 0; len(a.unasked) > 0 && bytes < waitingBytes; a.unasked = a.unasked[1:] {
-		w := a.unasked[0]
+	for bytes := 0; len(a.unsubmitted) > 0 && bytes < maxWaitingBytes; a.unsubmitted = a.unsubmitted[1:] {
+		w := a.unsubmitted[0]
 		if a.waiting[w.submission.Ticket.ID] != w {
 			continue // it is not awaited any more
 		}
 		bytes += waitingSize(&w.submission)
 		a.batch.Submit = append(a.batch.Submit, w.resubmission(now))
 	}
-	if len(a.unasked) > 0 {
+	if len(a.unsubmitted) > 0 {
 		a.flush()
-		a.ask(now)
+		a.ping(now)
 	}
 }
 
 func waitingSize(m *message.Submission) int {
 	t := &m.Ticket
-	n := waitingRest + len(t.ID) + len(t.Team) + len(t.Service) + len(t.Pool) + len(t.Key) + len(t.DataCentre) + markBytes*len(t.Prefix)
+	n := waitingOverhead + len(t.ID) + len(t.Team) + len(t.Service) + len(t.Pool) + len(t.Key) + len(t.DataCentre) + prefixHashBytes*len(t.Prefix)
 	for _, id := range t.Avoid {
 		n += len(id) + 1
 	}
--- a/gateway/pass.go
+++ b/gateway/pass.go
@@ -13,8 +13,8 @@
 	"go.uber.org/zap"
 )
 
-// maxWhole is the longest answer that is held whole before it is passed on.
-const maxWhole = 1 << 20
+// maxBufferedResponse is the longest answer that is held whole before it is passed on.
+const maxBufferedResponse = 1 << 20
 
 // hopHeaders returns the names of headers that concern one connection only.
 func hopHeaders(h http.Header) []string {
@@ -39,9 +39,9 @@
 	}
 }
 
-// whole takes an answer that is held until it is there to its last byte.
-func (c *call) whole(x *exchange, a *attempt, began time.Time) {
-	data, all, err := x.readAll(maxWhole)
+// receiveWhole takes an answer that is held until it is there to its last byte.
+func (c *call) receiveWhole(x *exchange, a *attempt, began time.Time) {
+	data, all, err := x.readAll(maxBufferedResponse)
 	switch {
 	case err != nil:
 		a.outcome = outcomeUnknown
@@ -49,25 +49,25 @@
 		x.abort()
 		return
 	case !all:
-		c.long(x, a, data)
+		c.forwardLong(x, a, data)
 		return
 	}
-	a.first = time.Since(began)
+	a.firstByteAfter = time.Since(began)
 	status := x.response.StatusCode
 	kept := &response{status: status, header: x.response.Header, body: data}
 	x.finish(c.gateway.upstream)
 	if status >= http.StatusInternalServerError {
 		a.outcome = outcomeFailed
 		a.err = errors.Errorf("endpoint answered %d", status)
-		a.kept = kept
+		a.failure = kept
 		return
 	}
 	a.outcome = outcomeDone
-	c.pass(kept)
+	c.forward(kept)
 }
 
-// pass gives an endpoint's whole answer to the caller.
-func (c *call) pass(r *response) {
+// forward gives an endpoint's whole answer to the caller.
+func (c *call) forward(r *response) {
 	h := c.w.Header()
 	copyHeader(h, r.header)
 	if c.r.Method != http.MethodHead {
@@ -75,10 +75,10 @@
 	}
 	c.w.WriteHeader(r.status)
 	_, _ = c.w.Write(r.body) // a caller that is gone needs no answer
-	c.gateway.meters.ended(r.status, c.rankLabel())
-	c.gateway.meters.began(c.arrived, c.rankLabel())
+	c.gateway.meters.countResponse(r.status, c.rankLabel())
+	c.gateway.meters.observeFirstByte(c.arrived, c.rankLabel())
 	c.record.failed = c.record.failed || r.status >= http.StatusInternalServerError || c.isLate(time.Now())
-	c.note(stepEnded, zap.Int("status", r.status), zap.String("why", "the endpoint's own answer"), zap.Int("attempts", c.attempts))
+	c.addStep(stepEnded, zap.Int("status", r.status), zap.String("why", "the endpoint's own answer"), zap.Int("attempts", c.attempts))
 }
 
 // isLate reports whether an answer that begins at a moment is past its target.
@@ -87,27 +87,27 @@
 
 }
 
-// callerOnly marks errors of writing to a caller, which say nothing of the endpoint.
-type callerOnly struct{ io.Writer }
+// callerErrorWriter marks errors of writing to a caller, which say nothing of the endpoint.
+type callerErrorWriter struct{ io.Writer }
 
 // Write implements io.Writer.
-func (w callerOnly) Write(p []byte) (int, error) {
+func (w callerErrorWriter) Write(p []byte) (int, error) {
 	n, err := w.Writer.Write(p)
 	if err != nil {
-		err = errors.Wrap(errWriting, err.Error())
+		err = errors.Wrap(errCallerWrite, err.Error())
 	}
 	return n, err
 }
 
-// long passes on an answer that is too long to be held whole, as it comes.
-func (c *call) long(x *exchange, a *attempt, begun []byte) {
+// forwardLong passes on an answer that is too forwardLong to be held whole, as it comes.
+func (c *call) forwardLong(x *exchange, a *attempt, begun []byte) {
 	copyHeader(c.w.Header(), x.response.Header)
 	if n := x.response.ContentLength; n >= 0 {
 		c.w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
 	}
 	c.w.WriteHeader(x.response.StatusCode)
-	c.begun = true
-	caller := callerOnly{c.w}
+	c.headSent = true
+	caller := callerErrorWriter{c.w}
 	_, err := caller.Write(begun)
 	if err == nil {
 		_, err = io.Copy(caller, x.response.Body)
@@ -116,10 +116,10 @@
 		x.abort()
 		a.outcome = outcomeDone
 		a.err = err
-		c.tell(a)
-		c.cut("a long answer broke off", err)
+		c.reportAttempt(a)
+		c.abortResponse("a long answer broke off", err)
 	}
 	x.finish(c.gateway.upstream)
 	a.outcome = outcomeDone
-	c.gateway.meters.ended(x.response.StatusCode, c.rankLabel())
+	c.gateway.meters.countResponse(x.response.StatusCode, c.rankLabel())
 }
--- a/gateway/record.go
+++ b/gateway/record.go
@@ -18,13 +18,13 @@
 	// step: some seven times the 30 requests a second that each of 30 entries was asked under
 	// a burst.
 	briefLines = 200
-	// wellPart is the part of the requests that did well, as a divisor, that have all their
+	// sampleDivisor is the part of the requests that did well, as a divisor, that have all their
 	// steps written: chosen by their ids, the same part under any load.
-	wellPart = 32
-	// wellLines bounds these, in lines a second.
-	wellLines = 60
-	// wordLines bounds the lines a second about what endpoints ask for.
-	wordLines = 20
+	sampleDivisor = 32
+	// sampledLines bounds these, in lines a second.
+	sampledLines = 60
+	// feedbackLines bounds the lines a second about what endpoints ask for.
+	feedbackLines = 20
 )
 
 // The steps of a request's life as the log has them.
@@ -33,9 +33,9 @@
 	stepGranted    = "granted"
 	stepRefused    = "refused"
 	stepDispatched = "dispatched"
-	stepAsked      = "endpoint asks"
+	stepFeedback   = "endpoint asks"
 	stepFailed     = "attempt failed"
-	stepRepeated   = "repeated"
+	stepRetried    = "repeated"
 	stepResumed    = "resumed"
 	stepCancelled  = "cancelled"
 	stepCut        = "stream cut"
@@ -49,24 +49,24 @@
 	fields []zap.Field
 }
 
-// record keeps the decisions on a request until its end: only then is it known
+// requestRecord keeps the decisions on a request until its end: only then is it known
 // whether they are worth their lines.
-type record struct {
+type requestRecord struct {
 	steps  []step
 	failed bool
 }
 
-// note keeps a decision.
-func (c *call) note(name string, fields ...zap.Field) {
+// addStep keeps a decision.
+func (c *call) addStep(name string, fields ...zap.Field) {
 	c.record.steps = append(c.record.steps, step{name: name, at: time.Now(), fields: fields})
 }
 
-// writeRecord writes what was decided on the request: all steps, a line each, of some of those
+// logSteps writes what was decided on the request: all steps, a line each, of some of those
 // that did well and of as many as there is room for of the others, and the last one of the rest.
-func (c *call) writeRecord() {
+func (c *call) logSteps() {
 	g, now := c.gateway, time.Now()
 	if !c.record.failed {
-		if isChosen(c.callerID) && g.wellBudget.Allow(now, len(c.record.steps)) {
+		if isSampled(c.callerID) && g.sampledBudget.Allow(now, len(c.record.steps)) {
 			c.writeSteps(c.record.steps)
 		}
 		return
@@ -80,9 +80,9 @@
 	}
 }
 
-// isChosen reports whether the request of an id is of the part whose lines are written though
+// isSampled reports whether the request of an id is of the part whose lines are written though
 // it did well.
-func isChosen(id string) bool { return xxhash.Sum64String(id)%wellPart == 0 }
+func isSampled(id string) bool { return xxhash.Sum64String(id)%sampleDivisor == 0 }
 
 func (c *call) writeSteps(steps []step) {
 	log := c.gateway.log.With(zap.String("request", c.callerID), zap.String("id", string(c.id)))
@@ -91,10 +91,10 @@
 	}
 }
 
-// tellLeftOut writes how many lines about requests were left out, and how many requests that
+// logSuppressed writes how many lines about requests were left out, and how many requests that
 // failed have no line at all.
-func (g *Gateway) tellLeftOut() {
-	failed, well, unnamed, words := g.failedBudget.TakeLeftOut(), g.wellBudget.TakeLeftOut(), g.briefBudget.TakeLeftOut(), g.wordBudget.TakeLeftOut()
+func (g *Gateway) logSuppressed() {
+	failed, well, unnamed, words := g.failedBudget.TakeLeftOut(), g.sampledBudget.TakeLeftOut(), g.briefBudget.TakeLeftOut(), g.feedbackBudget.TakeLeftOut()
 	if failed+well+unnamed+words > 0 {
 		g.log.Info("lines left out", zap.Uint64("of_failed", failed), zap.Uint64("of_others", well), zap.Uint64("failed_without_a_line", unnamed),
 			zap.Uint64("of_what_endpoints_ask", words))
--- a/gateway/record_test.go
+++ b/gateway/record_test.go
@@ -23,10 +23,10 @@
 	record := func(id string, failed bool) {
 		c := &call{gateway: g, callerID: id, id: event.RequestID("e-" + id)}
 		for _, name := range []string{stepAdmitted, stepRefused, stepEnded} {
-			c.note(name, zap.Int("status", 503))
+			c.addStep(name, zap.Int("status", 503))
 		}
 		c.record.failed = failed
-		c.writeRecord()
+		c.logSteps()
 	}
 	for i := range refused {
 		record(fmt.Sprintf("refused-%d", i), true)
@@ -49,11 +49,11 @@
 	}
 	chosen := 0
 	for i := range served {
-		if isChosen(fmt.Sprintf("served-%d", i)) {
+		if isSampled(fmt.Sprintf("served-%d", i)) {
 			chosen++
 		}
 	}
-	if want := served / wellPart; chosen < want*2/3 || chosen > want*3/2 {
+	if want := served / sampleDivisor; chosen < want*2/3 || chosen > want*3/2 {
 		t.Errorf("%d of %d that did well have lines, want some %d", chosen, served, want)
 	}
 }
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -21,15 +21,15 @@
 	"lynxramp.org/routing"
 )
 
-// unsentTries is how often a request goes to yet another endpoint because one
+// maxUnsentAttempts is how often a request goes to yet another endpoint because one
 // could not be reached at all.
-const unsentTries = 4
+const maxUnsentAttempts = 4
 
-// errCallerGone says that the caller does not take its answer any more.
-var errCallerGone = errors.New("the caller left")
+// errCallerLeft says that the caller does not take its answer any more.
+var errCallerLeft = errors.New("the caller left")
 
-// retryRejected is what a caller is told whose request no endpoint ran.
-const retryRejected = 300 * event.Millisecond
+// retryAfterNotRun is what a caller is told whose request no endpoint ran.
+const retryAfterNotRun = 300 * event.Millisecond
 
 // outcome is how one attempt ended.
 type outcome uint8
@@ -73,16 +73,16 @@
 
 // attempt is one try at one endpoint, with what came of it.
 type attempt struct {
-	decision Decision
-	outcome  outcome
-	err      error
-	untried  bool          // nobody waited for it when its endpoint was found
-	sent     time.Time     // zero if not a byte left
-	attempt  int           // how often the request had been sent before
-	first    time.Duration // to the answer's beginning
-	gap      time.Duration // usual time between tokens
-	tokens   int
-	kept     *response // of a failure
+	decision       Decision
+	outcome        outcome
+	err            error
+	notTried       bool          // nobody waited for it when its endpoint was found
+	sent           time.Time     // zero if not a byte left
+	previousSends  int           // how often the request had been sent before
+	firstByteAfter time.Duration // to the answer's beginning
+	tokenGap       time.Duration // usual time between tokens
+	tokens         int
+	failure        *response // of a failure
 	// isFramed says that the answer tells where it ends: of any other, the end of its endpoint
 	// looks like its own.
 	isFramed bool
@@ -91,8 +91,8 @@
 // wasSent reports whether the endpoint may have had the request.
 func (a *attempt) wasSent() bool { return a.outcome != outcomeStopped && a.outcome != outcomeNotSent }
 
-// ran returns what the attempt told of its request.
-func (a *attempt) ran() message.Ran {
+// runResult returns what the attempt told of its request.
+func (a *attempt) runResult() message.Ran {
 	switch {
 	case a.outcome == outcomeDone && a.err == nil && a.isFramed:
 		return message.RanWell
@@ -112,7 +112,7 @@
 
 // run finds endpoints for the request until it has its answer or is given up.
 func (c *call) run() {
-	ctx, cancel := context.WithTimeout(c.r.Context(), c.left())
+	ctx, cancel := context.WithTimeout(c.r.Context(), c.remaining())
 	defer cancel()
 	unsent, stopped := 0, 0
 	repeat := false
@@ -122,11 +122,11 @@
 		if !ok {
 			return
 		}
-		c.placed = true
+		c.wasGranted = true
 		a := c.try(ctx, decision)
-		c.tell(a)
+		c.reportAttempt(a)
 		if a.outcome != outcomeDone && c.r.Context().Err() != nil {
-			c.gone()
+			c.abortCancelled()
 			return
 		}
 		if last == nil || a.wasSent() {
@@ -141,26 +141,26 @@
 				continue
 			}
 		}
-		c.avoid = append(c.avoid, decision.Endpoint)
+		c.tried = append(c.tried, decision.Endpoint)
 		switch a.outcome {
 		case outcomeDone:
 			return
 		case outcomeStopped, outcomeNotSent:
 			unsent++
-			if unsent >= unsentTries && c.giveUp(last) {
+			if unsent >= maxUnsentAttempts && c.giveUp(last) {
 				return
 			}
 			continue
 		}
-		if !c.mayRepeat(a) {
+		if !c.mayRetry(a) {
 			c.giveUp(a)
 			return
 		}
 		repeat = true
-		if c.begun {
-			c.note(stepResumed, zap.String("last_event", c.lastEvent))
+		if c.headSent {
+			c.addStep(stepResumed, zap.String("last_event", c.lastEventID))
 		} else {
-			c.note(stepRepeated, zap.Stringer("after_outcome", a.outcome))
+			c.addStep(stepRetried, zap.Stringer("after_outcome", a.outcome))
 		}
 	}
 }
@@ -173,45 +173,45 @@
 	answer := c.gateway.agent.Submit(m)
 	select {
 	case d := <-answer:
-		c.gateway.meters.decided(asked, d.Alone)
-		if d.Granted && !c.stillAllowed() {
-			c.unused(d)
-			c.endNotRun(http.StatusServiceUnavailable, retryUnready, "the configuration changed")
+		c.gateway.meters.observeDecision(asked, d.Alone)
+		if d.Granted && !c.isStillAllowed() {
+			c.returnGrant(d)
+			c.respondNotRun(http.StatusServiceUnavailable, retryAfterNoConfig, "the configuration changed")
 			return d, false
 		}
 		if d.Granted && repeat && clock.Now().Sub(submitted) > message.RepeatLife {
-			c.unused(d)
+			c.returnGrant(d)
 			c.giveUp(last)
 			return d, false
 		}
 		if d.Granted {
-			c.note(stepGranted, zap.String("endpoint", string(d.Endpoint)), zap.Bool("alone", d.Alone),
+			c.addStep(stepGranted, zap.String("endpoint", string(d.Endpoint)), zap.Bool("alone", d.Alone),
 				zap.Int("running", d.Inputs.Running), zap.Duration("expected_first", d.Inputs.Wait))
 			return d, true
 		}
-		c.note(stepRefused, zap.Stringer("reason", d.Reason), zap.Bool("alone", d.Alone), zap.Duration("retry_after", d.RetryAfter),
+		c.addStep(stepRefused, zap.Stringer("reason", d.Reason), zap.Bool("alone", d.Alone), zap.Duration("retry_after", d.RetryAfter),
 			zap.Int("ahead", d.Inputs.Ahead), zap.Duration("expected_wait", d.Inputs.Wait),
 			zap.Int("spent", d.Inputs.Spent), zap.Int("limit", d.Inputs.Limit))
 		if last != nil && last.wasSent() {
 			if d.Reason == event.ReasonRest {
-				c.comeBack = d.RetryAfter
+				c.cooldown = d.RetryAfter
 			}
 			c.giveUp(last)
 			return d, false
 		}
-		c.endNotRun(refusalStatus(d.Reason), d.RetryAfter, d.Reason.String())
+		c.respondNotRun(refusalStatus(d.Reason), d.RetryAfter, d.Reason.String())
 		return d, false
 	case <-ctx.Done():
 		c.withdraw(m)
 		if c.r.Context().Err() != nil {
-			c.gone()
+			c.abortCancelled()
 			return Decision{}, false
 		}
 		if last != nil && last.wasSent() {
 			c.giveUp(last)
 			return Decision{}, false
 		}
-		c.endNotRun(http.StatusServiceUnavailable, retryRejected, "no endpoint in time")
+		c.respondNotRun(http.StatusServiceUnavailable, retryAfterNotRun, "no endpoint in time")
 		return Decision{}, false
 	}
 }
@@ -225,98 +225,98 @@
 	return http.StatusServiceUnavailable
 }
 
-// endNotRun answers with a status that says that the request has not run. Where an
+// respondNotRun answers with a status that says that the request has not run. Where an
 // earlier attempt may have run, it says that its fate is not known instead.
-func (c *call) endNotRun(status int, retryAfter event.Span, why string) {
+func (c *call) respondNotRun(status int, retryAfter event.Span, why string) {
 	if c.mayHaveRun {
-		c.end(http.StatusBadGateway, 0, "an earlier attempt's answer was lost, then: "+why)
+		c.respondError(http.StatusBadGateway, 0, "an earlier attempt's answer was lost, then: "+why)
 		return
 	}
-	c.end(status, retryAfter, why)
+	c.respondError(status, retryAfter, why)
 }
 
-// mayRepeat reports whether the request may go to another endpoint after an
+// mayRetry reports whether the request may go to another endpoint after an
 // attempt that was sent.
-func (c *call) mayRepeat(a *attempt) bool {
-	if c.attempts >= c.route.MaxAttempts || c.left() < minRepeatTime {
+func (c *call) mayRetry(a *attempt) bool {
+	if c.attempts >= c.route.MaxAttempts || c.remaining() < minRetryTime {
 		return false
 	}
 	return a.outcome == outcomeNotRun || c.route.Repeatable()
 }
 
-// minRepeatTime is the least time that must be left for another attempt.
-const minRepeatTime = 10 * time.Millisecond
+// minRetryTime is the least time that must be left for another attempt.
+const minRetryTime = 10 * time.Millisecond
 
 // giveUp ends the call with what its last attempt left. It returns true.
 func (c *call) giveUp(a *attempt) bool {
 	switch {
-	case c.begun:
-		c.cut("the endpoint's answer was lost", a.err)
+	case c.headSent:
+		c.abortResponse("the endpoint's answer was lost", a.err)
 	case !a.wasSent():
-		c.endNotRun(http.StatusServiceUnavailable, retryRejected, "no endpoint was reached")
+		c.respondNotRun(http.StatusServiceUnavailable, retryAfterNotRun, "no endpoint was reached")
 	case a.outcome == outcomeNotRun:
-		c.endNotRun(http.StatusServiceUnavailable, max(retryRejected, c.comeBack), "no endpoint took the request")
-	case a.outcome == outcomeFailed && a.kept != nil:
-		c.pass(a.kept)
-	case c.left() <= 0:
-		c.end(http.StatusGatewayTimeout, 0, "the endpoint did not answer in time")
+		c.respondNotRun(http.StatusServiceUnavailable, max(retryAfterNotRun, c.cooldown), "no endpoint took the request")
+	case a.outcome == outcomeFailed && a.failure != nil:
+		c.forward(a.failure)
+	case c.remaining() <= 0:
+		c.respondError(http.StatusGatewayTimeout, 0, "the endpoint did not answer in time")
 	default:
-		c.end(http.StatusBadGateway, 0, "the endpoint's answer was lost")
+		c.respondError(http.StatusBadGateway, 0, "the endpoint's answer was lost")
 	}
 	return true
 }
 
-// cut ends a stream that can't be taken up: the connection is closed without the
+// abortResponse ends a stream that can't be taken up: the connection is closed without the
 // end that would make the answer look whole.
-func (c *call) cut(why string, cause error) {
-	c.gateway.meters.ended(0, c.rankLabel())
+func (c *call) abortResponse(why string, cause error) {
+	c.gateway.meters.countResponse(0, c.rankLabel())
 	c.record.failed = true
-	c.note(stepCut, zap.String("why", why), zap.Int("events", c.events), zap.String("last_event", c.lastEvent),
+	c.addStep(stepCut, zap.String("why", why), zap.Int("events", c.eventsSent), zap.String("last_event", c.lastEventID),
 		zap.Int("attempts", c.attempts), logx.Cause(cause))
 	panic(http.ErrAbortHandler)
 }
 
-// gone takes note that the caller left. The connection ends without an answer: a handler that returned
+// abortCancelled takes note that the caller left. The connection ends without an answer: a handler that returned
 // without a word would have net/http answer 200, a success that no endpoint made.
-func (c *call) gone() {
-	c.gateway.meters.ended(0, c.rankLabel())
+func (c *call) abortCancelled() {
+	c.gateway.meters.countResponse(0, c.rankLabel())
 	c.record.failed = true
-	c.note(stepCancelled, zap.String("why", "the caller left"), zap.Int("attempts", c.attempts), zap.Int("events", c.events))
+	c.addStep(stepCancelled, zap.String("why", "the caller left"), zap.Int("attempts", c.attempts), zap.Int("events", c.eventsSent))
 	panic(http.ErrAbortHandler)
 }
 
-// unused gives a grant back that the request does not use.
-func (c *call) unused(d Decision) {
+// returnGrant gives a grant back that the request does not use.
+func (c *call) returnGrant(d Decision) {
 	c.gateway.agent.Finish(message.Finish{
 		Finished: event.Finished{ID: c.id, Pool: c.service, Void: true, Unused: true, Failed: true},
 		Endpoint: d.Endpoint, Unsent: true,
 	})
 }
 
-// tell tells who decides how an attempt ended.
-func (c *call) tell(a *attempt) {
+// reportAttempt tells who decides how an attempt ended.
+func (c *call) reportAttempt(a *attempt) {
 	failed := a.outcome != outcomeDone || a.err != nil
-	c.gateway.meters.tried(a.outcome)
+	c.gateway.meters.countAttempt(a.outcome)
 	f := message.Finish{
 		Finished: event.Finished{
 			ID: c.id, Pool: c.service, Tokens: a.tokens, Failed: failed,
 			Void: !a.wasSent() || a.outcome == outcomeNotRun, Unused: a.outcome == outcomeStopped,
-			FirstAfter: a.first, TokenGap: a.gap,
+			FirstAfter: a.firstByteAfter, TokenGap: a.tokenGap,
 		},
 		Endpoint: a.decision.Endpoint,
 		Unsent:   !a.wasSent(),
-		Suspect:  (a.outcome == outcomeNotSent && !a.untried) || (a.outcome == outcomeUnknown && a.first == 0),
+		Suspect:  (a.outcome == outcomeNotSent && !a.notTried) || (a.outcome == outcomeUnknown && a.firstByteAfter == 0),
 	}
-	f.Print, f.Ran = c.print, a.ran()
+	f.Print, f.Ran = c.fingerprint, a.runResult()
 	if !a.sent.IsZero() && a.err != nil && endsConnection(a.err) {
-		c.gateway.agent.Ended(poison.End{
-			Print: c.print, Endpoint: a.decision.Endpoint, Request: c.id, Attempt: a.attempt, Ran: time.Since(a.sent),
+		c.gateway.agent.RecordEnd(poison.End{
+			Print: c.fingerprint, Endpoint: a.decision.Endpoint, Request: c.id, Attempt: a.previousSends, Ran: time.Since(a.sent),
 		})
 	}
 	c.gateway.agent.Finish(f)
 	if a.outcome != outcomeDone {
-		c.note(stepFailed, zap.String("endpoint", string(a.decision.Endpoint)), zap.Stringer("outcome", a.outcome),
-			logx.Cause(a.err), zap.Int("attempt", c.attempts), zap.Stringer("print", c.print))
+		c.addStep(stepFailed, zap.String("endpoint", string(a.decision.Endpoint)), zap.Stringer("outcome", a.outcome),
+			logx.Cause(a.err), zap.Int("attempt", c.attempts), zap.Stringer("print", c.fingerprint))
 	}
 }
 
@@ -325,12 +325,12 @@
 	a := &attempt{decision: d, outcome: outcomeNotSent}
 	// The caller left, or its time ended, as the grant came: a request on a kept connection
 	// would race with its own cancelling, and its end would tell against the endpoint.
-	if err := c.over(ctx); err != nil {
-		a.err, a.untried = err, true
+	if err := c.checkDeadline(ctx); err != nil {
+		a.err, a.notTried = err, true
 		return a
 	}
-	if why := c.stops(d); why != backpressure.StoppedNot {
-		c.stopped(a, why)
+	if why := c.checkGate(d); why != backpressure.StoppedNot {
+		c.reportStopped(a, why)
 		return a
 	}
 	began := time.Now()
@@ -339,14 +339,14 @@
 		a.err = err
 		return a
 	}
-	if why := c.stops(d); why != backpressure.StoppedNot {
+	if why := c.checkGate(d); why != backpressure.StoppedNot {
 		_ = conn.Close() // it was opened while the word came
-		c.stopped(a, why)
+		c.reportStopped(a, why)
 		return a
 	}
-	a.sent, a.attempt = time.Now(), c.attempts
+	a.sent, a.previousSends = time.Now(), c.attempts
 	c.attempts++
-	c.note(stepDispatched, zap.String("endpoint", string(d.Endpoint)), zap.String("address", d.Address),
+	c.addStep(stepDispatched, zap.String("endpoint", string(d.Endpoint)), zap.String("address", d.Address),
 		zap.Bool("connection_kept", conn.reused), zap.Int("attempt", c.attempts))
 	x, err := c.gateway.upstream.send(ctx, conn, c.outgoing(d), c.gateway.config.Names.RequestID)
 	if err != nil {
@@ -364,7 +364,7 @@
 }
 
 // outgoing returns the request as the endpoint gets it.
-func (c *call) outgoing(d Decision) *outgoing {
+func (c *call) outgoing(d Decision) *upstreamRequest {
 	names := &c.gateway.config.Names
 	h := c.r.Header.Clone()
 	for _, name := range hopHeaders(h) {
@@ -376,11 +376,11 @@
 		h.Set(names.Team, c.team.Name)
 	}
 	h.Set(names.Expect, registry.Name(string(d.Endpoint)))
-	h.Set(names.Deadline, strconv.FormatInt(max(1, c.left().Milliseconds()), 10))
-	if c.lastEvent != "" {
-		h.Set(names.LastEvent, c.lastEvent)
+	h.Set(names.Deadline, strconv.FormatInt(max(1, c.remaining().Milliseconds()), 10))
+	if c.lastEventID != "" {
+		h.Set(names.LastEvent, c.lastEventID)
 	}
-	return &outgoing{
+	return &upstreamRequest{
 		method: c.r.Method, uri: c.r.RequestURI, host: c.r.Host, header: h, body: c.body, id: c.callerID,
 	}
 }
@@ -389,11 +389,11 @@
 func (c *call) receive(x *exchange, a *attempt, began time.Time) {
 	names := &c.gateway.config.Names
 	r := x.response
-	word := c.hear(a, r)
+	word := c.receiveFeedback(a, r)
 	a.isFramed = r.ContentLength >= 0 || slices.Contains(r.TransferEncoding, "chunked")
 	// An endpoint that asks for rest has turned the request away.
 	if r.StatusCode == http.StatusMisdirectedRequest || r.Header.Get(names.NotRun) != "" || word.Rest > 0 {
-		c.reject(x, a)
+		c.receiveNotRun(x, a)
 		return
 	}
 	ok := r.StatusCode >= 200 && r.StatusCode < 300
@@ -403,17 +403,17 @@
 		a.err = errors.New("a success without the endpoint's signature")
 		x.abort()
 	case ok && c.route.Kind == routing.KindStream:
-		c.stream(x, a, began)
+		c.receiveStream(x, a, began)
 	default:
-		c.whole(x, a, began)
+		c.receiveWhole(x, a, began)
 	}
 }
 
-// reject takes an endpoint's word that it has not run the request.
-func (c *call) reject(x *exchange, a *attempt) {
+// receiveNotRun takes an endpoint's word that it has not run the request.
+func (c *call) receiveNotRun(x *exchange, a *attempt) {
 	a.outcome = outcomeNotRun
 	a.err = errors.Errorf("endpoint answered %d, not run", x.response.StatusCode)
-	if _, all, err := x.readAll(maxWhole); err == nil && all {
+	if _, all, err := x.readAll(maxBufferedResponse); err == nil && all {
 		x.finish(c.gateway.upstream)
 		return
 	}
--- a/gateway/stalled_test.go
+++ b/gateway/stalled_test.go
@@ -58,7 +58,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newRig(t, newStandIn(t, one.script))
-			r.gateway.callerSilence = 300 * time.Millisecond
+			r.gateway.callerWriteTimeout = 300 * time.Millisecond
 			smallCaller(t, r, one.path, 4<<10)
 			waitFor(t, "the request is held", func() bool { all, _ := r.gateway.Held(); return all == 1 })
 			began := time.Now()
@@ -76,7 +76,7 @@
 func TestSlowCallerGetsItsWholeAnswer(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, newStandIn(t, longAnswer))
-	r.gateway.callerSilence = 300 * time.Millisecond
+	r.gateway.callerWriteTimeout = 300 * time.Millisecond
 	c := smallCaller(t, r, "/once/x", 128<<10)
 	began := time.Now()
 	a, err := http.ReadResponse(c.reader, nil)
@@ -94,7 +94,7 @@
 		}
 		time.Sleep(60 * time.Millisecond)
 	}
-	if took := time.Since(began); took < 2*r.gateway.callerSilence {
+	if took := time.Since(began); took < 2*r.gateway.callerWriteTimeout {
 		t.Errorf("it took %v only: nothing is shown", took)
 	}
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -14,9 +14,9 @@
 	"lynxramp.org/event"
 )
 
-// stream passes a series of events on, each whole and at once, under the head of
+// receiveStream passes a series of events on, each whole and at once, under the head of
 // the first endpoint that answered.
-func (c *call) stream(x *exchange, a *attempt, began time.Time) {
+func (c *call) receiveStream(x *exchange, a *attempt, began time.Time) {
 	events := newEventReader(x.response.Body)
 	control := http.NewResponseController(c.w)
 	var last time.Time
@@ -25,13 +25,13 @@
 	for {
 		data, id, err := events.next()
 		if err == io.EOF {
-			c.streamEnd(x, a)
+			c.finishStream(x, a)
 			break
 		}
 		if err != nil {
 			x.abort()
 			a.outcome = outcomeUnknown
-			if c.begun {
+			if c.headSent {
 				a.outcome = outcomeCut
 			}
 			a.err = err
@@ -39,26 +39,26 @@
 		}
 		now := time.Now()
 		if seen == 0 {
-			a.first = now.Sub(began)
-			c.gateway.agent.Begin(event.Begun{ID: c.id, Pool: c.service, After: a.first})
-			c.beginStream(x)
+			a.firstByteAfter = now.Sub(began)
+			c.gateway.agent.Begin(event.Begun{ID: c.id, Pool: c.service, After: a.firstByteAfter})
+			c.sendStreamHead(x)
 		} else if len(gaps) < maxGaps {
 			gaps = append(gaps, now.Sub(last))
 		}
 		last = now
 		seen++
-		if !isAfter(id, c.lastEvent) {
+		if !isAfter(id, c.lastEventID) {
 			continue // the caller has it
 		}
-		if !c.passEvent(control, data, id) {
+		if !c.forwardEvent(control, data, id) {
 			x.abort()
-			a.err = errCallerGone
+			a.err = errCallerLeft
 			a.outcome = outcomeDone
 			break
 		}
 	}
-	a.tokens = c.events * c.stride()
-	a.gap = median(gaps) / time.Duration(c.stride())
+	a.tokens = c.eventsSent * c.stride()
+	a.tokenGap = median(gaps) / time.Duration(c.stride())
 }
 
 // maxGaps is how many of a stream's gaps are measured.
@@ -83,37 +83,37 @@
 	return 1
 }
 
-// streamEnd ends an answer whose last event has come.
-func (c *call) streamEnd(x *exchange, a *attempt) {
+// finishStream ends an answer whose last event has come.
+func (c *call) finishStream(x *exchange, a *attempt) {
 	x.finish(c.gateway.upstream)
 	a.outcome = outcomeDone
-	if !c.begun {
-		c.beginStream(x)
+	if !c.headSent {
+		c.sendStreamHead(x)
 	}
-	c.gateway.meters.ended(x.response.StatusCode, c.rankLabel())
-	c.note(stepEnded, zap.Int("status", x.response.StatusCode), zap.Int("events", c.events), zap.Int("attempts", c.attempts))
+	c.gateway.meters.countResponse(x.response.StatusCode, c.rankLabel())
+	c.addStep(stepEnded, zap.Int("status", x.response.StatusCode), zap.Int("events", c.eventsSent), zap.Int("attempts", c.attempts))
 }
 
-// beginStream sends the head of the answer, once.
-func (c *call) beginStream(x *exchange) {
-	if c.begun {
+// sendStreamHead sends the head of the answer, once.
+func (c *call) sendStreamHead(x *exchange) {
+	if c.headSent {
 		return
 	}
-	c.begun = true
+	c.headSent = true
 	c.record.failed = c.record.failed || c.isLate(time.Now())
 	copyHeader(c.w.Header(), x.response.Header)
 	c.w.WriteHeader(x.response.StatusCode)
-	c.gateway.meters.began(c.arrived, c.rankLabel())
+	c.gateway.meters.observeFirstByte(c.arrived, c.rankLabel())
 }
 
-// passEvent writes an event and sends it off.
-func (c *call) passEvent(control *http.ResponseController, event []byte, id string) bool {
+// forwardEvent writes an event and sends it off.
+func (c *call) forwardEvent(control *http.ResponseController, event []byte, id string) bool {
 	if _, err := c.w.Write(event); err != nil {
 		return false
 	}
-	c.events++
+	c.eventsSent++
 	if id != "" {
-		c.lastEvent = id
+		c.lastEventID = id
 	}
 	return control.Flush() == nil
 }
--- a/gateway/ticket.go
+++ b/gateway/ticket.go
@@ -30,8 +30,8 @@
 	return "none"
 }
 
-// tokens returns the tokens of the prompt and the most that are generated.
-func (c *call) tokens() (prompt, output int) {
+// declaredTokens returns the declaredTokens of the prompt and the most that are generated.
+func (c *call) declaredTokens() (prompt, output int) {
 	a, b, ok := strings.Cut(c.r.Header.Get(c.gateway.config.Names.Tokens), ",")
 	if !ok {
 		return 0, 0
@@ -41,61 +41,61 @@
 	return max(0, prompt), max(0, output)
 }
 
-// guess returns the tokens that the caller expects to be generated: its hint, or the most that
+// expectedOutputTokens returns the tokens that the caller expects to be generated: its hint, or the most that
 // it allows where it gives none that makes sense.
-func (c *call) guess() int {
+func (c *call) expectedOutputTokens() int {
 	hint, err := strconv.Atoi(c.r.Header.Get(c.gateway.config.Names.Hint))
 	if err != nil || hint <= 0 {
-		return c.output
+		return c.maxOutputTokens
 	}
-	return min(c.output, hint)
+	return min(c.maxOutputTokens, hint)
 }
 
-// quota is what the request counts against its team's quota.
-func (c *call) quota() int {
+// quotaUnits is what the request counts against its team's quotaUnits.
+func (c *call) quotaUnits() int {
 	switch {
 	case c.team == nil:
 		return 0
 	case !c.team.InTokens:
 		return 1
 	}
-	if c.prompt+c.output > 0 {
-		return c.prompt + c.output
+	if c.promptTokens+c.maxOutputTokens > 0 {
+		return c.promptTokens + c.maxOutputTokens
 	}
 	return c.team.PlainTokens
 }
 
 // ticket describes the request to who decides.
 func (c *call) ticket(repeat bool) message.Submission {
-	left := c.left()
+	left := c.remaining()
 	target := c.route.Target - c.age()
 	return message.Submission{
 		Ticket: event.Ticket{
 			ID: c.id, Team: c.teamName(), Rank: c.rank(), Service: c.service, Pool: c.service,
-			PromptTokens: c.prompt, OutputTokens: c.guess(), Deadline: left,
-			Target: max(target, event.Millisecond), Patience: c.patience(left),
-			Placed: c.placed, Returned: c.returned, Avoid: c.avoid, Attempt: c.attempts, DataCentre: c.gateway.config.DataCentre,
+			PromptTokens: c.promptTokens, OutputTokens: c.expectedOutputTokens(), Deadline: left,
+			Target: max(target, event.Millisecond), Patience: c.maxExpectedWait(left),
+			Placed: c.wasGranted, Returned: c.wasRefused, Avoid: c.tried, Attempt: c.attempts, DataCentre: c.gateway.config.DataCentre,
 		},
-		Quota: c.quota(), Repeat: repeat, Print: c.print,
+		Quota: c.quotaUnits(), Repeat: repeat, Print: c.fingerprint,
 	}
 }
 
 // Patience: how many times its target a request may be expected to wait, and the
 // least part of the time left that it must leave.
 const (
-	patienceTargets = 0.9
-	patienceLeft    = 0.5
+	maxWaitOfTarget    = 0.9
+	maxWaitOfRemaining = 0.5
 )
 
-// patience returns the longest that the request may be expected to wait. One that an
+// maxExpectedWait returns the longest that the request may be expected to wait. One that an
 // endpoint had before is not sent away for its wait.
-func (c *call) patience(left event.Span) event.Span {
+func (c *call) maxExpectedWait(left event.Span) event.Span {
 	if c.mayHaveRun {
 		return 0
 	}
-	patience := event.Span(float64(left) * patienceLeft)
+	patience := event.Span(float64(left) * maxWaitOfRemaining)
 	if c.route.Target > 0 {
-		patience = min(patience, event.Span(float64(c.route.Target)*patienceTargets))
+		patience = min(patience, event.Span(float64(c.route.Target)*maxWaitOfTarget))
 	}
 	return max(patience, event.Millisecond)
 }
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -24,48 +24,48 @@
 // Bounds of connections to endpoints.
 const (
 	connectTimeout = 400 * time.Millisecond
-	// defaultIdle is how long a connection without a word on it is kept, and
+	// defaultIdleTimeout is how long a connection without a word on it is kept, and
 	// idleMargin how much sooner than the endpoint says it is given up.
-	defaultIdle = 3 * time.Second
-	idleMargin  = 800 * time.Millisecond
-	maxIdle     = 16 // connections an endpoint
-	readBuffer  = 4 << 10
-	// inlineBody is the most that is written before the answer is looked for.
-	inlineBody   = 8 << 10
-	maxInterim   = 8
-	userTimeoutM = 3000 // milliseconds
+	defaultIdleTimeout = 3 * time.Second
+	idleMargin         = 800 * time.Millisecond
+	maxIdleConns       = 16 // connections an endpoint
+	readBufferSize     = 4 << 10
+	// maxInlineBody is the most that is written before the answer is looked for.
+	maxInlineBody       = 8 << 10
+	maxInterimResponses = 8
+	userTimeoutMillis   = 3000 // milliseconds
 )
 
 // errNotSent says that not a byte of the request left.
 var errNotSent = errors.New("the endpoint was not reached")
 
-// errForeign says that an answer is not that of the request.
-var errForeign = errors.New("the answer belongs to another request")
+// errWrongResponse says that an answer is not that of the request.
+var errWrongResponse = errors.New("the answer belongs to another request")
 
 // upstream keeps connections to endpoints.
 type upstream struct {
-	most int          // connections, those in use first; 0 is without a bound
-	open atomic.Int64 // connections
-	mu   sync.Mutex
-	idle map[string][]*upConn // by address and endpoint, the longest kept first
+	maxConnections int          // connections, those in use first; 0 is without a bound
+	open           atomic.Int64 // connections
+	mu             sync.Mutex
+	idle           map[string][]*upstreamConn // by address and endpoint, the longest kept first
 }
 
-func newUpstream() *upstream { return &upstream{idle: make(map[string][]*upConn)} }
+func newUpstream() *upstream { return &upstream{idle: make(map[string][]*upstreamConn)} }
 
-// upConn is one connection to an endpoint.
-type upConn struct {
+// upstreamConn is one connection to an endpoint.
+type upstreamConn struct {
 	net.Conn
-	key    string
-	reader *bufio.Reader
-	kept   time.Time // since when
-	until  time.Time // of its use
-	reused bool
-	owner  *upstream
-	closed sync.Once
+	key       string
+	reader    *bufio.Reader
+	idleSince time.Time // since when
+	idleUntil time.Time // of its use
+	reused    bool
+	owner     *upstream
+	closed    sync.Once
 }
 
 // Close closes the connection. It may be called more than once.
-func (c *upConn) Close() error {
+func (c *upstreamConn) Close() error {
 	c.closed.Do(func() { c.owner.open.Add(-1) })
 	return c.Conn.Close()
 }
@@ -73,11 +73,11 @@
 // connections returns how many are open.
 func (u *upstream) connections() int { return int(u.open.Load()) }
 
-// makeRoom closes what has been kept longest until one more may be opened. Endpoints are
+// evictIdle closes what has been kept longest until one more may be opened. Endpoints are
 // many, and what is kept for each of them must not take the descriptors of new callers.
-func (u *upstream) makeRoom() {
-	for u.most > 0 && u.connections() >= u.most {
-		c := u.popLongest()
+func (u *upstream) evictIdle() {
+	for u.maxConnections > 0 && u.connections() >= u.maxConnections {
+		c := u.popOldest()
 		if c == nil {
 			return
 		}
@@ -85,14 +85,14 @@
 	}
 }
 
-// popLongest takes the connection that has been kept longest; nil if none is.
-func (u *upstream) popLongest() *upConn {
+// popOldest takes the connection that has been kept longest; nil if none is.
+func (u *upstream) popOldest() *upstreamConn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var from string
-	var longest *upConn
+	var longest *upstreamConn
 	for key, list := range u.idle {
-		if len(list) > 0 && (longest == nil || list[0].kept.Before(longest.kept)) {
+		if len(list) > 0 && (longest == nil || list[0].idleSince.Before(longest.idleSince)) {
 			from, longest = key, list[0]
 		}
 	}
@@ -104,31 +104,31 @@
 
 // get returns a connection that is kept, or a new one; fresh asks for the latter, and
 // drops those that are kept.
-func (u *upstream) get(ctx context.Context, address, endpoint string, fresh bool) (*upConn, error) {
+func (u *upstream) get(ctx context.Context, address, endpoint string, fresh bool) (*upstreamConn, error) {
 	key := address + " " + endpoint
 	for {
 		c := u.pop(key)
 		if c == nil {
 			break
 		}
-		if !fresh && time.Now().Before(c.until) && isQuiet(c.Conn) {
+		if !fresh && time.Now().Before(c.idleUntil) && isIdle(c.Conn) {
 			c.reused = true
 			return c, nil
 		}
 		_ = c.Close() // it is of no use any more
 	}
-	u.makeRoom()
+	u.evictIdle()
 	dialer := net.Dialer{Timeout: connectTimeout, KeepAliveConfig: link.Probing}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(errNotSent, err.Error())
 	}
-	link.SetUserTimeout(raw, userTimeoutM)
+	link.SetUserTimeout(raw, userTimeoutMillis)
 	u.open.Add(1)
-	return &upConn{Conn: raw, key: key, owner: u, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &upstreamConn{Conn: raw, key: key, owner: u, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
-func (u *upstream) pop(key string) *upConn {
+func (u *upstream) pop(key string) *upstreamConn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	list := u.idle[key]
@@ -141,12 +141,12 @@
 }
 
 // put keeps a connection whose last answer was read to its end.
-func (u *upstream) put(c *upConn, idle time.Duration) {
-	c.kept = time.Now()
-	c.until = c.kept.Add(idle)
+func (u *upstream) put(c *upstreamConn, idle time.Duration) {
+	c.idleSince = time.Now()
+	c.idleUntil = c.idleSince.Add(idle)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.idle[c.key]) >= maxIdle || idle <= 0 {
+	if len(u.idle[c.key]) >= maxIdleConns || idle <= 0 {
 		_ = c.Close() // enough are kept
 		return
 	}
@@ -161,7 +161,7 @@
 	for key, list := range u.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
+			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 				continue
 			}
@@ -174,9 +174,9 @@
 	}
 }
 
-// isQuiet reports whether nothing, not even an end, has come on a connection that
+// isIdle reports whether nothing, not even an end, has come on a connection that
 // waits for no answer.
-func isQuiet(c net.Conn) bool {
+func isIdle(c net.Conn) bool {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return true
@@ -195,15 +195,15 @@
 	return err == nil && quiet
 }
 
-// outgoing is a request as an endpoint gets it.
-type outgoing struct {
+// upstreamRequest is a request as an endpoint gets it.
+type upstreamRequest struct {
 	method, uri, host string
 	header            http.Header
 	body              []byte
 	id                string
 }
 
-func (o *outgoing) head() []byte {
+func (o *upstreamRequest) head() []byte {
 	var b bytes.Buffer
 	b.WriteString(o.method + " " + o.uri + " HTTP/1.1\r\nHost: " + o.host + "\r\n")
 	_ = o.header.Write(&b) // a buffer takes all
@@ -216,18 +216,18 @@
 
 // exchange is a request under way at an endpoint.
 type exchange struct {
-	conn     *upConn
-	response *http.Response
-	idle     time.Duration // that the connection may be kept
-	written  chan error    // of a body that is written beside
-	stop     func() bool
+	conn        *upstreamConn
+	response    *http.Response
+	idleTimeout time.Duration // that the connection may be kept
+	bodyWritten chan error    // of a body that is written beside
+	stopCancel  func() bool
 }
 
 // send sends a request on a connection and reads the answer's head. The context's
 // end closes the connection, which cancels the request at the endpoint.
-func (u *upstream) send(ctx context.Context, c *upConn, o *outgoing, idHeader string) (*exchange, error) {
-	x := &exchange{conn: c, idle: defaultIdle}
-	x.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
+func (u *upstream) send(ctx context.Context, c *upstreamConn, o *upstreamRequest, idHeader string) (*exchange, error) {
+	x := &exchange{conn: c, idleTimeout: defaultIdleTimeout}
+	x.stopCancel = context.AfterFunc(ctx, func() { _ = c.Close() })
 	if deadline, ok := ctx.Deadline(); ok {
 		if err := c.SetDeadline(deadline); err != nil {
 			x.abort()
@@ -244,14 +244,14 @@
 	}
 	if x.response.Header.Get(idHeader) != o.id {
 		x.abort()
-		return nil, errForeign
+		return nil, errWrongResponse
 	}
 	return x, nil
 }
 
-func (x *exchange) write(o *outgoing) error {
+func (x *exchange) write(o *upstreamRequest) error {
 	data := o.head()
-	beside := len(o.body) > inlineBody
+	beside := len(o.body) > maxInlineBody
 	if !beside {
 		data = append(data, o.body...)
 	}
@@ -263,62 +263,62 @@
 		return errors.Wrap(err, "send")
 	}
 	if beside {
-		x.written = make(chan error, 1)
+		x.bodyWritten = make(chan error, 1)
 		go func() {
 			_, err := x.conn.Write(o.body)
-			x.written <- err
+			x.bodyWritten <- err
 		}()
 	}
 	return nil
 }
 
-func (x *exchange) readHead(o *outgoing) error {
-	for range maxInterim {
+func (x *exchange) readHead(o *upstreamRequest) error {
+	for range maxInterimResponses {
 		r, err := http.ReadResponse(x.conn.reader, &http.Request{Method: o.method})
 		if err != nil {
 			return errors.Wrap(err, "answer")
 		}
 		if r.StatusCode >= http.StatusOK {
 			x.response = r
-			x.keepAlive()
+			x.readKeepAlive()
 			return nil
 		}
 	}
 	return errors.New("answer: too many interim answers")
 }
 
-// keepAlive learns how long the connection may be kept.
-func (x *exchange) keepAlive() {
+// readKeepAlive learns how long the connection may be kept.
+func (x *exchange) readKeepAlive() {
 	for part := range strings.SplitSeq(x.response.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
-			x.idle = time.Duration(seconds)*time.Second - idleMargin
+			x.idleTimeout = time.Duration(seconds)*time.Second - idleMargin
 		}
 	}
 	if x.response.Close {
-		x.idle = 0
+		x.idleTimeout = 0
 	}
 }
 
 // abort ends the exchange and its connection.
 func (x *exchange) abort() {
-	x.stop()
+	x.stopCancel()
 	_ = x.conn.Close() // nothing is left to be read from it
 }
 
 // finish ends an exchange whose answer was read to its end, and keeps the
 // connection if it is as good as new.
 func (x *exchange) finish(u *upstream) {
-	whole := x.stop()
-	if x.written != nil {
+	whole := x.stopCancel()
+	if x.bodyWritten != nil {
 		select {
-		case err := <-x.written:
+		case err := <-x.bodyWritten:
 			whole = whole && err == nil
 		default:
 			whole = false // the endpoint answered before it had the body
 		}
 	}
-	if !whole || x.conn.reader.Buffered() > 0 || x.idle <= 0 {
+	if !whole || x.conn.reader.Buffered() > 0 || x.idleTimeout <= 0 {
 		_ = x.conn.Close() // bytes of no answer, or an end, are on it
 		return
 	}
@@ -326,7 +326,7 @@
 		_ = x.conn.Close()
 		return
 	}
-	u.put(x.conn, x.idle)
+	u.put(x.conn, x.idleTimeout)
 }
 
 // readAll reads an answer's body; false if it is longer than limit.
--- a/gateway/upstream_test.go
+++ b/gateway/upstream_test.go
@@ -11,7 +11,7 @@
 func TestFreshConnectionLeavesKeptOnesOut(t *testing.T) {
 	e := newStandIn(t, whole(200, "answer"))
 	u := newUpstream()
-	get := func(fresh bool) *upConn {
+	get := func(fresh bool) *upstreamConn {
 		t.Helper()
 		c, err := u.get(context.Background(), e.address, "e", fresh)
 		if err != nil {
@@ -38,8 +38,8 @@
 func TestConnectionsToManyEndpointsAreBounded(t *testing.T) {
 	const most, endpoints, each = 20, 10, 4
 	u := newUpstream()
-	u.most = most
-	var conns []*upConn
+	u.maxConnections = most
+	var conns []*upstreamConn
 	for i := range endpoints {
 		e := newStandIn(t, whole(200, "answer"))
 		conns = conns[:0]
--- a/gateway/word_test.go
+++ b/gateway/word_test.go
@@ -19,7 +19,7 @@
 const mostWord = 32 << 10
 
 // manyRunning is as many requests as an entry may hold.
-const manyRunning = maxHeld
+const manyRunning = maxInFlight
 
 // newManyClient returns a client that has many requests running and holds many accounts.
 func newManyClient() *OwnerClient {
@@ -63,7 +63,7 @@
 			}
 			note(s.Message, running, held)
 		}
-		now = now.Add(pingEvery)
+		now = now.Add(pingInterval)
 		a.Received(now, 2, &message.Envelope{Pong: &message.Pong{Lent: budget.Lent{Whole: true}}})
 		a.Tick(now)
 	}
@@ -108,7 +108,7 @@
 		}
 	}
 	a.Finish(0, message.Finish{Finished: event.Finished{ID: ended, Pool: "s"}, Endpoint: "endpoint"})
-	for now := event.Time(pingEvery); now < event.Time(40*pingEvery); now = now.Add(pingEvery) {
+	for now := event.Time(pingInterval); now < event.Time(40*pingInterval); now = now.Add(pingInterval) {
 		a.Received(now, 2, &message.Envelope{Pong: &message.Pong{}})
 		a.Tick(now)
 		for _, s := range a.Take().Sends {
@@ -138,7 +138,7 @@
 	a.Take()
 	told := make(map[event.RequestID]int)
 	last := event.RequestID("")
-	for now := event.Time(0); now < event.Time(60*pingEvery) && len(told) < manyRunning; now = now.Add(pingEvery) {
+	for now := event.Time(0); now < event.Time(60*pingInterval) && len(told) < manyRunning; now = now.Add(pingInterval) {
 		a.Received(now, 1, &message.Envelope{Pong: &message.Pong{}})
 		for _, s := range a.Take().Sends {
 			var data bytes.Buffer
