--- a/gateway/agent.go
+++ b/gateway/agent.go
@@ -14,19 +14,17 @@
 	"lynxramp.org/routing"
 )
 
-// Times and bounds of an agent.
+// Times and limits of an agent.
 const (
 	tickInterval = 50 * time.Millisecond
-	// startTimeout is how long requests wait in a process that has just started
-	// and knows no configuration yet.
+	// startTimeout is how long requests wait for the first configuration after the process started.
 	startTimeout   = 2 * event.Second
 	inputQueueSize = 4096
-	// maxBatch is how many requests' news go in one message.
+	// maxBatch limits the inputs applied before effects are executed, and so the size of a message.
 	maxBatch = 256
 )
 
-// Agent runs an OwnerClient: its loop owns the client and the connections to control
-// boxes.
+// Agent runs an OwnerClient. The goroutine of Run owns the client and the connections to control boxes.
 type Agent struct {
 	client   *OwnerClient
 	clock    event.Clock
@@ -45,16 +43,14 @@
 	}
 }
 
-// Table returns the configuration that requests are served by; nil while there is
-// none, or while it is not known to be the newest.
+// Table returns the configuration in force, or nil if there is none or its validity has expired.
 func (a *Agent) Table() *routing.Table { return a.client.Table(a.clock.Now()) }
 
-// LastTable returns the configuration that was put in force last, however old it is.
+// LastTable returns the configuration that was last put in force, even if its validity has expired.
 func (a *Agent) LastTable() *routing.Table { return a.client.table.Load() }
 
-// AwaitTable returns the configuration like Table. In a process that has just
-// started and knows none yet, it waits for the first one, for startPatience at the
-// most.
+// AwaitTable returns the configuration like Table. If the process has just started and has none yet, it
+// waits for the first one, for startTimeout at most.
 func (a *Agent) AwaitTable(ctx context.Context) *routing.Table {
 	if t := a.Table(); t != nil || a.clock.Now() > event.Time(startTimeout) {
 		return t
@@ -69,7 +65,7 @@
 	return a.Table()
 }
 
-// Submit registers a request. Its decision comes on the channel.
+// Submit submits a request. Its decision is sent on the returned channel.
 func (a *Agent) Submit(m message.Submission) <-chan Decision {
 	decision := make(chan Decision, 1)
 	w := &waiter{submission: m, arrived: a.clock.Now(), decision: decision}
@@ -77,37 +73,37 @@
 	return decision
 }
 
-// Withdraw takes a request back whose decision is not awaited any more.
+// Withdraw withdraws a request whose decision is no longer awaited.
 func (a *Agent) Withdraw(id event.RequestID) {
 	a.input <- func(now event.Time) { a.client.withdraw(now, id) }
 }
 
-// Begin says that a granted request's answer has begun.
+// Begin reports the beginning of the response to a granted request.
 func (a *Agent) Begin(b event.Begun) {
 	a.input <- func(now event.Time) { a.client.begin(now, b) }
 }
 
-// Finish says that a granted request does not use its endpoint any more.
+// Finish reports that a granted request no longer uses its endpoint.
 func (a *Agent) Finish(f message.Finish) {
 	a.input <- func(now event.Time) { a.client.finish(now, f) }
 }
 
-// RecordEnd says that an endpoint ended under a run of a request.
+// RecordEnd reports that an endpoint terminated while it ran a request.
 func (a *Agent) RecordEnd(e poison.End) {
 	a.input <- func(now event.Time) { a.client.recordEnd(now, e) }
 }
 
-// ObserveFeedback says what an endpoint asked for in an answer.
+// ObserveFeedback reports feedback received from an endpoint.
 func (a *Agent) ObserveFeedback(h backpressure.Heard) {
 	a.input <- func(now event.Time) { a.client.observeFeedback(now, h) }
 }
 
-// SetControl takes other addresses of control boxes.
+// AddControlBoxes adds link addresses of control boxes.
 func (a *Agent) SetControl(control []string) {
 	a.input <- func(event.Time) { a.client.AddControlBoxes(control) }
 }
 
-// Run serves until ctx ends.
+// Run runs the agent until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -156,7 +152,7 @@
 	}
 }
 
-// dial connects to a control box and hands on what it says until the connection ends.
+// dial connects to a control box and passes its messages to the client until the connection ends.
 func (a *Agent) dial(address string) {
 	conn, err := link.Dial[message.Envelope](address)
 	if err != nil {
--- a/gateway/asked.go
+++ b/gateway/asked.go
@@ -13,10 +13,10 @@
 	"lynxramp.org/internal/logx"
 )
 
-// This file is how a call takes what an endpoint asks for in its answer.
+// This file handles the feedback of endpoints in their responses.
 
-// receiveFeedback takes what an endpoint asks for. The words on an answer of another endpoint than the one that was called
-// are of nobody.
+// receiveFeedback records the feedback in a response. A misdirected response comes from another endpoint
+// than the one called, so its feedback is ignored.
 func (c *call) receiveFeedback(a *attempt, r *http.Response) (w backpressure.Word) {
 	g := c.gateway
 	if g.config.Word == nil || r.StatusCode == http.StatusMisdirectedRequest {
@@ -26,7 +26,7 @@
 	if err != nil {
 		g.meters.feedback(feedbackInvalid).Inc()
 		if g.feedbackBudget.Allow(time.Now(), 1) {
-			g.log.Warn("what an endpoint asks for can't be read", zap.String("endpoint", string(a.decision.Endpoint)),
+			g.log.Warn("invalid feedback in endpoint response, ignoring the invalid header", zap.String("endpoint", string(a.decision.Endpoint)),
 				zap.String("request", c.callerID), logx.Err(err))
 		}
 	}
@@ -49,7 +49,8 @@
 	return w
 }
 
-// checkGate reports whether a grant must not be used, and why: the endpoint asked for less than whoever gave it knew.
+// checkGate returns why a grant must not be used: the endpoint's feedback forbids it and the grant was made
+// without knowing this feedback.
 func (c *call) checkGate(d Decision) backpressure.Stopped {
 	gate := &c.gateway.agent.client.gate
 	if !gate.IsAsked() {
@@ -58,7 +59,7 @@
 	return gate.Stops(c.gateway.agent.clock.Now(), d.Endpoint, d.Permit)
 }
 
-// reportStopped takes note that a grant is not used, and tells who gave it why.
+// reportStopped records that a grant is not used and reports the feedback that forbids it to the decider.
 func (c *call) reportStopped(a *attempt, why backpressure.Stopped) {
 	agent := c.gateway.agent
 	a.outcome, a.notTried = outcomeStopped, true
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -13,25 +13,25 @@
 	"lynxramp.org/poison"
 )
 
-// bodyIdleTimeout is how long no byte of a body may come. How long the whole may take is up to
-// the request's own deadline: many callers share an entry's link.
+// bodyIdleTimeout is the longest pause in receiving a request body. The request's deadline limits the whole
+// transfer, as many callers share the bandwidth of an entry.
 const bodyIdleTimeout = 10 * time.Second
 
-// defaultMaxBody is the most that a body may have where the configuration says
-// nothing, and initialBodyBuffer what is taken for one before its bytes are there, in bytes.
+// defaultMaxBody is the size limit of a body where the configuration has none, and initialBodyBuffer the
+// capacity allocated before any byte arrives, in bytes.
 const (
 	defaultMaxBody    = 4 << 20
 	initialBodyBuffer = 4 << 10
 )
 
-// Reasons to read no more of a body.
+// Reasons to stop reading a body. Their texts are sent to callers.
 var (
 	errBodyTooLong = errors.New("the body is too long")
 	errTooMuchHeld = errors.New("too much is held")
 )
 
-// readBody reads the request's body whole: only a whole request may leave for an
-// endpoint. It answers by itself what is too long or does not come.
+// readBody reads the complete body, as only complete requests are sent to endpoints. It responds itself if
+// the body is too long or does not arrive.
 func (c *call) readBody() bool {
 	limit := c.table.Limits.BodyBytes
 	if limit <= 0 {
@@ -64,7 +64,7 @@
 	return false
 }
 
-// receiveBody keeps a body's bytes. They count as held from their coming.
+// receiveBody reads the body into c.body. Its bytes count as held as soon as they arrive.
 func (c *call) receiveBody(body io.Reader, limit int64) error {
 	c.body = make([]byte, 0, initialBodyBuffer)
 	for {
@@ -87,7 +87,7 @@
 	}
 }
 
-// releaseBody forgets the body when it is not needed any more.
+// releaseBody releases the body and its share of the held bytes.
 func (c *call) releaseBody() {
 	c.gateway.bodyBytes.Add(-int64(len(c.body)))
 	c.body = nil
--- a/gateway/caller.go
+++ b/gateway/caller.go
@@ -7,16 +7,15 @@
 	"time"
 )
 
-// callerWriteTimeout is how long a caller may take no byte of its answer. How long the whole may
-// take is not bounded by it.
+// callerWriteTimeout is how long a caller may accept no byte of its response. The duration of the whole
+// response is not limited by it.
 const callerWriteTimeout = 10 * time.Second
 
-// callerWriteChunk is how many bytes are written within one time of silence: a caller that takes
-// fewer is as one that takes none.
+// callerWriteChunk is the number of bytes that a caller must accept within one write timeout.
 const callerWriteChunk = 16 << 10
 
-// callerWriter writes to a caller as long as it takes what is written: what a request holds,
-// its endpoint's place too, is free again when its caller has stalled.
+// callerWriter writes to a caller under a write timeout for each chunk, so that a stalled caller does not
+// keep the request's resources and its endpoint's capacity.
 type callerWriter struct {
 	http.ResponseWriter
 	control *http.ResponseController
@@ -30,8 +29,8 @@
 // Unwrap lets http.ResponseController reach the connection.
 func (w *callerWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// extendDeadline gives what is written from now on its time. A connection that can't have a deadline
-// is bounded by the caller's.
+// extendDeadline restarts the write timeout. A connection without support for deadlines is limited by the
+// request's deadline only.
 func (w *callerWriter) extendDeadline() { _ = w.control.SetWriteDeadline(time.Now().Add(w.timeout)) }
 
 // Write implements io.Writer.
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,17 +1,15 @@
 // SPDX-License-Identifier: MIT
 
-// Package gateway carries callers' requests to endpoints that it speaks to
-// directly, without a slot beside them.
+// Package gateway is the HTTP entry of a fleet: it accepts callers' requests and forwards them to
+// endpoints directly, without a slot process next to the endpoint.
 //
-// OwnerClient is the entry's side of the decisions, a reducer: it has the configuration
-// and the endpoints as the owner last told, asks the owner for a grant for each request,
-// and decides by itself, on what it was lent of quotas and retry budgets, while no owner
-// is in reach. Agent runs it and its connections. Gateway is the HTTP side: it holds a request from its arrival to its
-// last byte.
+// Gateway is the HTTP side and owns a request from its arrival to its last byte. OwnerClient asks the
+// owner for a grant for each request. It is a state machine without I/O that keeps the configuration and
+// the endpoints as the owner last sent them. Without a reachable owner it is degraded: it schedules by
+// itself, within its leases of quotas and retry budgets. Agent runs the OwnerClient and its connections.
 //
-// A request that may not be repeated is sent once. Only an endpoint's own word
-// that it did not run it, or that not a byte of it left, lets it be sent again.
-// An answer is passed on only if it is whole, in the protocol and the answer of
-// this very request; a stream is passed on in whole events, so that it can be
-// taken up at another endpoint.
+// A request that is not repeatable is sent once. It is sent again only if no byte of it was sent or if the
+// endpoint states that it did not run it. A response is forwarded only if it is complete, valid HTTP and
+// carries the ID of this request. A stream is forwarded in complete events, so that it can be resumed at
+// another endpoint.
 package gateway
--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -16,22 +16,22 @@
 	"lynxramp.org/poison"
 )
 
-// This file is how an entry tells what ended under requests: whoever owns the pools must know,
-// whatever becomes of the connection or of the owner meanwhile.
+// This file reports endpoints that terminated while they ran requests. The owner must learn of them even
+// if the connection or the owner changes.
 
 const (
-	// maxUnsavedEnds bounds the ends that are kept until they are in the log: 18 kB in one message.
+	// maxUnsavedEnds limits the ends kept until the owner's log has them: 18 kB in one message.
 	maxUnsavedEnds = 120
-	// maxSuccesses bounds the requests that ended well without an owner, of which the next one is
-	// told: 9 kB.
+	// maxSuccesses limits the requests kept that succeeded without an owner, for a report to the next
+	// one: 9 kB.
 	maxSuccesses = 512
 )
 
-// errCallerWrite says that an answer could not be passed on.
-var errCallerWrite = errors.New("the caller does not take its answer")
+// errCallerWrite marks an error of writing the response to the caller.
+var errCallerWrite = errors.New("cannot write the response to the caller")
 
-// endsConnection reports whether an error says that the other side of a connection ended it, or
-// is silent for good: its process may have ended.
+// endsConnection reports whether an error says that the peer closed the connection or became unreachable:
+// its process may have terminated.
 func endsConnection(err error) bool {
 	if errors.Is(err, errCallerWrite) {
 		return false
@@ -46,13 +46,13 @@
 	return false
 }
 
-// unsavedEnd is an end and when it came to be known.
+// unsavedEnd is an end and the time at which it was observed.
 type unsavedEnd struct {
 	end poison.End
 	at  event.Time
 }
 
-// Ended says that an endpoint ended under a run of a request.
+// RecordEnd records that an endpoint terminated while it ran a request.
 func (a *OwnerClient) Ended(now event.Time, e poison.End) {
 	a.recordEnd(now, e)
 	a.deliverDecisions(now)
@@ -62,7 +62,7 @@
 	a.lastEndNumber++
 	e.Number = a.lastEndNumber
 	if len(a.unsavedEnds) >= maxUnsavedEnds {
-		a.log.Warn("an end is not told", zap.Stringer("print", a.unsavedEnds[0].end.Print), zap.String("endpoint", string(a.unsavedEnds[0].end.Endpoint)))
+		a.log.Warn("too many unsaved endpoint terminations, dropping the oldest", zap.Stringer("print", a.unsavedEnds[0].end.Print), zap.String("endpoint", string(a.unsavedEnds[0].end.Endpoint)))
 		a.unsavedEnds = a.unsavedEnds[1:]
 	}
 	a.unsavedEnds = append(a.unsavedEnds, unsavedEnd{e, now})
@@ -74,8 +74,8 @@
 	}
 }
 
-// recordSuccess takes note that a run ended well of which no owner is told. The next owner may know
-// that endpoints ended under the request, and nothing that speaks for it.
+// recordSuccess records a successful run of a request without an owner. The next owner may know of ends
+// during this request, and needs the successes to judge it.
 func (a *OwnerClient) recordSuccess(f *message.Finish) {
 	if f.Ran != message.RanWell || f.Print == "" || len(a.succeeded) >= maxSuccesses {
 		return
@@ -86,7 +86,7 @@
 	a.succeeded[f.Print] = true
 }
 
-// reportEnds tells a new owner all that the log may not have.
+// reportEnds reports to a new owner all ends that the log may lack and all successes.
 func (a *OwnerClient) reportEnds(now event.Time) {
 	a.batch.Well = slices.Sorted(maps.Keys(a.succeeded))
 	a.succeeded = nil
@@ -97,14 +97,14 @@
 	}
 }
 
-// dropSavedEnds takes an owner's word that the log has the ends up to a number.
+// dropSavedEnds drops the ends that the owner's log has, up to a number.
 func (a *OwnerClient) dropSavedEnds(number uint64) {
 	for len(a.unsavedEnds) > 0 && a.unsavedEnds[0].end.Number <= number {
 		a.unsavedEnds = a.unsavedEnds[1:]
 	}
 }
 
-// logSuspicions writes what came to be believed of requests without an owner.
+// logSuspicions logs the changes in what is known of requests that terminate endpoints, while degraded.
 func (a *OwnerClient) logSuspicions() {
 	for _, c := range a.degradedPoison.TakeChanges() {
 		a.log.Info("request under which endpoints ended", zap.Stringer("what", c.What), zap.Stringer("print", c.Print),
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -10,13 +10,13 @@
 	"github.com/pkg/errors"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes limits the size of one event of a stream.
 const maxEventBytes = 256 << 10
 
-// errBrokenEvent says that a stream ended inside an event.
-var errBrokenEvent = errors.New("the stream ended inside an event")
+// errBrokenEvent is returned if a stream ends in the middle of an event.
+var errBrokenEvent = errors.New("stream ended in the middle of an event")
 
-// eventReader reads a stream's events, each whole.
+// eventReader reads the events of a stream one by one.
 type eventReader struct {
 	reader *bufio.Reader
 	buffer []byte
@@ -26,12 +26,11 @@
 	return &eventReader{reader: bufio.NewReaderSize(r, readBufferSize)}
 }
 
-// next returns the next event with the blank line that ends it, and its id; the id
-// is empty if it has none. The bytes are good until the next call. At the
-// stream's end it returns io.EOF.
+// next returns the next event, including its final blank line, and its ID, or "" if it has none. The bytes
+// are valid until the next call. At the end of the stream it returns io.EOF.
 func (e *eventReader) next() (event []byte, id string, err error) {
 	e.buffer = e.buffer[:0]
-	inLine := false // the line began in an earlier part
+	inLine := false // the current line continues an earlier slice
 	for {
 		line, err := e.reader.ReadSlice('\n')
 		part := err == bufio.ErrBufferFull
@@ -45,7 +44,7 @@
 		case err != nil:
 			return nil, "", err
 		case len(e.buffer) > maxEventBytes:
-			return nil, "", errors.New("an event is too long")
+			return nil, "", errors.New("stream event is too long")
 		}
 		if !inLine && isBlank(line) && len(e.buffer) > len(line) {
 			return e.buffer, idOf(e.buffer), nil
@@ -58,7 +57,7 @@
 	return len(line) > 0 && line[len(line)-1] == '\n' && len(bytes.TrimRight(line, "\r\n")) == 0
 }
 
-// idOf returns the id line's value in an event.
+// idOf returns the value of the event's id line.
 func idOf(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/gateway/fresh.go
+++ b/gateway/fresh.go
@@ -8,18 +8,18 @@
 	"lynxramp.org/event"
 )
 
-// This file is how long an entry may serve by its configuration: for Fresh from when an owner last said
-// that no newer one was in force. The word counts also when the configuration comes in force after
-// it: an operator whose changes follow each other faster than each is decoded, fetched and read would
-// else have all entries refuse from Fresh on, as each word is of a version that they don't have yet.
+// This file computes how long an entry may use its configuration: for ConfigValidity after it asked an owner
+// that then confirmed the version as the newest. A confirmation counts even if its version is put in force
+// only later. Otherwise all entries would refuse requests when an operator changes the configuration faster
+// than an entry fetches it, as each confirmation would name a version that they don't have yet.
 
-// versionConfirmation is an owner's word that a version was the newest one.
+// versionConfirmation is an owner's confirmation that a version was the newest.
 type versionConfirmation struct {
 	version uint64
-	asked   event.Time // when the entry asked for it: the version was the newest at some time since
+	asked   event.Time // when the entry sent the ping; the version was the newest at some time after
 }
 
-// confirmVersion takes an owner's word that a version was the newest one.
+// confirmVersion records an owner's confirmation that a version was the newest.
 func (a *OwnerClient) confirmVersion(now event.Time, w versionConfirmation) {
 	a.confirmations = slices.DeleteFunc(a.confirmations, func(old versionConfirmation) bool {
 		return old.version == w.version || now.Sub(old.asked) >= a.config.Fresh
@@ -28,8 +28,8 @@
 	a.extendValidity()
 }
 
-// extendValidity takes how long the configuration that is in force may be used. A version at least as high as
-// the one that was the newest has all that was acknowledged before the entry asked.
+// extendValidity extends the validity of the configuration in force. A version not lower than the confirmed
+// one includes everything that was acknowledged before the entry asked.
 func (a *OwnerClient) extendValidity() {
 	t := a.table.Load()
 	if t == nil {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -21,40 +21,39 @@
 	"lynxramp.org/routing"
 )
 
-// Bounds of what an entry holds.
+// Limits on what an entry holds.
 const (
-	maxInFlight = 2000 // requests, where descriptors do not bound them first
-	// descriptorsPerRequest is what a request takes of descriptors: its caller's connection
-	// and its endpoint's. spareDescriptors are for all else.
+	maxInFlight = 2000 // requests, if file descriptors don't impose a lower limit
+	// descriptorsPerRequest counts the caller's connection and the endpoint's;
+	// reservedDescriptors are for everything else.
 	descriptorsPerRequest = 2
 	reservedDescriptors   = 400
-	// retryAfterNoConfig is what a caller is told who comes while the entry knows no
-	// configuration.
+	// retryAfterNoConfig is the Retry-After while the entry has no valid configuration.
 	retryAfterNoConfig = 1500 * event.Millisecond
 	retryAfterFull     = event.Second
-	// retryAfterDraining is what a caller is told whom another entry can serve at once.
+	// retryAfterDraining is the Retry-After if another entry can serve the request at once.
 	retryAfterDraining = 50 * event.Millisecond
 	sweepInterval      = time.Second
 )
 
-// Config is what a Gateway needs.
+// Config configures a Gateway.
 type Config struct {
 	Agent *Agent
 	Names Names
-	// Word reads what an endpoint asks for in an answer; its error names what can't be read. Without it none
-	// asks for anything.
+	// ParseFeedback reads the feedback in an endpoint's response; its error names the header that
+	// cannot be parsed. If it is nil, responses carry no feedback.
 	Word func(status int, h http.Header) (backpressure.Word, error)
-	// HeldBytes bounds the request bodies that are held at once.
+	// MaxHeldBytes limits the total size of the request bodies held at once.
 	HeldBytes int64
-	// Descriptors is how many the process may have; 0 does not bound what is held.
+	// Descriptors is the process's limit of file descriptors; 0 sets no limit from them.
 	Descriptors int
 	Log         *zap.Logger
 	Entry       event.BoxID
-	DataCentre  string // where the entry is; empty if it does not matter
+	DataCentre  string // of the entry; empty if data centres don't matter
 	Life        uint64
 }
 
-// Gateway serves callers. It is an http.Handler.
+// Gateway accepts callers' requests. It is an http.Handler.
 type Gateway struct {
 	config        Config
 	agent         *Agent
@@ -63,21 +62,21 @@
 	maxTimeouts   *maxTimeouts
 	inFlightLimit int64        // requests
 	inFlight      atomic.Int64 // requests
-	streams       atomic.Int64 // of these
-	bodyBytes     atomic.Int64 // of their bodies
-	// bodyIdleTimeout is how long no byte of a body may come.
+	streams       atomic.Int64 // requests in flight whose route is a stream
+	bodyBytes     atomic.Int64 // of request bodies held
+	// bodyIdleTimeout is the longest pause in receiving a request body.
 	bodyIdleTimeout time.Duration
-	// callerWriteTimeout is how long a caller may take no byte of its answer.
+	// callerWriteTimeout is the longest time in which a caller may accept no byte of its response.
 	callerWriteTimeout time.Duration
 	requestCount       atomic.Uint64
 	draining           atomic.Bool
-	refusesStreams     atomic.Bool // streams are not taken any more
+	refusesStreams     atomic.Bool // new streams are refused
 	meters             meters
 
 	failedBudget, briefBudget, sampledBudget, feedbackBudget *logx.Budget
 }
 
-// New returns a gateway; Run keeps it tidy.
+// New returns a gateway. Run closes its idle connections and logs what was suppressed.
 func New(c Config) *Gateway {
 	g := &Gateway{config: c, agent: c.Agent, log: c.Log, upstream: newUpstream(), maxTimeouts: newMaxTimeouts(), inFlightLimit: inFlightLimit(c.Descriptors), bodyIdleTimeout: bodyIdleTimeout, callerWriteTimeout: callerWriteTimeout}
 	g.upstream.maxConnections = MayConnect(c.Descriptors)
@@ -87,7 +86,7 @@
 	return g
 }
 
-// inFlightLimit returns how many requests may be held with so many descriptors.
+// inFlightLimit returns the limit of requests in flight for a number of file descriptors.
 func inFlightLimit(descriptors int) int64 {
 	if descriptors == 0 {
 		return maxInFlight
@@ -95,8 +94,8 @@
 	return int64(min(maxInFlight, MayConnect(descriptors)))
 }
 
-// MayConnect returns how many connections callers may have to a process with so many
-// descriptors, and as many more it may have to endpoints; 0 is without a bound.
+// MaxConnections returns how many connections from callers a process with a number of file
+// descriptors may have, which is also the limit of its connections to endpoints; 0 is no limit.
 func MayConnect(descriptors int) int {
 	if descriptors == 0 {
 		return 0
@@ -104,7 +103,7 @@
 	return max(1, (descriptors-reservedDescriptors)/descriptorsPerRequest)
 }
 
-// Run drops connections that are not used until ctx ends.
+// Run closes unused connections periodically until ctx ends.
 func (g *Gateway) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -120,10 +119,10 @@
 	}
 }
 
-// Ready reports whether new callers may come.
+// Ready reports whether the gateway accepts new callers.
 func (g *Gateway) Ready() bool { return !g.draining.Load() && g.agent.Table() != nil }
 
-// IdleTimeout returns how long a caller's connection may rest; 0 is without a limit.
+// IdleTimeout returns how long a caller's connection may be idle; 0 is no limit.
 func (g *Gateway) IdleTimeout() time.Duration {
 	if t := g.agent.LastTable(); t != nil {
 		return t.Limits.IdleTimeout
@@ -131,13 +130,13 @@
 	return 0
 }
 
-// Stop says that the process will end: Ready is false from now on.
+// StartDraining makes Ready false and has callers' connections closed after their responses.
 func (g *Gateway) Stop() { g.draining.Store(true) }
 
-// RefuseStreams says that the process will end sooner than a stream may.
+// RefuseStreams refuses new streams, as the process will end before they could.
 func (g *Gateway) RefuseStreams() { g.refusesStreams.Store(true) }
 
-// Held returns how many requests are under way, and how many of them are streams.
+// InFlight returns the number of requests in flight, and how many of them are streams.
 func (g *Gateway) Held() (all, streams int) { return int(g.inFlight.Load()), int(g.streams.Load()) }
 
 // call is one request from its arrival to its last byte.
@@ -149,26 +148,26 @@
 	route           *routing.Route
 	team            *routing.Team
 	service         string
-	id              event.RequestID // ours
+	id              event.RequestID // assigned by this entry
 	callerID        string
 	body            []byte
-	fingerprint     poison.Print // tells that two calls are of the same request
-	promptTokens    int          // tokens
-	maxOutputTokens int          // tokens that may be generated at the most
+	fingerprint     poison.Print // equal for two sends of the same request
+	promptTokens    int
+	maxOutputTokens int // upper bound of the tokens to generate
 	arrived         time.Time
-	arrivedClock    event.Time    // arrived, by the agent's clock
-	timeout         time.Duration // how long it may take in all
-	attempts        int           // endpoints that the request was sent to
+	arrivedClock    event.Time    // arrival by the agent's clock
+	timeout         time.Duration // total time allowed
+	attempts        int           // how often it was sent to an endpoint
 	tried           []event.EndpointID
-	wasGranted      bool // it was granted an endpoint before
-	wasRefused      bool // its caller was refused before
-	// mayHaveRun is set once an endpoint had the request and did not say that it has
-	// not run it.
+	wasGranted      bool // an endpoint was granted before
+	wasRefused      bool // the caller was refused before and has retried
+	// mayHaveRun is set once an endpoint received the request and did not state that it did not
+	// run it.
 	mayHaveRun bool
-	cooldown   event.Span // when some endpoint takes its requests again, as last told; 0 for now
+	cooldown   event.Span // remaining time as last received, when all endpoints are in cooldown; 0 if none
 	record     requestRecord
 
-	// Of a stream that has headSent:
+	// Once the head of a response was sent:
 	headSent    bool
 	lastEventID string
 	eventsSent  int
@@ -185,7 +184,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	caller := newCallerWriter(w, g.callerWriteTimeout)
-	defer caller.extendDeadline() // for what the server writes after the handler
+	defer caller.extendDeadline() // covers what net/http writes after the handler returns
 	c := &call{gateway: g, w: caller, r: r, arrived: time.Now(), arrivedClock: g.agent.clock.Now(), callerID: r.Header.Get(g.config.Names.RequestID)}
 	c.id = event.RequestID(fmt.Sprintf("%s-%x-%x", g.config.Entry, g.config.Life&0xffff, g.requestCount.Add(1)))
 	c.removeReservedHeaders()
@@ -205,13 +204,13 @@
 	c.run()
 }
 
-// age returns how long ago the request arrived, and left how long it may still take. Both count the time
-// for which the computer was suspended, which a deadline by package time would not: endpoints would be given
+// age returns the time since the request arrived, remaining the time until its deadline. Both include
+// time in which the machine was suspended. Deadlines of package time don't, and would give endpoints
 // more time than the caller waits.
 func (c *call) age() time.Duration       { return c.gateway.agent.clock.Now().Sub(c.arrivedClock) }
 func (c *call) remaining() time.Duration { return c.timeout - c.age() }
 
-// checkDeadline returns why the call must not go on; nil if it may.
+// checkDeadline returns an error if the caller left or the deadline has passed.
 func (c *call) checkDeadline(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -222,8 +221,8 @@
 	return nil
 }
 
-// removeReservedHeaders takes off what the system alone may tell endpoints, so that nothing that
-// copies the request's headers can pass it on. It counts names, never values.
+// removeReservedHeaders deletes the headers that only the system may send to endpoints, so that no copy
+// of the request's headers forwards them. It counts them by name and records no values.
 func (c *call) removeReservedHeaders() {
 	for _, name := range c.gateway.config.Names.Reserved {
 		if _, ok := c.r.Header[http.CanonicalHeaderKey(name)]; ok {
@@ -233,7 +232,7 @@
 	}
 }
 
-// admit finds what the request is and reads it whole. It answers by itself what
+// admit matches the request to a route and a team and reads its body. It responds itself if the request
 // cannot be served.
 func (c *call) admit() bool {
 	g := c.gateway
@@ -266,7 +265,7 @@
 	return true
 }
 
-// teamName returns the name of the request's team; empty without one.
+// teamName returns the name of the request's team, or "" if it has none.
 func (c *call) teamName() string {
 	if c.team == nil {
 		return ""
@@ -274,7 +273,7 @@
 	return c.team.Name
 }
 
-// version returns the version of the configuration that the request is judged by.
+// version returns the version of the configuration used for the request.
 func (c *call) version() uint64 {
 	if c.table == nil {
 		return 0
@@ -282,7 +281,7 @@
 	return c.table.Version
 }
 
-// authenticate finds the team that holds the request's key. Public routes need none.
+// authenticate finds the team that owns the request's key. Public routes need no key.
 func (c *call) authenticate() bool {
 	if c.route.Public || len(c.table.Teams) == 0 {
 		return true
@@ -295,9 +294,8 @@
 	return c.team != nil
 }
 
-// isStillAllowed reports whether the configuration that is now known to be in force
-// lets the request go to an endpoint: its key may have been taken away while it
-// waited, and its route may be gone.
+// isStillAllowed reports whether the current configuration still lets the request go to an endpoint: its
+// key may have been revoked or its route removed while it waited.
 func (c *call) isStillAllowed() bool {
 	table := c.gateway.agent.Table()
 	if table == nil {
@@ -325,8 +323,8 @@
 	return false
 }
 
-// respondError answers with a status of our own. A stream that has begun has its status:
-// it is cut off instead, so that it does not look whole.
+// respondError responds with a status of the entry's own. If the head of a response was sent, it aborts
+// the connection instead, so that the response does not look complete.
 func (c *call) respondError(status int, retryAfter event.Span, why string) {
 	if c.headSent {
 		c.abortResponse(why, nil)
@@ -346,5 +344,5 @@
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(why)+1))
 	w.WriteHeader(status)
-	_, _ = w.Write([]byte(why + "\n")) // a caller that is gone needs no answer
+	_, _ = w.Write([]byte(why + "\n")) // the caller may have disconnected
 }
--- a/gateway/longest.go
+++ b/gateway/longest.go
@@ -8,22 +8,21 @@
 )
 
 const (
-	// maxTimeoutWindow is how long a route's longest time counts, at least.
+	// maxTimeoutWindow is the least time for which a route's maximum counts.
 	maxTimeoutWindow = 10 * time.Second
-	// retryFraction is the part of its route's longest time that a request has left at
-	// most when its caller was refused before.
+	// retryFraction bounds the timeout of a request whose caller was refused before, as a fraction of
+	// its route's maximum: a retry has only the time left of the first call.
 	retryFraction = 0.98
 )
 
-// maxTimeouts knows, for each route, the most time that callers lately gave a request.
-// Who has less left has asked before. It is safe for concurrent use.
+// maxTimeouts tracks, for each route, the longest timeout that callers recently gave a request. A request
+// with a shorter one is taken for a retry. It is safe for concurrent use.
 type maxTimeouts struct {
 	mu     sync.Mutex
 	routes map[string]*routeMax
 }
 
-// routeMax is the most time left in the span that began at since, and in the one
-// before.
+// routeMax has the longest timeout in the window that started at since, and in the one before.
 type routeMax struct {
 	current, previous time.Duration
 	since             time.Time
@@ -31,8 +30,7 @@
 
 func newMaxTimeouts() *maxTimeouts { return &maxTimeouts{routes: make(map[string]*routeMax)} }
 
-// observe takes note of a request that has so much time left, and reports whether
-// others of its route lately had more.
+// observe records a request's timeout and reports whether it is below the recent maximum of its route.
 func (l *maxTimeouts) observe(at time.Time, route string, left time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,7 +46,7 @@
 	return float64(left) < retryFraction*float64(max(t.current, t.previous))
 }
 
-// sweep forgets the routes that nobody asked for in the last two spans.
+// sweep removes the routes without a request in the last two windows.
 func (l *maxTimeouts) sweep(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/meters.go
+++ b/gateway/meters.go
@@ -11,7 +11,7 @@
 	"lynxramp.org/backpressure"
 )
 
-// meters are the gateway's figures; docs/METRICS.md lists them.
+// meters are the gateway's metrics; docs/METRICS.md lists them.
 type meters struct{ set *metrics.Set }
 
 func newMeters(g *Gateway) meters {
@@ -48,27 +48,27 @@
 	return 0
 }
 
-// countResponse counts a request's end by its status; 0 is an end without one.
+// countResponse counts a finished request by its status; 0 if it was aborted.
 func (m *meters) countResponse(status int, rank string) {
 	m.set.GetOrCreateCounter(`lynxramp_gateway_requests_total{status="` + strconv.Itoa(status) + `",rank="` + rank + `"}`).Inc()
 }
 
-// observeFirstByte takes the time to an answer's beginning.
+// observeFirstByte records the time from since to the first byte of a response.
 func (m *meters) observeFirstByte(since time.Time, rank string) {
 	m.set.GetOrCreateHistogram(`lynxramp_gateway_first_byte_seconds{rank="` + rank + `"}`).UpdateDuration(since)
 }
 
-// reservedHeaders counts the requests that carried a header of the system's own.
+// reservedHeaders counts the requests that carried a reserved header.
 func (m *meters) reservedHeaders(name string) *metrics.Counter {
 	return m.set.GetOrCreateCounter(`lynxramp_gateway_reserved_headers_total{header="` + name + `"}`)
 }
 
-// countAttempt counts an attempt at an endpoint by how it ended.
+// countAttempt counts an attempt at an endpoint by its outcome.
 func (m *meters) countAttempt(o outcome) {
 	m.set.GetOrCreateCounter(`lynxramp_gateway_attempts_total{outcome="` + o.String() + `"}`).Inc()
 }
 
-// The things that endpoints ask for, as figures have them.
+// Kinds of feedback, as used in metric labels.
 const (
 	feedbackLimit    = "limit"
 	feedbackCooldown = "rest"
@@ -76,17 +76,17 @@
 	feedbackInvalid  = "unread"
 )
 
-// feedback counts the answers in which an endpoint feedback for a thing.
+// feedback counts the responses with a kind of feedback.
 func (m *meters) feedback(word string) *metrics.Counter {
 	return m.set.GetOrCreateCounter(`lynxramp_gateway_endpoint_words_total{word="` + word + `"}`)
 }
 
-// stoppedGrants counts the grants that were not used.
+// stoppedGrants counts the grants that were not used because of feedback.
 func (m *meters) stoppedGrants(why backpressure.Stopped) *metrics.Counter {
 	return m.set.GetOrCreateCounter(`lynxramp_gateway_stopped_grants_total{by="` + why.String() + `"}`)
 }
 
-// observeDecision takes how long a request waited for its decision, and who observeDecision.
+// observeDecision records how long a request waited for its decision, and who decided.
 func (m *meters) observeDecision(since time.Time, alone bool) {
 	by := "owner"
 	if alone {
--- a/gateway/names.go
+++ b/gateway/names.go
@@ -2,28 +2,28 @@
 
 package gateway
 
-// Names are the header names of a deployment.
+// HeaderNames are the names of HTTP headers in a deployment.
 type Names struct {
 	RequestID string
-	// Deadline is how many milliseconds the caller will wait.
+	// Deadline is the caller's timeout in milliseconds.
 	Deadline string
-	// Tokens has the tokens of the prompt and the most that are generated, with a
-	// comma between; Hint guesses those that will be generated.
+	// Tokens has the prompt tokens and the maximum of generated tokens, separated by a comma;
+	// OutputHint estimates the tokens that will be generated.
 	Tokens string
 	Hint   string
-	// Expect names the endpoint that alone may run a request.
+	// ExpectedEndpoint names the only endpoint that may run a request.
 	Expect string
-	// Team carries the name of the key's team to endpoints.
+	// Team sends the name of the key's team to endpoints.
 	Team string
-	// NotRun on an answer says that the endpoint has not run the request.
+	// NotRun in a response states that the endpoint did not run the request.
 	NotRun string
-	// Signature is on endpoints' own answers.
+	// Signature is set by endpoints in their own responses.
 	Signature string
-	// LastEvent is the last event of a stream that its reader has.
+	// LastEventID is the ID of the last stream event that the reader received.
 	LastEvent string
-	// Reserved are the headers with which the system itself steers endpoints. What a
-	// caller sends under them never passes an entry.
+	// Reserved are the headers that only the system may send to endpoints. They are removed from
+	// callers' requests.
 	Reserved []string
-	// KeyScheme stands before a key in the Authorization header.
+	// KeyScheme precedes the key in the Authorization header.
 	KeyScheme string
 }
--- a/gateway/owner_asked.go
+++ b/gateway/owner_asked.go
@@ -8,15 +8,15 @@
 	"lynxramp.org/level"
 )
 
-// This file is the agent's side of what endpoints ask for: what owners are told of it and tell.
+// This file exchanges the feedback of endpoints with owners.
 
-// maxReportedFeedback bounds what a new owner is told at once: 16 kB.
+// maxReportedFeedback limits the reports sent to a new owner at once: 16 kB.
 const maxReportedFeedback = 400
 
-// gateSweepInterval is how often what is known of endpoints that are gone is looked for.
+// gateSweepInterval is the interval at which the feedback of removed endpoints is dropped.
 const gateSweepInterval = 5 * event.Second
 
-// permit returns what a grant rests on.
+// permit returns what a grant allows where the endpoint limits its rate.
 func (a *OwnerClient) permit(g *event.Granted, alone bool) backpressure.Permit {
 	switch {
 	case g.Paced:
@@ -28,16 +28,15 @@
 	}
 }
 
-// Gate returns what stands before every request that the entry sends. Any goroutine may use it.
+// Gate returns the gate that checks each request before it is sent. It is safe for concurrent use.
 func (a *OwnerClient) Gate() *backpressure.Gate { return &a.gate }
 
-// Heard takes what an endpoint asked for in an answer, or what a grant's owner did not know.
+// ObserveFeedback records feedback from a response, or feedback that a grant's owner did not know.
 func (a *OwnerClient) Heard(now event.Time, h backpressure.Heard) {
 	a.observeFeedback(now, h)
 	a.deliverDecisions(now)
 }
 
-// observeFeedback takes what an endpoint asked for in an answer, or what a grant's owner did not know.
 func (a *OwnerClient) observeFeedback(now event.Time, h backpressure.Heard) {
 	if a.hasOwner && a.ownerLevel >= level.Asked {
 		a.batch.Heard = append(a.batch.Heard, h)
@@ -47,21 +46,21 @@
 	}
 }
 
-// reportFeedback tells a new owner what was heard lately.
+// reportFeedback reports recently received feedback to a new owner.
 func (a *OwnerClient) reportFeedback(now event.Time) {
 	if a.ownerLevel >= level.Asked {
 		a.batch.Heard = a.gate.Own(now, maxReportedFeedback)
 	}
 }
 
-// applyFeedbackStates takes what an owner believes that endpoints ask for.
+// applyFeedbackStates applies the owner's state of the endpoints' feedback.
 func (a *OwnerClient) applyFeedbackStates(now event.Time, list []backpressure.State) {
 	for _, s := range list {
 		a.gate.Learn(now, s)
 	}
 }
 
-// sweepGate forgets what endpoints asked for that are gone.
+// sweepGate drops the feedback of removed endpoints.
 func (a *OwnerClient) sweepGate(now event.Time) {
 	if now < a.nextGateSweep {
 		return
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -21,37 +21,36 @@
 	"lynxramp.org/routing"
 )
 
-// maxUnsentAttempts is how often a request goes to yet another endpoint because one
-// could not be reached at all.
+// maxUnsentAttempts limits the endpoints tried for a request of which no byte was sent.
 const maxUnsentAttempts = 4
 
-// errCallerLeft says that the caller does not take its answer any more.
-var errCallerLeft = errors.New("the caller left")
+// errCallerLeft is returned when the caller no longer accepts its response.
+var errCallerLeft = errors.New("caller disconnected")
 
-// retryAfterNotRun is what a caller is told whose request no endpoint ran.
+// retryAfterNotRun is the Retry-After for a request that no endpoint ran.
 const retryAfterNotRun = 300 * event.Millisecond
 
-// outcome is how one attempt ended.
+// outcome is the result of one attempt.
 type outcome uint8
 
 const (
-	// outcomeDone: the caller has its answer, or is gone.
+	// outcomeDone: the caller received its response or disconnected.
 	outcomeDone outcome = iota
-	// outcomeStopped: the endpoint asked for less than whoever decided knew.
+	// outcomeStopped: the endpoint's feedback forbids a grant made without knowing it.
 	outcomeStopped
-	// outcomeNotSent: not a byte left for the endpoint.
+	// outcomeNotSent: no byte was sent to the endpoint.
 	outcomeNotSent
-	// outcomeNotRun: the endpoint says that it has not run the request.
+	// outcomeNotRun: the endpoint states that it did not run the request.
 	outcomeNotRun
-	// outcomeFailed: the endpoint's own failure, whole.
+	// outcomeFailed: the endpoint responded completely with a server error.
 	outcomeFailed
 	// outcomeUnknown: the request may have run.
 	outcomeUnknown
-	// outcomeCut: a stream that has begun was cut off.
+	// outcomeCut: the response broke off after its head was sent to the caller.
 	outcomeCut
 )
 
-// String returns the outcome as logs have it.
+// String returns the outcome as used in logs and metrics.
 func (o outcome) String() string {
 	switch o {
 	case outcomeDone:
@@ -71,27 +70,27 @@
 	}
 }
 
-// attempt is one try at one endpoint, with what came of it.
+// attempt is one attempt at one endpoint and its result.
 type attempt struct {
 	decision       Decision
 	outcome        outcome
 	err            error
-	notTried       bool          // nobody waited for it when its endpoint was found
-	sent           time.Time     // zero if not a byte left
+	notTried       bool          // the endpoint was not contacted
+	sent           time.Time     // zero if no byte was sent
 	previousSends  int           // how often the request had been sent before
-	firstByteAfter time.Duration // to the answer's beginning
-	tokenGap       time.Duration // usual time between tokens
+	firstByteAfter time.Duration // time to the first byte of the response
+	tokenGap       time.Duration // median time between tokens
 	tokens         int
-	failure        *response // of a failure
-	// isFramed says that the answer tells where it ends: of any other, the end of its endpoint
-	// looks like its own.
+	failure        *response // kept for the caller if outcomeFailed
+	// isFramed is set if the response's end is marked by its length or by chunks. Any other response ends
+	// with its connection, as if the endpoint had terminated.
 	isFramed bool
 }
 
-// wasSent reports whether the endpoint may have had the request.
+// wasSent reports whether the endpoint may have received the request.
 func (a *attempt) wasSent() bool { return a.outcome != outcomeStopped && a.outcome != outcomeNotSent }
 
-// runResult returns what the attempt told of its request.
+// runResult returns what the attempt shows of the request's effect on the endpoint.
 func (a *attempt) runResult() message.Ran {
 	switch {
 	case a.outcome == outcomeDone && a.err == nil && a.isFramed:
@@ -103,14 +102,14 @@
 	}
 }
 
-// response is an endpoint's whole answer.
+// response is an endpoint's complete response.
 type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// run finds endpoints for the request until it has its answer or is given up.
+// run asks for endpoints and tries them until the request has its response or is given up.
 func (c *call) run() {
 	ctx, cancel := context.WithTimeout(c.r.Context(), c.remaining())
 	defer cancel()
@@ -136,7 +135,7 @@
 			c.mayHaveRun = true
 		}
 		if a.outcome == outcomeStopped {
-			// Whoever decided knows better now, unless it is of a build that knows nothing of it.
+			// The decider now knows the feedback, unless its build does not support it.
 			if stopped++; stopped == 1 {
 				continue
 			}
@@ -165,7 +164,7 @@
 	}
 }
 
-// decide asks for an endpoint. It ends the call when there is none.
+// decide asks for an endpoint. It responds to the caller if none is granted.
 func (c *call) decide(ctx context.Context, repeat bool, last *attempt) (Decision, bool) {
 	m := c.ticket(repeat)
 	asked, clock := time.Now(), c.gateway.agent.clock
@@ -225,8 +224,8 @@
 	return http.StatusServiceUnavailable
 }
 
-// respondNotRun answers with a status that says that the request has not run. Where an
-// earlier attempt may have run, it says that its fate is not known instead.
+// respondNotRun responds with a status that says that the request did not run. If an earlier attempt may
+// have run it, the response says that its outcome is unknown instead.
 func (c *call) respondNotRun(status int, retryAfter event.Span, why string) {
 	if c.mayHaveRun {
 		c.respondError(http.StatusBadGateway, 0, "an earlier attempt's answer was lost, then: "+why)
@@ -235,8 +234,7 @@
 	c.respondError(status, retryAfter, why)
 }
 
-// mayRetry reports whether the request may go to another endpoint after an
-// attempt that was sent.
+// mayRetry reports whether the request may be sent to another endpoint after an attempt that was sent.
 func (c *call) mayRetry(a *attempt) bool {
 	if c.attempts >= c.route.MaxAttempts || c.remaining() < minRetryTime {
 		return false
@@ -244,10 +242,10 @@
 	return a.outcome == outcomeNotRun || c.route.Repeatable()
 }
 
-// minRetryTime is the least time that must be left for another attempt.
+// minRetryTime is the least remaining time for another attempt.
 const minRetryTime = 10 * time.Millisecond
 
-// giveUp ends the call with what its last attempt left. It returns true.
+// giveUp ends the call with the result of its last attempt. It returns true.
 func (c *call) giveUp(a *attempt) bool {
 	switch {
 	case c.headSent:
@@ -266,8 +264,8 @@
 	return true
 }
 
-// abortResponse ends a stream that can't be taken up: the connection is closed without the
-// end that would make the answer look whole.
+// abortResponse ends a response that cannot be resumed. It closes the connection without the marker that
+// would make the response look complete.
 func (c *call) abortResponse(why string, cause error) {
 	c.gateway.meters.countResponse(0, c.rankLabel())
 	c.record.failed = true
@@ -276,8 +274,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// abortCancelled takes note that the caller left. The connection ends without an answer: a handler that returned
-// without a word would have net/http answer 200, a success that no endpoint made.
+// abortCancelled ends the call of a caller that disconnected. It aborts the connection: if the handler just
+// returned, net/http would send a 200 that no endpoint made.
 func (c *call) abortCancelled() {
 	c.gateway.meters.countResponse(0, c.rankLabel())
 	c.record.failed = true
@@ -285,7 +283,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// returnGrant gives a grant back that the request does not use.
+// returnGrant returns a grant that the request does not use.
 func (c *call) returnGrant(d Decision) {
 	c.gateway.agent.Finish(message.Finish{
 		Finished: event.Finished{ID: c.id, Pool: c.service, Void: true, Unused: true, Failed: true},
@@ -293,7 +291,7 @@
 	})
 }
 
-// reportAttempt tells who decides how an attempt ended.
+// reportAttempt reports the result of an attempt to the decider.
 func (c *call) reportAttempt(a *attempt) {
 	failed := a.outcome != outcomeDone || a.err != nil
 	c.gateway.meters.countAttempt(a.outcome)
@@ -320,11 +318,11 @@
 	}
 }
 
-// try sends the request to an endpoint and passes its answer on.
+// try sends the request to an endpoint and forwards its response.
 func (c *call) try(ctx context.Context, d Decision) *attempt {
 	a := &attempt{decision: d, outcome: outcomeNotSent}
-	// The caller left, or its time ended, as the grant came: a request on a kept connection
-	// would race with its own cancelling, and its end would tell against the endpoint.
+	// If the caller left or the deadline passed while the grant arrived, sending on a kept connection would
+	// race with its cancellation, and the closed connection would count against the endpoint.
 	if err := c.checkDeadline(ctx); err != nil {
 		a.err, a.notTried = err, true
 		return a
@@ -340,7 +338,7 @@
 		return a
 	}
 	if why := c.checkGate(d); why != backpressure.StoppedNot {
-		_ = conn.Close() // it was opened while the word came
+		_ = conn.Close() // feedback arrived while the connection was opened
 		c.reportStopped(a, why)
 		return a
 	}
@@ -363,7 +361,7 @@
 	return a
 }
 
-// outgoing returns the request as the endpoint gets it.
+// outgoing returns the request as it is sent to the endpoint.
 func (c *call) outgoing(d Decision) *upstreamRequest {
 	names := &c.gateway.config.Names
 	h := c.r.Header.Clone()
@@ -385,13 +383,13 @@
 	}
 }
 
-// receive takes an endpoint's answer.
+// receive reads an endpoint's response.
 func (c *call) receive(x *exchange, a *attempt, began time.Time) {
 	names := &c.gateway.config.Names
 	r := x.response
 	word := c.receiveFeedback(a, r)
 	a.isFramed = r.ContentLength >= 0 || slices.Contains(r.TransferEncoding, "chunked")
-	// An endpoint that asks for rest has turned the request away.
+	// An endpoint that asks for a cooldown has rejected the request.
 	if r.StatusCode == http.StatusMisdirectedRequest || r.Header.Get(names.NotRun) != "" || word.Rest > 0 {
 		c.receiveNotRun(x, a)
 		return
@@ -400,7 +398,7 @@
 	switch {
 	case ok && r.Header.Get(names.Signature) == "":
 		a.outcome = outcomeUnknown
-		a.err = errors.New("a success without the endpoint's signature")
+		a.err = errors.New("success response lacks the endpoint's signature")
 		x.abort()
 	case ok && c.route.Kind == routing.KindStream:
 		c.receiveStream(x, a, began)
@@ -409,10 +407,10 @@
 	}
 }
 
-// receiveNotRun takes an endpoint's word that it has not run the request.
+// receiveNotRun reads a response that states that the endpoint did not run the request.
 func (c *call) receiveNotRun(x *exchange, a *attempt) {
 	a.outcome = outcomeNotRun
-	a.err = errors.Errorf("endpoint answered %d, not run", x.response.StatusCode)
+	a.err = errors.Errorf("endpoint responded with status %d without running the request", x.response.StatusCode)
 	if _, all, err := x.readAll(maxBufferedResponse); err == nil && all {
 		x.finish(c.gateway.upstream)
 		return
