--- a/gateway/agent.go
+++ b/gateway/agent.go
@@ -166,18 +166,18 @@
 		id <- a.lastLink
 		a.client.Dialed(now, a.lastLink, address)
 	}
-	one := <-id
+	linkID := <-id
 	var owner message.Peer
 	conn.SetForms(owner.Asking())
 	err = conn.Serve(func(m *message.Envelope) {
-		reads := owner.Reads()
+		peerLevel := owner.Reads()
 		a.input <- func(now event.Time) {
-			a.client.Reads(one, reads)
-			a.client.Received(now, one, m)
+			a.client.Reads(linkID, peerLevel)
+			a.client.Received(now, linkID, m)
 		}
 	})
 	a.input <- func(now event.Time) {
-		delete(a.links, one)
-		a.client.Lost(now, one, err)
+		delete(a.links, linkID)
+		a.client.Lost(now, linkID, err)
 	}
 }
--- a/gateway/asked.go
+++ b/gateway/asked.go
@@ -17,12 +17,12 @@
 
 // receiveFeedback records the feedback in a response. A misdirected response comes from another endpoint
 // than the one called, so its feedback is ignored.
-func (c *call) receiveFeedback(a *attempt, r *http.Response) (w backpressure.Word) {
+func (c *call) receiveFeedback(a *attempt, r *http.Response) (f backpressure.Word) {
 	g := c.gateway
 	if g.config.Word == nil || r.StatusCode == http.StatusMisdirectedRequest {
-		return w
+		return f
 	}
-	w, err := g.config.Word(r.StatusCode, r.Header)
+	f, err := g.config.Word(r.StatusCode, r.Header)
 	if err != nil {
 		g.meters.feedback(feedbackInvalid).Inc()
 		if g.feedbackBudget.Allow(time.Now(), 1) {
@@ -31,22 +31,22 @@
 		}
 	}
 	endpoint := a.decision.Endpoint
-	if !w.Asks() && !g.agent.client.gate.IsLimited(endpoint) {
-		return w
+	if !f.Asks() && !g.agent.client.gate.IsLimited(endpoint) {
+		return f
 	}
 	now := g.agent.clock.Now()
 	isKept := !a.decision.Alone && a.decision.Permit != backpressure.PermitBlind
-	isNew := g.agent.client.gate.Hear(now, now.Add(-time.Since(a.sent)), endpoint, w, isKept)
-	g.agent.ObserveFeedback(backpressure.Heard{Endpoint: endpoint, Request: c.id, Word: w})
-	g.countFeedback(w)
-	fields := append(feedbackFields(w), zap.String("endpoint", string(endpoint)), zap.Int("answered", r.StatusCode))
-	if w.Asks() {
+	isNew := g.agent.client.gate.Hear(now, now.Add(-time.Since(a.sent)), endpoint, f, isKept)
+	g.agent.ObserveFeedback(backpressure.Heard{Endpoint: endpoint, Request: c.id, Word: f})
+	g.countFeedback(f)
+	fields := append(feedbackFields(f), zap.String("endpoint", string(endpoint)), zap.Int("answered", r.StatusCode))
+	if f.Asks() {
 		c.addStep(stepFeedback, fields...)
 	}
 	if isNew && g.feedbackBudget.Allow(time.Now(), 1) {
 		g.log.With(zap.String("request", c.callerID)).Info(stepFeedback, fields...)
 	}
-	return w
+	return f
 }
 
 // checkGate returns why a grant must not be used: the endpoint's feedback forbids it and the grant was made
@@ -63,32 +63,32 @@
 func (c *call) reportStopped(a *attempt, why backpressure.Stopped) {
 	agent := c.gateway.agent
 	a.outcome, a.notTried = outcomeStopped, true
-	a.err = errors.Errorf("stopped by what the endpoint asks for: %s", why)
+	a.err = errors.Errorf("grant not used because of endpoint feedback: %s", why)
 	c.gateway.meters.stoppedGrants(why).Inc()
 	agent.ObserveFeedback(agent.client.gate.Belief(agent.clock.Now(), a.decision.Endpoint))
 }
 
-func (g *Gateway) countFeedback(w backpressure.Word) {
-	if w.Limited {
+func (g *Gateway) countFeedback(f backpressure.Word) {
+	if f.Limited {
 		g.meters.feedback(feedbackLimit).Inc()
 	}
-	if w.Rest > 0 {
+	if f.Rest > 0 {
 		g.meters.feedback(feedbackCooldown).Inc()
 	}
-	if w.Leaving {
+	if f.Leaving {
 		g.meters.feedback(feedbackDraining).Inc()
 	}
 }
 
-func feedbackFields(w backpressure.Word) []zap.Field {
+func feedbackFields(f backpressure.Word) []zap.Field {
 	var fields []zap.Field
-	if w.Limited {
-		fields = append(fields, zap.Float64("limit_per_s", w.Rate))
+	if f.Limited {
+		fields = append(fields, zap.Float64("limit_per_s", f.Rate))
 	}
-	if w.Rest > 0 {
-		fields = append(fields, zap.Duration("rest", w.Rest))
+	if f.Rest > 0 {
+		fields = append(fields, zap.Duration("rest", f.Rest))
 	}
-	if w.Leaving {
+	if f.Leaving {
 		fields = append(fields, zap.Bool("leaving", true))
 	}
 	return fields
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -82,7 +82,7 @@
 		case err == io.EOF:
 			return nil
 		case err != nil:
-			return errors.Wrap(err, "body")
+			return errors.Wrap(err, "read body")
 		}
 	}
 }
--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -36,10 +36,10 @@
 	if errors.Is(err, errCallerWrite) {
 		return false
 	}
-	for _, one := range []error{
+	for _, target := range []error{
 		io.EOF, io.ErrUnexpectedEOF, errBrokenEvent, syscall.ECONNRESET, syscall.ECONNABORTED, syscall.EPIPE, syscall.ETIMEDOUT,
 	} {
-		if errors.Is(err, one) {
+		if errors.Is(err, target) {
 			return true
 		}
 	}
@@ -90,9 +90,9 @@
 func (a *OwnerClient) reportEnds(now event.Time) {
 	a.batch.Well = slices.Sorted(maps.Keys(a.succeeded))
 	a.succeeded = nil
-	for _, one := range a.unsavedEnds {
-		e := one.end
-		e.Ago = now.Sub(one.at)
+	for _, u := range a.unsavedEnds {
+		e := u.end
+		e.Ago = now.Sub(u.at)
 		a.batch.Ends = append(a.batch.Ends, e)
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -164,7 +164,7 @@
 	// mayHaveRun is set once an endpoint received the request and did not state that it did not
 	// run it.
 	mayHaveRun bool
-	cooldown   event.Span // remaining time as last received, when all endpoints are in cooldown; 0 if none
+	cooldown   event.Span // Retry-After of a refusal because of cooldowns; 0 if none
 	record     requestRecord
 
 	// Once the head of a response was sent:
--- a/gateway/meters.go
+++ b/gateway/meters.go
@@ -32,8 +32,8 @@
 	for _, name := range g.config.Names.Reserved {
 		m.reservedHeaders(name).Set(0)
 	}
-	for _, word := range []string{feedbackLimit, feedbackCooldown, feedbackDraining, feedbackInvalid} {
-		m.feedback(word)
+	for _, kind := range []string{feedbackLimit, feedbackCooldown, feedbackDraining, feedbackInvalid} {
+		m.feedback(kind)
 	}
 	for _, why := range []backpressure.Stopped{backpressure.StoppedByLimit, backpressure.StoppedByLeaving, backpressure.StoppedByRest} {
 		m.stoppedGrants(why)
@@ -77,8 +77,8 @@
 )
 
 // feedback counts the responses with a kind of feedback.
-func (m *meters) feedback(word string) *metrics.Counter {
-	return m.set.GetOrCreateCounter(`lynxramp_gateway_endpoint_words_total{word="` + word + `"}`)
+func (m *meters) feedback(kind string) *metrics.Counter {
+	return m.set.GetOrCreateCounter(`lynxramp_gateway_endpoint_words_total{word="` + kind + `"}`)
 }
 
 // stoppedGrants counts the grants that were not used because of feedback.
@@ -87,9 +87,9 @@
 }
 
 // observeDecision records how long a request waited for its decision, and who decided.
-func (m *meters) observeDecision(since time.Time, alone bool) {
+func (m *meters) observeDecision(since time.Time, degraded bool) {
 	by := "owner"
-	if alone {
+	if degraded {
 		by = "entry"
 	}
 	m.set.GetOrCreateHistogram(`lynxramp_gateway_decision_seconds{by="` + by + `"}`).UpdateDuration(since)
--- a/gateway/owner_asked.go
+++ b/gateway/owner_asked.go
@@ -17,11 +17,11 @@
 const gateSweepInterval = 5 * event.Second
 
 // permit returns what a grant allows where the endpoint limits its rate.
-func (a *OwnerClient) permit(g *event.Granted, alone bool) backpressure.Permit {
+func (a *OwnerClient) permit(g *event.Granted, degraded bool) backpressure.Permit {
 	switch {
 	case g.Paced:
 		return backpressure.PermitPaced
-	case !alone && a.ownerLevel < level.Asked:
+	case !degraded && a.ownerLevel < level.Asked:
 		return backpressure.PermitBlind
 	default:
 		return backpressure.PermitPlain
--- a/gateway/owner_client.go
+++ b/gateway/owner_client.go
@@ -20,54 +20,52 @@
 	"lynxramp.org/routing"
 )
 
-// Times of an owner client.
+// Times of an OwnerClient.
 const (
 	pingInterval = 200 * event.Millisecond
-	// degradedDelay is how long an entry is without an owner before it decides by
-	// itself.
+	// degradedDelay is how long an entry is without an owner before it schedules by itself.
 	degradedDelay = 100 * event.Millisecond
 	redialDelay   = 60 * event.Millisecond
-	// ownerTimeout is how long an owner may leave an entry without an answer before the
-	// entry takes it for lost: two of its questions and some.
+	// ownerTimeout is how long an owner may leave pings unanswered before the entry drops the
+	// connection: longer than two pings.
 	ownerTimeout = 500 * event.Millisecond
 )
 
-// Decision is what became of a submission.
+// Decision is the result of a submission.
 type Decision struct {
 	Granted    bool
 	Endpoint   event.EndpointID
 	Address    string
 	Reason     event.Reason
 	RetryAfter event.Span
-	// Fresh asks for a new connection to the endpoint.
+	// NewConnection requires a new connection to the endpoint.
 	Fresh bool
-	// Permit is what the grant rests on where the endpoint names a limit.
+	// Permit is what the grant allows where the endpoint limits its rate.
 	Permit backpressure.Permit
-	// Alone says that the entry decided without an owner.
+	// Degraded is set if the entry decided without an owner.
 	Alone bool
-	// Inputs are what decided.
+	// Inputs are the values that the decision was based on.
 	Inputs event.Inputs
 }
 
-// ClientConfig says who an entry is and whom it asks.
+// ClientConfig configures an OwnerClient.
 type ClientConfig struct {
 	Entry event.BoxID
 	Life  uint64
-	// Control has link addresses of control boxes, perhaps old ones.
+	// ControlAddresses are link addresses of control boxes; some may be out of date.
 	Control []string
 	Limits  admission.Limits
-	// Fresh is how long the configuration counts after it was known to be the
-	// newest.
+	// ConfigValidity is how long the configuration may be used after it was confirmed as the newest.
 	Fresh event.Span
-	// Decode reads a configuration as its operator sent it: owners below level.Parts send it so.
+	// Decode parses a configuration in its operator's format, as owners below level.Chunked send it.
 	Decode func([]byte) (*routing.Table, error)
 	Log    *zap.Logger
 }
 
-// LinkID names a connection to a control box; 0 is none.
+// LinkID identifies a connection to a control box; 0 is none.
 type LinkID uint64
 
-// ClientEffects is what an OwnerClient asks the world to do, in the order of each list.
+// ClientEffects are the actions that an OwnerClient requests, each list in order.
 type ClientEffects struct {
 	// Dial is the address of a control box to connect to; empty for none.
 	Dial   string
@@ -75,75 +73,75 @@
 	Closes []LinkID
 }
 
-// LinkSend is a message for a connection.
+// LinkSend is a message to be sent on a connection.
 type LinkSend struct {
 	Link    LinkID
 	Message *message.Envelope
 }
 
-// OwnerClient is the entry's side of the decisions: it finds the owner, asks it, and
-// decides by itself while there is none. It is a reducer and not safe for concurrent
-// use, but for what is atomic.
+// OwnerClient is the entry's client of the owner: it finds the owner, asks it for decisions, and decides by
+// itself while there is none. It is a state machine without I/O. Only Table, Gate and the atomic fields may
+// be used concurrently.
 type OwnerClient struct {
 	config           ClientConfig
 	log              *zap.Logger
 	table            atomic.Pointer[routing.Table]
 	validUntil       atomic.Int64  // event.Time until which the table may be used
-	entryCount       atomic.Int64  // entries that share endpoints
-	announcedVersion atomic.Uint64 // the newest version that an owner told of
-	nodeBytes        atomic.Int64  // bytes of configurations' nodes that came
-	hasTable         chan struct{} // closed when a configuration is in force for the first time
-	// confirmations are words of owners on versions that are not in force yet.
+	entryCount       atomic.Int64  // entries that share the endpoints
+	announcedVersion atomic.Uint64 // newest version that an owner announced
+	nodeBytes        atomic.Int64  // bytes of configuration nodes received
+	hasTable         chan struct{} // closed when a configuration is first in force
+	// confirmations are of versions that are not in force yet.
 	confirmations []versionConfirmation
 
 	link          LinkID
-	address       string // of the control box behind link
-	hasOwner      bool   // the other side of link said that it is the owner
+	address       string // of the control box at the other end of link
+	hasOwner      bool   // the control box at the other end of link is the owner
 	dialing       bool
 	dialAt        event.Time
 	ownerLostAt   event.Time
 	lastPing      event.Time
 	lastPong      event.Time
-	receivedBytes int64    // bytes that came on the present link, as last looked at
-	controlBoxes  []string // known control boxes
-	leaderHint    string   // the leader, as last told
+	receivedBytes int64    // on the current link, at the last tick
+	controlBoxes  []string // link addresses
+	leaderHint    string   // address of the leader from the last redirect
 	nextTry       int
 	waiting       map[event.RequestID]*waiter
 	running       map[event.RequestID]*message.Running
 	endpoints     map[event.EndpointID]message.Endpoint
-	revision      uint64 // of the registry, as endpoints has it
-	// listed are the endpoints that an owner has named since it began to list all; nil while
-	// none does.
+	revision      uint64 // of the registry that endpoints reflects
+	// listed are the endpoints received of a complete list that is still being received; nil if there
+	// is none.
 	listed        map[event.EndpointID]bool
-	leases        budget.Allowances     // what may be spent without an owner
-	unreported    []event.RequestID     // requests that ran when the session began, not told yet
-	unsubmitted   []*waiter             // that waited when the owner was found, not submitted to it yet
-	unsavedEnds   []unsavedEnd          // that the log may not have
-	lastEndNumber uint64                // number of the last one
-	succeeded     map[poison.Print]bool // requests that ended well without an owner
-	// suspects are the requests that must not run without an owner, by the last one's word.
+	leases        budget.Allowances     // amounts that may be spent without an owner
+	unreported    []event.RequestID     // running when the session started, not reported yet
+	unsubmitted   []*waiter             // waiting when the owner was found, not submitted to it yet
+	unsavedEnds   []unsavedEnd          // not known to be in the owner's log
+	lastEndNumber uint64                // number of the newest end
+	succeeded     map[poison.Print]bool // requests that succeeded without an owner
+	// suspects are the requests that must not run without an owner, as the last owner sent them.
 	suspects []poison.Print
 	fetch    configFetch
-	degraded *admission.State // nil while there is an owner
-	// degradedPoison is what alone knows of requests that end endpoints.
+	degraded *admission.State // scheduler of the entry itself; nil while there is an owner
+	// degradedPoison tracks requests that terminate endpoints, for degraded.
 	degradedPoison *poison.Book
-	// gate has what endpoints ask for, for the calls too.
+	// gate has the endpoints' feedback. Calls use it concurrently.
 	gate          backpressure.Gate
-	nextGateSweep event.Time  // of gate
-	ownerLevel    level.Level // what the owner reads
+	nextGateSweep event.Time  // time of the next sweep
+	ownerLevel    level.Level // highest format version that the owner supports
 	batch         message.Batch
 	effects       event.Effects
 	out           ClientEffects
 }
 
-// waiter is a request without a decision.
+// waiter is a request that awaits its decision.
 type waiter struct {
 	submission message.Submission
 	arrived    event.Time
 	decision   chan<- Decision
 }
 
-// resubmission returns the submission as it is for who decides from now on.
+// resubmission returns the submission with its times reduced by the time already waited.
 func (w *waiter) resubmission(now event.Time) message.Submission {
 	m := w.submission
 	waited := now.Sub(w.arrived)
@@ -153,7 +151,7 @@
 	return m
 }
 
-// NewOwnerClient returns a client that knows no owner yet.
+// NewOwnerClient returns a client that has no owner yet.
 func NewOwnerClient(c ClientConfig) *OwnerClient {
 	a := &OwnerClient{
 		config:       c,
@@ -170,8 +168,8 @@
 	return a
 }
 
-// Table returns the configuration that requests are served by at now; nil while there
-// is none, or while it is not known to be the newest. Any goroutine may call it.
+// Table returns the configuration in force, or nil if there is none or its validity has expired at now. It
+// is safe for concurrent use.
 func (a *OwnerClient) Table(now event.Time) *routing.Table {
 	if int64(now) >= a.validUntil.Load() {
 		return nil
@@ -182,7 +180,7 @@
 // Owned reports whether an owner decides for this entry.
 func (a *OwnerClient) Owned() bool { return a.hasOwner }
 
-// Take returns what the world is to do about all that happened since the last call.
+// TakeEffects returns the actions requested since the last call.
 func (a *OwnerClient) Take() ClientEffects {
 	a.flush()
 	out := a.out
@@ -190,26 +188,25 @@
 	return out
 }
 
-// Submit registers a request. Its decision goes to the channel, which must have room
-// for it.
+// Submit submits a request. Its decision is sent to the channel, which must have free capacity.
 func (a *OwnerClient) Submit(now event.Time, m message.Submission, decision chan<- Decision) {
 	a.submit(now, &waiter{submission: m, arrived: now, decision: decision})
 	a.deliverDecisions(now)
 }
 
-// Withdraw takes a request back whose decision is not awaited any more.
+// Withdraw withdraws a request whose decision is no longer awaited.
 func (a *OwnerClient) Withdraw(now event.Time, id event.RequestID) {
 	a.withdraw(now, id)
 	a.deliverDecisions(now)
 }
 
-// Begin says that a granted request's answer has begun.
+// Begin reports the beginning of the response to a granted request.
 func (a *OwnerClient) Begin(now event.Time, b event.Begun) {
 	a.begin(now, b)
 	a.deliverDecisions(now)
 }
 
-// Finish says that a granted request does not use its endpoint any more.
+// Finish reports that a granted request no longer uses its endpoint.
 func (a *OwnerClient) Finish(now event.Time, f message.Finish) {
 	a.finish(now, f)
 	a.deliverDecisions(now)
@@ -229,7 +226,7 @@
 func (a *OwnerClient) withdraw(now event.Time, id event.RequestID) {
 	w, ok := a.waiting[id]
 	if !ok {
-		// It was granted in the meantime and is not used.
+		// It was granted in the meantime; the grant is not used.
 		if r, runs := a.running[id]; runs {
 			a.finish(now, message.Finish{
 				Finished: event.Finished{ID: id, Pool: r.Ticket.Service, Void: true, Unused: true},
@@ -270,7 +267,7 @@
 	}
 }
 
-// deliverDecisions hands on what was decided here alone.
+// deliverDecisions delivers the decisions made while degraded. These may cause further ones.
 func (a *OwnerClient) deliverDecisions(now event.Time) {
 	for len(a.effects.Grants)+len(a.effects.Refusals) > 0 {
 		grants, refusals := a.effects.Grants, a.effects.Refusals
@@ -279,8 +276,8 @@
 	}
 }
 
-// applyDecisions tells the waiting requests what was applyDecisions.
-func (a *OwnerClient) applyDecisions(now event.Time, grants []event.Granted, refusals []event.Refused, alone bool) {
+// applyDecisions sends decisions to the requests that wait for them.
+func (a *OwnerClient) applyDecisions(now event.Time, grants []event.Granted, refusals []event.Refused, degraded bool) {
 	for _, g := range grants {
 		w, ok := a.waiting[g.ID]
 		if !ok {
@@ -289,7 +286,7 @@
 		}
 		delete(a.waiting, g.ID)
 		a.running[g.ID] = &message.Running{Ticket: w.submission.Ticket, Endpoint: g.Endpoint, Print: w.submission.Print}
-		w.decision <- Decision{Granted: true, Endpoint: g.Endpoint, Address: g.Address, Fresh: g.Fresh, Permit: a.permit(&g, alone), Alone: alone, Inputs: g.Inputs}
+		w.decision <- Decision{Granted: true, Endpoint: g.Endpoint, Address: g.Address, Fresh: g.Fresh, Permit: a.permit(&g, degraded), Alone: degraded, Inputs: g.Inputs}
 	}
 	for _, r := range refusals {
 		w, ok := a.waiting[r.ID]
@@ -297,11 +294,11 @@
 			continue
 		}
 		delete(a.waiting, r.ID)
-		w.decision <- Decision{Reason: r.Reason, RetryAfter: r.RetryAfter, Alone: alone, Inputs: r.Inputs}
+		w.decision <- Decision{Reason: r.Reason, RetryAfter: r.RetryAfter, Alone: degraded, Inputs: r.Inputs}
 	}
 }
 
-// returnGrant gives back a grant that nobody waits for.
+// returnGrant returns a grant whose request no longer waits.
 func (a *OwnerClient) returnGrant(now event.Time, g event.Granted) {
 	if _, ok := a.running[g.ID]; ok {
 		return
@@ -317,7 +314,7 @@
 	a.out.Sends = append(a.out.Sends, LinkSend{a.link, m})
 }
 
-// flush sends what was gathered.
+// flush sends the batch, if it has any content.
 func (a *OwnerClient) flush() {
 	if len(a.batch.Submit)+len(a.batch.Withdraw)+len(a.batch.Begun)+len(a.batch.Finish)+len(a.batch.Ends)+len(a.batch.Well)+len(a.batch.Heard) == 0 {
 		return
@@ -329,7 +326,7 @@
 	a.batch = message.Batch{}
 }
 
-// Tick tells the client that time passed.
+// Tick advances time.
 func (a *OwnerClient) Tick(now event.Time) {
 	switch {
 	case a.link != 0:
@@ -349,14 +346,14 @@
 	a.deliverDecisions(now)
 }
 
-// waitingByArrival returns what waits, in the order of arrival.
+// waitingByArrival returns the waiting requests in order of arrival.
 func (a *OwnerClient) waitingByArrival() []*waiter {
 	return slices.SortedFunc(maps.Values(a.waiting), func(v, w *waiter) int {
 		return cmp.Or(cmp.Compare(v.arrived, w.arrived), cmp.Compare(v.submission.Ticket.ID, w.submission.Ticket.ID))
 	})
 }
 
-// enterDegraded begins to decide without an owner.
+// enterDegraded starts to decide without an owner, from the state last received from one.
 func (a *OwnerClient) enterDegraded(now event.Time) {
 	entries := int(a.entryCount.Load())
 	a.degradedPoison = poison.NewAlone(a.suspects)
@@ -374,8 +371,8 @@
 	for _, h := range a.gate.Rests(now) {
 		a.degraded.Hear(now, a.config.Entry, &h, &a.effects)
 	}
-	for _, one := range a.unsavedEnds {
-		a.degraded.Ended(now, []poison.End{one.end}, &a.effects)
+	for _, u := range a.unsavedEnds {
+		a.degraded.Ended(now, []poison.End{u.end}, &a.effects)
 	}
 	for _, r := range a.running {
 		a.degraded.Adopt(now, a.config.Entry, *r, &a.effects)
--- a/gateway/owner_config.go
+++ b/gateway/owner_config.go
@@ -11,31 +11,31 @@
 	"lynxramp.org/message"
 )
 
-// This file is how a client comes by the configuration: it asks the owner for what it lacks of the
-// newest one, a bounded number of bytes at a time, and keeps what came over lost connections and
-// changes of the owner. So a configuration of any size comes in force, sooner or later, and what the
-// owner says beside it waits for the window at the most: 26 ms on a link of 10 Mbit/s.
+// This file fetches the configuration: the client asks the owner for the nodes it lacks of the newest
+// version, a limited number of bytes at a time, and keeps received nodes across lost connections and owner
+// changes. So a configuration of any size is eventually complete, and the owner's other messages wait for
+// at most one window: 26 ms on a link of 10 Mbit/s.
 
-// Bounds of what an owner may have on its way to an entry, in bytes of nodes.
+// Limits of the bytes of nodes in flight from an owner.
 const (
 	maxWindow = 32 << 10
-	// minWindow is one node at a time.
+	// minWindow is the size of one node.
 	minWindow = 1 << 10
-	// windowStep is what the window grows by with each answer, after a loss had halved it.
+	// windowStep is added to the window with each response, after a lost connection halved it.
 	windowStep = 1 << 10
 )
 
-// configFetch is what is under way of a configuration.
+// configFetch is the state of fetching a configuration.
 type configFetch struct {
 	hashtree.Fetch
 	window int
-	// hasOffer says that the present owner told which version is the newest: it has its nodes.
+	// hasOffer is set once the current owner announced the newest version; only then it has the nodes.
 	hasOffer bool
 	started  event.Time
 }
 
-// disconnected takes note that the connection to the owner has ended. If nodes were on their way, the
-// link may be too full for as many of them beside all else.
+// disconnected records that the connection to the owner ended. If nodes were in flight, it halves the window,
+// as the link may be too slow for it.
 func (c *configFetch) disconnected() {
 	if c.hasOffer && c.Waiting() > 0 {
 		c.window = max(minWindow, c.window/2)
@@ -44,13 +44,13 @@
 	c.Restart()
 }
 
-// setFetchTarget begins to gather a configuration. An entry never goes back to an older one.
+// setFetchTarget starts to fetch an announced configuration. An entry never returns to an older one.
 func (a *OwnerClient) setFetchTarget(now event.Time, v *message.View) {
 	if v.Version < a.fetch.Version() || v.Version <= a.version() {
 		return
 	}
 	if v.Root == (hashtree.Sum{}) {
-		a.log.Error("configuration told of without its tree", zap.Uint64("version", v.Version))
+		a.log.Error("owner announced a configuration without a root hash, ignoring it", zap.Uint64("version", v.Version))
 		return
 	}
 	a.fetch.hasOffer = true
@@ -62,15 +62,15 @@
 	a.continueFetch(now)
 }
 
-// applyDocument puts a configuration in force that came whole, from an owner below level.Parts. It is
-// read in the client's loop: owners that send it so are there only while boxes are replaced.
+// applyDocument puts a configuration in force that was sent as one document, by an owner below level.Chunked.
+// It is parsed in the agent's loop, as such owners exist only during an upgrade.
 func (a *OwnerClient) applyDocument(v *message.View) {
 	if v.Version <= a.version() {
 		return
 	}
 	table, err := a.config.Decode(v.Document)
 	if err != nil {
-		a.log.Error("configuration not read", zap.Uint64("version", v.Version), logx.Err(err))
+		a.log.Error("cannot decode configuration, keeping the current one", zap.Uint64("version", v.Version), logx.Err(err))
 		return
 	}
 	a.announcedVersion.Store(v.Version)
@@ -80,7 +80,7 @@
 		zap.Int("bytes", len(v.Document)))
 }
 
-// continueFetch asks for more of the configuration, and puts it in force once it is whole.
+// continueFetch requests more nodes of the configuration, and puts it in force once it is complete.
 func (a *OwnerClient) continueFetch(now event.Time) {
 	if !a.fetch.hasOffer {
 		return
@@ -102,12 +102,12 @@
 		zap.Int("nodes", nodes), zap.Int("bytes", bytes), zap.Duration("after", now.Sub(a.fetch.started)))
 }
 
-// receiveNodes takes nodes that were asked for.
+// receiveNodes applies nodes that were requested.
 func (a *OwnerClient) receiveNodes(now event.Time, m *message.Nodes) {
 	for _, n := range m.List {
 		if err := a.fetch.Take(n.Sum, n.Packed); err != nil {
-			a.log.Error("node of the configuration not read", zap.Uint64("version", a.fetch.Version()), logx.Err(err))
-			a.disconnect(now, "node not read", err)
+			a.log.Error("cannot decode configuration node, reconnecting to the owner", zap.Uint64("version", a.fetch.Version()), logx.Err(err))
+			a.disconnect(now, "invalid configuration node", err)
 			return
 		}
 		a.nodeBytes.Add(int64(len(n.Packed)))
@@ -116,19 +116,19 @@
 		a.fetch.window = min(maxWindow, a.fetch.window+windowStep)
 	}
 	if a.fetch.markUnavailable(m.Unknown) {
-		// The next session begins with what its owner has.
-		a.disconnect(now, "the owner lacks nodes of the configuration that it told of", nil)
+		// The next session starts with the nodes that its owner has.
+		a.disconnect(now, "owner lacks nodes of the configuration that it announced", nil)
 		return
 	}
 	a.continueFetch(now)
 }
 
-// markUnavailable reports whether one of the nodes that the owner does not have is still asked for. Those of
-// an earlier version are not, once a newer one was told of.
+// markUnavailable marks the nodes that the owner lacks and reports whether one of them is still needed. Nodes
+// of an earlier version are not, once a newer one was announced.
 func (c *configFetch) markUnavailable(unknown []hashtree.Sum) bool {
-	lacks := false
+	isNeeded := false
 	for _, sum := range unknown {
-		lacks = c.Lost(sum) || lacks
+		isNeeded = c.Lost(sum) || isNeeded
 	}
-	return lacks
+	return isNeeded
 }
--- a/gateway/owner_session.go
+++ b/gateway/owner_session.go
@@ -14,10 +14,9 @@
 	"lynxramp.org/message"
 )
 
-// This file is a client's way to the owner: finding it, keeping it, and what it
-// tells of the deployment.
+// This file finds the owner, keeps the session with it, and applies the state that it sends.
 
-// checkOwner asks the owner whether it still is.
+// checkOwner disconnects from an owner that timed out and sends pings to any other.
 func (a *OwnerClient) checkOwner(now event.Time) {
 	if now.Sub(a.lastPong) > ownerTimeout {
 		a.disconnect(now, "owner does not answer", nil)
@@ -28,7 +27,7 @@
 	}
 }
 
-// AddControlBoxes adds control boxes to those that are asked.
+// AddControlBoxes adds link addresses of control boxes.
 func (a *OwnerClient) AddControlBoxes(control []string) {
 	for _, address := range control {
 		if !slices.Contains(a.controlBoxes, address) {
@@ -37,7 +36,7 @@
 	}
 }
 
-// dial connects to the leader as last told, or to the next box that is known.
+// dial requests a connection to the leader of the last redirect, or else to the next known control box.
 func (a *OwnerClient) dial() {
 	address := a.leaderHint
 	a.leaderHint = ""
@@ -49,20 +48,20 @@
 	a.out.Dial = address
 }
 
-// DialFailed takes note that a control box was not reached.
+// DialFailed records that a control box could not be reached.
 func (a *OwnerClient) DialFailed(now event.Time, address string, err error) {
 	a.dialing = false
 	a.dialAt = now.Add(redialDelay)
 	a.log.Debug("control box not reached", zap.String("address", address), logx.Err(err))
 }
 
-// Dialed begins a session on a new connection to a control box.
+// Connected starts a session on a new connection to a control box.
 func (a *OwnerClient) Dialed(now event.Time, link LinkID, address string) {
 	a.dialing = false
 	a.dialAt = now.Add(redialDelay)
 	a.link, a.address, a.ownerLevel = link, address, 0
 	if int64(now) >= a.validUntil.Load() {
-		// It was out of touch for longer than it may use what it was lent.
+		// The entry was without contact for longer than leases are valid.
 		a.leases.Drop()
 	}
 	a.unreported = slices.Sorted(maps.Keys(a.running))
@@ -76,43 +75,43 @@
 	a.send((&message.Envelope{Hello: hello}).Introduced())
 	a.ping(now)
 	a.batch = message.Batch{}
-	a.log.Debug("asks control box", zap.String("address", address), zap.Int("waiting", len(a.waiting)), zap.Int("running", len(a.running)))
+	a.log.Debug("connected to control box, session started", zap.String("address", address), zap.Int("waiting", len(a.waiting)), zap.Int("running", len(a.running)))
 }
 
-// Reads takes what the other side of a connection reads.
+// SetPeerLevel sets the format version that the peer of a connection supports.
 func (a *OwnerClient) Reads(link LinkID, l level.Level) {
 	if link == a.link {
 		a.ownerLevel = l
 	}
 }
 
-// disconnect gives up the connection to the owner.
+// disconnect closes the connection to the control box.
 func (a *OwnerClient) disconnect(now event.Time, why string, err error) {
 	a.out.Closes = append(a.out.Closes, a.link)
 	a.link = 0
 	a.fetch.disconnected()
-	lineLevel := zap.DebugLevel
+	logLevel := zap.DebugLevel
 	if a.hasOwner {
 		a.ownerLostAt = now
-		lineLevel = zap.WarnLevel
+		logLevel = zap.WarnLevel
 	}
 	a.hasOwner = false
 	a.unsubmitted = nil
 	a.dialAt = now
 	a.batch = message.Batch{}
-	a.log.Log(lineLevel, "owner lost", zap.String("why", why), logx.Err(err), zap.Duration("answered_ago", now.Sub(a.lastPong)),
+	a.log.Log(logLevel, "owner lost", zap.String("why", why), logx.Err(err), zap.Duration("answered_ago", now.Sub(a.lastPong)),
 		zap.Int64("bytes", a.receivedBytes), zap.Uint64("version", a.version()))
 }
 
-// SetReceivedBytes takes note of how many bytes have come on a connection, whole messages or not. A line on a
-// lost owner tells with it a link that is silent from one that is full.
+// SetReceivedBytes sets the bytes received on a connection, including incomplete messages. The log line of a
+// lost owner has them, to distinguish a dead link from an overloaded one.
 func (a *OwnerClient) SetReceivedBytes(link LinkID, bytes int64) {
 	if link == a.link {
 		a.receivedBytes = bytes
 	}
 }
 
-// version returns the version that is in force; 0 if none is.
+// version returns the version in force, or 0 if there is none.
 func (a *OwnerClient) version() uint64 {
 	if t := a.table.Load(); t != nil {
 		return t.Version
@@ -120,15 +119,15 @@
 	return 0
 }
 
-// Lost takes note that a connection has ended.
+// Disconnected records that a connection ended.
 func (a *OwnerClient) Lost(now event.Time, link LinkID, err error) {
 	if link == a.link {
-		a.disconnect(now, "connection ended", err)
+		a.disconnect(now, "connection closed", err)
 	}
 }
 
-// Received takes a message of a control box. What comes on a connection that was given
-// up counts for nothing.
+// Received applies a message from a control box. Messages on a connection that is no longer used are
+// ignored.
 func (a *OwnerClient) Received(now event.Time, link LinkID, m *message.Envelope) {
 	if link != a.link {
 		return
@@ -153,7 +152,7 @@
 	}
 }
 
-// receivePong takes the owner's word that the configuration is the newest.
+// receivePong applies the owner's reply to a ping, which confirms its version as the newest.
 func (a *OwnerClient) receivePong(now event.Time, p *message.Pong) {
 	a.lastPong = now
 	a.entryCount.Store(int64(max(1, p.Entries)))
@@ -166,7 +165,7 @@
 	a.confirmVersion(now, versionConfirmation{version: p.Version, asked: p.Sent})
 }
 
-// ownerFound hands what waits to the owner that was found.
+// ownerFound starts the session with a found owner: waiting requests, ends and feedback go to it.
 func (a *OwnerClient) ownerFound(now event.Time) {
 	a.hasOwner = true
 	a.degraded = nil
@@ -176,15 +175,15 @@
 	a.log.Info("owner found", zap.String("address", a.address), zap.Int("waiting", len(a.waiting)), zap.Int("entries", int(a.entryCount.Load())))
 }
 
-// receiveView takes news of the deployment.
+// receiveView applies the state or changes that the owner sent.
 func (a *OwnerClient) receiveView(now event.Time, v *message.View) {
 	a.AddControlBoxes(v.Members)
 	endpoints, err := v.List()
 	if err != nil {
-		// The rest of the view is of no use without them: the next session asks for all.
-		a.log.Error("endpoints not read", logx.Err(err))
+		// Without its endpoints the rest of the view is useless. The next session asks for all.
+		a.log.Error("cannot decode endpoints, reconnecting to the owner", logx.Err(err))
 		a.revision = 0
-		a.disconnect(now, "endpoints not read", err)
+		a.disconnect(now, "invalid endpoint list", err)
 		return
 	}
 	if v.Whole {
@@ -201,7 +200,7 @@
 	}
 	a.revision = max(a.revision, v.Revision)
 	if v.Whole {
-		a.revision = v.Revision // of another log, perhaps
+		a.revision = v.Revision // may be lower, if the owner has another log
 	}
 	if v.Suspects != nil {
 		a.suspects = v.Suspects.List
@@ -222,7 +221,7 @@
 	}
 }
 
-// updateEndpoint takes an owner's word on an endpoint.
+// updateEndpoint adds or updates an endpoint.
 func (a *OwnerClient) updateEndpoint(e message.Endpoint) {
 	id := event.EndpointID(e.ID)
 	a.endpoints[id] = e
@@ -231,8 +230,8 @@
 	}
 }
 
-// dropUnlisted drops the endpoints that an owner did not list of all, when it has listed all.
-// Until then an entry that loses it has those that it knew.
+// dropUnlisted removes the endpoints missing from a complete list, once all of it was received. Until then
+// the old ones are kept, in case the owner is lost.
 func (a *OwnerClient) dropUnlisted() {
 	if a.listed == nil {
 		return
@@ -245,7 +244,7 @@
 	a.listed = nil
 }
 
-// markAllUp takes that all endpoints give signs of life.
+// markAllUp marks all endpoints as up.
 func (a *OwnerClient) markAllUp() {
 	for id, e := range a.endpoints {
 		if e.Down {
@@ -255,7 +254,7 @@
 	}
 }
 
-// markDown takes which endpoints give none.
+// markDown marks endpoints without a heartbeat as down.
 func (a *OwnerClient) markDown(silent []event.EndpointID) {
 	for _, id := range silent {
 		if e, ok := a.endpoints[id]; ok {
--- a/gateway/owner_word.go
+++ b/gateway/owner_word.go
@@ -7,25 +7,24 @@
 	"lynxramp.org/message"
 )
 
-// This file is what an entry tells an owner at the beginning of a session: as much with the
-// greeting and with each question as a message may have, and the requests that wait for a
-// decision as answers come. Thousands of requests or accounts in front of a question would
-// take longer than an owner may be silent.
+// This file builds an entry's messages at the beginning of a session. Thousands of running or waiting requests
+// and leases in front of a ping would delay its reply beyond ownerTimeout. So running requests and leases are
+// spread over the hello and the pings, and waiting requests follow one message per reply.
 
 const (
-	// maxWaitingBytes bounds the waiting requests in one message: 20 ms of a link of 1.25 MB/s.
+	// maxWaitingBytes limits the waiting requests in one message: 20 ms on a link of 1.25 MB/s.
 	maxWaitingBytes = 24 << 10
-	// waitingOverhead is the most that one takes in a message beside its names and marks, and
-	// markBytes the most that a mark of its prompt takes.
+	// waitingOverhead is the most bytes that a waiting request has in a message besides its names and
+	// prefix hashes, and prefixHashBytes the most of one prefix hash.
 	waitingOverhead = 80
 	prefixHashBytes = 9
-	// maxRunningBytes bounds the requests in one message: 13 ms of a link of 1.25 MB/s.
+	// maxRunningBytes limits the running requests in one message: 13 ms on a link of 1.25 MB/s.
 	maxRunningBytes = 16 << 10
-	// runningOverhead is the most that a request takes in a message beside its names.
+	// runningOverhead is the most bytes that a running request has in a message besides its names.
 	runningOverhead = 72
 )
 
-// ping asks the owner whether it still is.
+// ping sends a ping, which asks the owner whether it still leads.
 func (a *OwnerClient) ping(now event.Time) {
 	a.lastPing = now
 	ping := &message.Ping{Sent: now, Running: a.takeUnreported(), Revision: a.revision, Owned: a.hasOwner}
@@ -34,25 +33,25 @@
 	a.send(&message.Envelope{Ping: ping})
 }
 
-// takeUnreported returns requests that the owner does not know to run, as many as one message
-// may have.
+// takeUnreported returns running requests that were not reported to the owner yet, as many as fit in one
+// message.
 func (a *OwnerClient) takeUnreported() []message.Running {
 	var list []message.Running
 	for bytes := 0; len(a.unreported) > 0; a.unreported = a.unreported[1:] {
 		r, ok := a.running[a.unreported[0]]
 		if !ok {
-			continue // it has ended since
+			continue // it finished in the meantime
 		}
-		told := runningSummary(r)
-		if bytes += runningSize(&told); bytes > maxRunningBytes && len(list) > 0 {
+		summary := runningSummary(r)
+		if bytes += runningSize(&summary); bytes > maxRunningBytes && len(list) > 0 {
 			break
 		}
-		list = append(list, told)
+		list = append(list, summary)
 	}
 	return list
 }
 
-// runningSummary returns what an owner must know of a request that runs.
+// runningSummary returns the fields of a running request that an owner needs.
 func runningSummary(r *message.Running) message.Running {
 	t := &r.Ticket
 	return message.Running{Endpoint: r.Endpoint, Print: r.Print, Ticket: event.Ticket{
@@ -64,9 +63,8 @@
 	return runningOverhead + len(r.Ticket.ID) + len(r.Ticket.Team) + len(r.Ticket.Service) + len(r.Endpoint)
 }
 
-// submitWaiting submits requests that waited when the owner was found, in the order of their
-// arrival and as many as one message may have. The answer to a question that follows them
-// brings the next ones.
+// submitWaiting submits the requests that waited when the owner was found, in order of arrival and as many as
+// fit in one message. The reply to the ping after them triggers the next message.
 func (a *OwnerClient) submitWaiting(now event.Time) {
 	if len(a.unsubmitted) == 0 {
 		return
@@ -74,7 +72,7 @@
 	for bytes := 0; len(a.unsubmitted) > 0 && bytes < maxWaitingBytes; a.unsubmitted = a.unsubmitted[1:] {
 		w := a.unsubmitted[0]
 		if a.waiting[w.submission.Ticket.ID] != w {
-			continue // it is not awaited any more
+			continue // no longer awaited
 		}
 		bytes += waitingSize(&w.submission)
 		a.batch.Submit = append(a.batch.Submit, w.resubmission(now))
--- a/gateway/pass.go
+++ b/gateway/pass.go
@@ -13,10 +13,10 @@
 	"go.uber.org/zap"
 )
 
-// maxBufferedResponse is the longest answer that is held whole before it is passed on.
+// maxBufferedResponse is the longest response that is buffered before it is forwarded, in bytes.
 const maxBufferedResponse = 1 << 20
 
-// hopHeaders returns the names of headers that concern one connection only.
+// hopHeaders returns the names of hop-by-hop headers.
 func hopHeaders(h http.Header) []string {
 	names := []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 	for _, value := range h.Values("Connection") {
@@ -39,8 +39,8 @@
 	}
 }
 
-// receiveWhole takes an answer that is held until it is there to its last byte.
-func (c *call) receiveWhole(x *exchange, a *attempt, began time.Time) {
+// receiveWhole buffers a response to its end and forwards it, unless it is a server error.
+func (c *call) receiveWhole(x *exchange, a *attempt, started time.Time) {
 	data, all, err := x.readAll(maxBufferedResponse)
 	switch {
 	case err != nil:
@@ -52,13 +52,13 @@
 		c.forwardLong(x, a, data)
 		return
 	}
-	a.firstByteAfter = time.Since(began)
+	a.firstByteAfter = time.Since(started)
 	status := x.response.StatusCode
 	kept := &response{status: status, header: x.response.Header, body: data}
 	x.finish(c.gateway.upstream)
 	if status >= http.StatusInternalServerError {
 		a.outcome = outcomeFailed
-		a.err = errors.Errorf("endpoint answered %d", status)
+		a.err = errors.Errorf("endpoint responded with status %d", status)
 		a.failure = kept
 		return
 	}
@@ -66,7 +66,7 @@
 	c.forward(kept)
 }
 
-// forward gives an endpoint's whole answer to the caller.
+// forward sends an endpoint's complete response to the caller.
 func (c *call) forward(r *response) {
 	h := c.w.Header()
 	copyHeader(h, r.header)
@@ -74,20 +74,20 @@
 		h.Set("Content-Length", strconv.Itoa(len(r.body)))
 	}
 	c.w.WriteHeader(r.status)
-	_, _ = c.w.Write(r.body) // a caller that is gone needs no answer
+	_, _ = c.w.Write(r.body) // the caller may have disconnected
 	c.gateway.meters.countResponse(r.status, c.rankLabel())
 	c.gateway.meters.observeFirstByte(c.arrived, c.rankLabel())
 	c.record.failed = c.record.failed || r.status >= http.StatusInternalServerError || c.isLate(time.Now())
 	c.addStep(stepEnded, zap.Int("status", r.status), zap.String("why", "the endpoint's own answer"), zap.Int("attempts", c.attempts))
 }
 
-// isLate reports whether an answer that begins at a moment is past its target.
+// isLate reports whether a response that starts at a time misses the route's target.
 func (c *call) isLate(at time.Time) bool {
 	return c.route.Target > 0 && at.Sub(c.arrived) > c.route.Target
 
 }
 
-// callerErrorWriter marks errors of writing to a caller, which say nothing of the endpoint.
+// callerErrorWriter marks write errors as the caller's, so that they don't count against the endpoint.
 type callerErrorWriter struct{ io.Writer }
 
 // Write implements io.Writer.
@@ -99,8 +99,8 @@
 	return n, err
 }
 
-// forwardLong passes on an answer that is too forwardLong to be held whole, as it comes.
-func (c *call) forwardLong(x *exchange, a *attempt, begun []byte) {
+// forwardLong forwards a response that is too long to be buffered, as it arrives.
+func (c *call) forwardLong(x *exchange, a *attempt, prefix []byte) {
 	copyHeader(c.w.Header(), x.response.Header)
 	if n := x.response.ContentLength; n >= 0 {
 		c.w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
@@ -108,7 +108,7 @@
 	c.w.WriteHeader(x.response.StatusCode)
 	c.headSent = true
 	caller := callerErrorWriter{c.w}
-	_, err := caller.Write(begun)
+	_, err := caller.Write(prefix)
 	if err == nil {
 		_, err = io.Copy(caller, x.response.Body)
 	}
@@ -117,7 +117,7 @@
 		a.outcome = outcomeDone
 		a.err = err
 		c.reportAttempt(a)
-		c.abortResponse("a long answer broke off", err)
+		c.abortResponse("a long response was interrupted", err)
 	}
 	x.finish(c.gateway.upstream)
 	a.outcome = outcomeDone
--- a/gateway/record.go
+++ b/gateway/record.go
@@ -9,25 +9,24 @@
 	"go.uber.org/zap"
 )
 
-// Lines that an entry writes about requests. The load that they answer is a burst in which
-// hundreds a second are refused: whoever counts from the log must find each of these.
+// Limits of the log lines about requests. In a burst hundreds of requests are refused each second, and every
+// failed one should have a line.
 const (
-	// failedLines is how many a second tell all steps of requests that failed or were late.
+	// failedLines is the number of lines a second with all steps of failed and late requests.
 	failedLines = 30
-	// briefLines is how many such requests a second beyond these have one line, their last
-	// step: some seven times the 30 requests a second that each of 30 entries was asked under
-	// a burst.
+	// briefLines is the number of further failed and late requests a second that are logged by their
+	// last step only.
 	briefLines = 200
-	// sampleDivisor is the part of the requests that did well, as a divisor, that have all their
-	// steps written: chosen by their ids, the same part under any load.
+	// sampleDivisor selects one in this many successful requests, whose steps are all logged. They are
+	// selected by ID, the same fraction under any load.
 	sampleDivisor = 32
-	// sampledLines bounds these, in lines a second.
+	// sampledLines is the number of lines a second of sampled successful requests.
 	sampledLines = 60
-	// feedbackLines bounds the lines a second about what endpoints ask for.
+	// feedbackLines is the number of lines a second about endpoints' feedback.
 	feedbackLines = 20
 )
 
-// The steps of a request's life as the log has them.
+// The steps of a request, as log messages.
 const (
 	stepAdmitted   = "admitted"
 	stepGranted    = "granted"
@@ -35,34 +34,33 @@
 	stepDispatched = "dispatched"
 	stepFeedback   = "endpoint asks"
 	stepFailed     = "attempt failed"
-	stepRetried    = "repeated"
+	stepRetried    = "retried"
 	stepResumed    = "resumed"
 	stepCancelled  = "cancelled"
 	stepCut        = "stream cut"
 	stepEnded      = "ended"
 )
 
-// step is a decision on a request with what decided it.
+// step is one step of a request with its details.
 type step struct {
 	name   string
 	at     time.Time
 	fields []zap.Field
 }
 
-// requestRecord keeps the decisions on a request until its end: only then is it known
-// whether they are worth their lines.
+// requestRecord keeps the steps of a request until its end, when it is known whether to log them.
 type requestRecord struct {
 	steps  []step
 	failed bool
 }
 
-// addStep keeps a decision.
+// addStep records a step.
 func (c *call) addStep(name string, fields ...zap.Field) {
 	c.record.steps = append(c.record.steps, step{name: name, at: time.Now(), fields: fields})
 }
 
-// logSteps writes what was decided on the request: all steps, a line each, of some of those
-// that did well and of as many as there is room for of the others, and the last one of the rest.
+// logSteps logs the request, one line a step: all steps of sampled successful requests and, within the limit,
+// of failed or late ones, and the last step of the remaining failed or late ones.
 func (c *call) logSteps() {
 	g, now := c.gateway, time.Now()
 	if !c.record.failed {
@@ -80,8 +78,7 @@
 	}
 }
 
-// isSampled reports whether the request of an id is of the part whose lines are written though
-// it did well.
+// isSampled reports whether the request with an ID is logged even if it succeeds.
 func isSampled(id string) bool { return xxhash.Sum64String(id)%sampleDivisor == 0 }
 
 func (c *call) writeSteps(steps []step) {
@@ -91,12 +88,11 @@
 	}
 }
 
-// logSuppressed writes how many lines about requests were left out, and how many requests that
-// failed have no line at all.
+// logSuppressed logs how many lines were suppressed, and how many failed requests have no line at all.
 func (g *Gateway) logSuppressed() {
-	failed, well, unnamed, words := g.failedBudget.TakeLeftOut(), g.sampledBudget.TakeLeftOut(), g.briefBudget.TakeLeftOut(), g.feedbackBudget.TakeLeftOut()
-	if failed+well+unnamed+words > 0 {
-		g.log.Info("lines left out", zap.Uint64("of_failed", failed), zap.Uint64("of_others", well), zap.Uint64("failed_without_a_line", unnamed),
-			zap.Uint64("of_what_endpoints_ask", words))
+	failed, sampled, unlogged, feedback := g.failedBudget.TakeLeftOut(), g.sampledBudget.TakeLeftOut(), g.briefBudget.TakeLeftOut(), g.feedbackBudget.TakeLeftOut()
+	if failed+sampled+unlogged+feedback > 0 {
+		g.log.Info("log lines suppressed", zap.Uint64("of_failed", failed), zap.Uint64("of_others", sampled), zap.Uint64("failed_without_a_line", unlogged),
+			zap.Uint64("of_what_endpoints_ask", feedback))
 	}
 }
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -167,12 +167,12 @@
 // decide asks for an endpoint. It responds to the caller if none is granted.
 func (c *call) decide(ctx context.Context, repeat bool, last *attempt) (Decision, bool) {
 	m := c.ticket(repeat)
-	asked, clock := time.Now(), c.gateway.agent.clock
+	start, clock := time.Now(), c.gateway.agent.clock
 	submitted := clock.Now()
-	answer := c.gateway.agent.Submit(m)
+	decision := c.gateway.agent.Submit(m)
 	select {
-	case d := <-answer:
-		c.gateway.meters.observeDecision(asked, d.Alone)
+	case d := <-decision:
+		c.gateway.meters.observeDecision(start, d.Alone)
 		if d.Granted && !c.isStillAllowed() {
 			c.returnGrant(d)
 			c.respondNotRun(http.StatusServiceUnavailable, retryAfterNoConfig, "the configuration changed")
@@ -279,7 +279,7 @@
 func (c *call) abortCancelled() {
 	c.gateway.meters.countResponse(0, c.rankLabel())
 	c.record.failed = true
-	c.addStep(stepCancelled, zap.String("why", "the caller left"), zap.Int("attempts", c.attempts), zap.Int("events", c.eventsSent))
+	c.addStep(stepCancelled, zap.String("why", "the caller disconnected"), zap.Int("attempts", c.attempts), zap.Int("events", c.eventsSent))
 	panic(http.ErrAbortHandler)
 }
 
@@ -291,7 +291,7 @@
 	})
 }
 
-// reportAttempt reports the result of an attempt to the decider.
+// reportAttempt reports the result of an attempt to the decider: the owner, or the entry itself while degraded.
 func (c *call) reportAttempt(a *attempt) {
 	failed := a.outcome != outcomeDone || a.err != nil
 	c.gateway.meters.countAttempt(a.outcome)
@@ -331,7 +331,7 @@
 		c.reportStopped(a, why)
 		return a
 	}
-	began := time.Now()
+	started := time.Now()
 	conn, err := c.gateway.upstream.get(ctx, d.Address, string(d.Endpoint), d.Fresh)
 	if err != nil {
 		a.err = err
@@ -357,7 +357,7 @@
 		}
 		return a
 	}
-	c.receive(x, a, began)
+	c.receive(x, a, started)
 	return a
 }
 
@@ -384,13 +384,13 @@
 }
 
 // receive reads an endpoint's response.
-func (c *call) receive(x *exchange, a *attempt, began time.Time) {
+func (c *call) receive(x *exchange, a *attempt, started time.Time) {
 	names := &c.gateway.config.Names
 	r := x.response
-	word := c.receiveFeedback(a, r)
+	feedback := c.receiveFeedback(a, r)
 	a.isFramed = r.ContentLength >= 0 || slices.Contains(r.TransferEncoding, "chunked")
 	// An endpoint that asks for a cooldown has rejected the request.
-	if r.StatusCode == http.StatusMisdirectedRequest || r.Header.Get(names.NotRun) != "" || word.Rest > 0 {
+	if r.StatusCode == http.StatusMisdirectedRequest || r.Header.Get(names.NotRun) != "" || feedback.Rest > 0 {
 		c.receiveNotRun(x, a)
 		return
 	}
@@ -401,9 +401,9 @@
 		a.err = errors.New("success response lacks the endpoint's signature")
 		x.abort()
 	case ok && c.route.Kind == routing.KindStream:
-		c.receiveStream(x, a, began)
+		c.receiveStream(x, a, started)
 	default:
-		c.receiveWhole(x, a, began)
+		c.receiveWhole(x, a, started)
 	}
 }
 
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -14,14 +14,14 @@
 	"lynxramp.org/event"
 )
 
-// receiveStream passes a series of events on, each whole and at once, under the head of
-// the first endpoint that answered.
-func (c *call) receiveStream(x *exchange, a *attempt, began time.Time) {
+// receiveStream forwards a stream event by event, each without delay. The response head is that of the first
+// endpoint that responded.
+func (c *call) receiveStream(x *exchange, a *attempt, started time.Time) {
 	events := newEventReader(x.response.Body)
 	control := http.NewResponseController(c.w)
 	var last time.Time
 	var gaps []time.Duration
-	seen := 0
+	received := 0
 	for {
 		data, id, err := events.next()
 		if err == io.EOF {
@@ -38,17 +38,17 @@
 			break
 		}
 		now := time.Now()
-		if seen == 0 {
-			a.firstByteAfter = now.Sub(began)
+		if received == 0 {
+			a.firstByteAfter = now.Sub(started)
 			c.gateway.agent.Begin(event.Begun{ID: c.id, Pool: c.service, After: a.firstByteAfter})
 			c.sendStreamHead(x)
 		} else if len(gaps) < maxGaps {
 			gaps = append(gaps, now.Sub(last))
 		}
 		last = now
-		seen++
+		received++
 		if !isAfter(id, c.lastEventID) {
-			continue // the caller has it
+			continue // the caller has received it already
 		}
 		if !c.forwardEvent(control, data, id) {
 			x.abort()
@@ -61,12 +61,11 @@
 	a.tokenGap = median(gaps) / time.Duration(c.stride())
 }
 
-// maxGaps is how many of a stream's gaps are measured.
+// maxGaps limits the gaps between events that are measured in a stream.
 const maxGaps = 48
 
-// median returns the middle one of some times, 0 of none. It orders them. A prompt
-// that the endpoint reads beside the stream makes a few gaps long and leaves the
-// middle one as it is.
+// median returns the median of times, or 0 if there are none. It sorts them. An endpoint that prefills
+// another prompt makes a few gaps long, which does not move the median.
 func median(times []time.Duration) time.Duration {
 	if len(times) == 0 {
 		return 0
@@ -75,7 +74,7 @@
 	return times[len(times)/2]
 }
 
-// stride returns how many tokens an event of the service's streams holds.
+// stride returns the number of tokens in an event of the service's streams.
 func (c *call) stride() int {
 	if s := c.table.Service(c.service); s != nil && s.Stride > 0 {
 		return s.Stride
@@ -83,7 +82,7 @@
 	return 1
 }
 
-// finishStream ends an answer whose last event has come.
+// finishStream ends a stream after its last event.
 func (c *call) finishStream(x *exchange, a *attempt) {
 	x.finish(c.gateway.upstream)
 	a.outcome = outcomeDone
@@ -94,7 +93,7 @@
 	c.addStep(stepEnded, zap.Int("status", x.response.StatusCode), zap.Int("events", c.eventsSent), zap.Int("attempts", c.attempts))
 }
 
-// sendStreamHead sends the head of the answer, once.
+// sendStreamHead sends the head of the response unless it was sent before.
 func (c *call) sendStreamHead(x *exchange) {
 	if c.headSent {
 		return
@@ -106,7 +105,7 @@
 	c.gateway.meters.observeFirstByte(c.arrived, c.rankLabel())
 }
 
-// forwardEvent writes an event and sends it off.
+// forwardEvent writes an event to the caller and flushes it.
 func (c *call) forwardEvent(control *http.ResponseController, event []byte, id string) bool {
 	if _, err := c.w.Write(event); err != nil {
 		return false
@@ -118,8 +117,8 @@
 	return control.Flush() == nil
 }
 
-// isAfter reports whether an event comes after the last one that the caller has.
-// Ids rise; one that is no number is always new.
+// isAfter reports whether an event follows the last one that the caller received. IDs rise; one that is not
+// a number is always new.
 func isAfter(id, last string) bool {
 	a, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
--- a/gateway/ticket.go
+++ b/gateway/ticket.go
@@ -11,8 +11,8 @@
 	"lynxramp.org/sched"
 )
 
-// rank is the request's place among others; the larger goes first. A team's rank
-// comes before that of the route.
+// rank is the request's priority; a higher rank goes first. The team's rank takes precedence over the
+// route's.
 func (c *call) rank() int {
 	const half = sched.RanksOfTeam / 2
 	route := max(-half+1, min(half-1, c.route.Rank))
@@ -22,7 +22,7 @@
 	return route
 }
 
-// rankLabel is the rank of the request's team as figures have it.
+// rankLabel is the rank of the request's team as a metric label.
 func (c *call) rankLabel() string {
 	if c.team != nil && c.team.Rank != nil {
 		return strconv.Itoa(*c.team.Rank)
@@ -30,19 +30,19 @@
 	return "none"
 }
 
-// declaredTokens returns the declaredTokens of the prompt and the most that are generated.
+// declaredTokens returns the tokens of the prompt and the maximum to generate, as the caller declared them.
 func (c *call) declaredTokens() (prompt, output int) {
 	a, b, ok := strings.Cut(c.r.Header.Get(c.gateway.config.Names.Tokens), ",")
 	if !ok {
 		return 0, 0
 	}
-	prompt, _ = strconv.Atoi(strings.TrimSpace(a)) // what is no number counts 0
+	prompt, _ = strconv.Atoi(strings.TrimSpace(a)) // 0 if it is not a number
 	output, _ = strconv.Atoi(strings.TrimSpace(b))
 	return max(0, prompt), max(0, output)
 }
 
-// expectedOutputTokens returns the tokens that the caller expects to be generated: its hint, or the most that
-// it allows where it gives none that makes sense.
+// expectedOutputTokens returns the tokens that the caller expects to be generated: its hint, or the maximum if
+// the hint is missing or invalid.
 func (c *call) expectedOutputTokens() int {
 	hint, err := strconv.Atoi(c.r.Header.Get(c.gateway.config.Names.Hint))
 	if err != nil || hint <= 0 {
@@ -51,7 +51,7 @@
 	return min(c.maxOutputTokens, hint)
 }
 
-// quotaUnits is what the request counts against its team's quotaUnits.
+// quotaUnits is the amount that the request is charged against its team's quota.
 func (c *call) quotaUnits() int {
 	switch {
 	case c.team == nil:
@@ -65,7 +65,7 @@
 	return c.team.PlainTokens
 }
 
-// ticket describes the request to who decides.
+// ticket describes the request to the decider.
 func (c *call) ticket(repeat bool) message.Submission {
 	left := c.remaining()
 	target := c.route.Target - c.age()
@@ -80,15 +80,14 @@
 	}
 }
 
-// Patience: how many times its target a request may be expected to wait, and the
-// least part of the time left that it must leave.
+// The longest expected wait, as a fraction of the route's target and of the remaining time.
 const (
 	maxWaitOfTarget    = 0.9
 	maxWaitOfRemaining = 0.5
 )
 
-// maxExpectedWait returns the longest that the request may be expected to wait. One that an
-// endpoint had before is not sent away for its wait.
+// maxExpectedWait returns the longest expected wait with which the request is accepted; 0 is no limit, for a
+// request that an endpoint may have run.
 func (c *call) maxExpectedWait(left event.Span) event.Span {
 	if c.mayHaveRun {
 		return 0
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -21,44 +21,44 @@
 	"lynxramp.org/link"
 )
 
-// Bounds of connections to endpoints.
+// Limits of connections to endpoints.
 const (
 	connectTimeout = 400 * time.Millisecond
-	// defaultIdleTimeout is how long a connection without a word on it is kept, and
-	// idleMargin how much sooner than the endpoint says it is given up.
+	// defaultIdleTimeout is how long an idle connection is kept, and idleMargin how much earlier than
+	// the endpoint's own timeout it is closed.
 	defaultIdleTimeout = 3 * time.Second
 	idleMargin         = 800 * time.Millisecond
-	maxIdleConns       = 16 // connections an endpoint
+	maxIdleConns       = 16 // per endpoint
 	readBufferSize     = 4 << 10
-	// maxInlineBody is the most that is written before the answer is looked for.
+	// maxInlineBody is the longest body that is written before the response is read, in bytes.
 	maxInlineBody       = 8 << 10
 	maxInterimResponses = 8
-	userTimeoutMillis   = 3000 // milliseconds
+	userTimeoutMillis   = 3000
 )
 
-// errNotSent says that not a byte of the request left.
-var errNotSent = errors.New("the endpoint was not reached")
+// errNotSent is returned if no byte of the request was sent.
+var errNotSent = errors.New("request not sent to the endpoint")
 
-// errWrongResponse says that an answer is not that of the request.
-var errWrongResponse = errors.New("the answer belongs to another request")
+// errWrongResponse is returned if a response has not the request's ID.
+var errWrongResponse = errors.New("response belongs to another request")
 
-// upstream keeps connections to endpoints.
+// upstream is a pool of connections to endpoints.
 type upstream struct {
-	maxConnections int          // connections, those in use first; 0 is without a bound
-	open           atomic.Int64 // connections
+	maxConnections int          // in use and idle; 0 is no limit
+	open           atomic.Int64 // connections, in use and idle
 	mu             sync.Mutex
-	idle           map[string][]*upstreamConn // by address and endpoint, the longest kept first
+	idle           map[string][]*upstreamConn // by address and endpoint, oldest first
 }
 
 func newUpstream() *upstream { return &upstream{idle: make(map[string][]*upstreamConn)} }
 
-// upstreamConn is one connection to an endpoint.
+// upstreamConn is a connection to an endpoint.
 type upstreamConn struct {
 	net.Conn
 	key       string
 	reader    *bufio.Reader
-	idleSince time.Time // since when
-	idleUntil time.Time // of its use
+	idleSince time.Time
+	idleUntil time.Time // end of its idle timeout
 	reused    bool
 	owner     *upstream
 	closed    sync.Once
@@ -70,22 +70,22 @@
 	return c.Conn.Close()
 }
 
-// connections returns how many are open.
+// connections returns the number of open connections.
 func (u *upstream) connections() int { return int(u.open.Load()) }
 
-// evictIdle closes what has been kept longest until one more may be opened. Endpoints are
-// many, and what is kept for each of them must not take the descriptors of new callers.
+// evictIdle closes the oldest idle connections until one more may be opened, so that idle connections to many
+// endpoints don't use up the file descriptors for new callers.
 func (u *upstream) evictIdle() {
 	for u.maxConnections > 0 && u.connections() >= u.maxConnections {
 		c := u.popOldest()
 		if c == nil {
 			return
 		}
-		_ = c.Close() // it was of use to nobody now
+		_ = c.Close() // it was idle
 	}
 }
 
-// popOldest takes the connection that has been kept longest; nil if none is.
+// popOldest removes the connection that has been idle longest; nil if there is none.
 func (u *upstream) popOldest() *upstreamConn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -102,8 +102,8 @@
 	return longest
 }
 
-// get returns a connection that is kept, or a new one; fresh asks for the latter, and
-// drops those that are kept.
+// get returns an idle connection or a new one. With fresh it closes the idle ones and always returns a new
+// one.
 func (u *upstream) get(ctx context.Context, address, endpoint string, fresh bool) (*upstreamConn, error) {
 	key := address + " " + endpoint
 	for {
@@ -115,7 +115,7 @@
 			c.reused = true
 			return c, nil
 		}
-		_ = c.Close() // it is of no use any more
+		_ = c.Close() // expired or closed by the endpoint
 	}
 	u.evictIdle()
 	dialer := net.Dialer{Timeout: connectTimeout, KeepAliveConfig: link.Probing}
@@ -140,20 +140,20 @@
 	return c
 }
 
-// put keeps a connection whose last answer was read to its end.
+// put keeps a connection whose last response was read to its end.
 func (u *upstream) put(c *upstreamConn, idle time.Duration) {
 	c.idleSince = time.Now()
 	c.idleUntil = c.idleSince.Add(idle)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if len(u.idle[c.key]) >= maxIdleConns || idle <= 0 {
-		_ = c.Close() // enough are kept
+		_ = c.Close() // enough are idle
 		return
 	}
 	u.idle[c.key] = append(u.idle[c.key], c)
 }
 
-// sweep closes what was kept too long.
+// sweep closes the connections whose idle timeout has expired.
 func (u *upstream) sweep() {
 	now := time.Now()
 	u.mu.Lock()
@@ -165,7 +165,7 @@
 				kept = append(kept, c)
 				continue
 			}
-			_ = c.Close() // its time is over
+			_ = c.Close() // expired
 		}
 		u.idle[key] = kept
 		if len(kept) == 0 {
@@ -174,8 +174,7 @@
 	}
 }
 
-// isIdle reports whether nothing, not even an end, has come on a connection that
-// waits for no answer.
+// isIdle reports whether an unused connection has nothing to read, neither data nor its end.
 func isIdle(c net.Conn) bool {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
@@ -187,15 +186,15 @@
 	}
 	quiet := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var buf [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	})
 	return err == nil && quiet
 }
 
-// upstreamRequest is a request as an endpoint gets it.
+// upstreamRequest is a request as it is sent to an endpoint.
 type upstreamRequest struct {
 	method, uri, host string
 	header            http.Header
@@ -206,7 +205,7 @@
 func (o *upstreamRequest) head() []byte {
 	var b bytes.Buffer
 	b.WriteString(o.method + " " + o.uri + " HTTP/1.1\r\nHost: " + o.host + "\r\n")
-	_ = o.header.Write(&b) // a buffer takes all
+	_ = o.header.Write(&b) // bytes.Buffer returns no errors
 	if len(o.body) > 0 || (o.method != http.MethodGet && o.method != http.MethodHead) {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(o.body)) + "\r\n")
 	}
@@ -214,17 +213,17 @@
 	return b.Bytes()
 }
 
-// exchange is a request under way at an endpoint.
+// exchange is a request in progress at an endpoint.
 type exchange struct {
 	conn        *upstreamConn
 	response    *http.Response
-	idleTimeout time.Duration // that the connection may be kept
-	bodyWritten chan error    // of a body that is written beside
+	idleTimeout time.Duration // for the connection after the exchange
+	bodyWritten chan error    // receives the result of writing a long body
 	stopCancel  func() bool
 }
 
-// send sends a request on a connection and reads the answer's head. The context's
-// end closes the connection, which cancels the request at the endpoint.
+// send sends a request on a connection and reads the head of the response. If the context ends, the
+// connection is closed, which cancels the request at the endpoint.
 func (u *upstream) send(ctx context.Context, c *upstreamConn, o *upstreamRequest, idHeader string) (*exchange, error) {
 	x := &exchange{conn: c, idleTimeout: defaultIdleTimeout}
 	x.stopCancel = context.AfterFunc(ctx, func() { _ = c.Close() })
@@ -251,8 +250,8 @@
 
 func (x *exchange) write(o *upstreamRequest) error {
 	data := o.head()
-	beside := len(o.body) > maxInlineBody
-	if !beside {
+	isSeparate := len(o.body) > maxInlineBody
+	if !isSeparate {
 		data = append(data, o.body...)
 	}
 	n, err := x.conn.Write(data)
@@ -260,9 +259,9 @@
 		return errors.Wrap(errNotSent, err.Error())
 	}
 	if err != nil {
-		return errors.Wrap(err, "send")
+		return errors.Wrap(err, "send request")
 	}
-	if beside {
+	if isSeparate {
 		x.bodyWritten = make(chan error, 1)
 		go func() {
 			_, err := x.conn.Write(o.body)
@@ -276,7 +275,7 @@
 	for range maxInterimResponses {
 		r, err := http.ReadResponse(x.conn.reader, &http.Request{Method: o.method})
 		if err != nil {
-			return errors.Wrap(err, "answer")
+			return errors.Wrap(err, "read response")
 		}
 		if r.StatusCode >= http.StatusOK {
 			x.response = r
@@ -284,10 +283,10 @@
 			return nil
 		}
 	}
-	return errors.New("answer: too many interim answers")
+	return errors.New("read response: too many interim (1xx) responses")
 }
 
-// readKeepAlive learns how long the connection may be kept.
+// readKeepAlive reads how long the endpoint keeps the connection.
 func (x *exchange) readKeepAlive() {
 	for part := range strings.SplitSeq(x.response.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -300,26 +299,25 @@
 	}
 }
 
-// abort ends the exchange and its connection.
+// abort ends the exchange and closes its connection.
 func (x *exchange) abort() {
 	x.stopCancel()
-	_ = x.conn.Close() // nothing is left to be read from it
+	_ = x.conn.Close() // the response is not needed
 }
 
-// finish ends an exchange whose answer was read to its end, and keeps the
-// connection if it is as good as new.
+// finish ends an exchange whose response was read to its end, and keeps the connection if it can be reused.
 func (x *exchange) finish(u *upstream) {
-	whole := x.stopCancel()
+	reusable := x.stopCancel()
 	if x.bodyWritten != nil {
 		select {
 		case err := <-x.bodyWritten:
-			whole = whole && err == nil
+			reusable = reusable && err == nil
 		default:
-			whole = false // the endpoint answered before it had the body
+			reusable = false // the endpoint responded before it received the body
 		}
 	}
-	if !whole || x.conn.reader.Buffered() > 0 || x.idleTimeout <= 0 {
-		_ = x.conn.Close() // bytes of no answer, or an end, are on it
+	if !reusable || x.conn.reader.Buffered() > 0 || x.idleTimeout <= 0 {
+		_ = x.conn.Close() // it was cancelled or has unexpected data
 		return
 	}
 	if err := x.conn.SetDeadline(time.Time{}); err != nil {
@@ -329,11 +327,11 @@
 	u.put(x.conn, x.idleTimeout)
 }
 
-// readAll reads an answer's body; false if it is longer than limit.
+// readAll reads the body of a response; false if it is longer than limit.
 func (x *exchange) readAll(limit int64) ([]byte, bool, error) {
 	data, err := io.ReadAll(io.LimitReader(x.response.Body, limit+1))
 	if err != nil {
-		return nil, false, errors.Wrap(err, "answer")
+		return nil, false, errors.Wrap(err, "read response")
 	}
 	return data, int64(len(data)) <= limit, nil
 }
