--- a/gateway/asked_test.go
+++ b/gateway/asked_test.go
@@ -12,28 +12,28 @@
 	"lynxramp.org/event"
 )
 
-// asking answers with a header that asks for something.
-func asking(status int, header string) answer {
+// withFeedback answers with a header that asks for something.
+func withFeedback(status int, header string) answer {
 	return func(c net.Conn, r *http.Request) bool {
 		fmt.Fprintf(c, "%sContent-Length: 6\r\n\r\nanswer", head(r, status, header+"\r\n"))
 		return true
 	}
 }
 
-// grantInTurn has the owner grant endpoints by their numbers, whatever it was told.
-func (r *rig) grantInTurn(numbers ...int) {
+// grantInOrder has the owner grant endpoints by their numbers, whatever it was told.
+func (r *testGateway) grantInOrder(numbers ...int) {
 	r.owner.mu.Lock()
 	defer r.owner.mu.Unlock()
-	all := r.owner.grantTo
-	r.owner.grantTo = nil
+	all := r.owner.endpoints
+	r.owner.endpoints = nil
 	for _, n := range numbers {
-		r.owner.grantTo = append(r.owner.grantTo, all[n-1])
+		r.owner.endpoints = append(r.owner.endpoints, all[n-1])
 	}
 }
 
-// TestEveryWayToAnEndpointPassesTheGate: what was granted by an owner that does not know what the endpoint asked
+// TestGateChecksEverySend: what was granted by an owner that does not know what the endpoint asked
 // for is not sent: a first try, a repeat, a stream that is taken up again. The owner is told, and asked again.
-func TestEveryWayToAnEndpointPassesTheGate(t *testing.T) {
+func TestGateChecksEverySend(t *testing.T) {
 	for word, status := range map[string]int{"X-Limit: 2": 200, "X-Leaving: 1": 200, "X-Rest: 3s": 503} {
 		for _, way := range []struct {
 			name, path string
@@ -43,11 +43,11 @@
 		}{
 			{"first try", "/once/x", nil, whole(200, "answer"), "answer"},
 			{"repeat", "/safe/x", reset, whole(200, "answer"), "answer"},
-			{"resumed stream", "/stream/x", events(1, true), events(2, false), event2(1) + event2(2)},
+			{"resumed stream", "/stream/x", events(1, true), events(2, false), eventText(1) + eventText(2)},
 		} {
 			t.Run(word+" "+way.name, func(t *testing.T) {
-				e1, e2, e3 := newStandIn(t, asking(status, word)), newStandIn(t, way.second), newStandIn(t, way.third)
-				r := newRig(t, e1, e2, e3, newStandIn(t, whole(200, "answer")))
+				e1, e2, e3 := newFakeEndpoint(t, withFeedback(status, word)), newFakeEndpoint(t, way.second), newFakeEndpoint(t, way.third)
+				r := newTestGateway(t, e1, e2, e3, newFakeEndpoint(t, whole(200, "answer")))
 				grants := []int{1}
 				if status != 200 {
 					grants = append(grants, 4) // the first request is turned away
@@ -55,7 +55,7 @@
 				if way.second != nil {
 					grants = append(grants, 2)
 				}
-				r.grantInTurn(append(grants, 1, 3)...)
+				r.grantInOrder(append(grants, 1, 3)...)
 				if status, _, _ := r.do(t, r.request("POST", "/once/x", "first")); status != 200 {
 					t.Fatalf("the endpoint's answer came as %d", status)
 				}
@@ -65,7 +65,7 @@
 				}
 				r.owner.mu.Lock()
 				defer r.owner.mu.Unlock()
-				if n := len(r.owner.heard); n < 2 {
+				if n := len(r.owner.feedback); n < 2 {
 					t.Errorf("the owner was told %d times what the endpoint asks for", n)
 				}
 				unused := 0
@@ -82,11 +82,11 @@
 	}
 }
 
-// TestWordsOfAnotherEndpointAreOfNobody: an answer that says that it is not of the endpoint that was called binds
+// TestMisdirectedFeedbackIsIgnored: an answer that says that it is not of the endpoint that was called binds
 // no one.
-func TestWordsOfAnotherEndpointAreOfNobody(t *testing.T) {
-	e1, e2 := newStandIn(t, asking(421, "X-Leaving: 1\r\nX-Limit: 0")), newStandIn(t, whole(200, "answer"))
-	r := newRig(t, e1, e2)
+func TestMisdirectedFeedbackIsIgnored(t *testing.T) {
+	e1, e2 := newFakeEndpoint(t, withFeedback(421, "X-Leaving: 1\r\nX-Limit: 0")), newFakeEndpoint(t, whole(200, "answer"))
+	r := newTestGateway(t, e1, e2)
 	if status, _, _ := r.do(t, r.request("POST", "/safe/x", "q")); status != 200 {
 		t.Fatalf("status %d", status)
 	}
@@ -95,19 +95,19 @@
 	}
 }
 
-// TestRequestTurnedAwayForRestGoesElsewhere: also one that may not be repeated, and though the endpoint says no
+// TestCooldownResponseIsRetriedElsewhere: also one that may not be repeated, and though the endpoint says no
 // more than that it wants rest.
-func TestRequestTurnedAwayForRestGoesElsewhere(t *testing.T) {
-	e1, e2 := newStandIn(t, asking(503, "X-Rest: 3s")), newStandIn(t, whole(200, "answer"))
-	r := newRig(t, e1, e2)
+func TestCooldownResponseIsRetriedElsewhere(t *testing.T) {
+	e1, e2 := newFakeEndpoint(t, withFeedback(503, "X-Rest: 3s")), newFakeEndpoint(t, whole(200, "answer"))
+	r := newTestGateway(t, e1, e2)
 	if status, body, _ := r.do(t, r.request("POST", "/once/x", "q")); status != 200 || body != "answer" || e1.runs() != 1 {
 		t.Errorf("%d %q, %d runs", status, body, e1.runs())
 	}
 }
 
-// TestCallersSeeWhatEndpointsAskFor: the words stay in the answer that is passed on.
-func TestCallersSeeWhatEndpointsAskFor(t *testing.T) {
-	r := newRig(t, newStandIn(t, asking(200, "X-Limit: 2\r\nX-Leaving: 1")))
+// TestFeedbackHeadersAreForwarded: the words stay in the answer that is passed on.
+func TestFeedbackHeadersAreForwarded(t *testing.T) {
+	r := newTestGateway(t, newFakeEndpoint(t, withFeedback(200, "X-Limit: 2\r\nX-Leaving: 1")))
 	a, err := http.DefaultClient.Do(r.request("POST", "/once/x", "q"))
 	if err != nil {
 		t.Fatal(err)
@@ -118,13 +118,13 @@
 	}
 }
 
-// TestEntryAloneKeepsWhatEndpointsAskedFor: an entry whose owner is lost sends nothing to an endpoint that wants
+// TestDegradedEntryRespectsFeedback: an entry whose owner is lost sends nothing to an endpoint that wants
 // rest or is leaving, and to a limited one no more than its part.
-func TestEntryAloneKeepsWhatEndpointsAskedFor(t *testing.T) {
+func TestDegradedEntryRespectsFeedback(t *testing.T) {
 	for word, most := range map[string]int{"X-Limit: 2": 1 + 2*3 + 1, "X-Leaving: 1": 1, "X-Rest: 30s": 1} {
 		t.Run(word, func(t *testing.T) {
-			e1 := newStandIn(t, asking(200, word))
-			r := newRig(t, e1)
+			e1 := newFakeEndpoint(t, withFeedback(200, word))
+			r := newTestGateway(t, e1)
 			r.do(t, r.request("POST", "/once/x", "q"))
 			r.owner.mu.Lock()
 			r.owner.silent = true
--- a/gateway/body_test.go
+++ b/gateway/body_test.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// trickle is a body that comes in pieces of ten bytes, each after a pause.
-type trickle struct {
+// slowBody is a body that comes in pieces of ten bytes, each after a pause.
+type slowBody struct {
 	pieces int
 	pause  time.Duration
 	stall  time.Duration // before the last piece
 }
 
-const trickled = "ten bytes "
+const slowBodyChunk = "ten bytes "
 
 // Read implements io.Reader.
-func (b *trickle) Read(p []byte) (int, error) {
+func (b *slowBody) Read(p []byte) (int, error) {
 	if b.pieces == 0 {
 		return 0, io.EOF
 	}
@@ -28,13 +28,13 @@
 		time.Sleep(b.stall)
 	}
 	time.Sleep(b.pause)
-	return copy(p, trickled), nil
+	return copy(p, slowBodyChunk), nil
 }
 
 // sendBody sends a request whose body trickles in, in chunks or with its length.
-func (r *rig) sendBody(t *testing.T, body *trickle, chunked bool, deadline string) (status int, took time.Duration) {
+func (r *testGateway) sendBody(t *testing.T, body *slowBody, chunked bool, deadline string) (status int, took time.Duration) {
 	t.Helper()
-	size := int64(body.pieces * len(trickled))
+	size := int64(body.pieces * len(slowBodyChunk))
 	q := r.request(http.MethodPost, "/safe/x", "")
 	q.Header.Set("X-Deadline", deadline)
 	q.Body = io.NopCloser(body)
@@ -52,14 +52,14 @@
 func TestSlowBodyArrives(t *testing.T) {
 	for name, chunked := range map[string]bool{"in chunks": true, "with its length": false} {
 		t.Run(name, func(t *testing.T) {
-			e := newStandIn(t, whole(200, "answer"))
-			r := newRig(t, e)
+			e := newFakeEndpoint(t, whole(200, "answer"))
+			r := newTestGateway(t, e)
 			r.gateway.bodyIdleTimeout = 300 * time.Millisecond
-			status, _ := r.sendBody(t, &trickle{pieces: 12, pause: 100 * time.Millisecond}, chunked, "2500")
+			status, _ := r.sendBody(t, &slowBody{pieces: 12, pause: 100 * time.Millisecond}, chunked, "2500")
 			if status != http.StatusOK || e.runs() != 1 {
 				t.Fatalf("status %d and %d runs, want 200 and 1", status, e.runs())
 			}
-			if want := strings.Repeat(trickled, 12); e.bodies[0] != want {
+			if want := strings.Repeat(slowBodyChunk, 12); e.bodies[0] != want {
 				t.Errorf("the endpoint got %q, want %q", e.bodies[0], want)
 			}
 			waitFor(t, "nothing is held", func() bool { return r.gateway.bodyBytes.Load() == 0 })
@@ -67,20 +67,20 @@
 	}
 }
 
-// TestBodyThatDoesNotComeIsEnded: by a pause in it, and by the request's own deadline however
+// TestStalledBodyIsRejected: by a pause in it, and by the request's own deadline however
 // steadily it comes; nothing of it reaches an endpoint.
-func TestBodyThatDoesNotComeIsEnded(t *testing.T) {
+func TestStalledBodyIsRejected(t *testing.T) {
 	for name, c := range map[string]struct {
-		body     trickle
+		body     slowBody
 		deadline string
 		want     int
 	}{
-		"it stalls":             {trickle{pieces: 4, pause: 10 * time.Millisecond, stall: 2 * time.Second}, "2500", http.StatusBadRequest},
-		"it comes for too long": {trickle{pieces: 40, pause: 50 * time.Millisecond}, "400", http.StatusServiceUnavailable},
+		"it stalls":             {slowBody{pieces: 4, pause: 10 * time.Millisecond, stall: 2 * time.Second}, "2500", http.StatusBadRequest},
+		"it comes for too long": {slowBody{pieces: 40, pause: 50 * time.Millisecond}, "400", http.StatusServiceUnavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newStandIn(t, whole(200, "answer"))
-			r := newRig(t, e)
+			e := newFakeEndpoint(t, whole(200, "answer"))
+			r := newTestGateway(t, e)
 			r.gateway.bodyIdleTimeout = 400 * time.Millisecond
 			status, took := r.sendBody(t, &c.body, true, c.deadline)
 			if status != c.want || e.runs() != 0 {
@@ -94,15 +94,15 @@
 	}
 }
 
-// TestBodiesCountWhileTheyCome: only whole bodies were counted, so that callers who sent
+// TestPartialBodiesCountAsHeld: only whole bodies were counted, so that callers who sent
 // slowly could make an entry hold far more than its bound.
-func TestBodiesCountWhileTheyCome(t *testing.T) {
-	e := newStandIn(t, whole(200, "answer"))
-	r := newRig(t, e)
+func TestPartialBodiesCountAsHeld(t *testing.T) {
+	e := newFakeEndpoint(t, whole(200, "answer"))
+	r := newTestGateway(t, e)
 	r.gateway.config.HeldBytes = 100
-	go r.sendBody(t, &trickle{pieces: 8, pause: time.Millisecond, stall: time.Second}, true, "2500")
+	go r.sendBody(t, &slowBody{pieces: 8, pause: time.Millisecond, stall: time.Second}, true, "2500")
 	waitFor(t, "what has come is held", func() bool { return r.gateway.bodyBytes.Load() == 70 })
-	if status, _ := r.sendBody(t, &trickle{pieces: 4}, true, "2500"); status != http.StatusServiceUnavailable {
+	if status, _ := r.sendBody(t, &slowBody{pieces: 4}, true, "2500"); status != http.StatusServiceUnavailable {
 		t.Errorf("status %d beyond the bound, want 503", status)
 	}
 	waitFor(t, "nothing is held", func() bool { return r.gateway.bodyBytes.Load() == 0 })
--- a/gateway/document_test.go
+++ b/gateway/document_test.go
@@ -12,9 +12,9 @@
 	"lynxramp.org/routing"
 )
 
-// TestWholeConfigurationIsTaken: an entry that was replaced before its control boxes got no configuration
+// TestConfigurationDocumentIsApplied: an entry that was replaced before its control boxes got no configuration
 // from an owner of an earlier build, which sends it whole.
-func TestWholeConfigurationIsTaken(t *testing.T) {
+func TestConfigurationDocumentIsApplied(t *testing.T) {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Log: zap.NewNop(), Decode: func(data []byte) (*routing.Table, error) {
 		if string(data) == "bad" {
 			return nil, errors.New("bad")
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -38,10 +38,10 @@
 	return false
 }
 
-// TestWhatRunsTell: an end is told where the other side ended the connection of a request, before
+// TestAttemptResultsAreReported: an end is told where the other side ended the connection of a request, before
 // an answer or in the middle of one, and nothing else is one. Only an answer that is whole and
 // says where it ends speaks for its request.
-func TestWhatRunsTell(t *testing.T) {
+func TestAttemptResultsAreReported(t *testing.T) {
 	cut := func(c net.Conn, r *http.Request) bool {
 		fmt.Fprintf(c, "%sContent-Length: 100\r\n\r\nhalf", head(r, 200, ""))
 		return false
@@ -72,11 +72,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, newStandIn(t, one.script))
+			r := newTestGateway(t, newFakeEndpoint(t, one.script))
 			q := r.request(http.MethodPost, one.path, "body")
 			r.do(t, q)
-			waitFor(t, "the run's end is told", func() bool { return len(r.owner.ended()) > 0 })
-			f := r.owner.ended()[0]
+			waitFor(t, "the run's end is told", func() bool { return len(r.owner.finishes()) > 0 })
+			f := r.owner.finishes()[0]
 			want := poison.NewPrinter("team", http.MethodPost, "h.example", one.path)
 			_, _ = want.Write([]byte("body")) // it never fails
 			if f.Print != want.Print() || f.Ran != one.ran {
@@ -109,8 +109,8 @@
 	return a
 }
 
-// told returns what a client sends about ends and good runs.
-func told(a *OwnerClient) (ends []poison.End, well []poison.Print) {
+// sentEnds returns what a client sends about ends and good runs.
+func sentEnds(a *OwnerClient) (ends []poison.End, well []poison.Print) {
 	for _, s := range a.Take().Sends {
 		if b := s.Message.Batch; b != nil {
 			ends, well = append(ends, b.Ends...), append(well, b.Well...)
@@ -119,13 +119,13 @@
 	return ends, well
 }
 
-// TestEndsAreToldUntilTheLogHasThem: an end is told at once, and to each owner that is found
+// TestEndsAreReportedUntilSaved: an end is told at once, and to each owner that is found
 // until one says that the log has it; with it what ended well without an owner.
-func TestEndsAreToldUntilTheLogHasThem(t *testing.T) {
+func TestEndsAreReportedUntilSaved(t *testing.T) {
 	a := ownedClient()
 	a.Ended(0, poison.End{Print: "p", Endpoint: "e1"})
 	a.Ended(0, poison.End{Print: "q", Endpoint: "e2"})
-	if ends, _ := told(a); len(ends) != 2 || ends[0].Number != 1 || ends[1].Number != 2 {
+	if ends, _ := sentEnds(a); len(ends) != 2 || ends[0].Number != 1 || ends[1].Number != 2 {
 		t.Fatalf("told at once: %+v", ends)
 	}
 	a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Ends: 1}})
@@ -134,7 +134,7 @@
 	later := event.Time(event.Second)
 	a.Dialed(later, 2, "box")
 	a.Received(later, 2, &message.Envelope{Pong: &message.Pong{}})
-	ends, well := told(a)
+	ends, well := sentEnds(a)
 	if len(ends) != 1 || ends[0].Print != "q" || ends[0].Number != 2 || ends[0].Ago != event.Second {
 		t.Errorf("told to the next owner: %+v", ends)
 	}
@@ -153,8 +153,8 @@
 	}
 }
 
-// wanted returns the nodes of a configuration that a client asks for.
-func wanted(a *OwnerClient) (sums []hashtree.Sum) {
+// requestedNodes returns the nodes of a configuration that a client asks for.
+func requestedNodes(a *OwnerClient) (sums []hashtree.Sum) {
 	for _, s := range a.Take().Sends {
 		if w := s.Message.Want; w != nil {
 			sums = append(sums, w.Sums...)
@@ -163,16 +163,16 @@
 	return sums
 }
 
-// TestEntryWithoutAnOwnerKnowsSuspects: what the last owner held off does not run at an entry
+// TestDegradedEntryRefusesSuspects: what the last owner held off does not run at an entry
 // that decides alone, and an owner's list replaces the one before.
-func TestEntryWithoutAnOwnerKnowsSuspects(t *testing.T) {
+func TestDegradedEntryRefusesSuspects(t *testing.T) {
 	tree := hashtree.Build(&routing.Table{Version: 1, Services: []routing.Service{{Name: "s"}}}, nil)
 	for _, lists := range [][][]poison.Print{{{"p"}}, {{"p"}, nil}} {
 		a := ownedClient()
 		a.Received(0, 1, &message.Envelope{View: &message.View{Version: 1, Root: tree.Root()}})
 		for a.table.Load() == nil {
 			nodes := &message.Nodes{}
-			for _, sum := range wanted(a) {
+			for _, sum := range requestedNodes(a) {
 				packed, _ := tree.Node(sum)
 				nodes.List = append(nodes.List, message.Node{Sum: sum, Packed: packed})
 			}
--- a/gateway/fresh_test.go
+++ b/gateway/fresh_test.go
@@ -12,8 +12,8 @@
 	"lynxramp.org/routing"
 )
 
-// freshClient returns an entry in a session with an owner, and what puts a version in force.
-func freshClient() (a *OwnerClient, put func(now event.Time, version uint64)) {
+// newSessionClient returns an entry in a session with an owner, and what puts a version in force.
+func newSessionClient() (a *OwnerClient, put func(now event.Time, version uint64)) {
 	a = NewOwnerClient(ClientConfig{
 		Entry: "entry", Control: []string{"box"}, Log: zap.NewNop(), Fresh: 5 * event.Second,
 		Decode: func(data []byte) (*routing.Table, error) {
@@ -28,11 +28,11 @@
 	}
 }
 
-// TestServesWhileChangesFollowEachOther: an operator sent a change as soon as the one before was acknowledged.
+// TestValidWhileConfigurationChangesOften: an operator sent a change as soon as the one before was acknowledged.
 // Each came in force at an entry when the next was the newest already, so that no word of the owner
 // counted, and the entry refused all requests 5 s later though it was never more than half a second behind.
-func TestServesWhileChangesFollowEachOther(t *testing.T) {
-	a, put := freshClient()
+func TestValidWhileConfigurationChangesOften(t *testing.T) {
+	a, put := newSessionClient()
 	pong := func(now event.Time, version uint64) {
 		a.Received(now, 1, &message.Envelope{Pong: &message.Pong{Sent: now, Version: version}})
 	}
@@ -51,10 +51,10 @@
 	}
 }
 
-// TestWordCountsFromWhenItWasAskedFor: a version that was the newest a while ago is good for that much less, and
+// TestValidityCountsFromPing: a version that was the newest a while ago is good for that much less, and
 // one that is not in force for nothing.
-func TestWordCountsFromWhenItWasAskedFor(t *testing.T) {
-	a, put := freshClient()
+func TestValidityCountsFromPing(t *testing.T) {
+	a, put := newSessionClient()
 	at := func(ms int) event.Time { return event.Time(event.Span(ms) * event.Millisecond) }
 	hear := func(ms int, version uint64) {
 		a.confirmVersion(at(ms), versionConfirmation{version: version, asked: at(ms)})
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -21,14 +21,14 @@
 	"lynxramp.org/registry"
 )
 
-func TestRequestReachesItsEndpointAsItIs(t *testing.T) {
-	e := newStandIn(t, whole(200, "answer"))
-	r := newRig(t, e)
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	e := newFakeEndpoint(t, whole(200, "answer"))
+	r := newTestGateway(t, e)
 	status, body, all := r.do(t, r.request("POST", "/once/a%20b?x=1", "question"))
 	if status != 200 || body != "answer" || !all {
 		t.Fatalf("%d %q whole %v", status, body, all)
 	}
-	got := e.seen[0]
+	got := e.requests[0]
 	for name, want := range map[string]string{"X-Team": "team", "X-Expect": "e1", "X-Request": "r-1", "Authorization": ""} {
 		if got.Header.Get(name) != want {
 			t.Errorf("%s is %q, want %q", name, got.Header.Get(name), want)
@@ -39,10 +39,10 @@
 	}
 }
 
-// TestCallersSteerNoEndpoint: the headers that are the system's own never reach an endpoint
+// TestReservedHeadersAreNotForwarded: the headers that are the system's own never reach an endpoint
 // as a caller sent them: not with calls, streams, repeats or resumed streams, not sent
 // twice, in another case, as a trailer, or named as one of the connection's.
-func TestCallersSteerNoEndpoint(t *testing.T) {
+func TestReservedHeadersAreNotForwarded(t *testing.T) {
 	for name, c := range map[string]struct {
 		path      string
 		endpoints []answer
@@ -52,11 +52,11 @@
 		"stream":  {"/stream/x", []answer{events(3, false)}},
 		"resumed": {"/stream/x", []answer{events(2, true), events(4, false)}},
 	} {
-		var endpoints []*standIn
+		var endpoints []*fakeEndpoint
 		for _, script := range c.endpoints {
-			endpoints = append(endpoints, newStandIn(t, script))
+			endpoints = append(endpoints, newFakeEndpoint(t, script))
 		}
-		r := newRig(t, endpoints...)
+		r := newTestGateway(t, endpoints...)
 		q := r.request("POST", c.path, "question")
 		q.Header["x-hold"] = []string{"lease-1", "lease-2"}
 		q.Header.Set("X-Kv-From", "10.0.0.1:80/handle")
@@ -73,9 +73,9 @@
 			if e.runs() != 1 {
 				t.Fatalf("%s: endpoint %d had %d requests", name, i+1, e.runs())
 			}
-			h := e.seen[0].Header
-			if h["X-Hold"] != nil || h["X-Kv-From"] != nil || h.Get("X-Expect") != fmt.Sprintf("e%d", i+1) || len(e.seen[0].Trailer) > 0 {
-				t.Errorf("%s: endpoint %d got %v, trailer %v", name, i+1, h, e.seen[0].Trailer)
+			h := e.requests[0].Header
+			if h["X-Hold"] != nil || h["X-Kv-From"] != nil || h.Get("X-Expect") != fmt.Sprintf("e%d", i+1) || len(e.requests[0].Trailer) > 0 {
+				t.Errorf("%s: endpoint %d got %v, trailer %v", name, i+1, h, e.requests[0].Trailer)
 			}
 			if h.Get("X-Other") != "goes on" {
 				t.Errorf("%s: endpoint %d lacks a caller's header: %v", name, i+1, h)
@@ -87,9 +87,9 @@
 	}
 }
 
-func TestOwnAnswers(t *testing.T) {
-	e := newStandIn(t, whole(200, "answer"))
-	r := newRig(t, e)
+func TestInvalidRequestsAreRejected(t *testing.T) {
+	e := newFakeEndpoint(t, whole(200, "answer"))
+	r := newTestGateway(t, e)
 	for name, c := range map[string]struct {
 		change func(*http.Request)
 		want   int
@@ -117,9 +117,9 @@
 	}
 }
 
-// TestWhatMayBeRepeated states for each kind of request and failure of the first
+// TestRetryAfterFailedAttempt states for each kind of request and failure of the first
 // endpoint what the caller gets and how many endpoints have the request.
-func TestWhatMayBeRepeated(t *testing.T) {
+func TestRetryAfterFailedAttempt(t *testing.T) {
 	cutBody := func(c net.Conn, q *http.Request) bool {
 		fmt.Fprintf(c, "%sContent-Length: 100\r\n\r\npart", head(q, 200, ""))
 		return reset(c, q)
@@ -161,8 +161,8 @@
 			if !strings.Contains(c.path, "s/") && !strings.Contains(c.path, "single") {
 				second = whole(200, "answer")
 			}
-			one, two := newStandIn(t, c.first), newStandIn(t, second)
-			r := newRig(t, one, two)
+			one, two := newFakeEndpoint(t, c.first), newFakeEndpoint(t, second)
+			r := newTestGateway(t, one, two)
 			status, body, _ := r.do(t, r.request("POST", c.path, "q"))
 			if status != c.status {
 				t.Errorf("status %d (%q), want %d", status, body, c.status)
@@ -174,40 +174,40 @@
 	}
 }
 
-// TestRefusalIsTrueAfterALostAnswer: a first endpoint may have run the request, a
+// TestNotRunIsNotClaimedAfterLostResponse: a first endpoint may have run the request, a
 // second one rejects it or can't be reached. "Not run" would be a lie.
-func TestRefusalIsTrueAfterALostAnswer(t *testing.T) {
+func TestNotRunIsNotClaimedAfterLostResponse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead := &standIn{address: l.Addr().String()}
+	dead := &fakeEndpoint{address: l.Addr().String()}
 	_ = l.Close()
-	for name, second := range map[string]*standIn{"rejected": newStandIn(t, notRun), "not reached": dead} {
-		r := newRig(t, newStandIn(t, reset), second)
+	for name, second := range map[string]*fakeEndpoint{"rejected": newFakeEndpoint(t, notRun), "not reached": dead} {
+		r := newTestGateway(t, newFakeEndpoint(t, reset), second)
 		if status, body, _ := r.do(t, r.request("POST", "/safe/x", "q")); status != 502 {
 			t.Errorf("%s: %d %q, want 502", name, status, body)
 		}
 	}
 }
 
-func TestNoMoreAttemptsThanTheRouteAllows(t *testing.T) {
-	list := []*standIn{newStandIn(t, notRun), newStandIn(t, notRun), newStandIn(t, whole(200, "answer"))}
-	r := newRig(t, list...)
+func TestAttemptsAreLimitedByRoute(t *testing.T) {
+	list := []*fakeEndpoint{newFakeEndpoint(t, notRun), newFakeEndpoint(t, notRun), newFakeEndpoint(t, whole(200, "answer"))}
+	r := newTestGateway(t, list...)
 	status, _, _ := r.do(t, r.request("POST", "/safe/x", "q"))
 	if status != 503 || list[2].runs() != 0 {
 		t.Errorf("status %d, %d runs at the third endpoint; want 503 and none", status, list[2].runs())
 	}
 }
 
-func TestUnreachedEndpointCostsNoAttempt(t *testing.T) {
+func TestUnreachableEndpointIsNoAttempt(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead := &standIn{address: l.Addr().String()}
+	dead := &fakeEndpoint{address: l.Addr().String()}
 	_ = l.Close()
-	r := newRig(t, dead, dead, newStandIn(t, whole(200, "answer")))
+	r := newTestGateway(t, dead, dead, newFakeEndpoint(t, whole(200, "answer")))
 	if status, body, _ := r.do(t, r.request("POST", "/once/x", "q")); status != 200 {
 		t.Errorf("%d %q, want 200 from the endpoint that was reached", status, body)
 	}
@@ -218,11 +218,11 @@
 	})
 }
 
-// TestSurplusAnswerBelongsToNobody: an endpoint sends a second answer behind the
+// TestSurplusResponseIsDiscarded: an endpoint sends a second answer behind the
 // first; the next request on that endpoint must not get it.
-func TestSurplusAnswerBelongsToNobody(t *testing.T) {
+func TestSurplusResponseIsDiscarded(t *testing.T) {
 	count := 0
-	e := newStandIn(t, func(c net.Conn, q *http.Request) bool {
+	e := newFakeEndpoint(t, func(c net.Conn, q *http.Request) bool {
 		count++
 		body := fmt.Sprintf("answer %d", count)
 		text := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head(q, 200, ""), len(body), body)
@@ -232,8 +232,8 @@
 		fmt.Fprint(c, text)
 		return true
 	})
-	r := newRig(t, e, e)
-	r.owner.grantTo[1].ID = "e1"
+	r := newTestGateway(t, e, e)
+	r.owner.endpoints[1].ID = "e1"
 	if _, body, _ := r.do(t, r.request("POST", "/once/x", "q")); body != "answer 1" {
 		t.Fatalf("first: %q", body)
 	}
@@ -242,15 +242,15 @@
 	}
 }
 
-func TestStreamIsTakenUpInsideOneAnswer(t *testing.T) {
-	one, two := newStandIn(t, events(3, true)), newStandIn(t, events(5, false))
-	r := newRig(t, one, two)
+func TestStreamResumesInSameResponse(t *testing.T) {
+	one, two := newFakeEndpoint(t, events(3, true)), newFakeEndpoint(t, events(5, false))
+	r := newTestGateway(t, one, two)
 	status, body, all := r.do(t, r.request("POST", "/stream/x", "q"))
-	want := event2(1) + event2(2) + event2(3) + event2(4) + event2(5)
+	want := eventText(1) + eventText(2) + eventText(3) + eventText(4) + eventText(5)
 	if status != 200 || body != want || !all {
 		t.Errorf("%d, whole %v, body %q", status, all, body)
 	}
-	if got := two.seen[0].Header.Get("X-Last"); got != "3" {
+	if got := two.requests[0].Header.Get("X-Last"); got != "3" {
 		t.Errorf("the second endpoint was asked from event %q, want 3", got)
 	}
 	// It was asked for as one that the caller has a part of, which is not refused for
@@ -263,14 +263,14 @@
 	}
 }
 
-// TestGivenUpStreamDoesNotLookWhole covers each way in which a stream that has
+// TestAbortedStreamIsNotComplete covers each way in which a stream that has
 // begun ends without its rest. It failed when a refused resume ended the answer
 // with a status of our own.
-func TestGivenUpStreamDoesNotLookWhole(t *testing.T) {
+func TestAbortedStreamIsNotComplete(t *testing.T) {
 	for name, path := range map[string]string{"not resumable": "/single/x", "nobody to resume at": "/stream/x"} {
-		r := newRig(t, newStandIn(t, events(3, true)))
+		r := newTestGateway(t, newFakeEndpoint(t, events(3, true)))
 		status, body, all := r.do(t, r.request("POST", path, "q"))
-		if all || status != 200 || !strings.HasPrefix(body, event2(1)) {
+		if all || status != 200 || !strings.HasPrefix(body, eventText(1)) {
 			t.Errorf("%s: %d, whole %v, %q; want a cut answer", name, status, all, body)
 		}
 	}
@@ -278,18 +278,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead := &standIn{address: l.Addr().String()}
+	dead := &fakeEndpoint{address: l.Addr().String()}
 	_ = l.Close()
-	r := newRig(t, newStandIn(t, events(3, true)), dead)
+	r := newTestGateway(t, newFakeEndpoint(t, events(3, true)), dead)
 	if _, _, all := r.do(t, r.request("POST", "/stream/x", "q")); all {
 		t.Error("a stream whose second endpoint was not reached looks whole")
 	}
 }
 
-func TestCallerThatLeavesIsCancelledAtTheEndpoint(t *testing.T) {
+func TestDisconnectCancelsRequestAtEndpoint(t *testing.T) {
 	started := make(chan struct{})
-	var e *standIn
-	e = newStandIn(t, func(c net.Conn, q *http.Request) bool {
+	var e *fakeEndpoint
+	e = newFakeEndpoint(t, func(c net.Conn, q *http.Request) bool {
 		close(started)
 		var one [1]byte
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -298,7 +298,7 @@
 		}
 		return false
 	})
-	r := newRig(t, e)
+	r := newTestGateway(t, e)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-started
@@ -312,9 +312,9 @@
 	}
 }
 
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestRefusalHasRetryAfter(t *testing.T) {
 	for reason, want := range map[event.Reason]int{event.ReasonQuota: 429, event.ReasonShed: 503} {
-		r := newRig(t, newStandIn(t, whole(200, "answer")))
+		r := newTestGateway(t, newFakeEndpoint(t, whole(200, "answer")))
 		r.owner.mu.Lock()
 		r.owner.refuse = reason
 		r.owner.mu.Unlock()
@@ -329,13 +329,13 @@
 	}
 }
 
-// TestKeyTakenAwayWhileWaiting: the owner grants after it has sent a configuration
+// TestRevokedKeyIsRejected: the owner grants after it has sent a configuration
 // without the request's key.
-func TestKeyTakenAwayWhileWaiting(t *testing.T) {
-	e := newStandIn(t, whole(200, "answer"))
-	r := newRig(t, e)
+func TestRevokedKeyIsRejected(t *testing.T) {
+	e := newFakeEndpoint(t, whole(200, "answer"))
+	r := newTestGateway(t, e)
 	r.owner.mu.Lock()
-	r.owner.put(testTable(2, "other"))
+	r.owner.publish(testTable(2, "other"))
 	r.owner.mu.Unlock()
 	waitFor(t, "the new configuration is in force", func() bool { return r.agent.Table().Version == 2 })
 	if status, _, _ := r.do(t, r.request("POST", "/once/x", "q")); status != 401 || e.runs() != 0 {
@@ -343,11 +343,11 @@
 	}
 }
 
-func TestOlderConfigurationIsNeverInForce(t *testing.T) {
-	r := newRig(t, newStandIn(t, whole(200, "answer")))
+func TestOlderConfigurationIsIgnored(t *testing.T) {
+	r := newTestGateway(t, newFakeEndpoint(t, whole(200, "answer")))
 	r.owner.mu.Lock()
-	r.owner.put(testTable(2, "other"))
-	r.owner.put(testTable(1, "key"))
+	r.owner.publish(testTable(2, "other"))
+	r.owner.publish(testTable(1, "key"))
 	r.owner.mu.Unlock()
 	waitFor(t, "the new configuration is in force", func() bool { return r.agent.Table().Version == 2 })
 	time.Sleep(50 * time.Millisecond) // the older one has been read by then
@@ -356,11 +356,11 @@
 	}
 }
 
-// TestEntryAloneServesOnAndThenStops: without an owner an entry decides by itself,
+// TestDegradedEntryServesUntilConfigurationExpires: without an owner an entry decides by itself,
 // until its configuration may be too old.
-func TestEntryAloneServesOnAndThenStops(t *testing.T) {
-	e := newStandIn(t, whole(200, "answer"))
-	r := newRig(t, e)
+func TestDegradedEntryServesUntilConfigurationExpires(t *testing.T) {
+	e := newFakeEndpoint(t, whole(200, "answer"))
+	r := newTestGateway(t, e)
 	r.owner.mu.Lock()
 	r.owner.silent = true
 	r.owner.mu.Unlock()
@@ -374,10 +374,10 @@
 	}
 }
 
-// TestRefusedStreamHoldsNoBody: a stream that comes too late was counted among the
+// TestRefusedStreamReleasesBody: a stream that comes too late was counted among the
 // bodies held for good.
-func TestRefusedStreamHoldsNoBody(t *testing.T) {
-	r := newRig(t, newStandIn(t, events(3, false)))
+func TestRefusedStreamReleasesBody(t *testing.T) {
+	r := newTestGateway(t, newFakeEndpoint(t, events(3, false)))
 	r.gateway.RefuseStreams()
 	if status, _, _ := r.do(t, r.request("POST", "/stream/x", "question")); status != 503 {
 		t.Errorf("status %d, want 503", status)
@@ -385,7 +385,7 @@
 	waitFor(t, "nothing is held", func() bool { return r.gateway.bodyBytes.Load() == 0 })
 }
 
-func TestDescriptorsBoundWhatIsHeld(t *testing.T) {
+func TestDescriptorsLimitInFlight(t *testing.T) {
 	for descriptors, want := range map[int]int64{0: maxInFlight, 100: 1, 1400: 500, 100000: maxInFlight} {
 		if got := inFlightLimit(descriptors); got != want {
 			t.Errorf("%d requests with %d descriptors, want %d", got, descriptors, want)
@@ -393,9 +393,9 @@
 	}
 }
 
-// TestGrantThatNobodyTakesGivesBack: a caller that leaves between its grant and its
+// TestUnusedGrantIsReturned: a caller that leaves between its grant and its
 // dispatch, and a grant that comes after its request was withdrawn, end as never sent.
-func TestGrantThatNobodyTakesGivesBack(t *testing.T) {
+func TestUnusedGrantIsReturned(t *testing.T) {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", Limits: admission.Limits{QuotaWindow: event.Second, RetryWindow: event.Second}, Log: zap.NewNop()})
 	a.link, a.hasOwner = 1, true
 	a.endpoints["e1"] = message.Endpoint{Endpoint: registry.Endpoint{ID: "e1", Service: "s"}}
--- a/gateway/handover_test.go
+++ b/gateway/handover_test.go
@@ -14,10 +14,10 @@
 	"lynxramp.org/message"
 )
 
-// TestViewWithoutARootEndsNoEntry: an owner of the version before names a configuration's version in a
+// TestViewWithoutRootIsIgnored: an owner of the version before names a configuration's version in a
 // View and has no tree; its Root is zero. Fetch takes the zero Sum for a tree of which nothing is
 // missing, and the entry's process ends in assembling it.
-func TestViewWithoutARootEndsNoEntry(t *testing.T) {
+func TestViewWithoutRootIsIgnored(t *testing.T) {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Fresh: 5 * event.Second, Log: zap.NewNop()})
 	a.Dialed(0, 1, "box")
 	defer func() {
@@ -28,12 +28,12 @@
 	a.Received(0, 1, &message.Envelope{View: &message.View{Version: 3}})
 }
 
-// TestWaitingRequestsAreHandedOverInPieces: an entry of 4,100 descriptors holds 1,850 requests that wait
+// TestWaitingRequestsAreSplit: an entry of 4,100 descriptors holds 1,850 requests that wait
 // when it finds its owner. It hands all of them over in one message, 247 kB: 0.2 s of an idle link of
 // 1.25 MB/s, in front of its next question. Where callers' answers have three quarters of that link it
 // takes 0.8 s; the entry takes the owner that did not answer for 0.5 s for lost, and hands all over anew
 // on the next connection.
-func TestWaitingRequestsAreHandedOverInPieces(t *testing.T) {
+func TestWaitingRequestsAreSplit(t *testing.T) {
 	const held, most = 1850, 64 << 10 // 52 ms of the link
 	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Fresh: 5 * event.Second, Log: zap.NewNop()})
 	for i := range held {
--- a/gateway/implied_test.go
+++ b/gateway/implied_test.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// TestCallerThatSendsNoMoreSeesNoSuccess: a caller's end of sending came with its request,
+// TestHalfClosedCallerGetsNoSuccess: a caller's end of sending came with its request,
 // while the connection still carried answers. The request was cancelled as its caller's
 // leaving, nothing was written, and a handler that returns without a word has net/http
 // answer 200 with an empty body: a success that no endpoint had made.
-func TestCallerThatSendsNoMoreSeesNoSuccess(t *testing.T) {
+func TestHalfClosedCallerGetsNoSuccess(t *testing.T) {
 	for name, path := range map[string]string{"a call": "/once/x", "a stream": "/single/x"} {
 		for _, at := range []string{"while it waits", "while an endpoint works"} {
 			t.Run(name+" "+at, func(t *testing.T) {
 				t.Parallel()
-				w := newWatched(nil)
-				r := newRig(t, newStandIn(t, w.script))
+				w := newCancelWatcher(nil)
+				r := newTestGateway(t, newFakeEndpoint(t, w.script))
 				r.owner.mu.Lock()
 				r.owner.hold = at == "while it waits"
 				r.owner.mu.Unlock()
 				c := r.call(t)
 				c.send(path, "question", 0)
-				waitFor(t, "the request waits", func() bool { return r.owner.asked() == 1 })
+				waitFor(t, "the request waits", func() bool { return r.owner.submitCount() == 1 })
 				if at != "while it waits" {
 					<-w.started
 				}
--- a/gateway/longest_test.go
+++ b/gateway/longest_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// TestReturnedCallerHasLessTimeThanOthers: what counts is what callers of a route give
+// TestRetryHasShorterTimeout: what counts is what callers of a route give
 // their requests, not what the route allows: those who always give less would else
 // stand behind all others for good.
-func TestReturnedCallerHasLessTimeThanOthers(t *testing.T) {
+func TestRetryHasShorterTimeout(t *testing.T) {
 	l := newMaxTimeouts()
 	at := time.Unix(100, 0)
 	for _, step := range []struct {
--- a/gateway/owner_client_test.go
+++ b/gateway/owner_client_test.go
@@ -14,11 +14,11 @@
 	"lynxramp.org/routing"
 )
 
-// TestOutOfTouchEntryHoldsNothing: an entry that comes back to an owner within the time in
+// TestExpiredLeasesAreNotReported: an entry that comes back to an owner within the time in
 // which it may use what it was lent says that it holds it; one that comes later holds
 // nothing. Its owner has counted it as spent by then, and a new one must not take it for
 // given back.
-func TestOutOfTouchEntryHoldsNothing(t *testing.T) {
+func TestExpiredLeasesAreNotReported(t *testing.T) {
 	const fresh = 5 * event.Second
 	account := budget.Team("t")
 	tree := hashtree.Build(&routing.Table{Version: 1}, nil)
--- a/gateway/owner_session.go
+++ b/gateway/owner_session.go
@@ -23,7 +23,7 @@
 		return
 	}
 	if now.Sub(a.lastPing) >= pingInterval {
-		a.ping(now)
+		a.sendPing(now)
 	}
 }
 
@@ -73,7 +73,7 @@
 	a.lastPong = now
 	a.receivedBytes = 0
 	a.send((&message.Envelope{Hello: hello}).Introduced())
-	a.ping(now)
+	a.sendPing(now)
 	a.batch = message.Batch{}
 	a.log.Debug("connected to control box, session started", zap.String("address", address), zap.Int("waiting", len(a.waiting)), zap.Int("running", len(a.running)))
 }
@@ -211,7 +211,7 @@
 	a.markDown(v.Silent)
 	a.applyFeedbackStates(now, v.Asked)
 	if v.More {
-		a.ping(now)
+		a.sendPing(now)
 	}
 	switch {
 	case len(v.Document) > 0:
--- a/gateway/owner_word.go
+++ b/gateway/owner_word.go
@@ -24,8 +24,8 @@
 	runningOverhead = 72
 )
 
-// ping sends a ping, which asks the owner whether it still leads.
-func (a *OwnerClient) ping(now event.Time) {
+// sendPing sends a sendPing, which asks the owner whether it still leads.
+func (a *OwnerClient) sendPing(now event.Time) {
 	a.lastPing = now
 	ping := &message.Ping{Sent: now, Running: a.takeUnreported(), Revision: a.revision, Owned: a.hasOwner}
 	ping.Has, ping.Spent = a.leases.Changes()
@@ -79,7 +79,7 @@
 	}
 	if len(a.unsubmitted) > 0 {
 		a.flush()
-		a.ping(now)
+		a.sendPing(now)
 	}
 }
 
--- a/gateway/record_test.go
+++ b/gateway/record_test.go
@@ -12,10 +12,10 @@
 	"lynxramp.org/event"
 )
 
-// TestEachFailureHasALine: in a burst in which an entry refuses 200 requests at once, each has a
+// TestEachFailureIsLogged: in a burst in which an entry refuses 200 requests at once, each has a
 // line that tells its end, and the first ones all their steps. Of those that do well the same
 // part is told whatever the load, by their ids.
-func TestEachFailureHasALine(t *testing.T) {
+func TestEachFailureIsLogged(t *testing.T) {
 	core, lines := observer.New(zap.InfoLevel)
 	g := New(Config{Log: zap.New(core)})
 	const refused, served = 200, 4800
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -38,8 +38,8 @@
 	Reserved: []string{"X-Hold", "X-Kv-From"},
 }
 
-// testWord reads what the rig's endpoints ask for.
-func testWord(_ int, h http.Header) (w backpressure.Word, err error) {
+// testFeedback reads what the rig's endpoints ask for.
+func testFeedback(_ int, h http.Header) (w backpressure.Word, err error) {
 	if text := h.Get("X-Limit"); text != "" {
 		w.Limited = true
 		w.Rate, err = strconv.ParseFloat(text, 64)
@@ -51,26 +51,26 @@
 	return w, err
 }
 
-// standIn is an endpoint that answers each connection's requests by a script.
-type standIn struct {
-	address string
-	mu      sync.Mutex
-	seen    []*http.Request
-	bodies  []string
-	closed  chan struct{} // gets a value when a caller closed during hold
+// fakeEndpoint is an endpoint that answers each connection's requests by a script.
+type fakeEndpoint struct {
+	address  string
+	mu       sync.Mutex
+	requests []*http.Request
+	bodies   []string
+	closed   chan struct{} // gets a value when a caller closed during hold
 }
 
 // answer writes an answer to a request; false closes the connection.
 type answer func(w net.Conn, r *http.Request) bool
 
-func newStandIn(t *testing.T, script answer) *standIn {
+func newFakeEndpoint(t *testing.T, script answer) *fakeEndpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	s := &standIn{address: l.Addr().String(), closed: make(chan struct{}, 10)}
+	s := &fakeEndpoint{address: l.Addr().String(), closed: make(chan struct{}, 10)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -83,7 +83,7 @@
 	return s
 }
 
-func (s *standIn) serve(c net.Conn, script answer) {
+func (s *fakeEndpoint) serve(c net.Conn, script answer) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for {
@@ -96,7 +96,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.seen = append(s.seen, r)
+		s.requests = append(s.requests, r)
 		s.bodies = append(s.bodies, string(body))
 		s.mu.Unlock()
 		if !script(c, r) {
@@ -105,10 +105,10 @@
 	}
 }
 
-func (s *standIn) runs() int {
+func (s *fakeEndpoint) runs() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.seen)
+	return len(s.requests)
 }
 
 func head(r *http.Request, status int, more string) string {
@@ -135,7 +135,7 @@
 	return false
 }
 
-func event2(id int) string { return fmt.Sprintf("id: %d\ndata: part %d\n\n", id, id) }
+func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: part %d\n\n", id, id) }
 
 // events streams events from the one after the caller's last, up to a number, and
 // ends well or in the middle of the next.
@@ -146,7 +146,7 @@
 		fmt.Fprintf(c, "%sContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", head(r, 200, ""))
 		chunk := func(text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 		for id := from + 1; id <= upTo; id++ {
-			chunk(event2(id))
+			chunk(eventText(id))
 		}
 		if broken {
 			chunk("id: 99\ndata: ha")
@@ -157,36 +157,36 @@
 	}
 }
 
-// rig is a gateway with an owner that grants each request to the next endpoint.
-type rig struct {
+// testGateway is a gateway with an owner that grants each request to the next endpoint.
+type testGateway struct {
 	gateway *Gateway
 	agent   *Agent
 	server  *httptest.Server
-	owner   *scriptedOwner
+	owner   *fakeOwner
 }
 
-// scriptedOwner is the other side of an agent's link.
-type scriptedOwner struct {
-	mu      sync.Mutex
-	grantTo []registry.Endpoint
-	next    int
-	refuse  event.Reason
-	silent  bool // it answers nothing
+// fakeOwner is the other side of an agent's link.
+type fakeOwner struct {
+	mu        sync.Mutex
+	endpoints []registry.Endpoint
+	next      int
+	refuse    event.Reason
+	silent    bool // it answers nothing
 	// beforeRepeat is called before it decides on a request that is to be sent once more.
 	beforeRepeat func()
 	hold         bool // it decides nothing
 	finished     []message.Finish
 	ends         []poison.End
-	heard        []backpressure.Heard
+	feedback     []backpressure.Heard
 	submits      []message.Submission
-	withdrew     []message.Withdrawal
+	withdrawn    []message.Withdrawal
 	conn         *link.Conn[message.Envelope]
 	version      uint64
 	trees        map[uint64]*hashtree.Tree
 }
 
-// put lets the owner tell of a configuration.
-func (o *scriptedOwner) put(table *routing.Table) {
+// publish lets the owner tell of a configuration.
+func (o *fakeOwner) publish(table *routing.Table) {
 	if o.trees == nil {
 		o.trees = make(map[uint64]*hashtree.Tree)
 	}
@@ -197,8 +197,8 @@
 	}
 }
 
-// give answers a question for nodes, of whatever version.
-func (o *scriptedOwner) give(c *link.Conn[message.Envelope], w *message.Want) {
+// sendNodes answers a question for nodes, of whatever version.
+func (o *fakeOwner) sendNodes(c *link.Conn[message.Envelope], w *message.Want) {
 	nodes := &message.Nodes{}
 	for _, sum := range w.Sums {
 		for _, tree := range o.trees {
@@ -211,7 +211,7 @@
 	c.Send(&message.Envelope{Nodes: nodes})
 }
 
-func (o *scriptedOwner) serve(c *link.Conn[message.Envelope]) {
+func (o *fakeOwner) serve(c *link.Conn[message.Envelope]) {
 	_ = c.Serve(func(m *message.Envelope) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
@@ -223,7 +223,7 @@
 			o.conn = c
 			view := &message.View{Whole: true, Version: o.version, Root: o.trees[o.version].Root()}
 			var endpoints []message.Endpoint
-			for _, e := range o.grantTo {
+			for _, e := range o.endpoints {
 				endpoints = append(endpoints, message.Endpoint{Endpoint: e})
 			}
 			view.Endpoints = message.Pack(endpoints)
@@ -231,18 +231,18 @@
 		case m.Ping != nil:
 			c.Send(&message.Envelope{Pong: &message.Pong{Sent: m.Ping.Sent, Version: o.version, Entries: 1}})
 		case m.Want != nil:
-			o.give(c, m.Want)
+			o.sendNodes(c, m.Want)
 		case m.Batch != nil:
 			o.decide(c, m.Batch)
 		}
 	})
 }
 
-func (o *scriptedOwner) decide(c *link.Conn[message.Envelope], b *message.Batch) {
+func (o *fakeOwner) decide(c *link.Conn[message.Envelope], b *message.Batch) {
 	o.finished = append(o.finished, b.Finish...)
 	o.ends = append(o.ends, b.Ends...)
-	o.heard = append(o.heard, b.Heard...)
-	o.withdrew = append(o.withdrew, b.Withdraw...)
+	o.feedback = append(o.feedback, b.Heard...)
+	o.withdrawn = append(o.withdrawn, b.Withdraw...)
 	if o.hold {
 		o.submits = append(o.submits, b.Submit...)
 		return
@@ -253,11 +253,11 @@
 		if s.Repeat && o.beforeRepeat != nil {
 			o.beforeRepeat()
 		}
-		if o.refuse != event.ReasonNone || o.next >= len(o.grantTo) {
+		if o.refuse != event.ReasonNone || o.next >= len(o.endpoints) {
 			d.Refusals = append(d.Refusals, event.Refused{ID: s.Ticket.ID, Reason: max(o.refuse, event.ReasonShed), RetryAfter: event.Second})
 			continue
 		}
-		e := o.grantTo[o.next]
+		e := o.endpoints[o.next]
 		o.next++
 		d.Grants = append(d.Grants, event.Granted{ID: s.Ticket.ID, Endpoint: event.EndpointID(e.ID), Address: e.Address})
 	}
@@ -285,19 +285,19 @@
 	return t
 }
 
-// newRig starts a gateway in front of endpoints, which are granted in their order.
-func newRig(t *testing.T, endpoints ...*standIn) *rig {
+// newTestGateway starts a gateway in front of endpoints, which are granted in their order.
+func newTestGateway(t *testing.T, endpoints ...*fakeEndpoint) *testGateway {
 	t.Helper()
-	return newRigAt(t, event.NewClock(), endpoints...)
+	return newTestGatewayWithClock(t, event.NewClock(), endpoints...)
 }
 
-// newRigAt is newRig with an entry that goes by a clock.
-func newRigAt(t *testing.T, clock event.Clock, endpoints ...*standIn) *rig {
+// newTestGatewayWithClock is newRig with an entry that goes by a clock.
+func newTestGatewayWithClock(t *testing.T, clock event.Clock, endpoints ...*fakeEndpoint) *testGateway {
 	t.Helper()
-	o := &scriptedOwner{}
-	o.put(testTable(1, "key"))
+	o := &fakeOwner{}
+	o.publish(testTable(1, "key"))
 	for i, s := range endpoints {
-		o.grantTo = append(o.grantTo, registry.Endpoint{ID: fmt.Sprintf("e%d", i+1), Service: "s", Address: s.address, Slots: 4})
+		o.endpoints = append(o.endpoints, registry.Endpoint{ID: fmt.Sprintf("e%d", i+1), Service: "s", Address: s.address, Slots: 4})
 	}
 	l, err := link.Listen("127.0.0.1:0", o.serve)
 	if err != nil {
@@ -311,7 +311,7 @@
 	agent.clock = clock
 	ctx, cancel := context.WithCancel(context.Background())
 	go agent.Run(ctx)
-	g := New(Config{Agent: agent, Names: testNames, Word: testWord, HeldBytes: 1 << 20, Log: zap.NewNop(), Entry: "entry", Life: 7})
+	g := New(Config{Agent: agent, Names: testNames, Word: testFeedback, HeldBytes: 1 << 20, Log: zap.NewNop(), Entry: "entry", Life: 7})
 	server := httptest.NewServer(g)
 	server.Config.ErrorLog = zap.NewStdLog(zap.NewNop())
 	t.Cleanup(func() {
@@ -320,7 +320,7 @@
 		_ = l.Close()
 	})
 	waitFor(t, "the gateway is ready", g.Ready)
-	return &rig{gateway: g, agent: agent, server: server, owner: o}
+	return &testGateway{gateway: g, agent: agent, server: server, owner: o}
 }
 
 func waitFor(t *testing.T, what string, done func() bool) {
@@ -333,7 +333,7 @@
 	t.Fatalf("it did not come to pass that %s", what)
 }
 
-func (r *rig) request(method, path, body string) *http.Request {
+func (r *testGateway) request(method, path, body string) *http.Request {
 	q, err := http.NewRequest(method, r.server.URL+path, strings.NewReader(body))
 	if err != nil {
 		panic(err) // the tests' paths are sound
@@ -347,7 +347,7 @@
 }
 
 // do sends a request and returns the status, the body, and whether it came whole.
-func (r *rig) do(t *testing.T, q *http.Request) (int, string, bool) {
+func (r *testGateway) do(t *testing.T, q *http.Request) (int, string, bool) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	a, err := client.Do(q)
--- a/gateway/stalled_test.go
+++ b/gateway/stalled_test.go
@@ -37,8 +37,8 @@
 	return true
 }
 
-// smallCaller connects with a buffer of so many bytes and asks for an answer.
-func smallCaller(t *testing.T, r *rig, path string, buffer int) *caller {
+// newSlowCaller connects with a buffer of so many bytes and asks for an answer.
+func newSlowCaller(t *testing.T, r *testGateway, path string, buffer int) *rawCaller {
 	t.Helper()
 	c := r.call(t)
 	if err := c.conn.SetReadBuffer(buffer); err != nil {
@@ -48,21 +48,21 @@
 	return c
 }
 
-// TestStalledCallerIsLetGo: a caller took nothing of its answer and kept its connection. The
+// TestStalledCallerIsDisconnected: a caller took nothing of its answer and kept its connection. The
 // request was held for as long as it liked, and its endpoint's place with it.
-func TestStalledCallerIsLetGo(t *testing.T) {
+func TestStalledCallerIsDisconnected(t *testing.T) {
 	for name, one := range map[string]struct {
 		path   string
 		script answer
 	}{"a stream": {"/single/x", largeEvents}, "a long answer": {"/once/x", longAnswer}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, newStandIn(t, one.script))
+			r := newTestGateway(t, newFakeEndpoint(t, one.script))
 			r.gateway.callerWriteTimeout = 300 * time.Millisecond
-			smallCaller(t, r, one.path, 4<<10)
+			newSlowCaller(t, r, one.path, 4<<10)
 			waitFor(t, "the request is held", func() bool { all, _ := r.gateway.Held(); return all == 1 })
 			began := time.Now()
-			waitFor(t, "the endpoint's place is free", func() bool { return len(r.owner.ended()) == 1 })
+			waitFor(t, "the endpoint's place is free", func() bool { return len(r.owner.finishes()) == 1 })
 			waitFor(t, "nothing is held", func() bool { all, _ := r.gateway.Held(); return all == 0 })
 			if took := time.Since(began); took > 2*time.Second {
 				t.Errorf("it took %v", took)
@@ -71,13 +71,13 @@
 	}
 }
 
-// TestSlowCallerGetsItsWholeAnswer: one that takes a little now and then is not let go,
+// TestSlowCallerGetsWholeResponse: one that takes a little now and then is not let go,
 // however long the whole takes.
-func TestSlowCallerGetsItsWholeAnswer(t *testing.T) {
+func TestSlowCallerGetsWholeResponse(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, newStandIn(t, longAnswer))
+	r := newTestGateway(t, newFakeEndpoint(t, longAnswer))
 	r.gateway.callerWriteTimeout = 300 * time.Millisecond
-	c := smallCaller(t, r, "/once/x", 128<<10)
+	c := newSlowCaller(t, r, "/once/x", 128<<10)
 	began := time.Now()
 	a, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestMedianLeavesOutWhatWasHeldUp(t *testing.T) {
+func TestMedianIgnoresOutliers(t *testing.T) {
 	times := []time.Duration{30, 31, 900, 29, 30, 800, 32}
 	if got := median(times); got != 31 {
 		t.Errorf("median %d, want 31", got)
--- a/gateway/upstream_test.go
+++ b/gateway/upstream_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-func TestFreshConnectionLeavesKeptOnesOut(t *testing.T) {
-	e := newStandIn(t, whole(200, "answer"))
+func TestNewConnectionDropsIdleOnes(t *testing.T) {
+	e := newFakeEndpoint(t, whole(200, "answer"))
 	u := newUpstream()
 	get := func(fresh bool) *upstreamConn {
 		t.Helper()
@@ -41,7 +41,7 @@
 	u.maxConnections = most
 	var conns []*upstreamConn
 	for i := range endpoints {
-		e := newStandIn(t, whole(200, "answer"))
+		e := newFakeEndpoint(t, whole(200, "answer"))
 		conns = conns[:0]
 		for range each {
 			c, err := u.get(context.Background(), e.address, "e", true)
--- a/gateway/view_test.go
+++ b/gateway/view_test.go
@@ -15,7 +15,7 @@
 	"lynxramp.org/registry"
 )
 
-func pieceOf(ids ...string) message.Packed {
+func packEndpoints(ids ...string) message.Packed {
 	var list []message.Endpoint
 	for _, id := range ids {
 		list = append(list, message.Endpoint{Endpoint: registry.Endpoint{ID: id, Service: "s"}})
@@ -23,10 +23,10 @@
 	return message.Pack(list)
 }
 
-// TestAllIsTakenInPieces: an entry that is told all endpoints piece by piece asks for each
+// TestEndpointListIsReceivedInParts: an entry that is told all endpoints piece by piece asks for each
 // next one at once, keeps those that it knew until the last piece is there, over another
 // connection too, and drops then what was not named. News between the pieces don't end them.
-func TestAllIsTakenInPieces(t *testing.T) {
+func TestEndpointListIsReceivedInParts(t *testing.T) {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Fresh: 5 * event.Second, Log: zap.NewNop()})
 	see := func(v message.View) (asked bool) {
 		a.Received(0, a.link, &message.Envelope{View: &v})
@@ -43,27 +43,27 @@
 	}
 	a.Dialed(0, 1, "box")
 	a.Take()
-	if see(message.View{Whole: true, Signs: true, Endpoints: pieceOf("old", "kept"), Revision: 900}) {
+	if see(message.View{Whole: true, Signs: true, Endpoints: packEndpoints("old", "kept"), Revision: 900}) {
 		t.Error("asked for more when all was there")
 	}
 	check(900, "kept", "old")
 	a.Lost(0, 1, nil)
 	a.Dialed(0, 2, "box")
 	a.Take()
-	if !see(message.View{Whole: true, Signs: true, Endpoints: pieceOf("a"), Revision: 10, More: true}) {
+	if !see(message.View{Whole: true, Signs: true, Endpoints: packEndpoints("a"), Revision: 10, More: true}) {
 		t.Error("did not ask for more")
 	}
 	check(10, "a", "kept", "old")
-	see(message.View{Endpoints: pieceOf("news")})
+	see(message.View{Endpoints: packEndpoints("news")})
 	check(10, "a", "kept", "news", "old")
 	a.Lost(0, 2, nil)
 	a.Dialed(0, 3, "box")
 	if hello := a.Take().Sends[0].Message.Hello; hello.Revision != 10 {
 		t.Errorf("greets with revision %d, want 10", hello.Revision)
 	}
-	see(message.View{Signs: true, Endpoints: pieceOf("kept"), Revision: 20, More: true})
+	see(message.View{Signs: true, Endpoints: packEndpoints("kept"), Revision: 20, More: true})
 	check(20, "a", "kept", "news", "old")
-	see(message.View{Endpoints: pieceOf("b"), Silent: []event.EndpointID{"kept"}, Revision: 30})
+	see(message.View{Endpoints: packEndpoints("b"), Silent: []event.EndpointID{"kept"}, Revision: 30})
 	check(30, "a", "b", "kept", "news")
 	if !a.endpoints["kept"].Down || a.endpoints["a"].Down {
 		t.Errorf("%+v, want kept alone to be silent", a.endpoints)
--- a/gateway/word_test.go
+++ b/gateway/word_test.go
@@ -15,14 +15,14 @@
 	"lynxramp.org/message"
 )
 
-// mostWord bounds a message at a session's beginning, in bytes: 26 ms of a link of 1.25 MB/s.
-const mostWord = 32 << 10
+// maxSessionMessage bounds a message at a session's beginning, in bytes: 26 ms of a link of 1.25 MB/s.
+const maxSessionMessage = 32 << 10
 
 // manyRunning is as many requests as an entry may hold.
 const manyRunning = maxInFlight
 
-// newManyClient returns a client that has many requests running and holds many accounts.
-func newManyClient() *OwnerClient {
+// newBusyClient returns a client that has many requests running and holds many accounts.
+func newBusyClient() *OwnerClient {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Fresh: 5 * event.Second, Log: zap.NewNop()})
 	a.Dialed(0, 1, "box")
 	lent := budget.Lent{Number: 1, Whole: true}
@@ -43,11 +43,11 @@
 	return a
 }
 
-// TestGreetingIsBounded: an entry told a new owner all its requests, each with all that was
+// TestSessionStartMessagesAreBounded: an entry told a new owner all its requests, each with all that was
 // said of it, and all accounts before its first question: 2,000 of each are 216 kB, 0.17 s of its link,
 // and an owner that is silent for 0.5 s is left for another one, which is told anew.
-func TestGreetingIsBounded(t *testing.T) {
-	a := newManyClient()
+func TestSessionStartMessagesAreBounded(t *testing.T) {
+	a := newBusyClient()
 	a.Lost(0, 1, nil)
 	a.Dialed(0, 2, "box")
 	running, held := make(map[event.RequestID]bool), make(map[budget.Account]bool)
@@ -58,8 +58,8 @@
 			if err := gob.NewEncoder(&data).Encode(s.Message); err != nil {
 				t.Fatal(err)
 			}
-			if data.Len() > mostWord+8<<10 { // the types go with the first one alone
-				t.Fatalf("a message of %d bytes at the beginning of a session, want %d at the most", data.Len(), mostWord)
+			if data.Len() > maxSessionMessage+8<<10 { // the types go with the first one alone
+				t.Fatalf("a message of %d bytes at the beginning of a session, want %d at the most", data.Len(), maxSessionMessage)
 			}
 			note(s.Message, running, held)
 		}
@@ -90,10 +90,10 @@
 	}
 }
 
-// TestEndedRequestIsNotTold: of a request that ends before its turn to be told comes the owner
+// TestFinishedRequestIsNotReported: of a request that ends before its turn to be told comes the owner
 // hears nothing more.
-func TestEndedRequestIsNotTold(t *testing.T) {
-	a := newManyClient()
+func TestFinishedRequestIsNotReported(t *testing.T) {
+	a := newBusyClient()
 	a.Lost(0, 1, nil)
 	a.Dialed(0, 2, "box")
 	running := make(map[event.RequestID]bool)
@@ -145,8 +145,8 @@
 			if err := gob.NewEncoder(&data).Encode(s.Message); err != nil {
 				t.Fatal(err)
 			}
-			if data.Len() > mostWord+8<<10 { // the types go with the first one alone
-				t.Fatalf("a message of %d bytes when an owner is found, want %d at the most", data.Len(), mostWord)
+			if data.Len() > maxSessionMessage+8<<10 { // the types go with the first one alone
+				t.Fatalf("a message of %d bytes when an owner is found, want %d at the most", data.Len(), maxSessionMessage)
 			}
 			if s.Message.Batch == nil {
 				continue
