--- a/gateway/asked_test.go
+++ b/gateway/asked_test.go
@@ -12,7 +12,7 @@
 	"lynxramp.org/event"
 )
 
-// withFeedback answers with a header that asks for something.
+// withFeedback responds with feedback in a header.
 func withFeedback(status int, header string) answer {
 	return func(c net.Conn, r *http.Request) bool {
 		fmt.Fprintf(c, "%sContent-Length: 6\r\n\r\nanswer", head(r, status, header+"\r\n"))
@@ -20,7 +20,7 @@
 	}
 }
 
-// grantInOrder has the owner grant endpoints by their numbers, whatever it was told.
+// grantInOrder has the owner grant endpoints by number, regardless of feedback.
 func (r *testGateway) grantInOrder(numbers ...int) {
 	r.owner.mu.Lock()
 	defer r.owner.mu.Unlock()
@@ -31,13 +31,13 @@
 	}
 }
 
-// TestGateChecksEverySend: what was granted by an owner that does not know what the endpoint asked
-// for is not sent: a first try, a repeat, a stream that is taken up again. The owner is told, and asked again.
+// TestGateChecksEverySend: a grant by an owner that lacks the endpoint's feedback is not used, for a first attempt,
+// a retry or a resumed stream. The feedback is reported and the owner asked again.
 func TestGateChecksEverySend(t *testing.T) {
-	for word, status := range map[string]int{"X-Limit: 2": 200, "X-Leaving: 1": 200, "X-Rest: 3s": 503} {
-		for _, way := range []struct {
+	for header, status := range map[string]int{"X-Limit: 2": 200, "X-Leaving: 1": 200, "X-Rest: 3s": 503} {
+		for _, attempt := range []struct {
 			name, path string
-			second     answer // of e2, which the request goes to before e1 again; nil for a first try
+			second     answer // of e2, tried before e1 is granted again; nil for a first attempt
 			third      answer
 			want       string
 		}{
@@ -45,28 +45,28 @@
 			{"repeat", "/safe/x", reset, whole(200, "answer"), "answer"},
 			{"resumed stream", "/stream/x", events(1, true), events(2, false), eventText(1) + eventText(2)},
 		} {
-			t.Run(word+" "+way.name, func(t *testing.T) {
-				e1, e2, e3 := newFakeEndpoint(t, withFeedback(status, word)), newFakeEndpoint(t, way.second), newFakeEndpoint(t, way.third)
+			t.Run(header+" "+attempt.name, func(t *testing.T) {
+				e1, e2, e3 := newFakeEndpoint(t, withFeedback(status, header)), newFakeEndpoint(t, attempt.second), newFakeEndpoint(t, attempt.third)
 				r := newTestGateway(t, e1, e2, e3, newFakeEndpoint(t, whole(200, "answer")))
 				grants := []int{1}
 				if status != 200 {
-					grants = append(grants, 4) // the first request is turned away
+					grants = append(grants, 4) // the first request is rejected by e1
 				}
-				if way.second != nil {
+				if attempt.second != nil {
 					grants = append(grants, 2)
 				}
 				r.grantInOrder(append(grants, 1, 3)...)
 				if status, _, _ := r.do(t, r.request("POST", "/once/x", "first")); status != 200 {
-					t.Fatalf("the endpoint's answer came as %d", status)
+					t.Fatalf("status %d of the first request", status)
 				}
-				status, body, all := r.do(t, r.request("POST", way.path, "second"))
-				if status != 200 || body != way.want || !all || e1.runs() != 1 || e3.runs() != 1 {
+				status, body, all := r.do(t, r.request("POST", attempt.path, "second"))
+				if status != 200 || body != attempt.want || !all || e1.runs() != 1 || e3.runs() != 1 {
 					t.Errorf("%d %q whole %v; the endpoint had %d requests, the third %d", status, body, all, e1.runs(), e3.runs())
 				}
 				r.owner.mu.Lock()
 				defer r.owner.mu.Unlock()
 				if n := len(r.owner.feedback); n < 2 {
-					t.Errorf("the owner was told %d times what the endpoint asks for", n)
+					t.Errorf("the owner received %d feedback reports", n)
 				}
 				unused := 0
 				for _, f := range r.owner.finished {
@@ -75,15 +75,14 @@
 					}
 				}
 				if unused != 1 {
-					t.Errorf("%d grants were given back unused", unused)
+					t.Errorf("%d grants were returned unused", unused)
 				}
 			})
 		}
 	}
 }
 
-// TestMisdirectedFeedbackIsIgnored: an answer that says that it is not of the endpoint that was called binds
-// no one.
+// TestMisdirectedFeedbackIsIgnored: feedback in a misdirected response comes from another endpoint.
 func TestMisdirectedFeedbackIsIgnored(t *testing.T) {
 	e1, e2 := newFakeEndpoint(t, withFeedback(421, "X-Leaving: 1\r\nX-Limit: 0")), newFakeEndpoint(t, whole(200, "answer"))
 	r := newTestGateway(t, e1, e2)
@@ -91,12 +90,12 @@
 		t.Fatalf("status %d", status)
 	}
 	if r.agent.client.gate.IsAsked() {
-		t.Error("an answer of another endpoint counts")
+		t.Error("feedback of a misdirected response was applied")
 	}
 }
 
-// TestCooldownResponseIsRetriedElsewhere: also one that may not be repeated, and though the endpoint says no
-// more than that it wants rest.
+// TestCooldownResponseIsRetriedElsewhere: a response with a cooldown means that the request was not run, so even
+// one that is not repeatable is retried.
 func TestCooldownResponseIsRetriedElsewhere(t *testing.T) {
 	e1, e2 := newFakeEndpoint(t, withFeedback(503, "X-Rest: 3s")), newFakeEndpoint(t, whole(200, "answer"))
 	r := newTestGateway(t, e1, e2)
@@ -105,7 +104,7 @@
 	}
 }
 
-// TestFeedbackHeadersAreForwarded: the words stay in the answer that is passed on.
+// TestFeedbackHeadersAreForwarded: feedback headers stay in the response to the caller.
 func TestFeedbackHeadersAreForwarded(t *testing.T) {
 	r := newTestGateway(t, newFakeEndpoint(t, withFeedback(200, "X-Limit: 2\r\nX-Leaving: 1")))
 	a, err := http.DefaultClient.Do(r.request("POST", "/once/x", "q"))
@@ -118,20 +117,20 @@
 	}
 }
 
-// TestDegradedEntryRespectsFeedback: an entry whose owner is lost sends nothing to an endpoint that wants
-// rest or is leaving, and to a limited one no more than its part.
+// TestDegradedEntryRespectsFeedback: a degraded entry sends nothing to an endpoint that is draining or in cooldown,
+// and at most its share to a limited one.
 func TestDegradedEntryRespectsFeedback(t *testing.T) {
-	for word, most := range map[string]int{"X-Limit: 2": 1 + 2*3 + 1, "X-Leaving: 1": 1, "X-Rest: 30s": 1} {
-		t.Run(word, func(t *testing.T) {
-			e1 := newFakeEndpoint(t, withFeedback(200, word))
+	for header, most := range map[string]int{"X-Limit: 2": 1 + 2*3 + 1, "X-Leaving: 1": 1, "X-Rest: 30s": 1} {
+		t.Run(header, func(t *testing.T) {
+			e1 := newFakeEndpoint(t, withFeedback(200, header))
 			r := newTestGateway(t, e1)
 			r.do(t, r.request("POST", "/once/x", "q"))
 			r.owner.mu.Lock()
 			r.owner.silent = true
 			r.owner.mu.Unlock()
-			began := time.Now()
-			waitFor(t, "the entry is alone", func() bool { return time.Since(began) > time.Second })
-			for time.Since(began) < 3*time.Second {
+			started := time.Now()
+			waitFor(t, "the entry is degraded", func() bool { return time.Since(started) > time.Second })
+			for time.Since(started) < 3*time.Second {
 				q := r.request("POST", "/once/x", "q")
 				q.Header.Set("X-Deadline", "60")
 				r.do(t, q)
--- a/gateway/body_test.go
+++ b/gateway/body_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// slowBody is a body that comes in pieces of ten bytes, each after a pause.
+// slowBody is a body that arrives in chunks of ten bytes, each after a pause.
 type slowBody struct {
 	pieces int
 	pause  time.Duration
-	stall  time.Duration // before the last piece
+	stall  time.Duration // additional pause before the last chunk
 }
 
 const slowBodyChunk = "ten bytes "
@@ -31,7 +31,7 @@
 	return copy(p, slowBodyChunk), nil
 }
 
-// sendBody sends a request whose body trickles in, in chunks or with its length.
+// sendBody sends a request with a slow body, chunked or with its length.
 func (r *testGateway) sendBody(t *testing.T, body *slowBody, chunked bool, deadline string) (status int, took time.Duration) {
 	t.Helper()
 	size := int64(body.pieces * len(slowBodyChunk))
@@ -42,13 +42,13 @@
 	if chunked {
 		q.ContentLength = -1
 	}
-	began := time.Now()
+	started := time.Now()
 	status, _, _ = r.do(t, q)
-	return status, time.Since(began)
+	return status, time.Since(started)
 }
 
-// TestSlowBodyArrives: many callers share an entry's link of 10 Mbit/s, and bodies that took
-// longer than a time-out for the whole were refused as not sent, though their bytes came.
+// TestSlowBodyArrives guards against a timeout for the whole body, which would reject bodies on slow links that
+// are still arriving.
 func TestSlowBodyArrives(t *testing.T) {
 	for name, chunked := range map[string]bool{"in chunks": true, "with its length": false} {
 		t.Run(name, func(t *testing.T) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestStalledBodyIsRejected: by a pause in it, and by the request's own deadline however
-// steadily it comes; nothing of it reaches an endpoint.
+// TestStalledBodyIsRejected: a body is rejected after a pause or at the request's deadline, and no part of it
+// reaches an endpoint.
 func TestStalledBodyIsRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		body     slowBody
@@ -94,16 +94,16 @@
 	}
 }
 
-// TestPartialBodiesCountAsHeld: only whole bodies were counted, so that callers who sent
-// slowly could make an entry hold far more than its bound.
+// TestPartialBodiesCountAsHeld guards against counting only complete bodies: slow callers would make an entry hold
+// more than its limit.
 func TestPartialBodiesCountAsHeld(t *testing.T) {
 	e := newFakeEndpoint(t, whole(200, "answer"))
 	r := newTestGateway(t, e)
 	r.gateway.config.HeldBytes = 100
 	go r.sendBody(t, &slowBody{pieces: 8, pause: time.Millisecond, stall: time.Second}, true, "2500")
-	waitFor(t, "what has come is held", func() bool { return r.gateway.bodyBytes.Load() == 70 })
+	waitFor(t, "the received bytes are held", func() bool { return r.gateway.bodyBytes.Load() == 70 })
 	if status, _ := r.sendBody(t, &slowBody{pieces: 4}, true, "2500"); status != http.StatusServiceUnavailable {
-		t.Errorf("status %d beyond the bound, want 503", status)
+		t.Errorf("status %d beyond the limit, want 503", status)
 	}
 	waitFor(t, "nothing is held", func() bool { return r.gateway.bodyBytes.Load() == 0 })
 	if e.runs() != 1 {
--- a/gateway/document_test.go
+++ b/gateway/document_test.go
@@ -12,8 +12,8 @@
 	"lynxramp.org/routing"
 )
 
-// TestConfigurationDocumentIsApplied: an entry that was replaced before its control boxes got no configuration
-// from an owner of an earlier build, which sends it whole.
+// TestConfigurationDocumentIsApplied: an upgraded entry must accept the configuration as one document, from an
+// owner that is not upgraded yet.
 func TestConfigurationDocumentIsApplied(t *testing.T) {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Log: zap.NewNop(), Decode: func(data []byte) (*routing.Table, error) {
 		if string(data) == "bad" {
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -20,27 +20,26 @@
 	"lynxramp.org/routing"
 )
 
-// unframed answers with a body that ends with its connection.
+// unframed responds with a body that ends with its connection.
 func unframed(c net.Conn, r *http.Request) bool {
 	fmt.Fprintf(c, "%sConnection: close\r\n\r\nhalf or whole", head(r, 200, ""))
 	return false
 }
 
-// foreign answers another request.
+// foreign responds with the ID of another request.
 func foreign(c net.Conn, r *http.Request) bool {
 	r.Header.Set("X-Request", "another")
 	return whole(200, "x")(c, r)
 }
 
-// silent never answers.
+// silent never responds.
 func silent(c net.Conn, _ *http.Request) bool {
 	time.Sleep(4 * time.Second)
 	return false
 }
 
-// TestAttemptResultsAreReported: an end is told where the other side ended the connection of a request, before
-// an answer or in the middle of one, and nothing else is one. Only an answer that is whole and
-// says where it ends speaks for its request.
+// TestAttemptResultsAreReported: an end is reported only if the endpoint closed the connection before or during a
+// response. Only a complete response that is framed counts as a success.
 func TestAttemptResultsAreReported(t *testing.T) {
 	cut := func(c net.Conn, r *http.Request) bool {
 		fmt.Fprintf(c, "%sContent-Length: 100\r\n\r\nhalf", head(r, 200, ""))
@@ -48,7 +47,7 @@
 	}
 	longCut := func(c net.Conn, r *http.Request) bool {
 		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", head(r, 200, ""), 3*maxBufferedResponse)
-		_, _ = c.Write(bytes.Repeat([]byte("x"), 2*maxBufferedResponse)) // the rest never comes
+		_, _ = c.Write(bytes.Repeat([]byte("x"), 2*maxBufferedResponse)) // the rest is never sent
 		return false
 	}
 	for name, one := range map[string]struct {
@@ -75,25 +74,25 @@
 			r := newTestGateway(t, newFakeEndpoint(t, one.script))
 			q := r.request(http.MethodPost, one.path, "body")
 			r.do(t, q)
-			waitFor(t, "the run's end is told", func() bool { return len(r.owner.finishes()) > 0 })
+			waitFor(t, "the attempt is reported", func() bool { return len(r.owner.finishes()) > 0 })
 			f := r.owner.finishes()[0]
 			want := poison.NewPrinter("team", http.MethodPost, "h.example", one.path)
-			_, _ = want.Write([]byte("body")) // it never fails
+			_, _ = want.Write([]byte("body")) // Write returns no errors
 			if f.Print != want.Print() || f.Ran != one.ran {
-				t.Errorf("told %d of %v, want %d of %v", f.Ran, f.Print, one.ran, want.Print())
+				t.Errorf("reported %d of %v, want %d of %v", f.Ran, f.Print, one.ran, want.Print())
 			}
 			r.owner.mu.Lock()
 			defer r.owner.mu.Unlock()
 			if got := len(r.owner.ends); (got == 1) != one.isEnd {
-				t.Errorf("%d ends told, want one: %v", got, one.isEnd)
+				t.Errorf("%d ends reported, want one: %v", got, one.isEnd)
 			}
 			for _, e := range r.owner.ends {
 				if e.Print != want.Print() || e.Endpoint != "e1" || e.Request != f.ID || e.Number != 1 {
-					t.Errorf("told of an end: %+v", e)
+					t.Errorf("reported end: %+v", e)
 				}
 			}
 			if s := r.owner.submits[0]; s.Print != want.Print() {
-				t.Errorf("submitted with print %v", s.Print)
+				t.Errorf("submitted with fingerprint %v", s.Print)
 			}
 		})
 	}
@@ -109,7 +108,7 @@
 	return a
 }
 
-// sentEnds returns what a client sends about ends and good runs.
+// sentEnds returns the ends and successes that a client sends.
 func sentEnds(a *OwnerClient) (ends []poison.End, well []poison.Print) {
 	for _, s := range a.Take().Sends {
 		if b := s.Message.Batch; b != nil {
@@ -119,14 +118,14 @@
 	return ends, well
 }
 
-// TestEndsAreReportedUntilSaved: an end is told at once, and to each owner that is found
-// until one says that the log has it; with it what ended well without an owner.
+// TestEndsAreReportedUntilSaved: an end is reported at once, and again to each new owner until one has it in its log.
+// Successes without an owner are reported to the next one.
 func TestEndsAreReportedUntilSaved(t *testing.T) {
 	a := ownedClient()
 	a.Ended(0, poison.End{Print: "p", Endpoint: "e1"})
 	a.Ended(0, poison.End{Print: "q", Endpoint: "e2"})
 	if ends, _ := sentEnds(a); len(ends) != 2 || ends[0].Number != 1 || ends[1].Number != 2 {
-		t.Fatalf("told at once: %+v", ends)
+		t.Fatalf("reported at once: %+v", ends)
 	}
 	a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Ends: 1}})
 	a.Lost(0, 1, nil)
@@ -136,14 +135,14 @@
 	a.Received(later, 2, &message.Envelope{Pong: &message.Pong{}})
 	ends, well := sentEnds(a)
 	if len(ends) != 1 || ends[0].Print != "q" || ends[0].Number != 2 || ends[0].Ago != event.Second {
-		t.Errorf("told to the next owner: %+v", ends)
+		t.Errorf("reported to the next owner: %+v", ends)
 	}
 	if len(well) != 1 || well[0] != "w" {
-		t.Errorf("told of runs that ended well: %v", well)
+		t.Errorf("reported successes: %v", well)
 	}
 	a.Received(later, 2, &message.Envelope{Pong: &message.Pong{Ends: 2}})
 	if len(a.unsavedEnds) != 0 {
-		t.Errorf("%d ends are kept that the log has", len(a.unsavedEnds))
+		t.Errorf("%d saved ends are kept", len(a.unsavedEnds))
 	}
 	for i := range 5 * maxUnsavedEnds {
 		a.Ended(later, poison.End{Print: poison.Print(fmt.Sprint(i)), Endpoint: "e"})
@@ -153,7 +152,7 @@
 	}
 }
 
-// requestedNodes returns the nodes of a configuration that a client asks for.
+// requestedNodes returns the configuration nodes that a client requests.
 func requestedNodes(a *OwnerClient) (sums []hashtree.Sum) {
 	for _, s := range a.Take().Sends {
 		if w := s.Message.Want; w != nil {
@@ -163,8 +162,8 @@
 	return sums
 }
 
-// TestDegradedEntryRefusesSuspects: what the last owner held off does not run at an entry
-// that decides alone, and an owner's list replaces the one before.
+// TestDegradedEntryRefusesSuspects: a degraded entry refuses the requests in the last owner's list of suspects. A
+// new list replaces the previous one.
 func TestDegradedEntryRefusesSuspects(t *testing.T) {
 	tree := hashtree.Build(&routing.Table{Version: 1, Services: []routing.Service{{Name: "s"}}}, nil)
 	for _, lists := range [][][]poison.Print{{{"p"}}, {{"p"}, nil}} {
@@ -177,7 +176,7 @@
 				nodes.List = append(nodes.List, message.Node{Sum: sum, Packed: packed})
 			}
 			if len(nodes.List) == 0 {
-				t.Fatal("the configuration is not asked for")
+				t.Fatal("no nodes are requested")
 			}
 			a.Received(0, 1, &message.Envelope{Nodes: nodes})
 		}
@@ -190,14 +189,14 @@
 		a.Submit(event.Time(event.Second), message.Submission{
 			Ticket: event.Ticket{ID: "1", Service: "s", Pool: "s", Deadline: event.Second}, Print: "p",
 		}, decision)
-		isHeldOff := false
+		isRefused := false
 		select {
 		case d := <-decision:
-			isHeldOff = d.Reason == event.ReasonPoison && d.RetryAfter > 0 && d.Alone
+			isRefused = d.Reason == event.ReasonPoison && d.RetryAfter > 0 && d.Alone
 		default:
 		}
-		if want := len(lists) == 1; isHeldOff != want {
-			t.Errorf("after lists %v it is held off: %v", lists, isHeldOff)
+		if want := len(lists) == 1; isRefused != want {
+			t.Errorf("after lists %v it is refused: %v", lists, isRefused)
 		}
 	}
 }
--- a/gateway/fresh_test.go
+++ b/gateway/fresh_test.go
@@ -12,7 +12,7 @@
 	"lynxramp.org/routing"
 )
 
-// newSessionClient returns an entry in a session with an owner, and what puts a version in force.
+// newSessionClient returns a client in a session with an owner, and a function that puts a version in force.
 func newSessionClient() (a *OwnerClient, put func(now event.Time, version uint64)) {
 	a = NewOwnerClient(ClientConfig{
 		Entry: "entry", Control: []string{"box"}, Log: zap.NewNop(), Fresh: 5 * event.Second,
@@ -28,9 +28,8 @@
 	}
 }
 
-// TestValidWhileConfigurationChangesOften: an operator sent a change as soon as the one before was acknowledged.
-// Each came in force at an entry when the next was the newest already, so that no word of the owner
-// counted, and the entry refused all requests 5 s later though it was never more than half a second behind.
+// TestValidWhileConfigurationChangesOften guards against ignoring confirmations of versions not in force yet: if
+// changes follow each other quickly, every version is outdated when it comes in force.
 func TestValidWhileConfigurationChangesOften(t *testing.T) {
 	a, put := newSessionClient()
 	pong := func(now event.Time, version uint64) {
@@ -46,45 +45,45 @@
 			t.Fatalf("refuses at version %d, %v after the beginning", version, now)
 		}
 		if len(a.confirmations) > 20 {
-			t.Fatalf("%d words kept", len(a.confirmations))
+			t.Fatalf("%d confirmations kept", len(a.confirmations))
 		}
 	}
 }
 
-// TestValidityCountsFromPing: a version that was the newest a while ago is good for that much less, and
-// one that is not in force for nothing.
+// TestValidityCountsFromPing: a confirmation counts from the time the ping was sent, and only once its version or a
+// later one is in force.
 func TestValidityCountsFromPing(t *testing.T) {
 	a, put := newSessionClient()
 	at := func(ms int) event.Time { return event.Time(event.Span(ms) * event.Millisecond) }
-	hear := func(ms int, version uint64) {
+	confirm := func(ms int, version uint64) {
 		a.confirmVersion(at(ms), versionConfirmation{version: version, asked: at(ms)})
 	}
 	serves := func(ms int) bool { return a.Table(at(ms)) != nil }
 	put(0, 1)
 	if serves(0) {
-		t.Error("serves without word")
+		t.Error("valid without a confirmation")
 	}
-	hear(1000, 1)
-	hear(2000, 2)
-	hear(3000, 3)
+	confirm(1000, 1)
+	confirm(2000, 2)
+	confirm(3000, 3)
 	if !serves(5999) || serves(6000) {
-		t.Error("version 1 was the newest when the owner was asked at 1 s")
+		t.Error("version 1 must be valid for 5 s after the ping at 1 s")
 	}
 	put(4000, 2)
 	if !serves(6999) || serves(7000) {
-		t.Error("version 2 was the newest when the owner was asked at 2 s")
+		t.Error("version 2 must be valid for 5 s after the ping at 2 s")
 	}
-	hear(4500, 1) // a word that came late tells that version 1 still was the newest then
+	confirm(4500, 1) // a late confirmation that version 1 still was the newest
 	if !serves(9499) || serves(9500) {
-		t.Error("version 2 has what version 1 had at 4.5 s")
+		t.Error("version 2 is valid by the confirmation of version 1 at 4.5 s")
 	}
 	put(9600, 3)
 	if serves(9600) {
-		t.Error("a word of 3 s counts at 9.6 s")
+		t.Error("a confirmation of 3 s is valid at 9.6 s")
 	}
 	select {
 	case <-a.hasTable:
 	default:
-		t.Error("it is not told that a configuration is in force")
+		t.Error("hasTable is not closed")
 	}
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -31,7 +31,7 @@
 	got := e.requests[0]
 	for name, want := range map[string]string{"X-Team": "team", "X-Expect": "e1", "X-Request": "r-1", "Authorization": ""} {
 		if got.Header.Get(name) != want {
-			t.Errorf("%s is %q, want %q", name, got.Header.Get(name), want)
+			t.Errorf("header %s is %q, want %q", name, got.Header.Get(name), want)
 		}
 	}
 	if got.RequestURI != "/once/a%20b?x=1" || got.Host != "h.example" || e.bodies[0] != "question" {
@@ -39,9 +39,8 @@
 	}
 }
 
-// TestReservedHeadersAreNotForwarded: the headers that are the system's own never reach an endpoint
-// as a caller sent them: not with calls, streams, repeats or resumed streams, not sent
-// twice, in another case, as a trailer, or named as one of the connection's.
+// TestReservedHeadersAreNotForwarded: reserved headers sent by a caller never reach an endpoint, in calls, streams,
+// retries or resumed streams, whether repeated, in another case, as a trailer, or named in Connection.
 func TestReservedHeadersAreNotForwarded(t *testing.T) {
 	for name, c := range map[string]struct {
 		path      string
@@ -117,8 +116,8 @@
 	}
 }
 
-// TestRetryAfterFailedAttempt states for each kind of request and failure of the first
-// endpoint what the caller gets and how many endpoints have the request.
+// TestRetryAfterFailedAttempt checks the status and the number of runs for each kind of request and failure of the
+// first endpoint.
 func TestRetryAfterFailedAttempt(t *testing.T) {
 	cutBody := func(c net.Conn, q *http.Request) bool {
 		fmt.Fprintf(c, "%sContent-Length: 100\r\n\r\npart", head(q, 200, ""))
@@ -140,7 +139,7 @@
 		name, path  string
 		first       answer
 		status      int
-		first2, all int // runs at the first endpoint and at both
+		first2, all int // runs at the first endpoint and at both together
 	}{
 		{"not run, once", "/once/x", notRun, 200, 1, 2},
 		{"not run, safe", "/safe/x", notRun, 200, 1, 2},
@@ -174,8 +173,8 @@
 	}
 }
 
-// TestNotRunIsNotClaimedAfterLostResponse: a first endpoint may have run the request, a
-// second one rejects it or can't be reached. "Not run" would be a lie.
+// TestNotRunIsNotClaimedAfterLostResponse: if the first endpoint may have run the request, a rejection by the
+// second one must not be reported as "not run".
 func TestNotRunIsNotClaimedAfterLostResponse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -211,15 +210,14 @@
 	if status, body, _ := r.do(t, r.request("POST", "/once/x", "q")); status != 200 {
 		t.Errorf("%d %q, want 200 from the endpoint that was reached", status, body)
 	}
-	waitFor(t, "the owner hears of the endpoint", func() bool {
+	waitFor(t, "the owner receives the results", func() bool {
 		r.owner.mu.Lock()
 		defer r.owner.mu.Unlock()
 		return len(r.owner.finished) == 3 && r.owner.finished[0].Suspect && r.owner.finished[0].Void
 	})
 }
 
-// TestSurplusResponseIsDiscarded: an endpoint sends a second answer behind the
-// first; the next request on that endpoint must not get it.
+// TestSurplusResponseIsDiscarded: a second response on a kept connection must not go to the next request.
 func TestSurplusResponseIsDiscarded(t *testing.T) {
 	count := 0
 	e := newFakeEndpoint(t, func(c net.Conn, q *http.Request) bool {
@@ -253,8 +251,7 @@
 	if got := two.requests[0].Header.Get("X-Last"); got != "3" {
 		t.Errorf("the second endpoint was asked from event %q, want 3", got)
 	}
-	// It was asked for as one that the caller has a part of, which is not refused for
-	// its wait: it was, on days of load, as its target was over.
+	// The retry has no limit on its expected wait: a stream that was started is not refused for its wait.
 	r.owner.mu.Lock()
 	defer r.owner.mu.Unlock()
 	first, second := r.owner.submits[0].Ticket, r.owner.submits[1].Ticket
@@ -263,15 +260,14 @@
 	}
 }
 
-// TestAbortedStreamIsNotComplete covers each way in which a stream that has
-// begun ends without its rest. It failed when a refused resume ended the answer
-// with a status of our own.
+// TestAbortedStreamIsNotComplete covers the ways in which a started stream is given up. The caller must see the
+// response break off, not end.
 func TestAbortedStreamIsNotComplete(t *testing.T) {
 	for name, path := range map[string]string{"not resumable": "/single/x", "nobody to resume at": "/stream/x"} {
 		r := newTestGateway(t, newFakeEndpoint(t, events(3, true)))
 		status, body, all := r.do(t, r.request("POST", path, "q"))
 		if all || status != 200 || !strings.HasPrefix(body, eventText(1)) {
-			t.Errorf("%s: %d, whole %v, %q; want a cut answer", name, status, all, body)
+			t.Errorf("%s: %d, whole %v, %q; want an aborted response", name, status, all, body)
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -282,7 +278,7 @@
 	_ = l.Close()
 	r := newTestGateway(t, newFakeEndpoint(t, events(3, true)), dead)
 	if _, _, all := r.do(t, r.request("POST", "/stream/x", "q")); all {
-		t.Error("a stream whose second endpoint was not reached looks whole")
+		t.Error("a stream whose second endpoint was not reached is complete")
 	}
 }
 
@@ -308,7 +304,7 @@
 	select {
 	case <-e.closed:
 	case <-time.After(2 * time.Second):
-		t.Error("the endpoint works on for a caller that has left")
+		t.Error("the endpoint still works for a caller that has left")
 	}
 }
 
@@ -329,8 +325,7 @@
 	}
 }
 
-// TestRevokedKeyIsRejected: the owner grants after it has sent a configuration
-// without the request's key.
+// TestRevokedKeyIsRejected: a key that is missing in the newest configuration is rejected.
 func TestRevokedKeyIsRejected(t *testing.T) {
 	e := newFakeEndpoint(t, whole(200, "answer"))
 	r := newTestGateway(t, e)
@@ -339,7 +334,7 @@
 	r.owner.mu.Unlock()
 	waitFor(t, "the new configuration is in force", func() bool { return r.agent.Table().Version == 2 })
 	if status, _, _ := r.do(t, r.request("POST", "/once/x", "q")); status != 401 || e.runs() != 0 {
-		t.Errorf("%d and %d runs with a key that was taken away", status, e.runs())
+		t.Errorf("%d and %d runs with a revoked key", status, e.runs())
 	}
 }
 
@@ -350,32 +345,31 @@
 	r.owner.publish(testTable(1, "key"))
 	r.owner.mu.Unlock()
 	waitFor(t, "the new configuration is in force", func() bool { return r.agent.Table().Version == 2 })
-	time.Sleep(50 * time.Millisecond) // the older one has been read by then
+	time.Sleep(50 * time.Millisecond) // the older one has been received by then
 	if got := r.agent.Table().Version; got != 2 {
-		t.Errorf("version %d came back", got)
+		t.Errorf("version %d is in force again", got)
 	}
 }
 
-// TestDegradedEntryServesUntilConfigurationExpires: without an owner an entry decides by itself,
-// until its configuration may be too old.
+// TestDegradedEntryServesUntilConfigurationExpires: without an owner an entry decides by itself until the validity
+// of its configuration expires.
 func TestDegradedEntryServesUntilConfigurationExpires(t *testing.T) {
 	e := newFakeEndpoint(t, whole(200, "answer"))
 	r := newTestGateway(t, e)
 	r.owner.mu.Lock()
 	r.owner.silent = true
 	r.owner.mu.Unlock()
-	waitFor(t, "the entry decides alone", func() bool {
+	waitFor(t, "the entry is degraded", func() bool {
 		status, _, _ := r.do(t, r.request("POST", "/safe/x", "q"))
 		return status == 200
 	})
 	waitFor(t, "the entry is not ready any more", func() bool { return !r.gateway.Ready() })
 	if status, _, _ := r.do(t, r.request("POST", "/safe/x", "q")); status != 503 {
-		t.Errorf("%d by a configuration that may be too old, want 503", status)
+		t.Errorf("%d by an expired configuration, want 503", status)
 	}
 }
 
-// TestRefusedStreamReleasesBody: a stream that comes too late was counted among the
-// bodies held for good.
+// TestRefusedStreamReleasesBody guards against counting the body of a refused stream as held forever.
 func TestRefusedStreamReleasesBody(t *testing.T) {
 	r := newTestGateway(t, newFakeEndpoint(t, events(3, false)))
 	r.gateway.RefuseStreams()
@@ -393,8 +387,8 @@
 	}
 }
 
-// TestUnusedGrantIsReturned: a caller that leaves between its grant and its
-// dispatch, and a grant that comes after its request was withdrawn, end as never sent.
+// TestUnusedGrantIsReturned: a grant withdrawn before dispatch, and one that arrives after its request was
+// withdrawn, are finished as not sent.
 func TestUnusedGrantIsReturned(t *testing.T) {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", Limits: admission.Limits{QuotaWindow: event.Second, RetryWindow: event.Second}, Log: zap.NewNop()})
 	a.link, a.hasOwner = 1, true
@@ -414,7 +408,7 @@
 	}
 	for _, f := range a.batch.Finish {
 		if !f.Unsent || !f.Void || !f.Unused {
-			t.Errorf("%s ends as %+v", f.ID, f)
+			t.Errorf("%s is finished as %+v", f.ID, f)
 		}
 	}
 }
--- a/gateway/gone_test.go
+++ b/gateway/gone_test.go
@@ -18,13 +18,12 @@
 	"lynxramp.org/message"
 )
 
-// A caller that has closed its connection is told on within half a second, whatever became
-// of its request by then: an endpoint at work for nobody keeps others waiting.
+// When a caller disconnects, its request is cancelled at the endpoint and at the owner within cancelWithin.
 
-// cancelWithin is how long after a close an endpoint or the owner may be at work for nobody.
+// cancelWithin is how long after a disconnect an endpoint or the owner may still hold the request.
 const cancelWithin = 500 * time.Millisecond
 
-// rawCaller is a rawCaller's connection.
+// rawCaller is a caller that controls its connection.
 type rawCaller struct {
 	t      *testing.T
 	conn   *net.TCPConn
@@ -41,7 +40,7 @@
 	return &rawCaller{t: t, conn: c.(*net.TCPConn), reader: bufio.NewReader(c)}
 }
 
-// send writes a request with the beginning of its body; more says how much is to come.
+// send writes a request with the first part of its body; more is the length of the missing rest.
 func (c *rawCaller) send(path, body string, more int) {
 	c.t.Helper()
 	_, err := fmt.Fprintf(c.conn, "POST %s HTTP/1.1\r\nHost: h.example\r\nX-Request: r-1\r\nX-Deadline: 2900\r\n"+
@@ -51,7 +50,7 @@
 	}
 }
 
-// sendChunked writes a request with its body in chunks.
+// sendChunked writes a request with a chunked body.
 func (c *rawCaller) sendChunked(path, body string) {
 	c.t.Helper()
 	_, err := fmt.Fprintf(c.conn, "POST %s HTTP/1.1\r\nHost: h.example\r\nX-Request: r-1\r\nX-Deadline: 2900\r\n"+
@@ -61,7 +60,7 @@
 	}
 }
 
-// readResponse reads an answer to its end.
+// readResponse reads a response to its end.
 func (c *rawCaller) readResponse() {
 	c.t.Helper()
 	a, err := http.ReadResponse(c.reader, nil)
@@ -73,14 +72,14 @@
 	}
 }
 
-// connectionCase is how a caller uses and leaves its connection.
+// connectionCase is how a caller uses and closes its connection.
 type connectionCase struct{ kept, reset, chunked bool }
 
 func (m connectionCase) String() string {
 	return fmt.Sprintf("kept=%t,reset=%t,chunked=%t", m.kept, m.reset, m.chunked)
 }
 
-// disconnect closes the connection and returns when.
+// disconnect closes the connection and returns the time.
 func (c *rawCaller) disconnect(m connectionCase) time.Time {
 	if m.reset {
 		_ = c.conn.SetLinger(0)
@@ -89,9 +88,8 @@
 	return time.Now()
 }
 
-// forEachConnectionCase runs a scenario on new connections and on such that have served a request, for
-// callers that close and such that reset. The caller's request is on its way when the
-// scenario begins; start makes the endpoints that it meets.
+// forEachConnectionCase runs a scenario on new and reused connections, for callers that close and callers that reset.
+// The request has been sent when the scenario starts; start returns the endpoints for it.
 func forEachConnectionCase(t *testing.T, path string, hold bool, start func() []*fakeEndpoint, scenario func(t *testing.T, r *testGateway, c *rawCaller, m connectionCase)) {
 	for _, m := range []connectionCase{{}, {reset: true}, {kept: true}, {kept: true, reset: true}, {chunked: true}, {kept: true, chunked: true}} {
 		t.Run(m.String(), func(t *testing.T) {
@@ -124,10 +122,10 @@
 	}
 }
 
-// cancelWatcher is an endpoint's script that begins an answer and waits until its caller closes.
-// started gets a value with the beginning, gone the time of the close.
+// cancelWatcher is the script of an endpoint that starts a response and waits for its caller to close. started gets
+// the time of the start, cancelled the time of the close.
 type cancelWatcher struct {
-	begin              answer // what it says before it waits; nil is nothing
+	begin              answer // what it sends before it waits; nil for nothing
 	started, cancelled chan time.Time
 }
 
@@ -148,20 +146,20 @@
 	return false
 }
 
-// checkCancelled checks that an endpoint was told of a close.
+// checkCancelled checks that the endpoint saw the connection close in time.
 func (w *cancelWatcher) checkCancelled(t *testing.T, left time.Time) {
 	t.Helper()
 	select {
 	case at := <-w.cancelled:
 		if took := at.Sub(left); took > cancelWithin {
-			t.Errorf("the endpoint was told after %v", took)
+			t.Errorf("the request was cancelled after %v", took)
 		}
 	case <-time.After(2 * cancelWithin):
-		t.Error("the endpoint works on for a caller that has left")
+		t.Error("the endpoint still works for a caller that has left")
 	}
 }
 
-// streamHead begins a stream and says so many events.
+// streamHead starts a stream and sends some events.
 func streamHead(upTo int) answer {
 	return func(c net.Conn, q *http.Request) bool {
 		fmt.Fprintf(c, "%sContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", head(q, 200, ""))
@@ -172,16 +170,16 @@
 	}
 }
 
-// checkWithdrawn checks that the owner was told of a close.
+// checkWithdrawn checks that the request was withdrawn at the owner in time.
 func (o *fakeOwner) checkWithdrawn(t *testing.T, left time.Time) {
 	t.Helper()
-	waitFor(t, "the owner is told", func() bool {
+	waitFor(t, "the request is withdrawn", func() bool {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		return len(o.withdrawn) == 1
 	})
 	if took := time.Since(left); took > cancelWithin {
-		t.Errorf("the owner was told after %v", took)
+		t.Errorf("the request was withdrawn after %v", took)
 	}
 }
 
@@ -221,15 +219,15 @@
 			}
 			forEachConnectionCase(t, one.path, false, start, func(t *testing.T, _ *testGateway, c *rawCaller, m connectionCase) {
 				<-w.started
-				time.Sleep(20 * time.Millisecond) // what was said has been passed on by then
+				time.Sleep(20 * time.Millisecond) // everything sent has been forwarded by then
 				w.checkCancelled(t, c.disconnect(m))
 			})
 		})
 	}
 }
 
-// TestDisconnectDuringResume: the first endpoint of a stream is lost in the middle, and the caller
-// leaves while the next one is asked for, or is at work.
+// TestDisconnectDuringResume: the caller disconnects after its stream broke off, while the next endpoint is
+// requested or is responding.
 func TestDisconnectDuringResume(t *testing.T) {
 	t.Run("at work", func(t *testing.T) {
 		t.Parallel()
@@ -247,7 +245,7 @@
 		t.Parallel()
 		var broken chan struct{}
 		start := func() []*fakeEndpoint {
-			now := make(chan struct{}) // of this manner: endpoints of others may wait still
+			now := make(chan struct{}) // per case, as endpoints of other cases may still wait
 			broken = now
 			first := func(c net.Conn, q *http.Request) bool {
 				streamHead(2)(c, q)
@@ -268,8 +266,8 @@
 	})
 }
 
-// TestDisconnectWhileQueued: the request is withdrawn, and a grant that was on its way to it
-// reaches no endpoint and is given back.
+// TestDisconnectWhileQueued: the request is withdrawn. A grant already on its way is returned and reaches no
+// endpoint.
 func TestDisconnectWhileQueued(t *testing.T) {
 	t.Parallel()
 	var e *fakeEndpoint
@@ -286,14 +284,14 @@
 			{ID: r.owner.submits[0].Ticket.ID, Endpoint: event.EndpointID(to.ID), Address: to.Address},
 		}}})
 		r.owner.mu.Unlock()
-		waitFor(t, "the grant is given back", func() bool { return len(r.owner.finishes()) == 1 && r.owner.finishes()[0].Unused })
+		waitFor(t, "the grant is returned", func() bool { return len(r.owner.finishes()) == 1 && r.owner.finishes()[0].Unused })
 		if e.runs() != 0 {
 			t.Errorf("%d runs for a caller that has left", e.runs())
 		}
 	})
 }
 
-// TestDisconnectDuringBody: nothing of the request reaches an endpoint.
+// TestDisconnectDuringBody: nothing of an incomplete request reaches an endpoint.
 func TestDisconnectDuringBody(t *testing.T) {
 	for _, m := range []connectionCase{{}, {reset: true}, {kept: true}, {kept: true, reset: true}} {
 		t.Run(m.String(), func(t *testing.T) {
@@ -306,7 +304,7 @@
 			}
 			before := e.runs()
 			c.send("/safe/x", "half of", 100)
-			waitFor(t, "the half is there", func() bool { return r.gateway.bodyBytes.Load() == 7 })
+			waitFor(t, "half the body has arrived", func() bool { return r.gateway.bodyBytes.Load() == 7 })
 			left := c.disconnect(m)
 			waitFor(t, "nothing is held", func() bool { all, _ := r.gateway.Held(); return all == 0 && r.gateway.bodyBytes.Load() == 0 })
 			if took := time.Since(left); took > cancelWithin {
@@ -319,13 +317,13 @@
 	}
 }
 
-// TestDisconnectBeforeDispatch: a grant comes just when its caller has left. The request began on a kept
-// connection, raced with its own cancelling, and its end cast suspicion on the endpoint.
+// TestDisconnectBeforeDispatch guards against sending on a kept connection for a caller that has just left: the
+// cancellation would look like a failure of the endpoint.
 func TestDisconnectBeforeDispatch(t *testing.T) {
 	e := newFakeEndpoint(t, whole(200, "answer"))
 	r := newTestGateway(t, e)
 	c := r.call(t)
-	c.send("/safe/x", "first", 0) // it leaves a connection that is kept
+	c.send("/safe/x", "first", 0) // leaves a kept connection
 	c.readResponse()
 	waitFor(t, "the connection is kept", func() bool {
 		r.gateway.upstream.mu.Lock()
@@ -340,13 +338,13 @@
 		late := &call{gateway: r.gateway, r: r.request("POST", "/safe/x", "").WithContext(ctx), id: "late", callerID: "late", arrivedClock: r.agent.clock.Now(), timeout: time.Second}
 		late.reportAttempt(late.try(ctx, Decision{Granted: true, Endpoint: "e1", Address: e.address}))
 	}
-	waitFor(t, "the grants are given back", func() bool { return len(r.owner.finishes()) == 1+tries })
+	waitFor(t, "the grants are returned", func() bool { return len(r.owner.finishes()) == 1+tries })
 	if e.runs() != 1 {
 		t.Errorf("%d runs, want the first only", e.runs())
 	}
 	for _, f := range r.owner.finishes()[1:] {
 		if !f.Unsent || !f.Void || f.Suspect {
-			t.Fatalf("a grant that was not used ends as %+v: unsent, and no word on the endpoint", f)
+			t.Fatalf("an unused grant is finished as %+v, want unsent and the endpoint not suspect", f)
 		}
 	}
 }
--- a/gateway/handover_test.go
+++ b/gateway/handover_test.go
@@ -14,27 +14,23 @@
 	"lynxramp.org/message"
 )
 
-// TestViewWithoutRootIsIgnored: an owner of the version before names a configuration's version in a
-// View and has no tree; its Root is zero. Fetch takes the zero Sum for a tree of which nothing is
-// missing, and the entry's process ends in assembling it.
+// TestViewWithoutRootIsIgnored guards against a panic on a View without a root hash, which an owner of the previous
+// version sends. Fetcher takes a zero Sum for a complete tree.
 func TestViewWithoutRootIsIgnored(t *testing.T) {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Fresh: 5 * event.Second, Log: zap.NewNop()})
 	a.Dialed(0, 1, "box")
 	defer func() {
 		if r := recover(); r != nil {
-			t.Errorf("the entry's process ends: %v", r)
+			t.Errorf("panic: %v", r)
 		}
 	}()
 	a.Received(0, 1, &message.Envelope{View: &message.View{Version: 3}})
 }
 
-// TestWaitingRequestsAreSplit: an entry of 4,100 descriptors holds 1,850 requests that wait
-// when it finds its owner. It hands all of them over in one message, 247 kB: 0.2 s of an idle link of
-// 1.25 MB/s, in front of its next question. Where callers' answers have three quarters of that link it
-// takes 0.8 s; the entry takes the owner that did not answer for 0.5 s for lost, and hands all over anew
-// on the next connection.
+// TestWaitingRequestsAreSplit guards against submitting all waiting requests to a new owner in s message: the
+// reply to the next ping could arrive after ownerTimeout, and the entry would reconnect and submit them again.
 func TestWaitingRequestsAreSplit(t *testing.T) {
-	const held, most = 1850, 64 << 10 // 52 ms of the link
+	const held, most = 1850, 64 << 10 // 52 ms on a link of 1.25 MB/s
 	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Fresh: 5 * event.Second, Log: zap.NewNop()})
 	for i := range held {
 		a.Submit(0, message.Submission{
@@ -51,15 +47,15 @@
 	a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Entries: 1}})
 	var wire bytes.Buffer
 	encoder := gob.NewEncoder(&wire)
-	for _, one := range a.Take().Sends {
-		if one.Message.Ping != nil {
+	for _, s := range a.Take().Sends {
+		if s.Message.Ping != nil {
 			break
 		}
-		if err := encoder.Encode(one.Message); err != nil {
+		if err := encoder.Encode(s.Message); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if wire.Len() > most {
-		t.Errorf("%d bytes go in front of the next question, want %d at the most", wire.Len(), most)
+		t.Errorf("%d bytes are sent before the next ping, want at most %d", wire.Len(), most)
 	}
 }
--- a/gateway/implied_test.go
+++ b/gateway/implied_test.go
@@ -8,10 +8,8 @@
 	"time"
 )
 
-// TestHalfClosedCallerGetsNoSuccess: a caller's end of sending came with its request,
-// while the connection still carried answers. The request was cancelled as its caller's
-// leaving, nothing was written, and a handler that returns without a word has net/http
-// answer 200 with an empty body: a success that no endpoint had made.
+// TestHalfClosedCallerGetsNoSuccess: a caller that closes its sending side is treated as disconnected. It guards
+// against net/http's implicit 200 for a handler that returns without a response.
 func TestHalfClosedCallerGetsNoSuccess(t *testing.T) {
 	for name, path := range map[string]string{"a call": "/once/x", "a stream": "/single/x"} {
 		for _, at := range []string{"while it waits", "while an endpoint works"} {
--- a/gateway/longest_test.go
+++ b/gateway/longest_test.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// TestRetryHasShorterTimeout: what counts is what callers of a route give
-// their requests, not what the route allows: those who always give less would else
-// stand behind all others for good.
+// TestRetryHasShorterTimeout: a timeout is compared with those that callers of the route recently gave, not with
+// the route's limit. Otherwise callers with short timeouts would always be taken for retries.
 func TestRetryHasShorterTimeout(t *testing.T) {
 	l := newMaxTimeouts()
 	at := time.Unix(100, 0)
@@ -23,15 +22,15 @@
 		{1 * time.Second, "a", 3 * time.Second, true},
 		{1 * time.Second, "b", 3 * time.Second, false},
 		{2 * time.Second, "a", 4950 * time.Millisecond, false},
-		{11 * time.Second, "a", 3 * time.Second, true},  // the span before counts
-		{22 * time.Second, "a", 3 * time.Second, false}, // callers give less now
+		{11 * time.Second, "a", 3 * time.Second, true},  // the previous window counts
+		{22 * time.Second, "a", 3 * time.Second, false}, // callers now give less
 		{23 * time.Second, "a", 2 * time.Second, true},
 	} {
 		if got := l.observe(at.Add(step.after), step.route, step.left); got != step.want {
 			t.Errorf("after %v on %s with %v left: %v", step.after, step.route, step.left, got)
 		}
 	}
-	l.sweep(at.Add(24 * time.Second)) // nobody asked for b since the first second
+	l.sweep(at.Add(24 * time.Second)) // b was not requested since the first second
 	if _, ok := l.routes["a"]; len(l.routes) != 1 || !ok {
 		t.Errorf("%d routes are kept, want a alone", len(l.routes))
 	}
--- a/gateway/owner_client_test.go
+++ b/gateway/owner_client_test.go
@@ -14,10 +14,8 @@
 	"lynxramp.org/routing"
 )
 
-// TestExpiredLeasesAreNotReported: an entry that comes back to an owner within the time in
-// which it may use what it was lent says that it holds it; one that comes later holds
-// nothing. Its owner has counted it as spent by then, and a new one must not take it for
-// given back.
+// TestExpiredLeasesAreNotReported: an entry that reconnects within the validity of its leases reports them. A
+// later one reports none: the owner has counted them as spent, and a new owner must not count them as returned.
 func TestExpiredLeasesAreNotReported(t *testing.T) {
 	const fresh = 5 * event.Second
 	account := budget.Team("t")
@@ -30,14 +28,14 @@
 		a.Received(0, 1, &message.Envelope{View: &message.View{Version: 1, Root: tree.Root()}})
 		root, _ := tree.Node(tree.Root())
 		a.Received(0, 1, &message.Envelope{Nodes: &message.Nodes{List: []message.Node{{Sum: tree.Root(), Packed: root}}}})
-		lent := budget.Lent{Number: 1, UpTo: []budget.Holding{{Account: account, UpTo: 70}}}
-		a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Version: 1, Lent: lent}})
+		leases := budget.Lent{Number: 1, UpTo: []budget.Holding{{Account: account, UpTo: 70}}}
+		a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Version: 1, Lent: leases}})
 		a.Lost(0, 1, nil)
 		a.Take()
 		a.Dialed(event.Time(away), 2, "box")
 		held := a.Take().Sends[0].Message.Hello.Held
 		if len(held) != 1 || held[0].UpTo-held[0].Spent != want {
-			t.Errorf("after %v it holds %+v, want %d left", away, held, want)
+			t.Errorf("after %v its leases are %+v, want %d left", away, held, want)
 		}
 	}
 }
--- a/gateway/record_test.go
+++ b/gateway/record_test.go
@@ -12,9 +12,8 @@
 	"lynxramp.org/event"
 )
 
-// TestEachFailureIsLogged: in a burst in which an entry refuses 200 requests at once, each has a
-// line that tells its end, and the first ones all their steps. Of those that do well the same
-// part is told whatever the load, by their ids.
+// TestEachFailureIsLogged: in a burst each refused request has a line with its end, and the first ones have all
+// steps. A constant fraction of successful requests is logged, selected by ID.
 func TestEachFailureIsLogged(t *testing.T) {
 	core, lines := observer.New(zap.InfoLevel)
 	g := New(Config{Log: zap.New(core)})
@@ -38,22 +37,22 @@
 		case stepEnded:
 			ended[fields["request"].(string)] = true
 			if fields["status"] != int64(503) {
-				t.Errorf("%v does not tell its status", fields)
+				t.Errorf("%v has the wrong status", fields)
 			}
 		case stepAdmitted:
 			whole++
 		}
 	}
 	if len(ended) != refused || whole != failedLines/3 {
-		t.Errorf("%d of %d have a line on their end, %d all steps, want %d", len(ended), refused, whole, failedLines/3)
+		t.Errorf("%d of %d have a line with their end, %d have all steps, want %d", len(ended), refused, whole, failedLines/3)
 	}
-	chosen := 0
+	sampled := 0
 	for i := range served {
 		if isSampled(fmt.Sprintf("served-%d", i)) {
-			chosen++
+			sampled++
 		}
 	}
-	if want := served / sampleDivisor; chosen < want*2/3 || chosen > want*3/2 {
-		t.Errorf("%d of %d that did well have lines, want some %d", chosen, served, want)
+	if want := served / sampleDivisor; sampled < want*2/3 || sampled > want*3/2 {
+		t.Errorf("%d of %d successful requests are logged, want about %d", sampled, served, want)
 	}
 }
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -29,8 +29,7 @@
 	"lynxramp.org/routing"
 )
 
-// The rig of this package's tests: endpoints that answer by a script, an owner that
-// grants by a script, and a gateway between them.
+// A test gateway has endpoints that respond by a script and an owner that grants by a script.
 
 var testNames = Names{
 	RequestID: "X-Request", Deadline: "X-Deadline", Tokens: "X-Tokens", Expect: "X-Expect", Team: "X-Team",
@@ -38,7 +37,7 @@
 	Reserved: []string{"X-Hold", "X-Kv-From"},
 }
 
-// testFeedback reads what the rig's endpoints ask for.
+// testFeedback reads the feedback of the test endpoints.
 func testFeedback(_ int, h http.Header) (w backpressure.Word, err error) {
 	if text := h.Get("X-Limit"); text != "" {
 		w.Limited = true
@@ -51,16 +50,16 @@
 	return w, err
 }
 
-// fakeEndpoint is an endpoint that answers each connection's requests by a script.
+// fakeEndpoint responds to each request on its connections by a script.
 type fakeEndpoint struct {
 	address  string
 	mu       sync.Mutex
 	requests []*http.Request
 	bodies   []string
-	closed   chan struct{} // gets a value when a caller closed during hold
+	closed   chan struct{} // receives a value when a caller closed its connection during a response
 }
 
-// answer writes an answer to a request; false closes the connection.
+// answer writes a response to a request; false closes the connection.
 type answer func(w net.Conn, r *http.Request) bool
 
 func newFakeEndpoint(t *testing.T, script answer) *fakeEndpoint {
@@ -115,7 +114,7 @@
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Request: %s\r\nX-Signature: sig-%s\r\n%s", status, r.Header.Get("X-Request"), r.Header.Get("X-Expect"), more)
 }
 
-// whole answers with a body of a known length.
+// whole responds with a body of known length.
 func whole(status int, body string) answer {
 	return func(c net.Conn, r *http.Request) bool {
 		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head(r, status, ""), len(body), body)
@@ -123,13 +122,13 @@
 	}
 }
 
-// notRun says that the request was not run.
+// notRun responds that the request was not run.
 func notRun(c net.Conn, r *http.Request) bool {
 	fmt.Fprintf(c, "%sContent-Length: 0\r\n\r\n", head(r, 503, "X-Not-Run: 1\r\n"))
 	return true
 }
 
-// reset ends the connection without an answer.
+// reset resets the connection without a response.
 func reset(c net.Conn, _ *http.Request) bool {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	return false
@@ -137,8 +136,8 @@
 
 func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: part %d\n\n", id, id) }
 
-// events streams events from the one after the caller's last, up to a number, and
-// ends well or in the middle of the next.
+// events streams events from the one after the caller's last up to a number, and then ends the stream or,
+// if broken, resets the connection inside the next event.
 func events(upTo int, broken bool) answer {
 	return func(c net.Conn, r *http.Request) bool {
 		from := 0
@@ -165,16 +164,16 @@
 	owner   *fakeOwner
 }
 
-// fakeOwner is the other side of an agent's link.
+// fakeOwner is the owner at the other end of an agent's link.
 type fakeOwner struct {
 	mu        sync.Mutex
 	endpoints []registry.Endpoint
 	next      int
 	refuse    event.Reason
-	silent    bool // it answers nothing
-	// beforeRepeat is called before it decides on a request that is to be sent once more.
+	silent    bool // ignores all messages
+	// beforeRepeat is called before a decision on a retry.
 	beforeRepeat func()
-	hold         bool // it decides nothing
+	hold         bool // decides nothing
 	finished     []message.Finish
 	ends         []poison.End
 	feedback     []backpressure.Heard
@@ -185,7 +184,7 @@
 	trees        map[uint64]*hashtree.Tree
 }
 
-// publish lets the owner tell of a configuration.
+// publish puts a configuration in force at the owner and announces it.
 func (o *fakeOwner) publish(table *routing.Table) {
 	if o.trees == nil {
 		o.trees = make(map[uint64]*hashtree.Tree)
@@ -197,7 +196,7 @@
 	}
 }
 
-// sendNodes answers a question for nodes, of whatever version.
+// sendNodes responds to a request for nodes of any version.
 func (o *fakeOwner) sendNodes(c *link.Conn[message.Envelope], w *message.Want) {
 	nodes := &message.Nodes{}
 	for _, sum := range w.Sums {
@@ -285,13 +284,13 @@
 	return t
 }
 
-// newTestGateway starts a gateway in front of endpoints, which are granted in their order.
+// newTestGateway starts a gateway in front of endpoints, which are granted in this order.
 func newTestGateway(t *testing.T, endpoints ...*fakeEndpoint) *testGateway {
 	t.Helper()
 	return newTestGatewayWithClock(t, event.NewClock(), endpoints...)
 }
 
-// newTestGatewayWithClock is newRig with an entry that goes by a clock.
+// newTestGatewayWithClock is newTestGateway with a given clock.
 func newTestGatewayWithClock(t *testing.T, clock event.Clock, endpoints ...*fakeEndpoint) *testGateway {
 	t.Helper()
 	o := &fakeOwner{}
@@ -330,13 +329,13 @@
 			return
 		}
 	}
-	t.Fatalf("it did not come to pass that %s", what)
+	t.Fatalf("timed out waiting until %s", what)
 }
 
 func (r *testGateway) request(method, path, body string) *http.Request {
 	q, err := http.NewRequest(method, r.server.URL+path, strings.NewReader(body))
 	if err != nil {
-		panic(err) // the tests' paths are sound
+		panic(err) // tests use valid paths
 	}
 	q.Host = "h.example"
 	q.Header.Set("X-Request", "r-1")
@@ -346,7 +345,7 @@
 	return q
 }
 
-// do sends a request and returns the status, the body, and whether it came whole.
+// do sends a request and returns the status, the body, and whether the body is complete.
 func (r *testGateway) do(t *testing.T, q *http.Request) (int, string, bool) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
--- a/gateway/stalled_test.go
+++ b/gateway/stalled_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// largeEvents streams more than a connection holds that nobody reads.
+// largeEvents streams more than a connection buffers while nobody reads.
 func largeEvents(c net.Conn, q *http.Request) bool {
 	fmt.Fprintf(c, "%sContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", head(q, 200, ""))
 	for id := range 300 {
@@ -25,7 +25,7 @@
 	return true
 }
 
-// longAnswer is more than is held whole, and than a connection holds that nobody reads.
+// longAnswer is longer than the response buffer of the gateway and than a connection's buffers.
 func longAnswer(c net.Conn, q *http.Request) bool {
 	const pieces, piece = 600, 16 << 10
 	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", head(q, 200, ""), pieces*piece)
@@ -37,7 +37,7 @@
 	return true
 }
 
-// newSlowCaller connects with a buffer of so many bytes and asks for an answer.
+// newSlowCaller sends a request on a connection with a given read buffer.
 func newSlowCaller(t *testing.T, r *testGateway, path string, buffer int) *rawCaller {
 	t.Helper()
 	c := r.call(t)
@@ -48,8 +48,8 @@
 	return c
 }
 
-// TestStalledCallerIsDisconnected: a caller took nothing of its answer and kept its connection. The
-// request was held for as long as it liked, and its endpoint's place with it.
+// TestStalledCallerIsDisconnected guards against a caller that reads nothing and so keeps its request and its
+// endpoint's capacity.
 func TestStalledCallerIsDisconnected(t *testing.T) {
 	for name, one := range map[string]struct {
 		path   string
@@ -61,24 +61,24 @@
 			r.gateway.callerWriteTimeout = 300 * time.Millisecond
 			newSlowCaller(t, r, one.path, 4<<10)
 			waitFor(t, "the request is held", func() bool { all, _ := r.gateway.Held(); return all == 1 })
-			began := time.Now()
-			waitFor(t, "the endpoint's place is free", func() bool { return len(r.owner.finishes()) == 1 })
+			started := time.Now()
+			waitFor(t, "the grant is finished", func() bool { return len(r.owner.finishes()) == 1 })
 			waitFor(t, "nothing is held", func() bool { all, _ := r.gateway.Held(); return all == 0 })
-			if took := time.Since(began); took > 2*time.Second {
+			if took := time.Since(started); took > 2*time.Second {
 				t.Errorf("it took %v", took)
 			}
 		})
 	}
 }
 
-// TestSlowCallerGetsWholeResponse: one that takes a little now and then is not let go,
-// however long the whole takes.
+// TestSlowCallerGetsWholeResponse: a caller that reads slowly but steadily is not disconnected, however long the
+// whole response takes.
 func TestSlowCallerGetsWholeResponse(t *testing.T) {
 	t.Parallel()
 	r := newTestGateway(t, newFakeEndpoint(t, longAnswer))
 	r.gateway.callerWriteTimeout = 300 * time.Millisecond
 	c := newSlowCaller(t, r, "/once/x", 128<<10)
-	began := time.Now()
+	started := time.Now()
 	a, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 		}
 		time.Sleep(60 * time.Millisecond)
 	}
-	if took := time.Since(began); took < 2*r.gateway.callerWriteTimeout {
-		t.Errorf("it took %v only: nothing is shown", took)
+	if took := time.Since(started); took < 2*r.gateway.callerWriteTimeout {
+		t.Errorf("it took only %v, too short for the test", took)
 	}
 }
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -14,16 +14,15 @@
 	"lynxramp.org/internal/uptime"
 )
 
-// suspendableClock is the clock of a computer that a test suspends: it leaps while the steady clock, by which timers
-// go, stands still.
+// suspendableClock is the clock of a machine that a test suspends: it jumps, while the monotonic clock used by
+// timers does not.
 type suspendableClock struct{ slept atomic.Int64 }
 
 func (s *suspendableClock) now() event.Span           { return uptime.Now() + event.Span(s.slept.Load()) }
 func (s *suspendableClock) suspend(length event.Span) { s.slept.Add(int64(length)) }
 
-// TestConfigurationExpiresDuringSuspend: an entry whose computer had been suspended for longer than its configuration
-// counts took it for as new as before, and let keys through that had been taken back meanwhile. It must
-// refuse, and not be ready, until an owner has said that its configuration is the newest.
+// TestConfigurationExpiresDuringSuspend: the validity of a configuration includes suspended time, as keys may have
+// been revoked meanwhile. The entry must refuse requests and not be ready until an owner confirms its version.
 func TestConfigurationExpiresDuringSuspend(t *testing.T) {
 	clock := &suspendableClock{}
 	e := newFakeEndpoint(t, whole(200, "ok"))
@@ -33,13 +32,13 @@
 	r.owner.mu.Unlock()
 	clock.suspend(6 * event.Second)
 	if r.gateway.Ready() || r.agent.Table() != nil {
-		t.Error("ready by a configuration that is too old")
+		t.Error("ready with an expired configuration")
 	}
 	if status, _, _ := r.do(t, r.request("POST", "/safe/1", "")); status != http.StatusServiceUnavailable {
 		t.Errorf("status %d, want 503", status)
 	}
 	if e.runs() != 0 {
-		t.Error("a request was sent by a configuration that is too old")
+		t.Error("a request was sent with an expired configuration")
 	}
 	r.owner.mu.Lock()
 	r.owner.silent = false
@@ -50,8 +49,8 @@
 	}
 }
 
-// TestForwardedDeadlineIncludesSuspend: the computer of an entry was suspended while a request was under way. Its
-// next endpoint was given the time of the suspension on top, and worked on after the caller had left.
+// TestForwardedDeadlineIncludesSuspend guards against giving the next endpoint the suspended time on top, so that it
+// works after the caller has left.
 func TestForwardedDeadlineIncludesSuspend(t *testing.T) {
 	const slept = 1500 * time.Millisecond // of the 2.5 s that the caller waits
 	clock := &suspendableClock{}
@@ -65,12 +64,12 @@
 		t.Fatalf("status %d, %d runs", status, second.runs())
 	}
 	if ms, err := strconv.Atoi(second.requests[0].Header.Get("X-Deadline")); err != nil || ms > 1000 {
-		t.Errorf("the endpoint is given %d ms (%v), 1000 were left at the most", ms, err)
+		t.Errorf("the endpoint got a deadline of %d ms (%v), at most 1000 remained", ms, err)
 	}
 }
 
-// TestNotSentAfterSuspendPastDeadline: nothing is sent for a request whose time is over when its computer wakes, and
-// what is answered is true: it has not run.
+// TestNotSentAfterSuspendPastDeadline: a request whose deadline passed during a suspend is not sent, and is answered
+// as not run.
 func TestNotSentAfterSuspendPastDeadline(t *testing.T) {
 	clock := &suspendableClock{}
 	first := newFakeEndpoint(t, func(c net.Conn, q *http.Request) bool {
@@ -83,12 +82,12 @@
 		t.Errorf("status %d, want 503", status)
 	}
 	if second.runs() != 0 {
-		t.Error("a request was sent after its time")
+		t.Error("a request was sent after its deadline")
 	}
 }
 
-// TestNotRetriedAfterSuspend: a request that was to be sent once more is not, if the computer was suspended
-// for longer than the retry budget counts it.
+// TestNotRetriedAfterSuspend: a retry is not sent if the machine was suspended for longer than the retry budget
+// counts it.
 func TestNotRetriedAfterSuspend(t *testing.T) {
 	clock := &suspendableClock{}
 	first, second := newFakeEndpoint(t, reset), newFakeEndpoint(t, whole(200, "ok"))
@@ -98,6 +97,6 @@
 	r.owner.mu.Unlock()
 	status, _, _ := r.do(t, r.request("POST", "/safe/1", ""))
 	if second.runs() != 0 || status == http.StatusOK {
-		t.Errorf("status %d, %d runs: a repeat was sent that the budget does not count any more", status, second.runs())
+		t.Errorf("status %d, %d runs: a retry was sent that the budget no longer counts", status, second.runs())
 	}
 }
--- a/gateway/upstream_test.go
+++ b/gateway/upstream_test.go
@@ -22,19 +22,19 @@
 	u.put(get(false), time.Minute)
 	kept := get(false)
 	if !kept.reused {
-		t.Fatal("a connection that was kept was not used")
+		t.Fatal("the idle connection was not used")
 	}
 	u.put(kept, time.Minute)
 	if c := get(true); c.reused {
-		t.Error("a kept connection was used where a new one was asked for")
+		t.Error("an idle connection was used instead of a new one")
 	}
 	if len(u.idle[e.address+" e"]) != 0 {
-		t.Error("the kept connection was not dropped")
+		t.Error("the idle connection was not closed")
 	}
 }
 
-// TestConnectionsToManyEndpointsAreBounded: 16 were kept an endpoint, so that the number grew
-// with the endpoints, beyond an entry's descriptors.
+// TestConnectionsToManyEndpointsAreBounded guards against a pool that is limited per endpoint only and so exceeds the
+// file descriptors.
 func TestConnectionsToManyEndpointsAreBounded(t *testing.T) {
 	const most, endpoints, each = 20, 10, 4
 	u := newUpstream()
@@ -58,7 +58,7 @@
 		}
 	}
 	if c, err := u.get(context.Background(), conns[0].RemoteAddr().String(), "e", false); err != nil || !c.reused {
-		t.Errorf("the newest connection was dropped before older ones: %v", err)
+		t.Errorf("the newest connection was closed before older ones: %v", err)
 	}
 	if open := u.connections(); open != most {
 		t.Errorf("%d connections are open, want %d", open, most)
@@ -70,6 +70,6 @@
 		}
 	}
 	if open := u.connections(); open != 1 {
-		t.Errorf("%d connections are counted when one is left", open)
+		t.Errorf("%d connections are counted, want 1", open)
 	}
 }
--- a/gateway/view_test.go
+++ b/gateway/view_test.go
@@ -23,12 +23,12 @@
 	return message.Pack(list)
 }
 
-// TestEndpointListIsReceivedInParts: an entry that is told all endpoints piece by piece asks for each
-// next one at once, keeps those that it knew until the last piece is there, over another
-// connection too, and drops then what was not named. News between the pieces don't end them.
+// TestEndpointListIsReceivedInParts: an entry requests each next part of an endpoint list at once. Known endpoints
+// are kept until the last part arrives, also over another connection, and only then the unlisted ones are removed.
+// Changes between the parts do not end the list.
 func TestEndpointListIsReceivedInParts(t *testing.T) {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Fresh: 5 * event.Second, Log: zap.NewNop()})
-	see := func(v message.View) (asked bool) {
+	receive := func(v message.View) (asked bool) {
 		a.Received(0, a.link, &message.Envelope{View: &v})
 		for _, s := range a.Take().Sends {
 			asked = asked || (s.Message.Ping != nil && s.Message.Ping.Revision == a.revision)
@@ -43,29 +43,29 @@
 	}
 	a.Dialed(0, 1, "box")
 	a.Take()
-	if see(message.View{Whole: true, Signs: true, Endpoints: packEndpoints("old", "kept"), Revision: 900}) {
-		t.Error("asked for more when all was there")
+	if receive(message.View{Whole: true, Signs: true, Endpoints: packEndpoints("old", "kept"), Revision: 900}) {
+		t.Error("pinged for more after a complete list")
 	}
 	check(900, "kept", "old")
 	a.Lost(0, 1, nil)
 	a.Dialed(0, 2, "box")
 	a.Take()
-	if !see(message.View{Whole: true, Signs: true, Endpoints: packEndpoints("a"), Revision: 10, More: true}) {
-		t.Error("did not ask for more")
+	if !receive(message.View{Whole: true, Signs: true, Endpoints: packEndpoints("a"), Revision: 10, More: true}) {
+		t.Error("did not ping for more")
 	}
 	check(10, "a", "kept", "old")
-	see(message.View{Endpoints: packEndpoints("news")})
+	receive(message.View{Endpoints: packEndpoints("news")})
 	check(10, "a", "kept", "news", "old")
 	a.Lost(0, 2, nil)
 	a.Dialed(0, 3, "box")
 	if hello := a.Take().Sends[0].Message.Hello; hello.Revision != 10 {
-		t.Errorf("greets with revision %d, want 10", hello.Revision)
+		t.Errorf("hello has revision %d, want 10", hello.Revision)
 	}
-	see(message.View{Signs: true, Endpoints: packEndpoints("kept"), Revision: 20, More: true})
+	receive(message.View{Signs: true, Endpoints: packEndpoints("kept"), Revision: 20, More: true})
 	check(20, "a", "kept", "news", "old")
-	see(message.View{Endpoints: packEndpoints("b"), Silent: []event.EndpointID{"kept"}, Revision: 30})
+	receive(message.View{Endpoints: packEndpoints("b"), Silent: []event.EndpointID{"kept"}, Revision: 30})
 	check(30, "a", "b", "kept", "news")
 	if !a.endpoints["kept"].Down || a.endpoints["a"].Down {
-		t.Errorf("%+v, want kept alone to be silent", a.endpoints)
+		t.Errorf("%+v, want only kept to be down", a.endpoints)
 	}
 }
--- a/gateway/word_test.go
+++ b/gateway/word_test.go
@@ -15,13 +15,13 @@
 	"lynxramp.org/message"
 )
 
-// maxSessionMessage bounds a message at a session's beginning, in bytes: 26 ms of a link of 1.25 MB/s.
+// maxSessionMessage limits the messages at the start of a session, in bytes: 26 ms on a link of 1.25 MB/s.
 const maxSessionMessage = 32 << 10
 
-// manyRunning is as many requests as an entry may hold.
+// manyRunning is the most requests that an entry may hold.
 const manyRunning = maxInFlight
 
-// newBusyClient returns a client that has many requests running and holds many accounts.
+// newBusyClient returns a client with many running requests and many leases.
 func newBusyClient() *OwnerClient {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Fresh: 5 * event.Second, Log: zap.NewNop()})
 	a.Dialed(0, 1, "box")
@@ -43,9 +43,8 @@
 	return a
 }
 
-// TestSessionStartMessagesAreBounded: an entry told a new owner all its requests, each with all that was
-// said of it, and all accounts before its first question: 2,000 of each are 216 kB, 0.17 s of its link,
-// and an owner that is silent for 0.5 s is left for another one, which is told anew.
+// TestSessionStartMessagesAreBounded guards against a hello with all running requests and leases in one message:
+// it would delay the reply to the first ping beyond ownerTimeout.
 func TestSessionStartMessagesAreBounded(t *testing.T) {
 	a := newBusyClient()
 	a.Lost(0, 1, nil)
@@ -58,7 +57,7 @@
 			if err := gob.NewEncoder(&data).Encode(s.Message); err != nil {
 				t.Fatal(err)
 			}
-			if data.Len() > maxSessionMessage+8<<10 { // the types go with the first one alone
+			if data.Len() > maxSessionMessage+8<<10 { // 8 kB for type definitions, which gob sends once a connection
 				t.Fatalf("a message of %d bytes at the beginning of a session, want %d at the most", data.Len(), maxSessionMessage)
 			}
 			note(s.Message, running, held)
@@ -68,11 +67,11 @@
 		a.Tick(now)
 	}
 	if len(running) != manyRunning || len(held) != manyRunning {
-		t.Errorf("told %d requests and %d accounts, want %d of each", len(running), len(held), manyRunning)
+		t.Errorf("reported %d requests and %d accounts, want %d of each", len(running), len(held), manyRunning)
 	}
 }
 
-// note takes note of what a message tells.
+// note adds the requests and accounts in a message.
 func note(m *message.Envelope, running map[event.RequestID]bool, held map[budget.Account]bool) {
 	var requests []message.Running
 	var accounts []budget.Holding
@@ -90,8 +89,8 @@
 	}
 }
 
-// TestFinishedRequestIsNotReported: of a request that ends before its turn to be told comes the owner
-// hears nothing more.
+// TestFinishedRequestIsNotReported: a request that finishes before it was reported to a new owner is never
+// reported.
 func TestFinishedRequestIsNotReported(t *testing.T) {
 	a := newBusyClient()
 	a.Lost(0, 1, nil)
@@ -116,12 +115,12 @@
 		}
 	}
 	if running[ended] || len(running) != manyRunning-1 {
-		t.Errorf("told %d requests, the ended one among them: %v", len(running), running[ended])
+		t.Errorf("reported %d requests, the finished one among them: %v", len(running), running[ended])
 	}
 }
 
-// TestWaitingRequestsAreBounded: an entry handed all requests that waited for an owner to the
-// one that it found in one message, in front of its next question. Each is told once.
+// TestWaitingRequestsAreBounded: all waiting requests are submitted to a new owner once, in order, and in
+// messages of bounded size.
 func TestWaitingRequestsAreBounded(t *testing.T) {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Fresh: 5 * event.Second, Log: zap.NewNop()})
 	for i := range manyRunning {
@@ -136,35 +135,35 @@
 	}
 	a.Dialed(0, 1, "box")
 	a.Take()
-	told := make(map[event.RequestID]int)
+	submitted := make(map[event.RequestID]int)
 	last := event.RequestID("")
-	for now := event.Time(0); now < event.Time(60*pingInterval) && len(told) < manyRunning; now = now.Add(pingInterval) {
+	for now := event.Time(0); now < event.Time(60*pingInterval) && len(submitted) < manyRunning; now = now.Add(pingInterval) {
 		a.Received(now, 1, &message.Envelope{Pong: &message.Pong{}})
 		for _, s := range a.Take().Sends {
 			var data bytes.Buffer
 			if err := gob.NewEncoder(&data).Encode(s.Message); err != nil {
 				t.Fatal(err)
 			}
-			if data.Len() > maxSessionMessage+8<<10 { // the types go with the first one alone
+			if data.Len() > maxSessionMessage+8<<10 { // 8 kB for type definitions, which gob sends once a connection
 				t.Fatalf("a message of %d bytes when an owner is found, want %d at the most", data.Len(), maxSessionMessage)
 			}
 			if s.Message.Batch == nil {
 				continue
 			}
 			for _, one := range s.Message.Batch.Submit {
-				if told[one.Ticket.ID]++; len(one.Ticket.ID) == len(last) && one.Ticket.ID < last {
-					t.Fatalf("%s is told after %s, which came later", one.Ticket.ID, last)
+				if submitted[one.Ticket.ID]++; len(one.Ticket.ID) == len(last) && one.Ticket.ID < last {
+					t.Fatalf("%s is submitted after %s, which came later", one.Ticket.ID, last)
 				}
 				last = one.Ticket.ID
 			}
 		}
 	}
-	for id, n := range told {
+	for id, n := range submitted {
 		if n != 1 {
-			t.Errorf("%s is told %d times", id, n)
+			t.Errorf("%s is submitted %d times", id, n)
 		}
 	}
-	if len(told) != manyRunning {
-		t.Errorf("%d of %d waiting requests are told", len(told), manyRunning)
+	if len(submitted) != manyRunning {
+		t.Errorf("%d of %d waiting requests are submitted", len(submitted), manyRunning)
 	}
 }
