--- a/gateway/asked_test.go
+++ b/gateway/asked_test.go
@@ -13,7 +13,7 @@
 )
 
 // withFeedback responds with feedback in a header.
-func withFeedback(status int, header string) answer {
+func withFeedback(status int, header string) responder {
 	return func(c net.Conn, r *http.Request) bool {
 		fmt.Fprintf(c, "%sContent-Length: 6\r\n\r\nanswer", head(r, status, header+"\r\n"))
 		return true
@@ -37,8 +37,8 @@
 	for header, status := range map[string]int{"X-Limit: 2": 200, "X-Leaving: 1": 200, "X-Rest: 3s": 503} {
 		for _, attempt := range []struct {
 			name, path string
-			second     answer // of e2, tried before e1 is granted again; nil for a first attempt
-			third      answer
+			second     responder // of e2, tried before e1 is granted again; nil for a first attempt
+			third      responder
 			want       string
 		}{
 			{"first try", "/once/x", nil, whole(200, "answer"), "answer"},
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -52,7 +52,7 @@
 	}
 	for name, one := range map[string]struct {
 		path   string
-		script answer
+		script responder
 		isEnd  bool
 		ran    message.Ran
 	}{
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -44,12 +44,12 @@
 func TestReservedHeadersAreNotForwarded(t *testing.T) {
 	for name, c := range map[string]struct {
 		path      string
-		endpoints []answer
+		endpoints []responder
 	}{
-		"call":    {"/once/x", []answer{whole(200, "a")}},
-		"repeat":  {"/safe/x", []answer{reset, whole(200, "a")}},
-		"stream":  {"/stream/x", []answer{events(3, false)}},
-		"resumed": {"/stream/x", []answer{events(2, true), events(4, false)}},
+		"call":    {"/once/x", []responder{whole(200, "a")}},
+		"repeat":  {"/safe/x", []responder{reset, whole(200, "a")}},
+		"stream":  {"/stream/x", []responder{events(3, false)}},
+		"resumed": {"/stream/x", []responder{events(2, true), events(4, false)}},
 	} {
 		var endpoints []*fakeEndpoint
 		for _, script := range c.endpoints {
@@ -137,7 +137,7 @@
 	}
 	for _, c := range []struct {
 		name, path  string
-		first       answer
+		first       responder
 		status      int
 		first2, all int // runs at the first endpoint and at both together
 	}{
--- a/gateway/gone_test.go
+++ b/gateway/gone_test.go
@@ -125,11 +125,11 @@
 // cancelWatcher is the script of an endpoint that starts a response and waits for its caller to close. started gets
 // the time of the start, cancelled the time of the close.
 type cancelWatcher struct {
-	begin              answer // what it sends before it waits; nil for nothing
+	begin              responder // what it sends before it waits; nil for nothing
 	started, cancelled chan time.Time
 }
 
-func newCancelWatcher(begin answer) *cancelWatcher {
+func newCancelWatcher(begin responder) *cancelWatcher {
 	return &cancelWatcher{begin, make(chan time.Time, 10), make(chan time.Time, 10)}
 }
 
@@ -160,7 +160,7 @@
 }
 
 // streamHead starts a stream and sends some events.
-func streamHead(upTo int) answer {
+func streamHead(upTo int) responder {
 	return func(c net.Conn, q *http.Request) bool {
 		fmt.Fprintf(c, "%sContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", head(q, 200, ""))
 		for id := 1; id <= upTo; id++ {
@@ -198,7 +198,7 @@
 func TestDisconnectDuringResponse(t *testing.T) {
 	for name, one := range map[string]struct {
 		path  string
-		begin answer
+		begin responder
 	}{
 		"before its answer": {"/once/x", nil},
 		"in a long answer": {"/once/x", func(c net.Conn, q *http.Request) bool {
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -59,10 +59,10 @@
 	closed   chan struct{} // receives a value when a caller closed its connection during a response
 }
 
-// answer writes a response to a request; false closes the connection.
-type answer func(w net.Conn, r *http.Request) bool
+// responder writes a response to a request; false closes the connection.
+type responder func(w net.Conn, r *http.Request) bool
 
-func newFakeEndpoint(t *testing.T, script answer) *fakeEndpoint {
+func newFakeEndpoint(t *testing.T, script responder) *fakeEndpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,7 +82,7 @@
 	return s
 }
 
-func (s *fakeEndpoint) serve(c net.Conn, script answer) {
+func (s *fakeEndpoint) serve(c net.Conn, script responder) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for {
@@ -115,7 +115,7 @@
 }
 
 // whole responds with a body of known length.
-func whole(status int, body string) answer {
+func whole(status int, body string) responder {
 	return func(c net.Conn, r *http.Request) bool {
 		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head(r, status, ""), len(body), body)
 		return true
@@ -138,7 +138,7 @@
 
 // events streams events from the one after the caller's last up to a number, and then ends the stream or,
 // if broken, resets the connection inside the next event.
-func events(upTo int, broken bool) answer {
+func events(upTo int, broken bool) responder {
 	return func(c net.Conn, r *http.Request) bool {
 		from := 0
 		fmt.Sscan(r.Header.Get("X-Last"), &from)
--- a/gateway/stalled_test.go
+++ b/gateway/stalled_test.go
@@ -25,8 +25,8 @@
 	return true
 }
 
-// longAnswer is longer than the response buffer of the gateway and than a connection's buffers.
-func longAnswer(c net.Conn, q *http.Request) bool {
+// longResponse is longer than the response buffer of the gateway and than a connection's buffers.
+func longResponse(c net.Conn, q *http.Request) bool {
 	const pieces, piece = 600, 16 << 10
 	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", head(q, 200, ""), pieces*piece)
 	for range pieces {
@@ -53,8 +53,8 @@
 func TestStalledCallerIsDisconnected(t *testing.T) {
 	for name, one := range map[string]struct {
 		path   string
-		script answer
-	}{"a stream": {"/single/x", largeEvents}, "a long answer": {"/once/x", longAnswer}} {
+		script responder
+	}{"a stream": {"/single/x", largeEvents}, "a long answer": {"/once/x", longResponse}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newTestGateway(t, newFakeEndpoint(t, one.script))
@@ -75,7 +75,7 @@
 // whole response takes.
 func TestSlowCallerGetsWholeResponse(t *testing.T) {
 	t.Parallel()
-	r := newTestGateway(t, newFakeEndpoint(t, longAnswer))
+	r := newTestGateway(t, newFakeEndpoint(t, longResponse))
 	r.gateway.callerWriteTimeout = 300 * time.Millisecond
 	c := newSlowCaller(t, r, "/once/x", 128<<10)
 	started := time.Now()
