--- a/gateway/agent.go
+++ b/gateway/agent.go
@@ -58,7 +58,7 @@
 	timer := time.NewTimer(startTimeout)
 	defer timer.Stop()
 	select {
-	case <-a.client.hasTable:
+	case <-a.client.firstTable:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/gateway/fresh.go
+++ b/gateway/fresh.go
@@ -46,6 +46,6 @@
 	})
 	a.validUntil.Store(until)
 	if !wasKnown && until != 0 {
-		close(a.hasTable)
+		close(a.firstTable)
 	}
 }
--- a/gateway/fresh_test.go
+++ b/gateway/fresh_test.go
@@ -82,8 +82,8 @@
 		t.Error("a confirmation of 3 s is valid at 9.6 s")
 	}
 	select {
-	case <-a.hasTable:
+	case <-a.firstTable:
 	default:
-		t.Error("hasTable is not closed")
+		t.Error("firstTable is not closed")
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -133,7 +133,7 @@
 // StartDraining makes Ready false and has callers' connections closed after their responses.
 func (g *Gateway) Stop() { g.draining.Store(true) }
 
-// RefuseStreams refuses new streams, as the process will end before they could.
+// RefuseStreams refuses new streams, as the process will terminate before they would end.
 func (g *Gateway) RefuseStreams() { g.refusesStreams.Store(true) }
 
 // InFlight returns the number of requests in flight, and how many of them are streams.
--- a/gateway/owner_client.go
+++ b/gateway/owner_client.go
@@ -90,7 +90,7 @@
 	entryCount       atomic.Int64  // entries that share the endpoints
 	announcedVersion atomic.Uint64 // newest version that an owner announced
 	nodeBytes        atomic.Int64  // bytes of configuration nodes received
-	hasTable         chan struct{} // closed when a configuration is first in force
+	firstTable       chan struct{} // closed when a configuration is first in force
 	// confirmations are of versions that are not in force yet.
 	confirmations []versionConfirmation
 
@@ -160,7 +160,7 @@
 		waiting:      make(map[event.RequestID]*waiter),
 		running:      make(map[event.RequestID]*message.Running),
 		endpoints:    make(map[event.EndpointID]message.Endpoint),
-		hasTable:     make(chan struct{}),
+		firstTable:   make(chan struct{}),
 		nextTry:      int(c.Life % uint64(len(c.Control)+1)),
 		fetch:        configFetch{window: maxWindow},
 	}
--- a/gateway/owner_word.go
+++ b/gateway/owner_word.go
@@ -24,7 +24,7 @@
 	runningOverhead = 72
 )
 
-// sendPing sends a sendPing, which asks the owner whether it still leads.
+// sendPing sends a ping, which asks the owner whether it still leads.
 func (a *OwnerClient) sendPing(now event.Time) {
 	a.lastPing = now
 	ping := &message.Ping{Sent: now, Running: a.takeUnreported(), Revision: a.revision, Owned: a.hasOwner}
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -114,10 +114,10 @@
 	ctx, cancel := context.WithTimeout(c.r.Context(), c.remaining())
 	defer cancel()
 	unsent, stopped := 0, 0
-	repeat := false
+	isRetry := false
 	var last *attempt
 	for {
-		decision, ok := c.decide(ctx, repeat, last)
+		decision, ok := c.decide(ctx, isRetry, last)
 		if !ok {
 			return
 		}
@@ -155,7 +155,7 @@
 			c.giveUp(a)
 			return
 		}
-		repeat = true
+		isRetry = true
 		if c.headSent {
 			c.addStep(stepResumed, zap.String("last_event", c.lastEventID))
 		} else {
@@ -165,8 +165,8 @@
 }
 
 // decide asks for an endpoint. It responds to the caller if none is granted.
-func (c *call) decide(ctx context.Context, repeat bool, last *attempt) (Decision, bool) {
-	m := c.ticket(repeat)
+func (c *call) decide(ctx context.Context, isRetry bool, last *attempt) (Decision, bool) {
+	m := c.ticket(isRetry)
 	start, clock := time.Now(), c.gateway.agent.clock
 	submitted := clock.Now()
 	decision := c.gateway.agent.Submit(m)
@@ -178,7 +178,7 @@
 			c.respondNotRun(http.StatusServiceUnavailable, retryAfterNoConfig, "the configuration changed")
 			return d, false
 		}
-		if d.Granted && repeat && clock.Now().Sub(submitted) > message.RepeatLife {
+		if d.Granted && isRetry && clock.Now().Sub(submitted) > message.RepeatLife {
 			c.returnGrant(d)
 			c.giveUp(last)
 			return d, false
--- a/gateway/ticket.go
+++ b/gateway/ticket.go
@@ -66,7 +66,7 @@
 }
 
 // ticket describes the request to the decider.
-func (c *call) ticket(repeat bool) message.Submission {
+func (c *call) ticket(isRetry bool) message.Submission {
 	left := c.remaining()
 	target := c.route.Target - c.age()
 	return message.Submission{
@@ -76,7 +76,7 @@
 			Target: max(target, event.Millisecond), Patience: c.maxExpectedWait(left),
 			Placed: c.wasGranted, Returned: c.wasRefused, Avoid: c.tried, Attempt: c.attempts, DataCentre: c.gateway.config.DataCentre,
 		},
-		Quota: c.quotaUnits(), Repeat: repeat, Print: c.fingerprint,
+		Quota: c.quotaUnits(), Repeat: isRetry, Print: c.fingerprint,
 	}
 }
 
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -39,7 +39,7 @@
 // errNotSent is returned if no byte of the request was sent.
 var errNotSent = errors.New("request not sent to the endpoint")
 
-// errWrongResponse is returned if a response has not the request's ID.
+// errWrongResponse is returned if a response lacks the request's ID.
 var errWrongResponse = errors.New("response belongs to another request")
 
 // upstream is a pool of connections to endpoints.
@@ -60,13 +60,13 @@
 	idleSince time.Time
 	idleUntil time.Time // end of its idle timeout
 	reused    bool
-	owner     *upstream
+	pool      *upstream
 	closed    sync.Once
 }
 
 // Close closes the connection. It may be called more than once.
 func (c *upstreamConn) Close() error {
-	c.closed.Do(func() { c.owner.open.Add(-1) })
+	c.closed.Do(func() { c.pool.open.Add(-1) })
 	return c.Conn.Close()
 }
 
@@ -90,28 +90,28 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var from string
-	var longest *upstreamConn
+	var oldest *upstreamConn
 	for key, list := range u.idle {
-		if len(list) > 0 && (longest == nil || list[0].idleSince.Before(longest.idleSince)) {
-			from, longest = key, list[0]
+		if len(list) > 0 && (oldest == nil || list[0].idleSince.Before(oldest.idleSince)) {
+			from, oldest = key, list[0]
 		}
 	}
-	if longest != nil {
+	if oldest != nil {
 		u.idle[from] = u.idle[from][1:]
 	}
-	return longest
+	return oldest
 }
 
-// get returns an idle connection or a new one. With fresh it closes the idle ones and always returns a new
+// get returns an idle connection or a new one. With newOnly it closes the idle ones and always returns a new
 // one.
-func (u *upstream) get(ctx context.Context, address, endpoint string, fresh bool) (*upstreamConn, error) {
+func (u *upstream) get(ctx context.Context, address, endpoint string, newOnly bool) (*upstreamConn, error) {
 	key := address + " " + endpoint
 	for {
 		c := u.pop(key)
 		if c == nil {
 			break
 		}
-		if !fresh && time.Now().Before(c.idleUntil) && isIdle(c.Conn) {
+		if !newOnly && time.Now().Before(c.idleUntil) && isIdle(c.Conn) {
 			c.reused = true
 			return c, nil
 		}
@@ -125,7 +125,7 @@
 	}
 	link.SetUserTimeout(raw, userTimeoutMillis)
 	u.open.Add(1)
-	return &upstreamConn{Conn: raw, key: key, owner: u, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
+	return &upstreamConn{Conn: raw, key: key, pool: u, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
 func (u *upstream) pop(key string) *upstreamConn {
@@ -184,14 +184,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
 		var buf [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		idle = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
 // upstreamRequest is a request as it is sent to an endpoint.
