--- a/gateway/word_test.go
+++ b/gateway/word_test.go
@@ -152,7 +152,7 @@
 			}
 			for _, one := range s.Message.Batch.Submit {
 				if submitted[one.Ticket.ID]++; len(one.Ticket.ID) == len(last) && one.Ticket.ID < last {
-					t.Fatalf("%s is submitted after %s, which came later", one.Ticket.ID, last)
+					t.Fatalf("%s is submitted after %s, which arrived later", one.Ticket.ID, last)
 				}
 				last = one.Ticket.ID
 			}
