--- a/gateway/agent.go
+++ b/gateway/agent.go
@@ -14,25 +14,23 @@
 	"lynxramp.org/routing"
 )
 
-// Times and bounds of an agent.
+// Times and limits of an agent.
 const (
-	agentTick = 50 * time.Millisecond
-	// startPatience is how long requests wait in a process that has just started
-	// and knows no configuration yet.
-	startPatience = 2 * event.Second
-	inputDepth    = 4096
-	// maxBatch is how many requests' news go in one message.
+	tickInterval = 50 * time.Millisecond
+	// startTimeout is how long requests wait for the first configuration after the process started.
+	startTimeout   = 2 * event.Second
+	inputQueueSize = 4096
+	// maxBatch limits the inputs applied before effects are executed, and so the size of a message.
 	maxBatch = 256
 )
 
-// Agent runs an OwnerClient: its loop owns the client and the connections to control
-// boxes.
+// Agent runs an OwnerClient. The goroutine of Run owns the client and the connections to control boxes.
 type Agent struct {
-	client *OwnerClient
-	clock  event.Clock
-	input  chan func(event.Time)
-	links  map[LinkID]*link.Conn[message.Envelope]
-	next   LinkID
+	client   *OwnerClient
+	clock    event.Clock
+	input    chan func(event.Time)
+	links    map[LinkID]*link.Conn[message.Envelope]
+	lastLink LinkID
 }
 
 // NewAgent returns an agent; Run starts it.
@@ -40,36 +38,34 @@
 	return &Agent{
 		client: NewOwnerClient(c),
 		clock:  event.NewClock(),
-		input:  make(chan func(event.Time), inputDepth),
+		input:  make(chan func(event.Time), inputQueueSize),
 		links:  make(map[LinkID]*link.Conn[message.Envelope]),
 	}
 }
 
-// Table returns the configuration that requests are served by; nil while there is
-// none, or while it is not known to be the newest.
+// Table returns the configuration in force, or nil if there is none or its validity has expired.
 func (a *Agent) Table() *routing.Table { return a.client.Table(a.clock.Now()) }
 
-// LastTable returns the configuration that was put in force last, however old it is.
+// LastTable returns the configuration that was last put in force, even if its validity has expired.
 func (a *Agent) LastTable() *routing.Table { return a.client.table.Load() }
 
-// AwaitTable returns the configuration like Table. In a process that has just
-// started and knows none yet, it waits for the first one, for startPatience at the
-// most.
+// AwaitTable returns the configuration like Table. If the process has just started and has none yet, it
+// waits for the first one, for startTimeout at most.
 func (a *Agent) AwaitTable(ctx context.Context) *routing.Table {
-	if t := a.Table(); t != nil || a.clock.Now() > event.Time(startPatience) {
+	if t := a.Table(); t != nil || a.clock.Now() > event.Time(startTimeout) {
 		return t
 	}
-	timer := time.NewTimer(startPatience)
+	timer := time.NewTimer(startTimeout)
 	defer timer.Stop()
 	select {
-	case <-a.client.known:
+	case <-a.client.firstTable:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return a.Table()
 }
 
-// Submit registers a request. Its decision comes on the channel.
+// Submit submits a request. Its decision is sent on the returned channel.
 func (a *Agent) Submit(m message.Submission) <-chan Decision {
 	decision := make(chan Decision, 1)
 	w := &waiter{submission: m, arrived: a.clock.Now(), decision: decision}
@@ -77,39 +73,39 @@
 	return decision
 }
 
-// Withdraw takes a request back whose decision is not awaited any more.
+// Withdraw withdraws a request whose decision is no longer awaited.
 func (a *Agent) Withdraw(id event.RequestID) {
 	a.input <- func(now event.Time) { a.client.withdraw(now, id) }
 }
 
-// Begin says that a granted request's answer has begun.
+// Begin reports the beginning of the response to a granted request.
 func (a *Agent) Begin(b event.Begun) {
 	a.input <- func(now event.Time) { a.client.begin(now, b) }
 }
 
-// Finish says that a granted request does not use its endpoint any more.
+// Finish reports that a granted request no longer uses its endpoint.
 func (a *Agent) Finish(f message.Finish) {
 	a.input <- func(now event.Time) { a.client.finish(now, f) }
 }
 
-// Ended says that an endpoint ended under a run of a request.
-func (a *Agent) Ended(e poison.End) {
-	a.input <- func(now event.Time) { a.client.ended(now, e) }
+// RecordEnd reports that an endpoint terminated while it ran a request.
+func (a *Agent) RecordEnd(e poison.End) {
+	a.input <- func(now event.Time) { a.client.recordEnd(now, e) }
 }
 
-// Heard says what an endpoint asked for in an answer.
-func (a *Agent) Heard(h backpressure.Report) {
-	a.input <- func(now event.Time) { a.client.heard(now, h) }
+// ObserveFeedback reports feedback received from an endpoint.
+func (a *Agent) ObserveFeedback(h backpressure.Report) {
+	a.input <- func(now event.Time) { a.client.observeFeedback(now, h) }
 }
 
-// SetControl takes other addresses of control boxes.
+// AddControlBoxes adds link addresses of control boxes.
 func (a *Agent) SetControl(control []string) {
-	a.input <- func(event.Time) { a.client.Know(control) }
+	a.input <- func(event.Time) { a.client.AddControlBoxes(control) }
 }
 
-// Run serves until ctx ends.
+// Run runs the agent until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
-	ticker := time.NewTicker(agentTick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -119,27 +115,27 @@
 			}
 			return
 		case in := <-a.input:
-			a.take(in)
+			a.apply(in)
 			for range min(len(a.input), maxBatch) {
-				a.take(<-a.input)
+				a.apply(<-a.input)
 			}
 		case <-ticker.C:
 			for id, c := range a.links {
-				a.client.Came(id, c.Received())
+				a.client.SetReceivedBytes(id, c.Received())
 			}
 			a.client.Tick(a.clock.Now())
 		}
-		a.carryOut(a.client.Take())
+		a.execute(a.client.Take())
 	}
 }
 
-func (a *Agent) take(in func(event.Time)) {
+func (a *Agent) apply(in func(event.Time)) {
 	now := a.clock.Now()
 	in(now)
-	a.client.settle(now)
+	a.client.deliverDecisions(now)
 }
 
-func (a *Agent) carryOut(out ClientEffects) {
+func (a *Agent) execute(out ClientEffects) {
 	for _, s := range out.Sends {
 		if c, ok := a.links[s.Link]; ok {
 			c.Send(s.Message)
@@ -156,7 +152,7 @@
 	}
 }
 
-// dial connects to a control box and hands on what it says until the connection ends.
+// dial connects to a control box and passes its messages to the client until the connection ends.
 func (a *Agent) dial(address string) {
 	conn, err := link.Dial[message.Envelope](address)
 	if err != nil {
@@ -165,23 +161,23 @@
 	}
 	id := make(chan LinkID, 1)
 	a.input <- func(now event.Time) {
-		a.next++
-		a.links[a.next] = conn
-		id <- a.next
-		a.client.Dialed(now, a.next, address)
+		a.lastLink++
+		a.links[a.lastLink] = conn
+		id <- a.lastLink
+		a.client.Dialed(now, a.lastLink, address)
 	}
-	one := <-id
+	linkID := <-id
 	var owner message.Peer
 	conn.SetForms(owner.ClientEncodings())
 	err = conn.Serve(func(m *message.Envelope) {
-		reads := owner.Level()
+		peerLevel := owner.Level()
 		a.input <- func(now event.Time) {
-			a.client.Reads(one, reads)
-			a.client.Received(now, one, m)
+			a.client.Reads(linkID, peerLevel)
+			a.client.Received(now, linkID, m)
 		}
 	})
 	a.input <- func(now event.Time) {
-		delete(a.links, one)
-		a.client.Lost(now, one, err)
+		delete(a.links, linkID)
+		a.client.Lost(now, linkID, err)
 	}
 }
--- a/gateway/asked.go
+++ b/gateway/asked.go
@@ -13,44 +13,45 @@
 	"lynxramp.org/internal/logx"
 )
 
-// This file is how a call takes what an endpoint asks for in its answer.
+// This file handles the feedback of endpoints in their responses.
 
-// hear takes what an endpoint asks for. The words on an answer of another endpoint than the one that was called
-// are of nobody.
-func (c *call) hear(a *attempt, r *http.Response) (w backpressure.Feedback) {
+// receiveFeedback records the feedback in a response. A misdirected response comes from another endpoint
+// than the one called, so its feedback is ignored.
+func (c *call) receiveFeedback(a *attempt, r *http.Response) (f backpressure.Feedback) {
 	g := c.gateway
 	if g.config.Word == nil || r.StatusCode == http.StatusMisdirectedRequest {
-		return w
+		return f
 	}
-	w, err := g.config.Word(r.StatusCode, r.Header)
+	f, err := g.config.Word(r.StatusCode, r.Header)
 	if err != nil {
-		g.meters.asked(wordUnread).Inc()
-		if g.wordBudget.Allow(time.Now(), 1) {
-			g.log.Warn("what an endpoint asks for can't be read", zap.String("endpoint", string(a.decision.Endpoint)),
+		g.meters.feedback(feedbackInvalid).Inc()
+		if g.feedbackBudget.Allow(time.Now(), 1) {
+			g.log.Warn("invalid feedback in endpoint response, ignoring the invalid header", zap.String("endpoint", string(a.decision.Endpoint)),
 				zap.String("request", c.callerID), logx.Err(err))
 		}
 	}
 	endpoint := a.decision.Endpoint
-	if !w.Restricts() && !g.agent.client.gate.IsLimited(endpoint) {
-		return w
+	if !f.Restricts() && !g.agent.client.gate.IsLimited(endpoint) {
+		return f
 	}
 	now := g.agent.clock.Now()
 	isKept := !a.decision.Alone && a.decision.Permit != backpressure.PermitLegacy
-	isNew := g.agent.client.gate.Observe(now, now.Add(-time.Since(a.sent)), endpoint, w, isKept)
-	g.agent.Heard(backpressure.Report{Endpoint: endpoint, Request: c.id, Word: w})
-	g.countWord(w)
-	fields := append(wordFields(w), zap.String("endpoint", string(endpoint)), zap.Int("answered", r.StatusCode))
-	if w.Restricts() {
-		c.note(stepAsked, fields...)
+	isNew := g.agent.client.gate.Observe(now, now.Add(-time.Since(a.sent)), endpoint, f, isKept)
+	g.agent.ObserveFeedback(backpressure.Report{Endpoint: endpoint, Request: c.id, Word: f})
+	g.countFeedback(f)
+	fields := append(feedbackFields(f), zap.String("endpoint", string(endpoint)), zap.Int("answered", r.StatusCode))
+	if f.Restricts() {
+		c.addStep(stepFeedback, fields...)
 	}
-	if isNew && g.wordBudget.Allow(time.Now(), 1) {
-		g.log.With(zap.String("request", c.callerID)).Info(stepAsked, fields...)
+	if isNew && g.feedbackBudget.Allow(time.Now(), 1) {
+		g.log.With(zap.String("request", c.callerID)).Info(stepFeedback, fields...)
 	}
-	return w
+	return f
 }
 
-// stops reports whether a grant must not be used, and why: the endpoint asked for less than whoever gave it knew.
-func (c *call) stops(d Decision) backpressure.StopReason {
+// checkGate returns why a grant must not be used: the endpoint's feedback forbids it and the grant was made
+// without knowing this feedback.
+func (c *call) checkGate(d Decision) backpressure.StopReason {
 	gate := &c.gateway.agent.client.gate
 	if !gate.IsTracking() {
 		return backpressure.NotStopped
@@ -58,36 +59,36 @@
 	return gate.Check(c.gateway.agent.clock.Now(), d.Endpoint, d.Permit)
 }
 
-// stopped takes note that a grant is not used, and tells who gave it why.
-func (c *call) stopped(a *attempt, why backpressure.StopReason) {
+// reportStopped records that a grant is not used and reports the feedback that forbids it to the decider.
+func (c *call) reportStopped(a *attempt, why backpressure.StopReason) {
 	agent := c.gateway.agent
-	a.outcome, a.untried = outcomeStopped, true
-	a.err = errors.Errorf("stopped by what the endpoint asks for: %s", why)
-	c.gateway.meters.stopped(why).Inc()
-	agent.Heard(agent.client.gate.LastReport(agent.clock.Now(), a.decision.Endpoint))
+	a.outcome, a.notTried = outcomeStopped, true
+	a.err = errors.Errorf("grant not used because of endpoint feedback: %s", why)
+	c.gateway.meters.stoppedGrants(why).Inc()
+	agent.ObserveFeedback(agent.client.gate.LastReport(agent.clock.Now(), a.decision.Endpoint))
 }
 
-func (g *Gateway) countWord(w backpressure.Feedback) {
-	if w.Limited {
-		g.meters.asked(wordLimit).Inc()
+func (g *Gateway) countFeedback(f backpressure.Feedback) {
+	if f.Limited {
+		g.meters.feedback(feedbackLimit).Inc()
 	}
-	if w.Rest > 0 {
-		g.meters.asked(wordRest).Inc()
+	if f.Rest > 0 {
+		g.meters.feedback(feedbackCooldown).Inc()
 	}
-	if w.Leaving {
-		g.meters.asked(wordLeaving).Inc()
+	if f.Leaving {
+		g.meters.feedback(feedbackDraining).Inc()
 	}
 }
 
-func wordFields(w backpressure.Feedback) []zap.Field {
+func feedbackFields(f backpressure.Feedback) []zap.Field {
 	var fields []zap.Field
-	if w.Limited {
-		fields = append(fields, zap.Float64("limit_per_s", w.Rate))
+	if f.Limited {
+		fields = append(fields, zap.Float64("limit_per_s", f.Rate))
 	}
-	if w.Rest > 0 {
-		fields = append(fields, zap.Duration("rest", w.Rest))
+	if f.Rest > 0 {
+		fields = append(fields, zap.Duration("rest", f.Rest))
 	}
-	if w.Leaving {
+	if f.Leaving {
 		fields = append(fields, zap.Bool("leaving", true))
 	}
 	return fields
--- a/gateway/asked_test.go
+++ b/gateway/asked_test.go
@@ -12,61 +12,61 @@
 	"lynxramp.org/event"
 )
 
-// asking answers with a header that asks for something.
-func asking(status int, header string) answer {
+// withFeedback responds with feedback in a header.
+func withFeedback(status int, header string) responder {
 	return func(c net.Conn, r *http.Request) bool {
 		fmt.Fprintf(c, "%sContent-Length: 6\r\n\r\nanswer", head(r, status, header+"\r\n"))
 		return true
 	}
 }
 
-// grantInTurn has the owner grant endpoints by their numbers, whatever it was told.
-func (r *rig) grantInTurn(numbers ...int) {
+// grantInOrder has the owner grant endpoints by number, regardless of feedback.
+func (r *testGateway) grantInOrder(numbers ...int) {
 	r.owner.mu.Lock()
 	defer r.owner.mu.Unlock()
-	all := r.owner.grantTo
-	r.owner.grantTo = nil
+	all := r.owner.endpoints
+	r.owner.endpoints = nil
 	for _, n := range numbers {
-		r.owner.grantTo = append(r.owner.grantTo, all[n-1])
+		r.owner.endpoints = append(r.owner.endpoints, all[n-1])
 	}
 }
 
-// TestEveryWayToAnEndpointPassesTheGate: what was granted by an owner that does not know what the endpoint asked
-// for is not sent: a first try, a repeat, a stream that is taken up again. The owner is told, and asked again.
-func TestEveryWayToAnEndpointPassesTheGate(t *testing.T) {
-	for word, status := range map[string]int{"X-Limit: 2": 200, "X-Leaving: 1": 200, "X-Rest: 3s": 503} {
-		for _, way := range []struct {
+// TestGateChecksEverySend: a grant by an owner that lacks the endpoint's feedback is not used, for a first attempt,
+// a retry or a resumed stream. The feedback is reported and the owner asked again.
+func TestGateChecksEverySend(t *testing.T) {
+	for header, status := range map[string]int{"X-Limit: 2": 200, "X-Leaving: 1": 200, "X-Rest: 3s": 503} {
+		for _, attempt := range []struct {
 			name, path string
-			second     answer // of e2, which the request goes to before e1 again; nil for a first try
-			third      answer
+			second     responder // of e2, tried before e1 is granted again; nil for a first attempt
+			third      responder
 			want       string
 		}{
 			{"first try", "/once/x", nil, whole(200, "answer"), "answer"},
 			{"repeat", "/safe/x", reset, whole(200, "answer"), "answer"},
-			{"resumed stream", "/stream/x", events(1, true), events(2, false), event2(1) + event2(2)},
+			{"resumed stream", "/stream/x", events(1, true), events(2, false), eventText(1) + eventText(2)},
 		} {
-			t.Run(word+" "+way.name, func(t *testing.T) {
-				e1, e2, e3 := newStandIn(t, asking(status, word)), newStandIn(t, way.second), newStandIn(t, way.third)
-				r := newRig(t, e1, e2, e3, newStandIn(t, whole(200, "answer")))
+			t.Run(header+" "+attempt.name, func(t *testing.T) {
+				e1, e2, e3 := newFakeEndpoint(t, withFeedback(status, header)), newFakeEndpoint(t, attempt.second), newFakeEndpoint(t, attempt.third)
+				r := newTestGateway(t, e1, e2, e3, newFakeEndpoint(t, whole(200, "answer")))
 				grants := []int{1}
 				if status != 200 {
-					grants = append(grants, 4) // the first request is turned away
+					grants = append(grants, 4) // the first request is rejected by e1
 				}
-				if way.second != nil {
+				if attempt.second != nil {
 					grants = append(grants, 2)
 				}
-				r.grantInTurn(append(grants, 1, 3)...)
+				r.grantInOrder(append(grants, 1, 3)...)
 				if status, _, _ := r.do(t, r.request("POST", "/once/x", "first")); status != 200 {
-					t.Fatalf("the endpoint's answer came as %d", status)
+					t.Fatalf("status %d of the first request", status)
 				}
-				status, body, all := r.do(t, r.request("POST", way.path, "second"))
-				if status != 200 || body != way.want || !all || e1.runs() != 1 || e3.runs() != 1 {
+				status, body, all := r.do(t, r.request("POST", attempt.path, "second"))
+				if status != 200 || body != attempt.want || !all || e1.runs() != 1 || e3.runs() != 1 {
 					t.Errorf("%d %q whole %v; the endpoint had %d requests, the third %d", status, body, all, e1.runs(), e3.runs())
 				}
 				r.owner.mu.Lock()
 				defer r.owner.mu.Unlock()
-				if n := len(r.owner.heard); n < 2 {
-					t.Errorf("the owner was told %d times what the endpoint asks for", n)
+				if n := len(r.owner.feedback); n < 2 {
+					t.Errorf("the owner received %d feedback reports", n)
 				}
 				unused := 0
 				for _, f := range r.owner.finished {
@@ -75,39 +75,38 @@
 					}
 				}
 				if unused != 1 {
-					t.Errorf("%d grants were given back unused", unused)
+					t.Errorf("%d grants were returned unused", unused)
 				}
 			})
 		}
 	}
 }
 
-// TestWordsOfAnotherEndpointAreOfNobody: an answer that says that it is not of the endpoint that was called binds
-// no one.
-func TestWordsOfAnotherEndpointAreOfNobody(t *testing.T) {
-	e1, e2 := newStandIn(t, asking(421, "X-Leaving: 1\r\nX-Limit: 0")), newStandIn(t, whole(200, "answer"))
-	r := newRig(t, e1, e2)
+// TestMisdirectedFeedbackIsIgnored: feedback in a misdirected response comes from another endpoint.
+func TestMisdirectedFeedbackIsIgnored(t *testing.T) {
+	e1, e2 := newFakeEndpoint(t, withFeedback(421, "X-Leaving: 1\r\nX-Limit: 0")), newFakeEndpoint(t, whole(200, "answer"))
+	r := newTestGateway(t, e1, e2)
 	if status, _, _ := r.do(t, r.request("POST", "/safe/x", "q")); status != 200 {
 		t.Fatalf("status %d", status)
 	}
 	if r.agent.client.gate.IsTracking() {
-		t.Error("an answer of another endpoint counts")
+		t.Error("feedback of a misdirected response was applied")
 	}
 }
 
-// TestRequestTurnedAwayForRestGoesElsewhere: also one that may not be repeated, and though the endpoint says no
-// more than that it wants rest.
-func TestRequestTurnedAwayForRestGoesElsewhere(t *testing.T) {
-	e1, e2 := newStandIn(t, asking(503, "X-Rest: 3s")), newStandIn(t, whole(200, "answer"))
-	r := newRig(t, e1, e2)
+// TestCooldownResponseIsRetriedElsewhere: a response with a cooldown means that the request was not run, so even
+// one that is not repeatable is retried.
+func TestCooldownResponseIsRetriedElsewhere(t *testing.T) {
+	e1, e2 := newFakeEndpoint(t, withFeedback(503, "X-Rest: 3s")), newFakeEndpoint(t, whole(200, "answer"))
+	r := newTestGateway(t, e1, e2)
 	if status, body, _ := r.do(t, r.request("POST", "/once/x", "q")); status != 200 || body != "answer" || e1.runs() != 1 {
 		t.Errorf("%d %q, %d runs", status, body, e1.runs())
 	}
 }
 
-// TestCallersSeeWhatEndpointsAskFor: the words stay in the answer that is passed on.
-func TestCallersSeeWhatEndpointsAskFor(t *testing.T) {
-	r := newRig(t, newStandIn(t, asking(200, "X-Limit: 2\r\nX-Leaving: 1")))
+// TestFeedbackHeadersAreForwarded: feedback headers stay in the response to the caller.
+func TestFeedbackHeadersAreForwarded(t *testing.T) {
+	r := newTestGateway(t, newFakeEndpoint(t, withFeedback(200, "X-Limit: 2\r\nX-Leaving: 1")))
 	a, err := http.DefaultClient.Do(r.request("POST", "/once/x", "q"))
 	if err != nil {
 		t.Fatal(err)
@@ -118,20 +117,20 @@
 	}
 }
 
-// TestEntryAloneKeepsWhatEndpointsAskedFor: an entry whose owner is lost sends nothing to an endpoint that wants
-// rest or is leaving, and to a limited one no more than its part.
-func TestEntryAloneKeepsWhatEndpointsAskedFor(t *testing.T) {
-	for word, most := range map[string]int{"X-Limit: 2": 1 + 2*3 + 1, "X-Leaving: 1": 1, "X-Rest: 30s": 1} {
-		t.Run(word, func(t *testing.T) {
-			e1 := newStandIn(t, asking(200, word))
-			r := newRig(t, e1)
+// TestDegradedEntryRespectsFeedback: a degraded entry sends nothing to an endpoint that is draining or in cooldown,
+// and at most its share to a limited one.
+func TestDegradedEntryRespectsFeedback(t *testing.T) {
+	for header, most := range map[string]int{"X-Limit: 2": 1 + 2*3 + 1, "X-Leaving: 1": 1, "X-Rest: 30s": 1} {
+		t.Run(header, func(t *testing.T) {
+			e1 := newFakeEndpoint(t, withFeedback(200, header))
+			r := newTestGateway(t, e1)
 			r.do(t, r.request("POST", "/once/x", "q"))
 			r.owner.mu.Lock()
 			r.owner.silent = true
 			r.owner.mu.Unlock()
-			began := time.Now()
-			waitFor(t, "the entry is alone", func() bool { return time.Since(began) > time.Second })
-			for time.Since(began) < 3*time.Second {
+			started := time.Now()
+			waitFor(t, "the entry is degraded", func() bool { return time.Since(started) > time.Second })
+			for time.Since(started) < 3*time.Second {
 				q := r.request("POST", "/once/x", "q")
 				q.Header.Set("X-Deadline", "60")
 				r.do(t, q)
--- a/gateway/fresh.go
+++ b/gateway/fresh.go
@@ -8,44 +8,44 @@
 	"lynxramp.org/event"
 )
 
-// This file is how long an entry may serve by its configuration: for Fresh from when an owner last said
-// that no newer one was in force. The word counts also when the configuration comes in force after
-// it: an operator whose changes follow each other faster than each is decoded, fetched and read would
-// else have all entries refuse from Fresh on, as each word is of a version that they don't have yet.
+// This file computes how long an entry may use its configuration: for ConfigValidity after it asked an owner
+// that then confirmed the version as the newest. A confirmation counts even if its version is put in force
+// only later. Otherwise all entries would refuse requests when an operator changes the configuration faster
+// than an entry fetches it, as each confirmation would name a version that they don't have yet.
 
-// newestWord is an owner's word that a version was the newest one.
-type newestWord struct {
+// versionConfirmation is an owner's confirmation that a version was the newest.
+type versionConfirmation struct {
 	version uint64
-	asked   event.Time // when the entry asked for it: the version was the newest at some time since
+	asked   event.Time // when the entry sent the ping; the version was the newest at some time after
 }
 
-// hearNewest takes an owner's word that a version was the newest one.
-func (a *OwnerClient) hearNewest(now event.Time, w newestWord) {
-	a.newest = slices.DeleteFunc(a.newest, func(old newestWord) bool {
+// confirmVersion records an owner's confirmation that a version was the newest.
+func (a *OwnerClient) confirmVersion(now event.Time, w versionConfirmation) {
+	a.confirmations = slices.DeleteFunc(a.confirmations, func(old versionConfirmation) bool {
 		return old.version == w.version || now.Sub(old.asked) >= a.config.Fresh
 	})
-	a.newest = append(a.newest, w)
-	a.refresh()
+	a.confirmations = append(a.confirmations, w)
+	a.extendValidity()
 }
 
-// refresh takes how long the configuration that is in force may be used. A version at least as high as
-// the one that was the newest has all that was acknowledged before the entry asked.
-func (a *OwnerClient) refresh() {
+// extendValidity extends the validity of the configuration in force. A version not lower than the confirmed
+// one includes everything that was acknowledged before the entry asked.
+func (a *OwnerClient) extendValidity() {
 	t := a.table.Load()
 	if t == nil {
 		return
 	}
-	until := a.fresh.Load()
+	until := a.validUntil.Load()
 	wasKnown := until != 0
-	a.newest = slices.DeleteFunc(a.newest, func(w newestWord) bool {
+	a.confirmations = slices.DeleteFunc(a.confirmations, func(w versionConfirmation) bool {
 		if w.version > t.Version {
 			return false
 		}
 		until = max(until, int64(w.asked.Add(a.config.Fresh)))
 		return true
 	})
-	a.fresh.Store(until)
+	a.validUntil.Store(until)
 	if !wasKnown && until != 0 {
-		close(a.known)
+		close(a.firstTable)
 	}
 }
--- a/gateway/longest.go
+++ b/gateway/longest.go
@@ -8,52 +8,50 @@
 )
 
 const (
-	// longestSpan is how long a route's longest time counts, at least.
-	longestSpan = 10 * time.Second
-	// returnedPart is the part of its route's longest time that a request has left at
-	// most when its caller was refused before.
-	returnedPart = 0.98
+	// maxTimeoutWindow is the least time for which a route's maximum counts.
+	maxTimeoutWindow = 10 * time.Second
+	// retryFraction bounds the timeout of a request whose caller was refused before, as a fraction of
+	// its route's maximum: a retry has only the time left of the first call.
+	retryFraction = 0.98
 )
 
-// longest knows, for each route, the most time that callers lately gave a request.
-// Who has less left has asked before. It is safe for concurrent use.
-type longest struct {
+// maxTimeouts tracks, for each route, the longest timeout that callers recently gave a request. A request
+// with a shorter one is taken for a retry. It is safe for concurrent use.
+type maxTimeouts struct {
 	mu     sync.Mutex
-	routes map[string]*longestTime
+	routes map[string]*routeMax
 }
 
-// longestTime is the most time left in the span that began at since, and in the one
-// before.
-type longestTime struct {
-	now, before time.Duration
-	since       time.Time
+// routeMax has the longest timeout in the window that started at since, and in the one before.
+type routeMax struct {
+	current, previous time.Duration
+	since             time.Time
 }
 
-func newLongest() *longest { return &longest{routes: make(map[string]*longestTime)} }
+func newMaxTimeouts() *maxTimeouts { return &maxTimeouts{routes: make(map[string]*routeMax)} }
 
-// isShort takes note of a request that has so much time left, and reports whether
-// others of its route lately had more.
-func (l *longest) isShort(at time.Time, route string, left time.Duration) bool {
+// observe records a request's timeout and reports whether it is below the recent maximum of its route.
+func (l *maxTimeouts) observe(at time.Time, route string, left time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t, ok := l.routes[route]
 	if !ok {
-		t = &longestTime{since: at}
+		t = &routeMax{since: at}
 		l.routes[route] = t
 	}
-	if at.Sub(t.since) >= longestSpan {
-		t.now, t.before, t.since = 0, t.now, at
+	if at.Sub(t.since) >= maxTimeoutWindow {
+		t.current, t.previous, t.since = 0, t.current, at
 	}
-	t.now = max(t.now, left)
-	return float64(left) < returnedPart*float64(max(t.now, t.before))
+	t.current = max(t.current, left)
+	return float64(left) < retryFraction*float64(max(t.current, t.previous))
 }
 
-// sweep forgets the routes that nobody asked for in the last two spans.
-func (l *longest) sweep(at time.Time) {
+// sweep removes the routes without a request in the last two windows.
+func (l *maxTimeouts) sweep(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for route, t := range l.routes {
-		if at.Sub(t.since) > 2*longestSpan {
+		if at.Sub(t.since) > 2*maxTimeoutWindow {
 			delete(l.routes, route)
 		}
 	}
--- a/gateway/owner_asked.go
+++ b/gateway/owner_asked.go
@@ -8,65 +8,64 @@
 	"lynxramp.org/level"
 )
 
-// This file is the agent's side of what endpoints ask for: what owners are told of it and tell.
+// This file exchanges the feedback of endpoints with owners.
 
-// toldMost bounds what a new owner is told at once: 16 kB.
-const toldMost = 400
+// maxReportedFeedback limits the reports sent to a new owner at once: 16 kB.
+const maxReportedFeedback = 400
 
-// gateSweep is how often what is known of endpoints that are gone is looked for.
-const gateSweep = 5 * event.Second
+// gateSweepInterval is the interval at which the feedback of removed endpoints is dropped.
+const gateSweepInterval = 5 * event.Second
 
-// permit returns what a grant rests on.
-func (a *OwnerClient) permit(g *event.Granted, alone bool) backpressure.Permit {
+// permit returns what a grant allows where the endpoint limits its rate.
+func (a *OwnerClient) permit(g *event.Granted, degraded bool) backpressure.Permit {
 	switch {
 	case g.Paced:
 		return backpressure.PermitPaced
-	case !alone && a.reads < level.Feedback:
+	case !degraded && a.ownerLevel < level.Feedback:
 		return backpressure.PermitLegacy
 	default:
 		return backpressure.PermitNoLimit
 	}
 }
 
-// Gate returns what stands before every request that the entry sends. Any goroutine may use it.
+// Gate returns the gate that checks each request before it is sent. It is safe for concurrent use.
 func (a *OwnerClient) Gate() *backpressure.Gate { return &a.gate }
 
-// Heard takes what an endpoint asked for in an answer, or what a grant's owner did not know.
+// ObserveFeedback records feedback from a response, or feedback that a grant's owner did not know.
 func (a *OwnerClient) Heard(now event.Time, h backpressure.Report) {
-	a.heard(now, h)
-	a.settle(now)
+	a.observeFeedback(now, h)
+	a.deliverDecisions(now)
 }
 
-// heard takes what an endpoint asked for in an answer, or what a grant's owner did not know.
-func (a *OwnerClient) heard(now event.Time, h backpressure.Report) {
-	if a.owned && a.reads >= level.Feedback {
+func (a *OwnerClient) observeFeedback(now event.Time, h backpressure.Report) {
+	if a.hasOwner && a.ownerLevel >= level.Feedback {
 		a.batch.Heard = append(a.batch.Heard, h)
 	}
-	if a.alone != nil {
-		a.alone.ObserveFeedback(now, a.config.Entry, &h, &a.effects)
+	if a.degraded != nil {
+		a.degraded.ObserveFeedback(now, a.config.Entry, &h, &a.effects)
 	}
 }
 
-// tellAsked tells a new owner what was heard lately.
-func (a *OwnerClient) tellAsked(now event.Time) {
-	if a.reads >= level.Feedback {
-		a.batch.Heard = a.gate.RecentReports(now, toldMost)
+// reportFeedback reports recently received feedback to a new owner.
+func (a *OwnerClient) reportFeedback(now event.Time) {
+	if a.ownerLevel >= level.Feedback {
+		a.batch.Heard = a.gate.RecentReports(now, maxReportedFeedback)
 	}
 }
 
-// seeAsked takes what an owner believes that endpoints ask for.
-func (a *OwnerClient) seeAsked(now event.Time, list []backpressure.State) {
+// applyFeedbackStates applies the owner's state of the endpoints' feedback.
+func (a *OwnerClient) applyFeedbackStates(now event.Time, list []backpressure.State) {
 	for _, s := range list {
 		a.gate.Apply(now, s)
 	}
 }
 
-// sweepGate forgets what endpoints asked for that are gone.
+// sweepGate drops the feedback of removed endpoints.
 func (a *OwnerClient) sweepGate(now event.Time) {
-	if now < a.sweepAt {
+	if now < a.nextGateSweep {
 		return
 	}
-	a.sweepAt = now.Add(gateSweep)
+	a.nextGateSweep = now.Add(gateSweepInterval)
 	a.gate.Sweep(now, func(id event.EndpointID) bool {
 		_, ok := a.endpoints[id]
 		return ok
--- a/gateway/owner_config.go
+++ b/gateway/owner_config.go
@@ -11,78 +11,78 @@
 	"lynxramp.org/message"
 )
 
-// This file is how a client comes by the configuration: it asks the owner for what it lacks of the
-// newest one, a bounded number of bytes at a time, and keeps what came over lost connections and
-// changes of the owner. So a configuration of any size comes in force, sooner or later, and what the
-// owner says beside it waits for the window at the most: 26 ms on a link of 10 Mbit/s.
+// This file fetches the configuration: the client asks the owner for the nodes it lacks of the newest
+// version, a limited number of bytes at a time, and keeps received nodes across lost connections and owner
+// changes. So a configuration of any size is eventually complete, and the owner's other messages wait for
+// at most one window: 26 ms on a link of 10 Mbit/s.
 
-// Bounds of what an owner may have on its way to an entry, in bytes of nodes.
+// Limits of the bytes of nodes in flight from an owner.
 const (
-	windowMost = 32 << 10
-	// windowLeast is one node at a time.
-	windowLeast = 1 << 10
-	// windowStep is what the window grows by with each answer, after a loss had halved it.
+	maxWindow = 32 << 10
+	// minWindow is the size of one node.
+	minWindow = 1 << 10
+	// windowStep is added to the window with each response, after a lost connection halved it.
 	windowStep = 1 << 10
 )
 
-// configFetch is what is under way of a configuration.
+// configFetch is the state of fetching a configuration.
 type configFetch struct {
 	hashtree.Fetcher
 	window int
-	// offered says that the present owner told which version is the newest: it has its nodes.
-	offered bool
-	began   event.Time
+	// hasOffer is set once the current owner announced the newest version; only then it has the nodes.
+	hasOffer bool
+	started  event.Time
 }
 
-// linkLost takes note that the connection to the owner has ended. If nodes were on their way, the
-// link may be too full for as many of them beside all else.
-func (c *configFetch) linkLost() {
-	if c.offered && c.InFlightBytes() > 0 {
-		c.window = max(windowLeast, c.window/2)
+// disconnected records that the connection to the owner ended. If nodes were in flight, it halves the window,
+// as the link may be too slow for it.
+func (c *configFetch) disconnected() {
+	if c.hasOffer && c.InFlightBytes() > 0 {
+		c.window = max(minWindow, c.window/2)
 	}
-	c.offered = false
+	c.hasOffer = false
 	c.ConnectionLost()
 }
 
-// aim begins to gather a configuration. An entry never goes back to an older one.
-func (a *OwnerClient) aim(now event.Time, v *message.View) {
+// setFetchTarget starts to fetch an announced configuration. An entry never returns to an older one.
+func (a *OwnerClient) setFetchTarget(now event.Time, v *message.View) {
 	if v.Version < a.fetch.Version() || v.Version <= a.version() {
 		return
 	}
 	if v.Root == (hashtree.Sum{}) {
-		a.log.Error("configuration told of without its tree", zap.Uint64("version", v.Version))
+		a.log.Error("owner announced a configuration without a root hash, ignoring it", zap.Uint64("version", v.Version))
 		return
 	}
-	a.fetch.offered = true
-	a.told.Store(v.Version)
+	a.fetch.hasOffer = true
+	a.announcedVersion.Store(v.Version)
 	if v.Version > a.fetch.Version() {
-		a.fetch.began = now
+		a.fetch.started = now
 	}
 	a.fetch.SetTarget(v.Version, v.Root)
-	a.gather(now)
+	a.continueFetch(now)
 }
 
-// takeDocument puts a configuration in force that came whole, from an owner below level.Chunked. It is
-// read in the client's loop: owners that send it so are there only while boxes are replaced.
-func (a *OwnerClient) takeDocument(v *message.View) {
+// applyDocument puts a configuration in force that was sent as one document, by an owner below level.Chunked.
+// It is parsed in the agent's loop, as such owners exist only during an upgrade.
+func (a *OwnerClient) applyDocument(v *message.View) {
 	if v.Version <= a.version() {
 		return
 	}
 	table, err := a.config.Decode(v.Document)
 	if err != nil {
-		a.log.Error("configuration not read", zap.Uint64("version", v.Version), logx.Err(err))
+		a.log.Error("cannot decode configuration, keeping the current one", zap.Uint64("version", v.Version), logx.Err(err))
 		return
 	}
-	a.told.Store(v.Version)
+	a.announcedVersion.Store(v.Version)
 	a.table.Store(table)
-	a.refresh()
+	a.extendValidity()
 	a.log.Info("configuration in force", zap.Uint64("version", table.Version), zap.Int("routes", len(table.Routes)),
 		zap.Int("bytes", len(v.Document)))
 }
 
-// gather asks for more of the configuration, and puts it in force once it is whole.
-func (a *OwnerClient) gather(now event.Time) {
-	if !a.fetch.offered {
+// continueFetch requests more nodes of the configuration, and puts it in force once it is complete.
+func (a *OwnerClient) continueFetch(now event.Time) {
+	if !a.fetch.hasOffer {
 		return
 	}
 	if a.fetch.IsIncomplete() {
@@ -96,39 +96,39 @@
 	}
 	table := a.fetch.Table()
 	a.table.Store(table)
-	a.refresh()
+	a.extendValidity()
 	nodes, bytes := a.fetch.Received()
 	a.log.Info("configuration in force", zap.Uint64("version", table.Version), zap.Int("routes", len(table.Routes)),
-		zap.Int("nodes", nodes), zap.Int("bytes", bytes), zap.Duration("after", now.Sub(a.fetch.began)))
+		zap.Int("nodes", nodes), zap.Int("bytes", bytes), zap.Duration("after", now.Sub(a.fetch.started)))
 }
 
-// takeNodes takes nodes that were asked for.
-func (a *OwnerClient) takeNodes(now event.Time, m *message.Nodes) {
+// receiveNodes applies nodes that were requested.
+func (a *OwnerClient) receiveNodes(now event.Time, m *message.Nodes) {
 	for _, n := range m.List {
 		if err := a.fetch.Receive(n.Sum, n.Packed); err != nil {
-			a.log.Error("node of the configuration not read", zap.Uint64("version", a.fetch.Version()), logx.Err(err))
-			a.lose(now, "node not read", err)
+			a.log.Error("cannot decode configuration node, reconnecting to the owner", zap.Uint64("version", a.fetch.Version()), logx.Err(err))
+			a.disconnect(now, "invalid configuration node", err)
 			return
 		}
-		a.nodes.Add(int64(len(n.Packed)))
+		a.nodeBytes.Add(int64(len(n.Packed)))
 	}
 	if len(m.List) > 0 {
-		a.fetch.window = min(windowMost, a.fetch.window+windowStep)
+		a.fetch.window = min(maxWindow, a.fetch.window+windowStep)
 	}
-	if a.fetch.lacks(m.Unknown) {
-		// The next session begins with what its owner has.
-		a.lose(now, "the owner lacks nodes of the configuration that it told of", nil)
+	if a.fetch.markUnavailable(m.Unknown) {
+		// The next session starts with the nodes that its owner has.
+		a.disconnect(now, "owner lacks nodes of the configuration that it announced", nil)
 		return
 	}
-	a.gather(now)
+	a.continueFetch(now)
 }
 
-// lacks reports whether one of the nodes that the owner does not have is still asked for. Those of
-// an earlier version are not, once a newer one was told of.
-func (c *configFetch) lacks(unknown []hashtree.Sum) bool {
-	lacks := false
+// markUnavailable marks the nodes that the owner lacks and reports whether one of them is still needed. Nodes
+// of an earlier version are not, once a newer one was announced.
+func (c *configFetch) markUnavailable(unknown []hashtree.Sum) bool {
+	isNeeded := false
 	for _, sum := range unknown {
-		lacks = c.NodeUnavailable(sum) || lacks
+		isNeeded = c.NodeUnavailable(sum) || isNeeded
 	}
-	return lacks
+	return isNeeded
 }
--- a/gateway/record_test.go
+++ b/gateway/record_test.go
@@ -12,10 +12,9 @@
 	"lynxramp.org/event"
 )
 
-// TestEachFailureHasALine: in a burst in which an entry refuses 200 requests at once, each has a
-// line that tells its end, and the first ones all their steps. Of those that do well the same
-// part is told whatever the load, by their ids.
-func TestEachFailureHasALine(t *testing.T) {
+// TestEachFailureIsLogged: in a burst each refused request has a line with its end, and the first ones have all
+// steps. A constant fraction of successful requests is logged, selected by ID.
+func TestEachFailureIsLogged(t *testing.T) {
 	core, lines := observer.New(zap.InfoLevel)
 	g := New(Config{Log: zap.New(core)})
 	const refused, served = 200, 4800
@@ -23,10 +22,10 @@
 	record := func(id string, failed bool) {
 		c := &call{gateway: g, callerID: id, id: event.RequestID("e-" + id)}
 		for _, name := range []string{stepAdmitted, stepRefused, stepEnded} {
-			c.note(name, zap.Int("status", 503))
+			c.addStep(name, zap.Int("status", 503))
 		}
 		c.record.failed = failed
-		c.writeRecord()
+		c.logSteps()
 	}
 	for i := range refused {
 		record(fmt.Sprintf("refused-%d", i), true)
@@ -38,22 +37,22 @@
 		case stepEnded:
 			ended[fields["request"].(string)] = true
 			if fields["status"] != int64(503) {
-				t.Errorf("%v does not tell its status", fields)
+				t.Errorf("%v has the wrong status", fields)
 			}
 		case stepAdmitted:
 			whole++
 		}
 	}
 	if len(ended) != refused || whole != failedLines/3 {
-		t.Errorf("%d of %d have a line on their end, %d all steps, want %d", len(ended), refused, whole, failedLines/3)
+		t.Errorf("%d of %d have a line with their end, %d have all steps, want %d", len(ended), refused, whole, failedLines/3)
 	}
-	chosen := 0
+	sampled := 0
 	for i := range served {
-		if isChosen(fmt.Sprintf("served-%d", i)) {
-			chosen++
+		if isSampled(fmt.Sprintf("served-%d", i)) {
+			sampled++
 		}
 	}
-	if want := served / wellPart; chosen < want*2/3 || chosen > want*3/2 {
-		t.Errorf("%d of %d that did well have lines, want some %d", chosen, served, want)
+	if want := served / sampleDivisor; sampled < want*2/3 || sampled > want*3/2 {
+		t.Errorf("%d of %d successful requests are logged, want about %d", sampled, served, want)
 	}
 }
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -29,8 +29,7 @@
 	"lynxramp.org/routing"
 )
 
-// The rig of this package's tests: endpoints that answer by a script, an owner that
-// grants by a script, and a gateway between them.
+// A test gateway has endpoints that respond by a script and an owner that grants by a script.
 
 var testNames = Names{
 	RequestID: "X-Request", Deadline: "X-Deadline", Tokens: "X-Tokens", Expect: "X-Expect", Team: "X-Team",
@@ -38,8 +37,8 @@
 	Reserved: []string{"X-Hold", "X-Kv-From"},
 }
 
-// testWord reads what the rig's endpoints ask for.
-func testWord(_ int, h http.Header) (w backpressure.Feedback, err error) {
+// testFeedback reads the feedback of the test endpoints.
+func testFeedback(_ int, h http.Header) (w backpressure.Feedback, err error) {
 	if text := h.Get("X-Limit"); text != "" {
 		w.Limited = true
 		w.Rate, err = strconv.ParseFloat(text, 64)
@@ -51,26 +50,26 @@
 	return w, err
 }
 
-// standIn is an endpoint that answers each connection's requests by a script.
-type standIn struct {
-	address string
-	mu      sync.Mutex
-	seen    []*http.Request
-	bodies  []string
-	closed  chan struct{} // gets a value when a caller closed during hold
+// fakeEndpoint responds to each request on its connections by a script.
+type fakeEndpoint struct {
+	address  string
+	mu       sync.Mutex
+	requests []*http.Request
+	bodies   []string
+	closed   chan struct{} // receives a value when a caller closed its connection during a response
 }
 
-// answer writes an answer to a request; false closes the connection.
-type answer func(w net.Conn, r *http.Request) bool
+// responder writes a response to a request; false closes the connection.
+type responder func(w net.Conn, r *http.Request) bool
 
-func newStandIn(t *testing.T, script answer) *standIn {
+func newFakeEndpoint(t *testing.T, script responder) *fakeEndpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	s := &standIn{address: l.Addr().String(), closed: make(chan struct{}, 10)}
+	s := &fakeEndpoint{address: l.Addr().String(), closed: make(chan struct{}, 10)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -83,7 +82,7 @@
 	return s
 }
 
-func (s *standIn) serve(c net.Conn, script answer) {
+func (s *fakeEndpoint) serve(c net.Conn, script responder) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for {
@@ -96,7 +95,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.seen = append(s.seen, r)
+		s.requests = append(s.requests, r)
 		s.bodies = append(s.bodies, string(body))
 		s.mu.Unlock()
 		if !script(c, r) {
@@ -105,48 +104,48 @@
 	}
 }
 
-func (s *standIn) runs() int {
+func (s *fakeEndpoint) runs() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.seen)
+	return len(s.requests)
 }
 
 func head(r *http.Request, status int, more string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Request: %s\r\nX-Signature: sig-%s\r\n%s", status, r.Header.Get("X-Request"), r.Header.Get("X-Expect"), more)
 }
 
-// whole answers with a body of a known length.
-func whole(status int, body string) answer {
+// whole responds with a body of known length.
+func whole(status int, body string) responder {
 	return func(c net.Conn, r *http.Request) bool {
 		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head(r, status, ""), len(body), body)
 		return true
 	}
 }
 
-// notRun says that the request was not run.
+// notRun responds that the request was not run.
 func notRun(c net.Conn, r *http.Request) bool {
 	fmt.Fprintf(c, "%sContent-Length: 0\r\n\r\n", head(r, 503, "X-Not-Run: 1\r\n"))
 	return true
 }
 
-// reset ends the connection without an answer.
+// reset resets the connection without a response.
 func reset(c net.Conn, _ *http.Request) bool {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-func event2(id int) string { return fmt.Sprintf("id: %d\ndata: part %d\n\n", id, id) }
+func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: part %d\n\n", id, id) }
 
-// events streams events from the one after the caller's last, up to a number, and
-// ends well or in the middle of the next.
-func events(upTo int, broken bool) answer {
+// events streams events from the one after the caller's last up to a number, and then ends the stream or,
+// if broken, resets the connection inside the next event.
+func events(upTo int, broken bool) responder {
 	return func(c net.Conn, r *http.Request) bool {
 		from := 0
 		fmt.Sscan(r.Header.Get("X-Last"), &from)
 		fmt.Fprintf(c, "%sContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", head(r, 200, ""))
 		chunk := func(text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 		for id := from + 1; id <= upTo; id++ {
-			chunk(event2(id))
+			chunk(eventText(id))
 		}
 		if broken {
 			chunk("id: 99\ndata: ha")
@@ -157,36 +156,36 @@
 	}
 }
 
-// rig is a gateway with an owner that grants each request to the next endpoint.
-type rig struct {
+// testGateway is a gateway with an owner that grants each request to the next endpoint.
+type testGateway struct {
 	gateway *Gateway
 	agent   *Agent
 	server  *httptest.Server
-	owner   *scriptedOwner
+	owner   *fakeOwner
 }
 
-// scriptedOwner is the other side of an agent's link.
-type scriptedOwner struct {
-	mu      sync.Mutex
-	grantTo []registry.Endpoint
-	next    int
-	refuse  event.Reason
-	silent  bool // it answers nothing
-	// beforeRepeat is called before it decides on a request that is to be sent once more.
+// fakeOwner is the owner at the other end of an agent's link.
+type fakeOwner struct {
+	mu        sync.Mutex
+	endpoints []registry.Endpoint
+	next      int
+	refuse    event.Reason
+	silent    bool // ignores all messages
+	// beforeRepeat is called before a decision on a retry.
 	beforeRepeat func()
-	hold         bool // it decides nothing
+	hold         bool // decides nothing
 	finished     []message.Finish
 	ends         []poison.End
-	heard        []backpressure.Report
+	feedback     []backpressure.Report
 	submits      []message.Submission
-	withdrew     []message.Withdrawal
+	withdrawn    []message.Withdrawal
 	conn         *link.Conn[message.Envelope]
 	version      uint64
 	trees        map[uint64]*hashtree.Tree
 }
 
-// put lets the owner tell of a configuration.
-func (o *scriptedOwner) put(table *routing.Table) {
+// publish puts a configuration in force at the owner and announces it.
+func (o *fakeOwner) publish(table *routing.Table) {
 	if o.trees == nil {
 		o.trees = make(map[uint64]*hashtree.Tree)
 	}
@@ -197,8 +196,8 @@
 	}
 }
 
-// give answers a question for nodes, of whatever version.
-func (o *scriptedOwner) give(c *link.Conn[message.Envelope], w *message.Want) {
+// sendNodes responds to a request for nodes of any version.
+func (o *fakeOwner) sendNodes(c *link.Conn[message.Envelope], w *message.Want) {
 	nodes := &message.Nodes{}
 	for _, sum := range w.Sums {
 		for _, tree := range o.trees {
@@ -211,7 +210,7 @@
 	c.Send(&message.Envelope{Nodes: nodes})
 }
 
-func (o *scriptedOwner) serve(c *link.Conn[message.Envelope]) {
+func (o *fakeOwner) serve(c *link.Conn[message.Envelope]) {
 	_ = c.Serve(func(m *message.Envelope) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
@@ -223,7 +222,7 @@
 			o.conn = c
 			view := &message.View{Whole: true, Version: o.version, Root: o.trees[o.version].Root()}
 			var endpoints []message.Endpoint
-			for _, e := range o.grantTo {
+			for _, e := range o.endpoints {
 				endpoints = append(endpoints, message.Endpoint{Endpoint: e})
 			}
 			view.Endpoints = message.Pack(endpoints)
@@ -231,18 +230,18 @@
 		case m.Ping != nil:
 			c.Send(&message.Envelope{Pong: &message.Pong{Sent: m.Ping.Sent, Version: o.version, Entries: 1}})
 		case m.Want != nil:
-			o.give(c, m.Want)
+			o.sendNodes(c, m.Want)
 		case m.Batch != nil:
 			o.decide(c, m.Batch)
 		}
 	})
 }
 
-func (o *scriptedOwner) decide(c *link.Conn[message.Envelope], b *message.Batch) {
+func (o *fakeOwner) decide(c *link.Conn[message.Envelope], b *message.Batch) {
 	o.finished = append(o.finished, b.Finish...)
 	o.ends = append(o.ends, b.Ends...)
-	o.heard = append(o.heard, b.Heard...)
-	o.withdrew = append(o.withdrew, b.Withdraw...)
+	o.feedback = append(o.feedback, b.Heard...)
+	o.withdrawn = append(o.withdrawn, b.Withdraw...)
 	if o.hold {
 		o.submits = append(o.submits, b.Submit...)
 		return
@@ -253,11 +252,11 @@
 		if s.Repeat && o.beforeRepeat != nil {
 			o.beforeRepeat()
 		}
-		if o.refuse != event.ReasonNone || o.next >= len(o.grantTo) {
+		if o.refuse != event.ReasonNone || o.next >= len(o.endpoints) {
 			d.Refusals = append(d.Refusals, event.Refused{ID: s.Ticket.ID, Reason: max(o.refuse, event.ReasonShed), RetryAfter: event.Second})
 			continue
 		}
-		e := o.grantTo[o.next]
+		e := o.endpoints[o.next]
 		o.next++
 		d.Grants = append(d.Grants, event.Granted{ID: s.Ticket.ID, Endpoint: event.EndpointID(e.ID), Address: e.Address})
 	}
@@ -285,19 +284,19 @@
 	return t
 }
 
-// newRig starts a gateway in front of endpoints, which are granted in their order.
-func newRig(t *testing.T, endpoints ...*standIn) *rig {
+// newTestGateway starts a gateway in front of endpoints, which are granted in this order.
+func newTestGateway(t *testing.T, endpoints ...*fakeEndpoint) *testGateway {
 	t.Helper()
-	return newRigAt(t, event.NewClock(), endpoints...)
+	return newTestGatewayWithClock(t, event.NewClock(), endpoints...)
 }
 
-// newRigAt is newRig with an entry that goes by a clock.
-func newRigAt(t *testing.T, clock event.Clock, endpoints ...*standIn) *rig {
+// newTestGatewayWithClock is newTestGateway with a given clock.
+func newTestGatewayWithClock(t *testing.T, clock event.Clock, endpoints ...*fakeEndpoint) *testGateway {
 	t.Helper()
-	o := &scriptedOwner{}
-	o.put(testTable(1, "key"))
+	o := &fakeOwner{}
+	o.publish(testTable(1, "key"))
 	for i, s := range endpoints {
-		o.grantTo = append(o.grantTo, registry.Endpoint{ID: fmt.Sprintf("e%d", i+1), Service: "s", Address: s.address, Slots: 4})
+		o.endpoints = append(o.endpoints, registry.Endpoint{ID: fmt.Sprintf("e%d", i+1), Service: "s", Address: s.address, Slots: 4})
 	}
 	l, err := link.Listen("127.0.0.1:0", o.serve)
 	if err != nil {
@@ -311,7 +310,7 @@
 	agent.clock = clock
 	ctx, cancel := context.WithCancel(context.Background())
 	go agent.Run(ctx)
-	g := New(Config{Agent: agent, Names: testNames, Word: testWord, HeldBytes: 1 << 20, Log: zap.NewNop(), Entry: "entry", Life: 7})
+	g := New(Config{Agent: agent, Names: testNames, Word: testFeedback, HeldBytes: 1 << 20, Log: zap.NewNop(), Entry: "entry", Life: 7})
 	server := httptest.NewServer(g)
 	server.Config.ErrorLog = zap.NewStdLog(zap.NewNop())
 	t.Cleanup(func() {
@@ -320,7 +319,7 @@
 		_ = l.Close()
 	})
 	waitFor(t, "the gateway is ready", g.Ready)
-	return &rig{gateway: g, agent: agent, server: server, owner: o}
+	return &testGateway{gateway: g, agent: agent, server: server, owner: o}
 }
 
 func waitFor(t *testing.T, what string, done func() bool) {
@@ -330,13 +329,13 @@
 			return
 		}
 	}
-	t.Fatalf("it did not come to pass that %s", what)
+	t.Fatalf("timed out waiting until %s", what)
 }
 
-func (r *rig) request(method, path, body string) *http.Request {
+func (r *testGateway) request(method, path, body string) *http.Request {
 	q, err := http.NewRequest(method, r.server.URL+path, strings.NewReader(body))
 	if err != nil {
-		panic(err) // the tests' paths are sound
+		panic(err) // tests use valid paths
 	}
 	q.Host = "h.example"
 	q.Header.Set("X-Request", "r-1")
@@ -346,8 +345,8 @@
 	return q
 }
 
-// do sends a request and returns the status, the body, and whether it came whole.
-func (r *rig) do(t *testing.T, q *http.Request) (int, string, bool) {
+// do sends a request and returns the status, the body, and whether the body is complete.
+func (r *testGateway) do(t *testing.T, q *http.Request) (int, string, bool) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	a, err := client.Do(q)
--- a/gateway/ticket.go
+++ b/gateway/ticket.go
@@ -11,8 +11,8 @@
 	"lynxramp.org/sched"
 )
 
-// rank is the request's place among others; the larger goes first. A team's rank
-// comes before that of the route.
+// rank is the request's priority; a higher rank goes first. The team's rank takes precedence over the
+// route's.
 func (c *call) rank() int {
 	const half = sched.TeamRankStride / 2
 	route := max(-half+1, min(half-1, c.route.Rank))
@@ -22,7 +22,7 @@
 	return route
 }
 
-// rankLabel is the rank of the request's team as figures have it.
+// rankLabel is the rank of the request's team as a metric label.
 func (c *call) rankLabel() string {
 	if c.team != nil && c.team.Rank != nil {
 		return strconv.Itoa(*c.team.Rank)
@@ -30,72 +30,71 @@
 	return "none"
 }
 
-// tokens returns the tokens of the prompt and the most that are generated.
-func (c *call) tokens() (prompt, output int) {
+// declaredTokens returns the tokens of the prompt and the maximum to generate, as the caller declared them.
+func (c *call) declaredTokens() (prompt, output int) {
 	a, b, ok := strings.Cut(c.r.Header.Get(c.gateway.config.Names.Tokens), ",")
 	if !ok {
 		return 0, 0
 	}
-	prompt, _ = strconv.Atoi(strings.TrimSpace(a)) // what is no number counts 0
+	prompt, _ = strconv.Atoi(strings.TrimSpace(a)) // 0 if it is not a number
 	output, _ = strconv.Atoi(strings.TrimSpace(b))
 	return max(0, prompt), max(0, output)
 }
 
-// guess returns the tokens that the caller expects to be generated: its hint, or the most that
-// it allows where it gives none that makes sense.
-func (c *call) guess() int {
+// expectedOutputTokens returns the tokens that the caller expects to be generated: its hint, or the maximum if
+// the hint is missing or invalid.
+func (c *call) expectedOutputTokens() int {
 	hint, err := strconv.Atoi(c.r.Header.Get(c.gateway.config.Names.Hint))
 	if err != nil || hint <= 0 {
-		return c.output
+		return c.maxOutputTokens
 	}
-	return min(c.output, hint)
+	return min(c.maxOutputTokens, hint)
 }
 
-// quota is what the request counts against its team's quota.
-func (c *call) quota() int {
+// quotaUnits is the amount that the request is charged against its team's quota.
+func (c *call) quotaUnits() int {
 	switch {
 	case c.team == nil:
 		return 0
 	case !c.team.InTokens:
 		return 1
 	}
-	if c.prompt+c.output > 0 {
-		return c.prompt + c.output
+	if c.promptTokens+c.maxOutputTokens > 0 {
+		return c.promptTokens + c.maxOutputTokens
 	}
 	return c.team.PlainTokens
 }
 
-// ticket describes the request to who decides.
-func (c *call) ticket(repeat bool) message.Submission {
-	left := c.left()
+// ticket describes the request to the decider.
+func (c *call) ticket(isRetry bool) message.Submission {
+	left := c.remaining()
 	target := c.route.Target - c.age()
 	return message.Submission{
 		Ticket: event.Ticket{
 			ID: c.id, Team: c.teamName(), Rank: c.rank(), Service: c.service, Pool: c.service,
-			PromptTokens: c.prompt, OutputTokens: c.guess(), Deadline: left,
-			Target: max(target, event.Millisecond), Patience: c.patience(left),
-			Placed: c.placed, Returned: c.returned, Avoid: c.avoid, Attempt: c.attempts, DataCentre: c.gateway.config.DataCentre,
+			PromptTokens: c.promptTokens, OutputTokens: c.expectedOutputTokens(), Deadline: left,
+			Target: max(target, event.Millisecond), Patience: c.maxExpectedWait(left),
+			Placed: c.wasGranted, Returned: c.wasRefused, Avoid: c.tried, Attempt: c.attempts, DataCentre: c.gateway.config.DataCentre,
 		},
-		Quota: c.quota(), Repeat: repeat, Print: c.print,
+		Quota: c.quotaUnits(), Repeat: isRetry, Print: c.fingerprint,
 	}
 }
 
-// Patience: how many times its target a request may be expected to wait, and the
-// least part of the time left that it must leave.
+// The longest expected wait, as a fraction of the route's target and of the remaining time.
 const (
-	patienceTargets = 0.9
-	patienceLeft    = 0.5
+	maxWaitOfTarget    = 0.9
+	maxWaitOfRemaining = 0.5
 )
 
-// patience returns the longest that the request may be expected to wait. One that an
-// endpoint had before is not sent away for its wait.
-func (c *call) patience(left event.Duration) event.Duration {
+// maxExpectedWait returns the longest expected wait with which the request is accepted; 0 is no limit, for a
+// request that an endpoint may have run.
+func (c *call) maxExpectedWait(left event.Duration) event.Duration {
 	if c.mayHaveRun {
 		return 0
 	}
-	patience := event.Duration(float64(left) * patienceLeft)
+	patience := event.Duration(float64(left) * maxWaitOfRemaining)
 	if c.route.Target > 0 {
-		patience = min(patience, event.Duration(float64(c.route.Target)*patienceTargets))
+		patience = min(patience, event.Duration(float64(c.route.Target)*maxWaitOfTarget))
 	}
 	return max(patience, event.Millisecond)
 }
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -21,114 +21,114 @@
 	"lynxramp.org/link"
 )
 
-// Bounds of connections to endpoints.
+// Limits of connections to endpoints.
 const (
 	connectTimeout = 400 * time.Millisecond
-	// defaultIdle is how long a connection without a word on it is kept, and
-	// idleMargin how much sooner than the endpoint says it is given up.
-	defaultIdle = 3 * time.Second
-	idleMargin  = 800 * time.Millisecond
-	maxIdle     = 16 // connections an endpoint
-	readBuffer  = 4 << 10
-	// inlineBody is the most that is written before the answer is looked for.
-	inlineBody   = 8 << 10
-	maxInterim   = 8
-	userTimeoutM = 3000 // milliseconds
+	// defaultIdleTimeout is how long an idle connection is kept, and idleMargin how much earlier than
+	// the endpoint's own timeout it is closed.
+	defaultIdleTimeout = 3 * time.Second
+	idleMargin         = 800 * time.Millisecond
+	maxIdleConns       = 16 // per endpoint
+	readBufferSize     = 4 << 10
+	// maxInlineBody is the longest body that is written before the response is read, in bytes.
+	maxInlineBody       = 8 << 10
+	maxInterimResponses = 8
+	userTimeoutMillis   = 3000
 )
 
-// errNotSent says that not a byte of the request left.
-var errNotSent = errors.New("the endpoint was not reached")
+// errNotSent is returned if no byte of the request was sent.
+var errNotSent = errors.New("request not sent to the endpoint")
 
-// errForeign says that an answer is not that of the request.
-var errForeign = errors.New("the answer belongs to another request")
+// errWrongResponse is returned if a response lacks the request's ID.
+var errWrongResponse = errors.New("response belongs to another request")
 
-// upstream keeps connections to endpoints.
+// upstream is a pool of connections to endpoints.
 type upstream struct {
-	most int          // connections, those in use first; 0 is without a bound
-	open atomic.Int64 // connections
-	mu   sync.Mutex
-	idle map[string][]*upConn // by address and endpoint, the longest kept first
+	maxConnections int          // in use and idle; 0 is no limit
+	open           atomic.Int64 // connections, in use and idle
+	mu             sync.Mutex
+	idle           map[string][]*upstreamConn // by address and endpoint, oldest first
 }
 
-func newUpstream() *upstream { return &upstream{idle: make(map[string][]*upConn)} }
+func newUpstream() *upstream { return &upstream{idle: make(map[string][]*upstreamConn)} }
 
-// upConn is one connection to an endpoint.
-type upConn struct {
+// upstreamConn is a connection to an endpoint.
+type upstreamConn struct {
 	net.Conn
-	key    string
-	reader *bufio.Reader
-	kept   time.Time // since when
-	until  time.Time // of its use
-	reused bool
-	owner  *upstream
-	closed sync.Once
+	key       string
+	reader    *bufio.Reader
+	idleSince time.Time
+	idleUntil time.Time // end of its idle timeout
+	reused    bool
+	pool      *upstream
+	closed    sync.Once
 }
 
 // Close closes the connection. It may be called more than once.
-func (c *upConn) Close() error {
-	c.closed.Do(func() { c.owner.open.Add(-1) })
+func (c *upstreamConn) Close() error {
+	c.closed.Do(func() { c.pool.open.Add(-1) })
 	return c.Conn.Close()
 }
 
-// connections returns how many are open.
+// connections returns the number of open connections.
 func (u *upstream) connections() int { return int(u.open.Load()) }
 
-// makeRoom closes what has been kept longest until one more may be opened. Endpoints are
-// many, and what is kept for each of them must not take the descriptors of new callers.
-func (u *upstream) makeRoom() {
-	for u.most > 0 && u.connections() >= u.most {
-		c := u.popLongest()
+// evictIdle closes the oldest idle connections until one more may be opened, so that idle connections to many
+// endpoints don't use up the file descriptors for new callers.
+func (u *upstream) evictIdle() {
+	for u.maxConnections > 0 && u.connections() >= u.maxConnections {
+		c := u.popOldest()
 		if c == nil {
 			return
 		}
-		_ = c.Close() // it was of use to nobody now
+		_ = c.Close() // it was idle
 	}
 }
 
-// popLongest takes the connection that has been kept longest; nil if none is.
-func (u *upstream) popLongest() *upConn {
+// popOldest removes the connection that has been idle longest; nil if there is none.
+func (u *upstream) popOldest() *upstreamConn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var from string
-	var longest *upConn
+	var oldest *upstreamConn
 	for key, list := range u.idle {
-		if len(list) > 0 && (longest == nil || list[0].kept.Before(longest.kept)) {
-			from, longest = key, list[0]
+		if len(list) > 0 && (oldest == nil || list[0].idleSince.Before(oldest.idleSince)) {
+			from, oldest = key, list[0]
 		}
 	}
-	if longest != nil {
+	if oldest != nil {
 		u.idle[from] = u.idle[from][1:]
 	}
-	return longest
+	return oldest
 }
 
-// get returns a connection that is kept, or a new one; fresh asks for the latter, and
-// drops those that are kept.
-func (u *upstream) get(ctx context.Context, address, endpoint string, fresh bool) (*upConn, error) {
+// get returns an idle connection or a new one. With newOnly it closes the idle ones and always returns a new
+// one.
+func (u *upstream) get(ctx context.Context, address, endpoint string, newOnly bool) (*upstreamConn, error) {
 	key := address + " " + endpoint
 	for {
 		c := u.pop(key)
 		if c == nil {
 			break
 		}
-		if !fresh && time.Now().Before(c.until) && isQuiet(c.Conn) {
+		if !newOnly && time.Now().Before(c.idleUntil) && isIdle(c.Conn) {
 			c.reused = true
 			return c, nil
 		}
-		_ = c.Close() // it is of no use any more
+		_ = c.Close() // expired or closed by the endpoint
 	}
-	u.makeRoom()
+	u.evictIdle()
 	dialer := net.Dialer{Timeout: connectTimeout, KeepAliveConfig: link.Probing}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(errNotSent, err.Error())
 	}
-	link.SetUserTimeout(raw, userTimeoutM)
+	link.SetUserTimeout(raw, userTimeoutMillis)
 	u.open.Add(1)
-	return &upConn{Conn: raw, key: key, owner: u, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &upstreamConn{Conn: raw, key: key, pool: u, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
-func (u *upstream) pop(key string) *upConn {
+func (u *upstream) pop(key string) *upstreamConn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	list := u.idle[key]
@@ -140,20 +140,20 @@
 	return c
 }
 
-// put keeps a connection whose last answer was read to its end.
-func (u *upstream) put(c *upConn, idle time.Duration) {
-	c.kept = time.Now()
-	c.until = c.kept.Add(idle)
+// put keeps a connection whose last response was read to its end.
+func (u *upstream) put(c *upstreamConn, idle time.Duration) {
+	c.idleSince = time.Now()
+	c.idleUntil = c.idleSince.Add(idle)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.idle[c.key]) >= maxIdle || idle <= 0 {
-		_ = c.Close() // enough are kept
+	if len(u.idle[c.key]) >= maxIdleConns || idle <= 0 {
+		_ = c.Close() // enough are idle
 		return
 	}
 	u.idle[c.key] = append(u.idle[c.key], c)
 }
 
-// sweep closes what was kept too long.
+// sweep closes the connections whose idle timeout has expired.
 func (u *upstream) sweep() {
 	now := time.Now()
 	u.mu.Lock()
@@ -161,11 +161,11 @@
 	for key, list := range u.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
+			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 				continue
 			}
-			_ = c.Close() // its time is over
+			_ = c.Close() // expired
 		}
 		u.idle[key] = kept
 		if len(kept) == 0 {
@@ -174,9 +174,8 @@
 	}
 }
 
-// isQuiet reports whether nothing, not even an end, has come on a connection that
-// waits for no answer.
-func isQuiet(c net.Conn) bool {
+// isIdle reports whether an unused connection has nothing to read, neither data nor its end.
+func isIdle(c net.Conn) bool {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return true
@@ -185,28 +184,28 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		var buf [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		idle = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
-// outgoing is a request as an endpoint gets it.
-type outgoing struct {
+// upstreamRequest is a request as it is sent to an endpoint.
+type upstreamRequest struct {
 	method, uri, host string
 	header            http.Header
 	body              []byte
 	id                string
 }
 
-func (o *outgoing) head() []byte {
+func (o *upstreamRequest) head() []byte {
 	var b bytes.Buffer
 	b.WriteString(o.method + " " + o.uri + " HTTP/1.1\r\nHost: " + o.host + "\r\n")
-	_ = o.header.Write(&b) // a buffer takes all
+	_ = o.header.Write(&b) // bytes.Buffer returns no errors
 	if len(o.body) > 0 || (o.method != http.MethodGet && o.method != http.MethodHead) {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(o.body)) + "\r\n")
 	}
@@ -214,20 +213,20 @@
 	return b.Bytes()
 }
 
-// exchange is a request under way at an endpoint.
+// exchange is a request in progress at an endpoint.
 type exchange struct {
-	conn     *upConn
-	response *http.Response
-	idle     time.Duration // that the connection may be kept
-	written  chan error    // of a body that is written beside
-	stop     func() bool
+	conn        *upstreamConn
+	response    *http.Response
+	idleTimeout time.Duration // for the connection after the exchange
+	bodyWritten chan error    // receives the result of writing a long body
+	stopCancel  func() bool
 }
 
-// send sends a request on a connection and reads the answer's head. The context's
-// end closes the connection, which cancels the request at the endpoint.
-func (u *upstream) send(ctx context.Context, c *upConn, o *outgoing, idHeader string) (*exchange, error) {
-	x := &exchange{conn: c, idle: defaultIdle}
-	x.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
+// send sends a request on a connection and reads the head of the response. If the context ends, the
+// connection is closed, which cancels the request at the endpoint.
+func (u *upstream) send(ctx context.Context, c *upstreamConn, o *upstreamRequest, idHeader string) (*exchange, error) {
+	x := &exchange{conn: c, idleTimeout: defaultIdleTimeout}
+	x.stopCancel = context.AfterFunc(ctx, func() { _ = c.Close() })
 	if deadline, ok := ctx.Deadline(); ok {
 		if err := c.SetDeadline(deadline); err != nil {
 			x.abort()
@@ -244,15 +243,15 @@
 	}
 	if x.response.Header.Get(idHeader) != o.id {
 		x.abort()
-		return nil, errForeign
+		return nil, errWrongResponse
 	}
 	return x, nil
 }
 
-func (x *exchange) write(o *outgoing) error {
+func (x *exchange) write(o *upstreamRequest) error {
 	data := o.head()
-	beside := len(o.body) > inlineBody
-	if !beside {
+	isSeparate := len(o.body) > maxInlineBody
+	if !isSeparate {
 		data = append(data, o.body...)
 	}
 	n, err := x.conn.Write(data)
@@ -260,80 +259,79 @@
 		return errors.Wrap(errNotSent, err.Error())
 	}
 	if err != nil {
-		return errors.Wrap(err, "send")
+		return errors.Wrap(err, "send request")
 	}
-	if beside {
-		x.written = make(chan error, 1)
+	if isSeparate {
+		x.bodyWritten = make(chan error, 1)
 		go func() {
 			_, err := x.conn.Write(o.body)
-			x.written <- err
+			x.bodyWritten <- err
 		}()
 	}
 	return nil
 }
 
-func (x *exchange) readHead(o *outgoing) error {
-	for range maxInterim {
+func (x *exchange) readHead(o *upstreamRequest) error {
+	for range maxInterimResponses {
 		r, err := http.ReadResponse(x.conn.reader, &http.Request{Method: o.method})
 		if err != nil {
-			return errors.Wrap(err, "answer")
+			return errors.Wrap(err, "read response")
 		}
 		if r.StatusCode >= http.StatusOK {
 			x.response = r
-			x.keepAlive()
+			x.readKeepAlive()
 			return nil
 		}
 	}
-	return errors.New("answer: too many interim answers")
+	return errors.New("read response: too many interim (1xx) responses")
 }
 
-// keepAlive learns how long the connection may be kept.
-func (x *exchange) keepAlive() {
+// readKeepAlive reads how long the endpoint keeps the connection.
+func (x *exchange) readKeepAlive() {
 	for part := range strings.SplitSeq(x.response.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
-			x.idle = time.Duration(seconds)*time.Second - idleMargin
+			x.idleTimeout = time.Duration(seconds)*time.Second - idleMargin
 		}
 	}
 	if x.response.Close {
-		x.idle = 0
+		x.idleTimeout = 0
 	}
 }
 
-// abort ends the exchange and its connection.
+// abort ends the exchange and closes its connection.
 func (x *exchange) abort() {
-	x.stop()
-	_ = x.conn.Close() // nothing is left to be read from it
+	x.stopCancel()
+	_ = x.conn.Close() // the response is not needed
 }
 
-// finish ends an exchange whose answer was read to its end, and keeps the
-// connection if it is as good as new.
+// finish ends an exchange whose response was read to its end, and keeps the connection if it can be reused.
 func (x *exchange) finish(u *upstream) {
-	whole := x.stop()
-	if x.written != nil {
+	reusable := x.stopCancel()
+	if x.bodyWritten != nil {
 		select {
-		case err := <-x.written:
-			whole = whole && err == nil
+		case err := <-x.bodyWritten:
+			reusable = reusable && err == nil
 		default:
-			whole = false // the endpoint answered before it had the body
+			reusable = false // the endpoint responded before it received the body
 		}
 	}
-	if !whole || x.conn.reader.Buffered() > 0 || x.idle <= 0 {
-		_ = x.conn.Close() // bytes of no answer, or an end, are on it
+	if !reusable || x.conn.reader.Buffered() > 0 || x.idleTimeout <= 0 {
+		_ = x.conn.Close() // it was cancelled or has unexpected data
 		return
 	}
 	if err := x.conn.SetDeadline(time.Time{}); err != nil {
 		_ = x.conn.Close()
 		return
 	}
-	u.put(x.conn, x.idle)
+	u.put(x.conn, x.idleTimeout)
 }
 
-// readAll reads an answer's body; false if it is longer than limit.
+// readAll reads the body of a response; false if it is longer than limit.
 func (x *exchange) readAll(limit int64) ([]byte, bool, error) {
 	data, err := io.ReadAll(io.LimitReader(x.response.Body, limit+1))
 	if err != nil {
-		return nil, false, errors.Wrap(err, "answer")
+		return nil, false, errors.Wrap(err, "read response")
 	}
 	return data, int64(len(data)) <= limit, nil
 }
