--- a/cluster/fleet_sim_test.go
+++ b/cluster/fleet_sim_test.go
@@ -162,8 +162,8 @@
 	f.lives++
 	e.origin = f.now
 	e.client = gateway.NewOwnerClient(gateway.ClientConfig{
-		Entry: e.name, Life: f.lives, Control: slices.Clone(f.order), Limits: fleetLimits,
-		Fresh: 5 * event.Second, Log: zap.NewNop(),
+		Entry: e.name, Instance: f.lives, ControlAddresses: slices.Clone(f.order), Limits: fleetLimits,
+		ConfigValidity: 5 * event.Second, Log: zap.NewNop(),
 	})
 	e.calls, e.ends, e.dialAt = nil, nil, 0
 }
@@ -183,7 +183,7 @@
 	l := e.link
 	e.link = nil
 	if e.client != nil {
-		e.client.Lost(e.now(f.now), l.id, nil)
+		e.client.Disconnected(e.now(f.now), l.id, nil)
 	}
 	if b := f.boxes[l.box]; b.state != nil {
 		f.step(b, &SessionClosed{Session: l.session})
@@ -274,13 +274,13 @@
 	f.sessions++
 	e.link = &fleetLink{id: gateway.LinkID(f.sessions), session: f.sessions, box: e.dial, size: newWireSize()}
 	e.linkFree = f.now // what was on the way of a connection before is lost
-	e.client.Dialed(now, e.link.id, e.dial)
-	e.client.Reads(e.link.id, level.Newest)
+	e.client.Connected(now, e.link.id, e.dial)
+	e.client.SetPeerLevel(e.link.id, level.Newest)
 }
 
 // carryOut does what an entry asks of the world.
 func (f *fleetSim) carryOut(e *fleetEntry) {
-	out := e.client.Take()
+	out := e.client.TakeEffects()
 	for _, s := range out.Sends {
 		if e.link != nil && s.Link == e.link.id {
 			e.link.up = append(e.link.up, fleetMail{f.delay(), s.Message})
@@ -384,7 +384,7 @@
 			return false
 		}
 		if end.end != nil {
-			e.client.Ended(now, *end.end)
+			e.client.RecordEnd(now, *end.end)
 		}
 		e.client.Finish(now, end.f)
 		return true
--- a/cluster/limit_sim_test.go
+++ b/cluster/limit_sim_test.go
@@ -62,7 +62,7 @@
 	}
 	if gate.Check(now, d.Endpoint, d.Permit) != backpressure.NotStopped {
 		l.stopped++
-		e.client.Heard(now, gate.LastReport(now, d.Endpoint))
+		e.client.ObserveFeedback(now, gate.LastReport(now, d.Endpoint))
 		e.client.Finish(now, end)
 		return
 	}
@@ -74,7 +74,7 @@
 	longest := cmp.Or(l.longest, 800*event.Millisecond)
 	run := event.Duration(l.random.IntN(int(longest/event.Millisecond))) * event.Millisecond
 	e.ends = append(e.ends, fleetEnd{at: f.now.Add(run), f: end})
-	a := simAnswer{at: f.now.Add(run * event.Duration(l.random.IntN(100)) / 100), sent: now, entry: e, client: e.client, id: c.id, alone: d.Alone}
+	a := simAnswer{at: f.now.Add(run * event.Duration(l.random.IntN(100)) / 100), sent: now, entry: e, client: e.client, id: c.id, alone: d.Degraded}
 	if word := l.word; l.random.IntN(2) == 0 {
 		a.began = &word
 	}
@@ -108,7 +108,7 @@
 			}
 		}
 		gate.Observe(now, a.sent, "e", word, !a.alone)
-		e.client.Heard(now, backpressure.Report{Endpoint: "e", Request: a.id, Word: word})
+		e.client.ObserveFeedback(now, backpressure.Report{Endpoint: "e", Request: a.id, Word: word})
 	}
 	l.answers = left
 }
--- a/cluster/size_test.go
+++ b/cluster/size_test.go
@@ -94,7 +94,7 @@
 func (f *manySim) owned() int {
 	n := 0
 	for _, e := range f.entries {
-		if e.link != nil && e.client.Owned() {
+		if e.link != nil && e.client.HasOwner() {
 			n++
 		}
 	}
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -34,17 +34,17 @@
 	run, end := context.WithCancel(context.Background())
 	defer end()
 	agent := gateway.NewAgent(gateway.ClientConfig{
-		Entry:   f.ID,
-		Life:    one,
-		Control: controlLinks(f),
-		Limits:  limits(f.Bounds),
-		Fresh:   event.Duration(f.Bounds.Fresh),
-		Decode:  d.Decode,
-		Log:     log,
+		Entry:            f.ID,
+		Instance:         one,
+		ControlAddresses: controlLinks(f),
+		Limits:           limits(f.Bounds),
+		ConfigValidity:   event.Duration(f.Bounds.Fresh),
+		Decode:           d.Decode,
+		Log:              log,
 	})
 	g := gateway.New(gateway.Config{
-		Agent: agent, Names: d.Names, Word: d.Word, Log: log, Entry: f.ID, DataCentre: f.DataCentre, Life: one,
-		HeldBytes: int64(float64(f.Resources.MemoryMB<<20) * heldPart), Descriptors: f.Resources.Descriptors,
+		Agent: agent, Headers: d.Names, ParseFeedback: d.Word, Log: log, Entry: f.ID, DataCentre: f.DataCentre, Instance: one,
+		MaxHeldBytes: int64(float64(f.Resources.MemoryMB<<20) * heldPart), Descriptors: f.Resources.Descriptors,
 	})
 	go agent.Run(run)
 	go g.Run(run)
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	go watch(run, file, log, func(f settings.Fleet) { agent.SetControl(controlLinks(f)) })
+	go watch(run, file, log, func(f settings.Fleet) { agent.AddControlBoxes(controlLinks(f)) })
 	<-ctx.Done()
 	return stopEntry(g, callers, time.Duration(f.Bounds.Stop), log)
 }
@@ -66,7 +66,7 @@
 // many connections as a process with so many descriptors may have for them; 0 for any number.
 func callersServer(h http.Handler, idle func() time.Duration, descriptors int) *http.Server {
 	server := newServer(h, callersIdle)
-	server.ConnState = newIdleCloser(idle, gateway.MayConnect(descriptors)).observe
+	server.ConnState = newIdleCloser(idle, gateway.MaxConnections(descriptors)).observe
 	return server
 }
 
@@ -94,13 +94,13 @@
 // when those that it holds have ended it takes nothing more and ends.
 func stopEntry(g *gateway.Gateway, callers *http.Server, within time.Duration, log *zap.Logger) error {
 	began := time.Now()
-	all, streams := g.Held()
+	all, streams := g.InFlight()
 	log.Info("stops", zap.Int("held", all), zap.Int("streams", streams))
-	g.Stop()
+	g.StartDraining()
 	time.Sleep(min(noticeTime, within/3))
 	g.RefuseStreams()
 	for time.Since(began) < within-stopMargin {
-		if _, streams := g.Held(); streams == 0 {
+		if _, streams := g.InFlight(); streams == 0 {
 			break
 		}
 		time.Sleep(stopLook)
@@ -108,7 +108,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), callsMargin)
 	defer cancel()
 	err := callers.Shutdown(ctx)
-	all, streams = g.Held()
+	all, streams = g.InFlight()
 	log.Info("takes no more requests", zap.Int("held", all), zap.Int("streams", streams), zap.Duration("after", time.Since(began)), logx.Err(err))
 	return nil
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -48,7 +48,7 @@
 
 // Dialect is how a deployment speaks to the boxes of a fleet.
 type Dialect struct {
-	Names gateway.Names
+	Names gateway.HeaderNames
 	// Decode reads a configuration; its error has all findings.
 	Decode func([]byte) (*routing.Table, error)
 	// Word reads what an endpoint asks for in an answer; its error names what can't be read.
--- a/gateway/agent.go
+++ b/gateway/agent.go
@@ -99,7 +99,7 @@
 }
 
 // AddControlBoxes adds link addresses of control boxes.
-func (a *Agent) SetControl(control []string) {
+func (a *Agent) AddControlBoxes(control []string) {
 	a.input <- func(event.Time) { a.client.AddControlBoxes(control) }
 }
 
@@ -125,7 +125,7 @@
 			}
 			a.client.Tick(a.clock.Now())
 		}
-		a.execute(a.client.Take())
+		a.execute(a.client.TakeEffects())
 	}
 }
 
@@ -164,7 +164,7 @@
 		a.lastLink++
 		a.links[a.lastLink] = conn
 		id <- a.lastLink
-		a.client.Dialed(now, a.lastLink, address)
+		a.client.Connected(now, a.lastLink, address)
 	}
 	linkID := <-id
 	var owner message.Peer
@@ -172,12 +172,12 @@
 	err = conn.Serve(func(m *message.Envelope) {
 		peerLevel := owner.Level()
 		a.input <- func(now event.Time) {
-			a.client.Reads(linkID, peerLevel)
+			a.client.SetPeerLevel(linkID, peerLevel)
 			a.client.Received(now, linkID, m)
 		}
 	})
 	a.input <- func(now event.Time) {
 		delete(a.links, linkID)
-		a.client.Lost(now, linkID, err)
+		a.client.Disconnected(now, linkID, err)
 	}
 }
--- a/gateway/asked.go
+++ b/gateway/asked.go
@@ -19,10 +19,10 @@
 // than the one called, so its feedback is ignored.
 func (c *call) receiveFeedback(a *attempt, r *http.Response) (f backpressure.Feedback) {
 	g := c.gateway
-	if g.config.Word == nil || r.StatusCode == http.StatusMisdirectedRequest {
+	if g.config.ParseFeedback == nil || r.StatusCode == http.StatusMisdirectedRequest {
 		return f
 	}
-	f, err := g.config.Word(r.StatusCode, r.Header)
+	f, err := g.config.ParseFeedback(r.StatusCode, r.Header)
 	if err != nil {
 		g.meters.feedback(feedbackInvalid).Inc()
 		if g.feedbackBudget.Allow(time.Now(), 1) {
@@ -35,7 +35,7 @@
 		return f
 	}
 	now := g.agent.clock.Now()
-	isKept := !a.decision.Alone && a.decision.Permit != backpressure.PermitLegacy
+	isKept := !a.decision.Degraded && a.decision.Permit != backpressure.PermitLegacy
 	isNew := g.agent.client.gate.Observe(now, now.Add(-time.Since(a.sent)), endpoint, f, isKept)
 	g.agent.ObserveFeedback(backpressure.Report{Endpoint: endpoint, Request: c.id, Word: f})
 	g.countFeedback(f)
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -77,7 +77,7 @@
 		switch {
 		case int64(len(c.body)) > limit:
 			return errBodyTooLong
-		case held > c.gateway.config.HeldBytes:
+		case held > c.gateway.config.MaxHeldBytes:
 			return errTooMuchHeld
 		case err == io.EOF:
 			return nil
--- a/gateway/body_test.go
+++ b/gateway/body_test.go
@@ -99,7 +99,7 @@
 func TestPartialBodiesCountAsHeld(t *testing.T) {
 	e := newFakeEndpoint(t, whole(200, "answer"))
 	r := newTestGateway(t, e)
-	r.gateway.config.HeldBytes = 100
+	r.gateway.config.MaxHeldBytes = 100
 	go r.sendBody(t, &slowBody{pieces: 8, pause: time.Millisecond, stall: time.Second}, true, "2500")
 	waitFor(t, "the received bytes are held", func() bool { return r.gateway.bodyBytes.Load() == 70 })
 	if status, _ := r.sendBody(t, &slowBody{pieces: 4}, true, "2500"); status != http.StatusServiceUnavailable {
--- a/gateway/document_test.go
+++ b/gateway/document_test.go
@@ -15,7 +15,7 @@
 // TestConfigurationDocumentIsApplied: an upgraded entry must accept the configuration as one document, from an
 // owner that is not upgraded yet.
 func TestConfigurationDocumentIsApplied(t *testing.T) {
-	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Log: zap.NewNop(), Decode: func(data []byte) (*routing.Table, error) {
+	a := NewOwnerClient(ClientConfig{Entry: "entry", ControlAddresses: []string{"box"}, Log: zap.NewNop(), Decode: func(data []byte) (*routing.Table, error) {
 		if string(data) == "bad" {
 			return nil, errors.New("bad")
 		}
@@ -23,7 +23,7 @@
 		table.Index()
 		return table, nil
 	}})
-	a.Dialed(0, 1, "box")
+	a.Connected(0, 1, "box")
 	for _, one := range []struct {
 		document string
 		version  uint64
--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -53,7 +53,7 @@
 }
 
 // RecordEnd records that an endpoint terminated while it ran a request.
-func (a *OwnerClient) Ended(now event.Time, e poison.End) {
+func (a *OwnerClient) RecordEnd(now event.Time, e poison.End) {
 	a.recordEnd(now, e)
 	a.deliverDecisions(now)
 }
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -100,17 +100,17 @@
 
 // ownedClient returns a client with an owner on a link.
 func ownedClient() *OwnerClient {
-	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Fresh: 5 * event.Second, Log: zap.NewNop(),
+	a := NewOwnerClient(ClientConfig{Entry: "entry", ControlAddresses: []string{"box"}, ConfigValidity: 5 * event.Second, Log: zap.NewNop(),
 		Limits: admission.Limits{QuotaWindow: event.Second, RetryWindow: event.Second, RetryMin: 10}})
-	a.Dialed(0, 1, "box")
+	a.Connected(0, 1, "box")
 	a.Received(0, 1, &message.Envelope{Pong: &message.Pong{}})
-	a.Take()
+	a.TakeEffects()
 	return a
 }
 
 // sentEnds returns the ends and successes that a client sends.
 func sentEnds(a *OwnerClient) (ends []poison.End, well []poison.Fingerprint) {
-	for _, s := range a.Take().Sends {
+	for _, s := range a.TakeEffects().Sends {
 		if b := s.Message.Batch; b != nil {
 			ends, well = append(ends, b.Ends...), append(well, b.Well...)
 		}
@@ -122,16 +122,16 @@
 // Successes without an owner are reported to the next one.
 func TestEndsAreReportedUntilSaved(t *testing.T) {
 	a := ownedClient()
-	a.Ended(0, poison.End{Print: "p", Endpoint: "e1"})
-	a.Ended(0, poison.End{Print: "q", Endpoint: "e2"})
+	a.RecordEnd(0, poison.End{Print: "p", Endpoint: "e1"})
+	a.RecordEnd(0, poison.End{Print: "q", Endpoint: "e2"})
 	if ends, _ := sentEnds(a); len(ends) != 2 || ends[0].Number != 1 || ends[1].Number != 2 {
 		t.Fatalf("reported at once: %+v", ends)
 	}
 	a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Ends: 1}})
-	a.Lost(0, 1, nil)
+	a.Disconnected(0, 1, nil)
 	a.Finish(0, message.Finish{Print: "w", Ran: message.OutcomeSuccess})
 	later := event.Time(event.Second)
-	a.Dialed(later, 2, "box")
+	a.Connected(later, 2, "box")
 	a.Received(later, 2, &message.Envelope{Pong: &message.Pong{}})
 	ends, well := sentEnds(a)
 	if len(ends) != 1 || ends[0].Print != "q" || ends[0].Number != 2 || ends[0].Ago != event.Second {
@@ -145,7 +145,7 @@
 		t.Errorf("%d saved ends are kept", len(a.unsavedEnds))
 	}
 	for i := range 5 * maxUnsavedEnds {
-		a.Ended(later, poison.End{Print: poison.Fingerprint(fmt.Sprint(i)), Endpoint: "e"})
+		a.RecordEnd(later, poison.End{Print: poison.Fingerprint(fmt.Sprint(i)), Endpoint: "e"})
 	}
 	if len(a.unsavedEnds) > maxUnsavedEnds {
 		t.Errorf("%d ends are kept", len(a.unsavedEnds))
@@ -154,7 +154,7 @@
 
 // requestedNodes returns the configuration nodes that a client requests.
 func requestedNodes(a *OwnerClient) (sums []hashtree.Sum) {
-	for _, s := range a.Take().Sends {
+	for _, s := range a.TakeEffects().Sends {
 		if w := s.Message.Want; w != nil {
 			sums = append(sums, w.Sums...)
 		}
@@ -183,7 +183,7 @@
 		for _, list := range lists {
 			a.Received(0, 1, &message.Envelope{View: &message.View{Suspects: &message.Suspects{List: list}}})
 		}
-		a.Lost(0, 1, nil)
+		a.Disconnected(0, 1, nil)
 		a.Tick(event.Time(event.Second))
 		decision := make(chan Decision, 1)
 		a.Submit(event.Time(event.Second), message.Submission{
@@ -192,7 +192,7 @@
 		isRefused := false
 		select {
 		case d := <-decision:
-			isRefused = d.Reason == event.ReasonPoison && d.RetryAfter > 0 && d.Alone
+			isRefused = d.Reason == event.ReasonPoison && d.RetryAfter > 0 && d.Degraded
 		default:
 		}
 		if want := len(lists) == 1; isRefused != want {
--- a/gateway/fresh.go
+++ b/gateway/fresh.go
@@ -22,7 +22,7 @@
 // confirmVersion records an owner's confirmation that a version was the newest.
 func (a *OwnerClient) confirmVersion(now event.Time, w versionConfirmation) {
 	a.confirmations = slices.DeleteFunc(a.confirmations, func(old versionConfirmation) bool {
-		return old.version == w.version || now.Sub(old.asked) >= a.config.Fresh
+		return old.version == w.version || now.Sub(old.asked) >= a.config.ConfigValidity
 	})
 	a.confirmations = append(a.confirmations, w)
 	a.extendValidity()
@@ -41,7 +41,7 @@
 		if w.version > t.Version {
 			return false
 		}
-		until = max(until, int64(w.asked.Add(a.config.Fresh)))
+		until = max(until, int64(w.asked.Add(a.config.ConfigValidity)))
 		return true
 	})
 	a.validUntil.Store(until)
--- a/gateway/fresh_test.go
+++ b/gateway/fresh_test.go
@@ -15,14 +15,14 @@
 // newSessionClient returns a client in a session with an owner, and a function that puts a version in force.
 func newSessionClient() (a *OwnerClient, put func(now event.Time, version uint64)) {
 	a = NewOwnerClient(ClientConfig{
-		Entry: "entry", Control: []string{"box"}, Log: zap.NewNop(), Fresh: 5 * event.Second,
+		Entry: "entry", ControlAddresses: []string{"box"}, Log: zap.NewNop(), ConfigValidity: 5 * event.Second,
 		Decode: func(data []byte) (*routing.Table, error) {
 			table := &routing.Table{Version: uint64(data[0])}
 			table.Index()
 			return table, nil
 		},
 	})
-	a.Dialed(0, 1, "box")
+	a.Connected(0, 1, "box")
 	return a, func(now event.Time, version uint64) {
 		a.Received(now, 1, &message.Envelope{View: &message.View{Version: version, Document: []byte{byte(version)}}})
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -38,19 +38,19 @@
 
 // Config configures a Gateway.
 type Config struct {
-	Agent *Agent
-	Names Names
+	Agent   *Agent
+	Headers HeaderNames
 	// ParseFeedback reads the feedback in an endpoint's response; its error names the header that
 	// cannot be parsed. If it is nil, responses carry no feedback.
-	Word func(status int, h http.Header) (backpressure.Feedback, error)
+	ParseFeedback func(status int, h http.Header) (backpressure.Feedback, error)
 	// MaxHeldBytes limits the total size of the request bodies held at once.
-	HeldBytes int64
+	MaxHeldBytes int64
 	// Descriptors is the process's limit of file descriptors; 0 sets no limit from them.
 	Descriptors int
 	Log         *zap.Logger
 	Entry       event.BoxID
 	DataCentre  string // of the entry; empty if data centres don't matter
-	Life        uint64
+	Instance    uint64
 }
 
 // Gateway accepts callers' requests. It is an http.Handler.
@@ -79,7 +79,7 @@
 // New returns a gateway. Run closes its idle connections and logs what was suppressed.
 func New(c Config) *Gateway {
 	g := &Gateway{config: c, agent: c.Agent, log: c.Log, upstream: newUpstream(), maxTimeouts: newMaxTimeouts(), inFlightLimit: inFlightLimit(c.Descriptors), bodyIdleTimeout: bodyIdleTimeout, callerWriteTimeout: callerWriteTimeout}
-	g.upstream.maxConnections = MayConnect(c.Descriptors)
+	g.upstream.maxConnections = MaxConnections(c.Descriptors)
 	g.meters = newMeters(g)
 	g.failedBudget, g.briefBudget, g.sampledBudget = logx.NewBudget(failedLines), logx.NewBudget(briefLines), logx.NewBudget(sampledLines)
 	g.feedbackBudget = logx.NewBudget(feedbackLines)
@@ -91,12 +91,12 @@
 	if descriptors == 0 {
 		return maxInFlight
 	}
-	return int64(min(maxInFlight, MayConnect(descriptors)))
+	return int64(min(maxInFlight, MaxConnections(descriptors)))
 }
 
 // MaxConnections returns how many connections from callers a process with a number of file
 // descriptors may have, which is also the limit of its connections to endpoints; 0 is no limit.
-func MayConnect(descriptors int) int {
+func MaxConnections(descriptors int) int {
 	if descriptors == 0 {
 		return 0
 	}
@@ -131,13 +131,13 @@
 }
 
 // StartDraining makes Ready false and has callers' connections closed after their responses.
-func (g *Gateway) Stop() { g.draining.Store(true) }
+func (g *Gateway) StartDraining() { g.draining.Store(true) }
 
 // RefuseStreams refuses new streams, as the process will terminate before they would end.
 func (g *Gateway) RefuseStreams() { g.refusesStreams.Store(true) }
 
 // InFlight returns the number of requests in flight, and how many of them are streams.
-func (g *Gateway) Held() (all, streams int) { return int(g.inFlight.Load()), int(g.streams.Load()) }
+func (g *Gateway) InFlight() (all, streams int) { return int(g.inFlight.Load()), int(g.streams.Load()) }
 
 // call is one request from its arrival to its last byte.
 type call struct {
@@ -185,8 +185,8 @@
 	}
 	caller := newCallerWriter(w, g.callerWriteTimeout)
 	defer caller.extendDeadline() // covers what net/http writes after the handler returns
-	c := &call{gateway: g, w: caller, r: r, arrived: time.Now(), arrivedClock: g.agent.clock.Now(), callerID: r.Header.Get(g.config.Names.RequestID)}
-	c.id = event.RequestID(fmt.Sprintf("%s-%x-%x", g.config.Entry, g.config.Life&0xffff, g.requestCount.Add(1)))
+	c := &call{gateway: g, w: caller, r: r, arrived: time.Now(), arrivedClock: g.agent.clock.Now(), callerID: r.Header.Get(g.config.Headers.RequestID)}
+	c.id = event.RequestID(fmt.Sprintf("%s-%x-%x", g.config.Entry, g.config.Instance&0xffff, g.requestCount.Add(1)))
 	c.removeReservedHeaders()
 	defer c.logSteps()
 	defer c.releaseBody()
@@ -224,7 +224,7 @@
 // removeReservedHeaders deletes the headers that only the system may send to endpoints, so that no copy
 // of the request's headers forwards them. It counts them by name and records no values.
 func (c *call) removeReservedHeaders() {
-	for _, name := range c.gateway.config.Names.Reserved {
+	for _, name := range c.gateway.config.Headers.Reserved {
 		if _, ok := c.r.Header[http.CanonicalHeaderKey(name)]; ok {
 			c.r.Header.Del(name)
 			c.gateway.meters.reservedHeaders(name).Inc()
@@ -251,7 +251,7 @@
 	}
 	c.service = c.route.Pick(rand.Float64())
 	c.timeout = c.route.Timeout
-	if ms, err := strconv.ParseFloat(c.r.Header.Get(g.config.Names.Deadline), 64); err == nil && ms > 0 {
+	if ms, err := strconv.ParseFloat(c.r.Header.Get(g.config.Headers.Deadline), 64); err == nil && ms > 0 {
 		c.timeout = time.Duration(min(float64(c.timeout), ms*float64(time.Millisecond)))
 		c.wasRefused = g.maxTimeouts.observe(c.arrived, c.route.Name, c.timeout)
 	}
@@ -287,7 +287,7 @@
 		return true
 	}
 	scheme, key, ok := strings.Cut(c.r.Header.Get("Authorization"), " ")
-	if !ok || !strings.EqualFold(scheme, c.gateway.config.Names.KeyScheme) {
+	if !ok || !strings.EqualFold(scheme, c.gateway.config.Headers.KeyScheme) {
 		return false
 	}
 	c.team = c.table.TeamByKey(strings.TrimSpace(key))
--- a/gateway/gone_test.go
+++ b/gateway/gone_test.go
@@ -115,7 +115,7 @@
 			}
 			scenario(t, r, c, m)
 			waitFor(t, "nothing is held", func() bool {
-				all, streams := r.gateway.Held()
+				all, streams := r.gateway.InFlight()
 				return all == 0 && streams == 0 && r.gateway.bodyBytes.Load() == 0
 			})
 		})
@@ -306,7 +306,7 @@
 			c.send("/safe/x", "half of", 100)
 			waitFor(t, "half the body has arrived", func() bool { return r.gateway.bodyBytes.Load() == 7 })
 			left := c.disconnect(m)
-			waitFor(t, "nothing is held", func() bool { all, _ := r.gateway.Held(); return all == 0 && r.gateway.bodyBytes.Load() == 0 })
+			waitFor(t, "nothing is held", func() bool { all, _ := r.gateway.InFlight(); return all == 0 && r.gateway.bodyBytes.Load() == 0 })
 			if took := time.Since(left); took > cancelWithin {
 				t.Errorf("the request was held for %v", took)
 			}
--- a/gateway/handover_test.go
+++ b/gateway/handover_test.go
@@ -17,8 +17,8 @@
 // TestViewWithoutRootIsIgnored guards against a panic on a View without a root hash, which an owner of the previous
 // version sends. Fetcher takes a zero Sum for a complete tree.
 func TestViewWithoutRootIsIgnored(t *testing.T) {
-	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Fresh: 5 * event.Second, Log: zap.NewNop()})
-	a.Dialed(0, 1, "box")
+	a := NewOwnerClient(ClientConfig{Entry: "entry", ControlAddresses: []string{"box"}, ConfigValidity: 5 * event.Second, Log: zap.NewNop()})
+	a.Connected(0, 1, "box")
 	defer func() {
 		if r := recover(); r != nil {
 			t.Errorf("panic: %v", r)
@@ -31,7 +31,7 @@
 // reply to the next ping could arrive after ownerTimeout, and the entry would reconnect and submit them again.
 func TestWaitingRequestsAreSplit(t *testing.T) {
 	const held, most = 1850, 64 << 10 // 52 ms on a link of 1.25 MB/s
-	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Fresh: 5 * event.Second, Log: zap.NewNop()})
+	a := NewOwnerClient(ClientConfig{Entry: "entry", ControlAddresses: []string{"box"}, ConfigValidity: 5 * event.Second, Log: zap.NewNop()})
 	for i := range held {
 		a.Submit(0, message.Submission{
 			Ticket: event.Ticket{
@@ -42,12 +42,12 @@
 			Quota: 1200,
 		}, make(chan Decision, 1))
 	}
-	a.Dialed(0, 1, "box")
-	a.Take()
+	a.Connected(0, 1, "box")
+	a.TakeEffects()
 	a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Entries: 1}})
 	var wire bytes.Buffer
 	encoder := gob.NewEncoder(&wire)
-	for _, s := range a.Take().Sends {
+	for _, s := range a.TakeEffects().Sends {
 		if s.Message.Ping != nil {
 			break
 		}
--- a/gateway/meters.go
+++ b/gateway/meters.go
@@ -29,7 +29,7 @@
 	set.NewGauge("lynxramp_gateway_configuration_bytes", func() float64 { return float64(g.agent.client.nodeBytes.Load()) })
 	metrics.RegisterSet(set)
 	m := meters{set: set}
-	for _, name := range g.config.Names.Reserved {
+	for _, name := range g.config.Headers.Reserved {
 		m.reservedHeaders(name).Set(0)
 	}
 	for _, kind := range []string{feedbackLimit, feedbackCooldown, feedbackDraining, feedbackInvalid} {
--- a/gateway/names.go
+++ b/gateway/names.go
@@ -3,16 +3,16 @@
 package gateway
 
 // HeaderNames are the names of HTTP headers in a deployment.
-type Names struct {
+type HeaderNames struct {
 	RequestID string
 	// Deadline is the caller's timeout in milliseconds.
 	Deadline string
 	// Tokens has the prompt tokens and the maximum of generated tokens, separated by a comma;
 	// OutputHint estimates the tokens that will be generated.
-	Tokens string
-	Hint   string
+	Tokens     string
+	OutputHint string
 	// ExpectedEndpoint names the only endpoint that may run a request.
-	Expect string
+	ExpectedEndpoint string
 	// Team sends the name of the key's team to endpoints.
 	Team string
 	// NotRun in a response states that the endpoint did not run the request.
@@ -20,7 +20,7 @@
 	// Signature is set by endpoints in their own responses.
 	Signature string
 	// LastEventID is the ID of the last stream event that the reader received.
-	LastEvent string
+	LastEventID string
 	// Reserved are the headers that only the system may send to endpoints. They are removed from
 	// callers' requests.
 	Reserved []string
--- a/gateway/owner_asked.go
+++ b/gateway/owner_asked.go
@@ -32,7 +32,7 @@
 func (a *OwnerClient) Gate() *backpressure.Gate { return &a.gate }
 
 // ObserveFeedback records feedback from a response, or feedback that a grant's owner did not know.
-func (a *OwnerClient) Heard(now event.Time, h backpressure.Report) {
+func (a *OwnerClient) ObserveFeedback(now event.Time, h backpressure.Report) {
 	a.observeFeedback(now, h)
 	a.deliverDecisions(now)
 }
--- a/gateway/owner_client.go
+++ b/gateway/owner_client.go
@@ -39,24 +39,24 @@
 	Reason     event.Reason
 	RetryAfter event.Duration
 	// NewConnection requires a new connection to the endpoint.
-	Fresh bool
+	NewConnection bool
 	// Permit is what the grant allows where the endpoint limits its rate.
 	Permit backpressure.Permit
 	// Degraded is set if the entry decided without an owner.
-	Alone bool
+	Degraded bool
 	// Inputs are the values that the decision was based on.
 	Inputs event.Inputs
 }
 
 // ClientConfig configures an OwnerClient.
 type ClientConfig struct {
-	Entry event.BoxID
-	Life  uint64
+	Entry    event.BoxID
+	Instance uint64
 	// ControlAddresses are link addresses of control boxes; some may be out of date.
-	Control []string
-	Limits  admission.Limits
+	ControlAddresses []string
+	Limits           admission.Limits
 	// ConfigValidity is how long the configuration may be used after it was confirmed as the newest.
-	Fresh event.Duration
+	ConfigValidity event.Duration
 	// Decode parses a configuration in its operator's format, as owners below level.Chunked send it.
 	Decode func([]byte) (*routing.Table, error)
 	Log    *zap.Logger
@@ -156,12 +156,12 @@
 	a := &OwnerClient{
 		config:       c,
 		log:          c.Log,
-		controlBoxes: slices.Clone(c.Control),
+		controlBoxes: slices.Clone(c.ControlAddresses),
 		waiting:      make(map[event.RequestID]*waiter),
 		running:      make(map[event.RequestID]*message.Running),
 		endpoints:    make(map[event.EndpointID]message.Endpoint),
 		firstTable:   make(chan struct{}),
-		nextTry:      int(c.Life % uint64(len(c.Control)+1)),
+		nextTry:      int(c.Instance % uint64(len(c.ControlAddresses)+1)),
 		fetch:        configFetch{window: maxWindow},
 	}
 	a.entryCount.Store(1)
@@ -177,11 +177,11 @@
 	return a.table.Load()
 }
 
-// Owned reports whether an owner decides for this entry.
-func (a *OwnerClient) Owned() bool { return a.hasOwner }
+// HasOwner reports whether an owner decides for this entry.
+func (a *OwnerClient) HasOwner() bool { return a.hasOwner }
 
 // TakeEffects returns the actions requested since the last call.
-func (a *OwnerClient) Take() ClientEffects {
+func (a *OwnerClient) TakeEffects() ClientEffects {
 	a.flush()
 	out := a.out
 	a.out = ClientEffects{}
@@ -286,7 +286,7 @@
 		}
 		delete(a.waiting, g.ID)
 		a.running[g.ID] = &message.Running{Ticket: w.submission.Ticket, Endpoint: g.Endpoint, Print: w.submission.Print}
-		w.decision <- Decision{Granted: true, Endpoint: g.Endpoint, Address: g.Address, Fresh: g.Fresh, Permit: a.permit(&g, degraded), Alone: degraded, Inputs: g.Inputs}
+		w.decision <- Decision{Granted: true, Endpoint: g.Endpoint, Address: g.Address, NewConnection: g.Fresh, Permit: a.permit(&g, degraded), Degraded: degraded, Inputs: g.Inputs}
 	}
 	for _, r := range refusals {
 		w, ok := a.waiting[r.ID]
@@ -294,7 +294,7 @@
 			continue
 		}
 		delete(a.waiting, r.ID)
-		w.decision <- Decision{Reason: r.Reason, RetryAfter: r.RetryAfter, Alone: degraded, Inputs: r.Inputs}
+		w.decision <- Decision{Reason: r.Reason, RetryAfter: r.RetryAfter, Degraded: degraded, Inputs: r.Inputs}
 	}
 }
 
@@ -357,7 +357,7 @@
 func (a *OwnerClient) enterDegraded(now event.Time) {
 	entries := int(a.entryCount.Load())
 	a.degradedPoison = poison.NewDegradedTracker(a.suspects)
-	a.degraded = admission.New(a.config.Limits, a.config.Life, &a.leases, a.degradedPoison)
+	a.degraded = admission.New(a.config.Limits, a.config.Instance, &a.leases, a.degradedPoison)
 	a.degraded.SetLimitShare(now, 1/float64(entries), &a.effects)
 	a.degraded.SetTable(now, a.table.Load())
 	for _, id := range slices.Sorted(maps.Keys(a.endpoints)) {
--- a/gateway/owner_client_test.go
+++ b/gateway/owner_client_test.go
@@ -22,18 +22,18 @@
 	tree := hashtree.Build(&routing.Table{Version: 1}, nil)
 	for away, want := range map[event.Duration]int{fresh - event.Second: 70, fresh + event.Millisecond: 0} {
 		a := NewOwnerClient(ClientConfig{
-			Entry: "entry", Control: []string{"box"}, Fresh: fresh, Log: zap.NewNop(),
+			Entry: "entry", ControlAddresses: []string{"box"}, ConfigValidity: fresh, Log: zap.NewNop(),
 		})
-		a.Dialed(0, 1, "box")
+		a.Connected(0, 1, "box")
 		a.Received(0, 1, &message.Envelope{View: &message.View{Version: 1, Root: tree.Root()}})
 		root, _ := tree.Node(tree.Root())
 		a.Received(0, 1, &message.Envelope{Nodes: &message.Nodes{List: []message.Node{{Sum: tree.Root(), Packed: root}}}})
 		leases := budget.LeaseUpdate{Number: 1, UpTo: []budget.Lease{{Account: account, UpTo: 70}}}
 		a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Version: 1, Lent: leases}})
-		a.Lost(0, 1, nil)
-		a.Take()
-		a.Dialed(event.Time(away), 2, "box")
-		held := a.Take().Sends[0].Message.Hello.Held
+		a.Disconnected(0, 1, nil)
+		a.TakeEffects()
+		a.Connected(event.Time(away), 2, "box")
+		held := a.TakeEffects().Sends[0].Message.Hello.Held
 		if len(held) != 1 || held[0].UpTo-held[0].Spent != want {
 			t.Errorf("after %v its leases are %+v, want %d left", away, held, want)
 		}
--- a/gateway/owner_session.go
+++ b/gateway/owner_session.go
@@ -56,7 +56,7 @@
 }
 
 // Connected starts a session on a new connection to a control box.
-func (a *OwnerClient) Dialed(now event.Time, link LinkID, address string) {
+func (a *OwnerClient) Connected(now event.Time, link LinkID, address string) {
 	a.dialing = false
 	a.dialAt = now.Add(redialDelay)
 	a.link, a.address, a.ownerLevel = link, address, 0
@@ -66,7 +66,7 @@
 	}
 	a.unreported = slices.Sorted(maps.Keys(a.running))
 	hello := &message.Hello{
-		Entry: a.config.Entry, Life: a.config.Life, Entries: int(a.entryCount.Load()), Held: a.leases.BeginSession(),
+		Entry: a.config.Entry, Life: a.config.Instance, Entries: int(a.entryCount.Load()), Held: a.leases.BeginSession(),
 		Running: a.takeUnreported(), Revision: a.revision,
 	}
 	hello.More = a.leases.HasMore()
@@ -79,7 +79,7 @@
 }
 
 // SetPeerLevel sets the format version that the peer of a connection supports.
-func (a *OwnerClient) Reads(link LinkID, l level.Level) {
+func (a *OwnerClient) SetPeerLevel(link LinkID, l level.Level) {
 	if link == a.link {
 		a.ownerLevel = l
 	}
@@ -120,7 +120,7 @@
 }
 
 // Disconnected records that a connection ended.
-func (a *OwnerClient) Lost(now event.Time, link LinkID, err error) {
+func (a *OwnerClient) Disconnected(now event.Time, link LinkID, err error) {
 	if link == a.link {
 		a.disconnect(now, "connection closed", err)
 	}
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -31,9 +31,9 @@
 
 // A test gateway has endpoints that respond by a script and an owner that grants by a script.
 
-var testNames = Names{
-	RequestID: "X-Request", Deadline: "X-Deadline", Tokens: "X-Tokens", Expect: "X-Expect", Team: "X-Team",
-	NotRun: "X-Not-Run", Signature: "X-Signature", LastEvent: "X-Last", KeyScheme: "Key",
+var testNames = HeaderNames{
+	RequestID: "X-Request", Deadline: "X-Deadline", Tokens: "X-Tokens", ExpectedEndpoint: "X-Expect", Team: "X-Team",
+	NotRun: "X-Not-Run", Signature: "X-Signature", LastEventID: "X-Last", KeyScheme: "Key",
 	Reserved: []string{"X-Hold", "X-Kv-From"},
 }
 
@@ -303,14 +303,14 @@
 		t.Fatal(err)
 	}
 	agent := NewAgent(ClientConfig{
-		Entry: "entry", Life: 7, Control: []string{l.Addr().String()}, Fresh: 5 * event.Second,
+		Entry: "entry", Instance: 7, ControlAddresses: []string{l.Addr().String()}, ConfigValidity: 5 * event.Second,
 		Limits: admission.Limits{QuotaWindow: event.Second, RetryWindow: event.Second, RetryMin: 10},
 		Log:    zap.NewNop(),
 	})
 	agent.clock = clock
 	ctx, cancel := context.WithCancel(context.Background())
 	go agent.Run(ctx)
-	g := New(Config{Agent: agent, Names: testNames, Word: testFeedback, HeldBytes: 1 << 20, Log: zap.NewNop(), Entry: "entry", Life: 7})
+	g := New(Config{Agent: agent, Headers: testNames, ParseFeedback: testFeedback, MaxHeldBytes: 1 << 20, Log: zap.NewNop(), Entry: "entry", Instance: 7})
 	server := httptest.NewServer(g)
 	server.Config.ErrorLog = zap.NewStdLog(zap.NewNop())
 	t.Cleanup(func() {
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -172,7 +172,7 @@
 	decision := c.gateway.agent.Submit(m)
 	select {
 	case d := <-decision:
-		c.gateway.meters.observeDecision(start, d.Alone)
+		c.gateway.meters.observeDecision(start, d.Degraded)
 		if d.Granted && !c.isStillAllowed() {
 			c.returnGrant(d)
 			c.respondNotRun(http.StatusServiceUnavailable, retryAfterNoConfig, "the configuration changed")
@@ -184,11 +184,11 @@
 			return d, false
 		}
 		if d.Granted {
-			c.addStep(stepGranted, zap.String("endpoint", string(d.Endpoint)), zap.Bool("alone", d.Alone),
+			c.addStep(stepGranted, zap.String("endpoint", string(d.Endpoint)), zap.Bool("alone", d.Degraded),
 				zap.Int("running", d.Inputs.Running), zap.Duration("expected_first", d.Inputs.Wait))
 			return d, true
 		}
-		c.addStep(stepRefused, zap.Stringer("reason", d.Reason), zap.Bool("alone", d.Alone), zap.Duration("retry_after", d.RetryAfter),
+		c.addStep(stepRefused, zap.Stringer("reason", d.Reason), zap.Bool("alone", d.Degraded), zap.Duration("retry_after", d.RetryAfter),
 			zap.Int("ahead", d.Inputs.Ahead), zap.Duration("expected_wait", d.Inputs.Wait),
 			zap.Int("spent", d.Inputs.Spent), zap.Int("limit", d.Inputs.Limit))
 		if last != nil && last.wasSent() {
@@ -332,7 +332,7 @@
 		return a
 	}
 	started := time.Now()
-	conn, err := c.gateway.upstream.get(ctx, d.Address, string(d.Endpoint), d.Fresh)
+	conn, err := c.gateway.upstream.get(ctx, d.Address, string(d.Endpoint), d.NewConnection)
 	if err != nil {
 		a.err = err
 		return a
@@ -346,7 +346,7 @@
 	c.attempts++
 	c.addStep(stepDispatched, zap.String("endpoint", string(d.Endpoint)), zap.String("address", d.Address),
 		zap.Bool("connection_kept", conn.reused), zap.Int("attempt", c.attempts))
-	x, err := c.gateway.upstream.send(ctx, conn, c.outgoing(d), c.gateway.config.Names.RequestID)
+	x, err := c.gateway.upstream.send(ctx, conn, c.outgoing(d), c.gateway.config.Headers.RequestID)
 	if err != nil {
 		a.err = err
 		a.outcome = outcomeUnknown
@@ -363,7 +363,7 @@
 
 // outgoing returns the request as it is sent to the endpoint.
 func (c *call) outgoing(d Decision) *upstreamRequest {
-	names := &c.gateway.config.Names
+	names := &c.gateway.config.Headers
 	h := c.r.Header.Clone()
 	for _, name := range hopHeaders(h) {
 		h.Del(name)
@@ -373,10 +373,10 @@
 	if c.team != nil {
 		h.Set(names.Team, c.team.Name)
 	}
-	h.Set(names.Expect, registry.Name(string(d.Endpoint)))
+	h.Set(names.ExpectedEndpoint, registry.Name(string(d.Endpoint)))
 	h.Set(names.Deadline, strconv.FormatInt(max(1, c.remaining().Milliseconds()), 10))
 	if c.lastEventID != "" {
-		h.Set(names.LastEvent, c.lastEventID)
+		h.Set(names.LastEventID, c.lastEventID)
 	}
 	return &upstreamRequest{
 		method: c.r.Method, uri: c.r.RequestURI, host: c.r.Host, header: h, body: c.body, id: c.callerID,
@@ -385,7 +385,7 @@
 
 // receive reads an endpoint's response.
 func (c *call) receive(x *exchange, a *attempt, started time.Time) {
-	names := &c.gateway.config.Names
+	names := &c.gateway.config.Headers
 	r := x.response
 	feedback := c.receiveFeedback(a, r)
 	a.isFramed = r.ContentLength >= 0 || slices.Contains(r.TransferEncoding, "chunked")
--- a/gateway/stalled_test.go
+++ b/gateway/stalled_test.go
@@ -60,10 +60,10 @@
 			r := newTestGateway(t, newFakeEndpoint(t, one.script))
 			r.gateway.callerWriteTimeout = 300 * time.Millisecond
 			newSlowCaller(t, r, one.path, 4<<10)
-			waitFor(t, "the request is held", func() bool { all, _ := r.gateway.Held(); return all == 1 })
+			waitFor(t, "the request is held", func() bool { all, _ := r.gateway.InFlight(); return all == 1 })
 			started := time.Now()
 			waitFor(t, "the grant is finished", func() bool { return len(r.owner.finishes()) == 1 })
-			waitFor(t, "nothing is held", func() bool { all, _ := r.gateway.Held(); return all == 0 })
+			waitFor(t, "nothing is held", func() bool { all, _ := r.gateway.InFlight(); return all == 0 })
 			if took := time.Since(started); took > 2*time.Second {
 				t.Errorf("it took %v", took)
 			}
--- a/gateway/ticket.go
+++ b/gateway/ticket.go
@@ -32,7 +32,7 @@
 
 // declaredTokens returns the tokens of the prompt and the maximum to generate, as the caller declared them.
 func (c *call) declaredTokens() (prompt, output int) {
-	a, b, ok := strings.Cut(c.r.Header.Get(c.gateway.config.Names.Tokens), ",")
+	a, b, ok := strings.Cut(c.r.Header.Get(c.gateway.config.Headers.Tokens), ",")
 	if !ok {
 		return 0, 0
 	}
@@ -44,7 +44,7 @@
 // expectedOutputTokens returns the tokens that the caller expects to be generated: its hint, or the maximum if
 // the hint is missing or invalid.
 func (c *call) expectedOutputTokens() int {
-	hint, err := strconv.Atoi(c.r.Header.Get(c.gateway.config.Names.Hint))
+	hint, err := strconv.Atoi(c.r.Header.Get(c.gateway.config.Headers.OutputHint))
 	if err != nil || hint <= 0 {
 		return c.maxOutputTokens
 	}
--- a/gateway/view_test.go
+++ b/gateway/view_test.go
@@ -27,10 +27,10 @@
 // are kept until the last part arrives, also over another connection, and only then the unlisted ones are removed.
 // Changes between the parts do not end the list.
 func TestEndpointListIsReceivedInParts(t *testing.T) {
-	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Fresh: 5 * event.Second, Log: zap.NewNop()})
+	a := NewOwnerClient(ClientConfig{Entry: "entry", ControlAddresses: []string{"box"}, ConfigValidity: 5 * event.Second, Log: zap.NewNop()})
 	receive := func(v message.View) (asked bool) {
 		a.Received(0, a.link, &message.Envelope{View: &v})
-		for _, s := range a.Take().Sends {
+		for _, s := range a.TakeEffects().Sends {
 			asked = asked || (s.Message.Ping != nil && s.Message.Ping.Revision == a.revision)
 		}
 		return asked
@@ -41,24 +41,24 @@
 			t.Errorf("revision %d, want %d: %s", a.revision, revision, diff)
 		}
 	}
-	a.Dialed(0, 1, "box")
-	a.Take()
+	a.Connected(0, 1, "box")
+	a.TakeEffects()
 	if receive(message.View{Whole: true, Signs: true, Endpoints: packEndpoints("old", "kept"), Revision: 900}) {
 		t.Error("pinged for more after a complete list")
 	}
 	check(900, "kept", "old")
-	a.Lost(0, 1, nil)
-	a.Dialed(0, 2, "box")
-	a.Take()
+	a.Disconnected(0, 1, nil)
+	a.Connected(0, 2, "box")
+	a.TakeEffects()
 	if !receive(message.View{Whole: true, Signs: true, Endpoints: packEndpoints("a"), Revision: 10, More: true}) {
 		t.Error("did not ping for more")
 	}
 	check(10, "a", "kept", "old")
 	receive(message.View{Endpoints: packEndpoints("news")})
 	check(10, "a", "kept", "news", "old")
-	a.Lost(0, 2, nil)
-	a.Dialed(0, 3, "box")
-	if hello := a.Take().Sends[0].Message.Hello; hello.Revision != 10 {
+	a.Disconnected(0, 2, nil)
+	a.Connected(0, 3, "box")
+	if hello := a.TakeEffects().Sends[0].Message.Hello; hello.Revision != 10 {
 		t.Errorf("hello has revision %d, want 10", hello.Revision)
 	}
 	receive(message.View{Signs: true, Endpoints: packEndpoints("kept"), Revision: 20, More: true})
--- a/gateway/word_test.go
+++ b/gateway/word_test.go
@@ -23,8 +23,8 @@
 
 // newBusyClient returns a client with many running requests and many leases.
 func newBusyClient() *OwnerClient {
-	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Fresh: 5 * event.Second, Log: zap.NewNop()})
-	a.Dialed(0, 1, "box")
+	a := NewOwnerClient(ClientConfig{Entry: "entry", ControlAddresses: []string{"box"}, ConfigValidity: 5 * event.Second, Log: zap.NewNop()})
+	a.Connected(0, 1, "box")
 	lent := budget.LeaseUpdate{Number: 1, Whole: true}
 	for i := range manyRunning {
 		lent.UpTo = append(lent.UpTo, budget.Lease{Account: budget.Team(fmt.Sprintf("team-%05d", i)), UpTo: 100})
@@ -39,7 +39,7 @@
 		a.Submit(0, message.Submission{Ticket: t, Quota: 1}, make(chan Decision, 1))
 		a.Received(0, 1, &message.Envelope{Decisions: &message.Decisions{Grants: []event.Granted{{ID: id, Endpoint: "endpoint"}}}})
 	}
-	a.Take()
+	a.TakeEffects()
 	return a
 }
 
@@ -47,12 +47,12 @@
 // it would delay the reply to the first ping beyond ownerTimeout.
 func TestSessionStartMessagesAreBounded(t *testing.T) {
 	a := newBusyClient()
-	a.Lost(0, 1, nil)
-	a.Dialed(0, 2, "box")
+	a.Disconnected(0, 1, nil)
+	a.Connected(0, 2, "box")
 	running, held := make(map[event.RequestID]bool), make(map[budget.Account]bool)
 	now := event.Time(0)
 	for range 40 {
-		for _, s := range a.Take().Sends {
+		for _, s := range a.TakeEffects().Sends {
 			var data bytes.Buffer
 			if err := gob.NewEncoder(&data).Encode(s.Message); err != nil {
 				t.Fatal(err)
@@ -93,10 +93,10 @@
 // reported.
 func TestFinishedRequestIsNotReported(t *testing.T) {
 	a := newBusyClient()
-	a.Lost(0, 1, nil)
-	a.Dialed(0, 2, "box")
+	a.Disconnected(0, 1, nil)
+	a.Connected(0, 2, "box")
 	running := make(map[event.RequestID]bool)
-	for _, s := range a.Take().Sends {
+	for _, s := range a.TakeEffects().Sends {
 		note(s.Message, running, make(map[budget.Account]bool))
 	}
 	var ended event.RequestID
@@ -110,7 +110,7 @@
 	for now := event.Time(pingInterval); now < event.Time(40*pingInterval); now = now.Add(pingInterval) {
 		a.Received(now, 2, &message.Envelope{Pong: &message.Pong{}})
 		a.Tick(now)
-		for _, s := range a.Take().Sends {
+		for _, s := range a.TakeEffects().Sends {
 			note(s.Message, running, make(map[budget.Account]bool))
 		}
 	}
@@ -122,7 +122,7 @@
 // TestWaitingRequestsAreBounded: all waiting requests are submitted to a new owner once, in order, and in
 // messages of bounded size.
 func TestWaitingRequestsAreBounded(t *testing.T) {
-	a := NewOwnerClient(ClientConfig{Entry: "entry", Control: []string{"box"}, Fresh: 5 * event.Second, Log: zap.NewNop()})
+	a := NewOwnerClient(ClientConfig{Entry: "entry", ControlAddresses: []string{"box"}, ConfigValidity: 5 * event.Second, Log: zap.NewNop()})
 	for i := range manyRunning {
 		t := event.Ticket{
 			ID: event.RequestID(fmt.Sprintf("10.0.3.7-4f2a-%x", i)), Team: "team", Service: "s", Pool: "s", Deadline: 5 * event.Second,
@@ -133,13 +133,13 @@
 		}
 		a.Submit(0, message.Submission{Ticket: t, Quota: 1}, make(chan Decision, 1))
 	}
-	a.Dialed(0, 1, "box")
-	a.Take()
+	a.Connected(0, 1, "box")
+	a.TakeEffects()
 	submitted := make(map[event.RequestID]int)
 	last := event.RequestID("")
 	for now := event.Time(0); now < event.Time(60*pingInterval) && len(submitted) < manyRunning; now = now.Add(pingInterval) {
 		a.Received(now, 1, &message.Envelope{Pong: &message.Pong{}})
-		for _, s := range a.Take().Sends {
+		for _, s := range a.TakeEffects().Sends {
 			var data bytes.Buffer
 			if err := gob.NewEncoder(&data).Encode(s.Message); err != nil {
 				t.Fatal(err)
