--- a/cluster/absent_test.go
+++ b/cluster/absent_test.go
@@ -12,38 +12,38 @@
 	"lynxramp.org/message"
 )
 
-// TestAbsentEntriesCostLittle: an owner looked through all requests of all entries at each
+// TestTickTimeWithAbsentEntries: an owner looked through all requests of all entries at each
 // tick for each entry that was away, for as long as it remembered it. A second's ticks with a
 // third of 390 entries away, as when a data centre is lost, and 20,000 requests of the others
 // must leave the lease its time. The best of some runs counts, for machines that do other
 // work too.
-func TestAbsentEntriesCostLittle(t *testing.T) {
+func TestTickTimeWithAbsentEntries(t *testing.T) {
 	const (
-		entries, away = 390, 130
-		requests      = 20000
-		mostSecond    = 200 * time.Millisecond
+		entries, absent = 390, 130
+		requests        = 20000
+		maxTickTime     = 200 * time.Millisecond
 	)
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
 	s.put(s.mustOwner(), 1)
 	e := manyEndpoint(1, 1)
 	e.Slots = requests
-	s.tell(s.mustOwner(), e)
+	s.heartbeat(s.mustOwner(), e)
 	s.run(second)
 	owner := s.mustOwner()
 	for i := range entries {
 		s.step(owner, &SessionOpened{FormatVersion: level.Newest, Session: SessionID(i + 1), Hello: message.Hello{Entry: event.BoxID(fmt.Sprint("entry", i))}})
 	}
 	for i := range requests {
-		s.step(owner, &BatchReceived{Session: SessionID(away + 1 + i%(entries-away)), Batch: submit(event.RequestID(fmt.Sprint("r", i)))})
+		s.step(owner, &BatchReceived{Session: SessionID(absent + 1 + i%(entries-absent)), Batch: submit(event.RequestID(fmt.Sprint("r", i)))})
 	}
-	for i := range away {
+	for i := range absent {
 		s.step(owner, &SessionClosed{Session: SessionID(i + 1)})
 	}
 	now := s.now.Add(entryTimeout + second)
 	var out Effects
 	owner.state.owner.tick(now, owner.state, &out)
-	if got := forgotten(owner.state.owner); got == 0 || got > maxForgetPerTick {
+	if got := forgottenEntries(owner.state.owner); got == 0 || got > maxForgetPerTick {
 		t.Errorf("%d entries forgotten in one step, want some, %d at the most", got, maxForgetPerTick)
 	}
 	best := time.Hour
@@ -56,16 +56,16 @@
 		best = min(best, time.Since(began))
 	}
 	t.Logf("a second's ticks take %v", best)
-	if got := forgotten(owner.state.owner); got != away {
-		t.Errorf("%d of %d absent entries are forgotten seconds later", got, away)
+	if got := forgottenEntries(owner.state.owner); got != absent {
+		t.Errorf("%d of %d absent entries are forgotten seconds later", got, absent)
 	}
-	if best > mostSecond {
-		t.Errorf("a second's ticks with %d of %d entries away and %d requests take %v, want %v at the most", away, entries, requests, best, mostSecond)
+	if best > maxTickTime {
+		t.Errorf("a second's ticks with %d of %d entries away and %d requests take %v, want %v at the most", absent, entries, requests, best, maxTickTime)
 	}
 }
 
-// forgotten returns of how many entries an owner took as ended what they had running.
-func forgotten(o *owner) int {
+// forgottenEntries returns of how many entries an owner took as ended what they had running.
+func forgottenEntries(o *owner) int {
 	n := 0
 	for _, e := range o.entries {
 		if e.isForgotten {
--- a/cluster/address_test.go
+++ b/cluster/address_test.go
@@ -9,24 +9,24 @@
 	"lynxramp.org/registry"
 )
 
-// beatFor lets an endpoint tell of itself once a second.
-func beatFor(s *sim, e *registry.Endpoint, seconds int) {
+// heartbeatFor lets an endpoint tell of itself once a second.
+func heartbeatFor(s *sim, e *registry.Endpoint, seconds int) {
 	for range seconds {
 		e.Sequence++
-		s.tell(s.mustOwner(), *e)
+		s.heartbeat(s.mustOwner(), *e)
 		s.run(event.Second)
 	}
 }
 
-func isThere(s *sim, id string) bool {
+func isRegistered(s *sim, id string) bool {
 	_, ok := s.mustOwner().state.machine.registry.Endpoints[id]
 	return ok
 }
 
-// TestLateWordOfADeadEndpoint: a word of an endpoint that has crashed arrives after another
+// TestDelayedHeartbeatOfCrashedEndpoint: a word of an endpoint that has crashed arrives after another
 // came to its address. The one that lives keeps the address, or has it back within
 // seconds, whether the dead one was known before or not, and whoever owns the pools.
-func TestLateWordOfADeadEndpoint(t *testing.T) {
+func TestDelayedHeartbeatOfCrashedEndpoint(t *testing.T) {
 	for name, known := range map[string]bool{"known before": true, "never heard before": false} {
 		t.Run(name, func(t *testing.T) {
 			s := newSim(t, 3, 2)
@@ -34,20 +34,20 @@
 			dead := registry.Endpoint{ID: "dead", Service: "s", Address: "10.0.0.1:80", Slots: 4}
 			alive := registry.Endpoint{ID: "alive", Service: "s", Address: "10.0.0.1:80", Slots: 4}
 			if known {
-				beatFor(s, &dead, 2)
+				heartbeatFor(s, &dead, 2)
 			}
-			beatFor(s, &alive, 3)
+			heartbeatFor(s, &alive, 3)
 			dead.Sequence++
-			s.tell(s.mustOwner(), dead)
+			s.heartbeat(s.mustOwner(), dead)
 			s.run(100 * event.Millisecond)
-			if known && !isThere(s, "alive") {
+			if known && !isRegistered(s, "alive") {
 				t.Error("a late word of an endpoint that was followed took the address")
 			}
-			beatFor(s, &alive, 2)
+			heartbeatFor(s, &alive, 2)
 			s.stop(s.mustOwner().name)
 			s.run(2 * second)
-			beatFor(s, &alive, 3)
-			if !isThere(s, "alive") || isThere(s, "dead") {
+			heartbeatFor(s, &alive, 3)
+			if !isRegistered(s, "alive") || isRegistered(s, "dead") {
 				t.Error("seconds after the late word the endpoint that lives is not there")
 			}
 		})
--- a/cluster/asked_test.go
+++ b/cluster/asked_test.go
@@ -16,34 +16,34 @@
 )
 
 // askingSim is an owner with endpoints that ask for something and entries that are connected.
-type askingSim struct {
+type feedbackSim struct {
 	*sim
 	owner *simBox
 }
 
-func newAskingSim(t testing.TB, endpoints, entries int, reads level.Level) *askingSim {
-	s := &askingSim{sim: newSim(t, 1, 0)}
+func newFeedbackSim(t testing.TB, endpoints, entries int, formatVersion level.Level) *feedbackSim {
+	s := &feedbackSim{sim: newSim(t, 1, 0)}
 	s.run(2 * event.Second)
 	s.owner = s.mustOwner()
 	s.put(s.owner, 1)
 	for i := range endpoints {
-		s.tell(s.owner, registry.Endpoint{
+		s.heartbeat(s.owner, registry.Endpoint{
 			ID: fmt.Sprintf("i-%08x", i), Service: "s", Address: fmt.Sprintf("10.0.%d.%d:80", i/250, 1+i%250), Slots: 8, Sequence: 1,
 		})
 	}
 	s.run(event.Second)
 	for i := range entries {
-		s.connect(SessionID(i+1), reads)
+		s.connect(SessionID(i+1), formatVersion)
 	}
 	return s
 }
 
-func (s *askingSim) connect(id SessionID, reads level.Level) {
-	s.step(s.owner, &SessionOpened{FormatVersion: reads, Session: id, Hello: message.Hello{Entry: event.BoxID(fmt.Sprint("entry", id)), Life: 1}})
+func (s *feedbackSim) connect(id SessionID, formatVersion level.Level) {
+	s.step(s.owner, &SessionOpened{FormatVersion: formatVersion, Session: id, Hello: message.Hello{Entry: event.BoxID(fmt.Sprint("entry", id)), Life: 1}})
 }
 
-// heard has an entry tell of endpoints from one to another that name a limit.
-func (s *askingSim) heard(id SessionID, from, to int, rate float64) {
+// reportLimits has an entry tell of endpoints from one to another that name a limit.
+func (s *feedbackSim) reportLimits(id SessionID, from, to int, rate float64) {
 	b := &message.Batch{}
 	for i := from; i < to; i++ {
 		b.Heard = append(b.Heard, backpressure.Report{
@@ -53,8 +53,8 @@
 	s.step(s.owner, &BatchReceived{Session: id, Batch: b})
 }
 
-// told returns what a session was told that endpoints ask for, and the longest message of it.
-func (s *askingSim) told(id SessionID) (states map[event.EndpointID]backpressure.State, longest int) {
+// receivedFeedback returns what a session was told that endpoints ask for, and the longest message of it.
+func (s *feedbackSim) receivedFeedback(id SessionID) (states map[event.EndpointID]backpressure.State, longest int) {
 	states = make(map[event.EndpointID]backpressure.State)
 	for _, m := range s.sends[id] {
 		if m.View == nil || len(m.View.Asked) == 0 {
@@ -68,14 +68,14 @@
 	return states, longest
 }
 
-// TestAllEntriesAreToldWhatEndpointsAskFor: those that are connected, those that come later, in messages of bounded
+// TestFeedbackReachesAllEntries: those that are connected, those that come later, in messages of bounded
 // length, and none that does not read it.
-func TestAllEntriesAreToldWhatEndpointsAskFor(t *testing.T) {
+func TestFeedbackReachesAllEntries(t *testing.T) {
 	const endpoints = 1000
-	s := newAskingSim(t, endpoints, 3, level.Newest)
+	s := newFeedbackSim(t, endpoints, 3, level.Newest)
 	s.connect(4, level.Instances)
 	for i := range 3 {
-		s.heard(1, i*400, min(endpoints, (i+1)*400), 2.5)
+		s.reportLimits(1, i*400, min(endpoints, (i+1)*400), 2.5)
 	}
 	s.run(event.Second)
 	s.connect(5, level.Newest)
@@ -83,7 +83,7 @@
 		s.step(s.owner, &PingReceived{Session: 5, Ping: message.Ping{Sent: s.now}})
 	}
 	for id, want := range map[SessionID]int{1: endpoints, 3: endpoints, 4: 0, 5: endpoints} {
-		states, longest := s.told(id)
+		states, longest := s.receivedFeedback(id)
 		if len(states) != want || longest > 17_000 {
 			t.Errorf("entry %d was told of %d endpoints, want %d; the longest message has %d bytes", id, len(states), want, longest)
 		}
@@ -101,10 +101,10 @@
 	for _, entries := range []int{100, 385, 770} {
 		b.Run(fmt.Sprintf("1000_endpoints/%d_entries", entries), func(b *testing.B) {
 			for range b.N {
-				s := newAskingSim(b, 1000, entries, level.Newest)
+				s := newFeedbackSim(b, 1000, entries, level.Newest)
 				took := cputime.Of(func() {
 					for i := range entries {
-						s.heard(SessionID(i+1), i*1000/entries, (i+1)*1000/entries, 1.1)
+						s.reportLimits(SessionID(i+1), i*1000/entries, (i+1)*1000/entries, 1.1)
 					}
 					s.run(100 * event.Millisecond)
 				})
--- a/cluster/bulk_bench_test.go
+++ b/cluster/bulk_bench_test.go
@@ -12,7 +12,7 @@
 // largeMachine has a configuration of many routes and many endpoints.
 func largeMachine(b *testing.B, d Document) *stateMachine {
 	m := &stateMachine{}
-	commands := parts(d)
+	commands := encodeParts(d)
 	for i := range manyEndpoints {
 		commands = append(commands, encodeEndpoint(manyEndpoint(i, 1)))
 	}
@@ -54,7 +54,7 @@
 
 // BenchmarkApplyPart applies a part of a configuration, each of which is a command by itself.
 func BenchmarkApplyPart(b *testing.B) {
-	list := parts(routesDocument(1, manyRoutes))
+	list := encodeParts(routesDocument(1, manyRoutes))
 	b.ResetTimer()
 	for n := 0; n < b.N; {
 		var m stateMachine
--- a/cluster/bulk_sim_test.go
+++ b/cluster/bulk_sim_test.go
@@ -57,26 +57,26 @@
 }
 
 // flying is a message on its way.
-type flying struct {
+type inFlightMessage struct {
 	message consensus.Message
 	at      event.Time
 }
 
 // slowBox is a box's way to the others and to its disk.
 type slowBox struct {
-	free    event.Time // when what was sent has left
-	saving  []consensus.Ready
-	savedAt event.Time
-	codecs  map[consensus.ID]*counter
+	linkFreeAt event.Time // when what was sent has left
+	saving     []consensus.Ready
+	savedAt    event.Time
+	codecs     map[consensus.ID]*byteCounter
 }
 
 // counter counts what a message takes on a connection.
-type counter struct {
+type byteCounter struct {
 	bytes int
 	out   *gob.Encoder
 }
 
-func (c *counter) Write(data []byte) (int, error) {
+func (c *byteCounter) Write(data []byte) (int, error) {
 	c.bytes += len(data)
 	return len(data), nil
 }
@@ -84,24 +84,24 @@
 // slowSim is a sim of boxes with thin links and slow disks.
 type slowSim struct {
 	*sim
-	slow   map[string]*slowBox
-	flying []flying
-	sent   int // bytes in all
+	slowBoxes map[string]*slowBox
+	inFlight  []inFlightMessage
+	sent      int // bytes in all
 }
 
 func newSlowSim(t testing.TB, founders, joining int) *slowSim {
-	s := &slowSim{sim: newSim(t, founders, joining), slow: make(map[string]*slowBox)}
+	s := &slowSim{sim: newSim(t, founders, joining), slowBoxes: make(map[string]*slowBox)}
 	return s
 }
 
 // box returns the way of a box, and keeps its saves from being done at once.
 func (s *slowSim) box(name string) *slowBox {
-	b, ok := s.slow[name]
+	b, ok := s.slowBoxes[name]
 	if !ok {
-		b = &slowBox{codecs: make(map[consensus.ID]*counter)}
-		s.slow[name] = b
+		b = &slowBox{codecs: make(map[consensus.ID]*byteCounter)}
+		s.slowBoxes[name] = b
 	}
-	s.boxes[name].stalled = true
+	s.boxes[name].isDiskStalled = true
 	return b
 }
 
@@ -109,7 +109,7 @@
 func (b *slowBox) size(m consensus.Message) int {
 	c, ok := b.codecs[m.To]
 	if !ok {
-		c = &counter{}
+		c = &byteCounter{}
 		c.out = gob.NewEncoder(c)
 		b.codecs[m.To] = c
 	}
@@ -126,28 +126,28 @@
 		from := s.box(string(m.From.Box()))
 		size := from.size(m)
 		s.sent += size
-		from.free = max(from.free, s.now).Add(event.Duration(float64(event.Second) * float64(size) / slowLink))
-		s.flying = append(s.flying, flying{m, from.free.Add(slowLatency)})
+		from.linkFreeAt = max(from.linkFreeAt, s.now).Add(event.Duration(float64(event.Second) * float64(size) / slowLink))
+		s.inFlight = append(s.inFlight, inFlightMessage{m, from.linkFreeAt.Add(slowLatency)})
 	}
 	s.messages = nil
 }
 
 func (s *slowSim) deliver() {
-	var late []flying
-	due := s.flying
-	s.flying = nil
+	var late []inFlightMessage
+	due := s.inFlight
+	s.inFlight = nil
 	for _, f := range due {
 		to := s.boxes[string(f.message.To.Box())]
 		switch {
 		case f.at > s.now:
 			late = append(late, f)
-		case to == nil || to.disk.member.ID != f.message.To || s.cut(string(f.message.From.Box()), to.name):
+		case to == nil || to.disk.member.ID != f.message.To || s.isCut(string(f.message.From.Box()), to.name):
 		default:
-			s.meet(s.boxes[string(f.message.From.Box())], to)
+			s.connectPeer(s.boxes[string(f.message.From.Box())], to)
 			s.step(to, &MessageReceived{Message: f.message})
 		}
 	}
-	s.flying = append(late, s.flying...)
+	s.inFlight = append(late, s.inFlight...)
 }
 
 // save lets a disk go on: what waits is saved together.
@@ -164,13 +164,13 @@
 			b.disk.save(&r)
 			s.messages = append(s.messages, r.Messages...)
 		}
-		s.tellSaved(b, saved)
+		s.reportSaved(b, saved)
 	}
-	if len(slow.saving) > 0 || len(b.waiting) == 0 {
+	if len(slow.saving) > 0 || len(b.unsaved) == 0 {
 		return
 	}
-	slow.saving = b.waiting
-	b.waiting = nil
+	slow.saving = b.unsaved
+	b.unsaved = nil
 	size, must := 0, false
 	for _, r := range slow.saving {
 		must = must || r.MustSave()
@@ -187,8 +187,8 @@
 	}
 }
 
-// tellSaved tells a box of the last entry that its disk has taken.
-func (s *slowSim) tellSaved(b *simBox, saved []consensus.Ready) {
+// reportSaved tells a box of the last entry that its disk has taken.
+func (s *slowSim) reportSaved(b *simBox, saved []consensus.Ready) {
 	for _, r := range slices.Backward(saved) {
 		if n := len(r.Entries); n > 0 {
 			s.step(b, &LogSaved{Index: r.Entries[n-1].Index, Term: r.Entries[n-1].Term})
@@ -212,7 +212,7 @@
 				s.step(b, &Tick{})
 			}
 			s.finishDecoding(b)
-			if b.state != nil && b.joins {
+			if b.state != nil && b.wantsToJoin {
 				s.join(b)
 			}
 			s.save(b)
@@ -225,8 +225,8 @@
 func (s *slowSim) kill(name string) {
 	s.stop(name)
 	s.box(name).saving = nil
-	s.flying = slices.DeleteFunc(s.flying, func(f flying) bool { return string(f.message.From.Box()) == name })
-	s.box(name).free = 0
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(f inFlightMessage) bool { return string(f.message.From.Box()) == name })
+	s.box(name).linkFreeAt = 0
 }
 
 // operator sends a configuration again each second until it is acknowledged, as an operator does.
@@ -234,7 +234,7 @@
 	s        *slowSim
 	document Document
 	sent     event.Time
-	tokens   []CallID
+	callIDs  []CallID
 }
 
 func (s *slowSim) operator(d Document) *operator {
@@ -245,15 +245,15 @@
 func (o *operator) done() bool {
 	s := o.s
 	if owner := s.owner(); owner != nil && s.now.Sub(o.sent) >= second {
-		if n := len(o.tokens); n > 0 {
-			s.step(owner, &CallCancelled{CallID: o.tokens[n-1]})
+		if n := len(o.callIDs); n > 0 {
+			s.step(owner, &CallCancelled{CallID: o.callIDs[n-1]})
 		}
 		o.sent = s.now
-		s.token++
-		o.tokens = append(o.tokens, s.token)
-		s.step(owner, &DocumentSubmitted{CallID: s.token, Document: o.document})
+		s.lastCall++
+		o.callIDs = append(o.callIDs, s.lastCall)
+		s.step(owner, &DocumentSubmitted{CallID: s.lastCall, Document: o.document})
 	}
-	return slices.ContainsFunc(o.tokens, func(t CallID) bool { return s.answers[t].Status == StatusDone })
+	return slices.ContainsFunc(o.callIDs, func(t CallID) bool { return s.answers[t].Status == StatusDone })
 }
 
 // checkOwner fails the test if nobody owns the pools or the term is another.
@@ -264,11 +264,11 @@
 	}
 }
 
-// TestLargeConfigurationOverThinLinks: a configuration of 14,000 routes stayed unacknowledged and
+// TestLargeConfigurationOverSlowLinks: a configuration of 14,000 routes stayed unacknowledged and
 // cost the leader its lease again and again: it was one entry, sent whole in front of the
 // heartbeats, and once more every 120 ms while its reply was late. It must be acknowledged
 // without a change of leader, with 10 Mbit/s out of each box and disks of 100 ms.
-func TestLargeConfigurationOverThinLinks(t *testing.T) { testLargeConfiguration(t, 2) }
+func TestLargeConfigurationOverSlowLinks(t *testing.T) { testLargeConfiguration(t, 2) }
 
 // TestLargeConfigurationForManyBoxes: the same with 24 boxes, 19 of them without a vote, which all
 // get the log out of the leader's one link.
@@ -299,11 +299,11 @@
 	}
 }
 
-// TestLargeConfigurationOutlivesItsLeaders: each leader that got a part of a large configuration
+// TestLargeConfigurationSurvivesLeaderChanges: each leader that got a part of a large configuration
 // to the others ended before it had all of it there: the next one began anew, for ever. What
 // was replicated must count, so that it is in force though no leader lives as long as the
 // whole takes.
-func TestLargeConfigurationOutlivesItsLeaders(t *testing.T) {
+func TestLargeConfigurationSurvivesLeaderChanges(t *testing.T) {
 	const life = 1500 * event.Millisecond // of a leader, less than the whole takes
 	s := newSlowSim(t, 3, 2)
 	s.run(8 * second)
@@ -341,10 +341,10 @@
 	}
 }
 
-// TestReplacedBoxCatchesUpOverThinLink: a box whose disk was lost was sent the whole state as one
+// TestReplacedBoxCatchesUpOverSlowLink: a box whose disk was lost was sent the whole state as one
 // message, again every 120 ms: the leader lost its lease and the box never caught up. It must
 // become a voter while changes go on, and the leader must keep its lease.
-func TestReplacedBoxCatchesUpOverThinLink(t *testing.T) {
+func TestReplacedBoxCatchesUpOverSlowLink(t *testing.T) {
 	s := newSlowSim(t, 3, 0)
 	s.run(4 * second)
 	large := s.operator(noiseDocument(1, 3<<20))
@@ -354,7 +354,7 @@
 		}
 	}
 	for i := range 2 * minCompactBytes / entryOverhead { // so that the log is compacted
-		s.tell(s.mustOwner(), manyEndpoint(i, 1))
+		s.heartbeat(s.mustOwner(), manyEndpoint(i, 1))
 		s.run(slowStep)
 	}
 	s.run(5 * second)
@@ -368,7 +368,7 @@
 	for n := 0; !isVoter(); n++ {
 		changed := manyEndpoint(n%900, uint64(2+n))
 		changed.Slots = 9 + n/900
-		s.tell(s.mustOwner(), changed)
+		s.heartbeat(s.mustOwner(), changed)
 		s.run(50 * slowStep)
 		s.checkOwner(term)
 		if s.now.Sub(began) > 60*second {
@@ -384,25 +384,25 @@
 // least between two snapshots, and a configuration that is not committed.
 const logBound = 2*minCompactBytes + 2<<20
 
-// TestLogStaysWithinItsBound: 60 changes of 1 MB within 6 s stayed in memory, as the log kept 256
+// TestLogSizeIsBounded: 60 changes of 1 MB within 6 s stayed in memory, as the log kept 256
 // entries of any size and as all that was not yet replicated piled up in it.
-func TestLogStaysWithinItsBound(t *testing.T) {
+func TestLogSizeIsBounded(t *testing.T) {
 	s := newSlowSim(t, 3, 0)
 	s.run(4 * second)
 	most := 0
-	var tokens []CallID
+	var callIDs []CallID
 	for version := range uint64(60) {
-		s.token++
-		tokens = append(tokens, s.token)
-		s.step(s.mustOwner(), &DocumentSubmitted{CallID: s.token, Document: noiseDocument(version+1, 1<<20)})
+		s.lastCall++
+		callIDs = append(callIDs, s.lastCall)
+		s.step(s.mustOwner(), &DocumentSubmitted{CallID: s.lastCall, Document: noiseDocument(version+1, 1<<20)})
 		s.run(100 * event.Millisecond)
 		most = max(most, s.logBytes())
 	}
 	s.wantLogWithin(most)
 	s.run(20 * second)
-	for i, token := range tokens {
-		if s.answers[token].Status != StatusDone {
-			t.Errorf("change %d was not acknowledged: %+v", i+1, s.answers[token])
+	for i, callID := range callIDs {
+		if s.answers[callID].Status != StatusDone {
+			t.Errorf("change %d was not acknowledged: %+v", i+1, s.answers[callID])
 		}
 	}
 	for _, name := range s.order {
@@ -410,9 +410,9 @@
 	}
 }
 
-// TestLogOfCommittedChangesStaysWithinItsBound: the same where each change is committed before the
+// TestLogSizeOfCommittedChangesIsBounded: the same where each change is committed before the
 // next one comes.
-func TestLogOfCommittedChangesStaysWithinItsBound(t *testing.T) {
+func TestLogSizeOfCommittedChangesIsBounded(t *testing.T) {
 	s := newSlowSim(t, 3, 0)
 	s.run(4 * second)
 	most := 0
--- a/cluster/fleet_harm_test.go
+++ b/cluster/fleet_harm_test.go
@@ -6,8 +6,8 @@
 	"lynxramp.org/event"
 )
 
-// harm draws one trouble and begins it.
-func (f *fleetSim) harm() {
+// injectFault draws one trouble and begins it.
+func (f *fleetSim) injectFault() {
 	span := func(most int) event.Duration { return event.Duration(1+f.random.IntN(most)) * event.Millisecond }
 	box := f.order[f.random.IntN(len(f.order))]
 	if owner := f.owner(); owner != nil && f.random.IntN(2) == 0 {
@@ -29,13 +29,13 @@
 			f.killBox(name, span(800))
 		}
 	case 2: // a control box stands still
-		if b := f.boxes[box]; b.state != nil && len(f.frozen) == 0 {
-			f.frozen[box], b.state = b.state, nil
-			f.back[box] = f.now.Add(span(3000))
+		if b := f.boxes[box]; b.state != nil && len(f.frozenStates) == 0 {
+			f.frozenStates[box], b.state = b.state, nil
+			f.restartAt[box] = f.now.Add(span(3000))
 		}
 	case 3: // a control box is cut off from the others, perhaps one way
 		until, oneWay := f.now.Add(span(3000)), f.random.IntN(2) == 0
-		f.cut = func(from, to string) bool { return f.now < until && (from == box || (to == box && !oneWay)) }
+		f.isCut = func(from, to string) bool { return f.now < until && (from == box || (to == box && !oneWay)) }
 	case 4: // a planned change of the owner
 		if b := f.boxes[box]; b.state != nil {
 			f.step(b, &StopRequested{})
@@ -46,9 +46,9 @@
 			f.killBox(box, span(1500))
 		}
 	case 7: // entries are cut off
-		some(part, func(e *fleetEntry) { e.cut = f.now.Add(span(6000)) })
+		some(part, func(e *fleetEntry) { e.cutUntil = f.now.Add(span(6000)) })
 	case 8: // entries stand still
-		some(part, func(e *fleetEntry) { e.awake = f.now.Add(span(4000)) })
+		some(part, func(e *fleetEntry) { e.frozenUntil = f.now.Add(span(4000)) })
 	case 9: // connections are reset
 		some(part, f.dropLink)
 	}
@@ -63,5 +63,5 @@
 		return
 	}
 	f.stop(name)
-	f.back[name] = f.now.Add(off)
+	f.restartAt[name] = f.now.Add(off)
 }
--- a/cluster/fleet_sim_test.go
+++ b/cluster/fleet_sim_test.go
@@ -37,7 +37,7 @@
 // window at the very most.
 var fleetTeam = routing.Team{Name: "t", Rate: 16000, Burst: 16000}
 
-const fleetAllowed = (16000*8+16000)*1.1 + 10000
+const fleetQuotaBound = (16000*8+16000)*1.1 + 10000
 
 // fleetArrival is a request that an endpoint ran.
 type fleetArrival struct {
@@ -47,78 +47,78 @@
 }
 
 // fleetMail is a message on its way between an entry and a control box.
-type fleetMail struct {
-	at event.Time
-	m  *message.Envelope
+type fleetMessage struct {
+	at       event.Time
+	envelope *message.Envelope
 }
 
 // fleetLink is a connection of an entry to a control box.
 type fleetLink struct {
-	id      gateway.LinkID
-	session SessionID
-	box     string
-	up      []fleetMail // to the control box
-	down    []fleetMail // to the entry
-	size    *wireSize
-	taken   int // of sim.sends
+	id        gateway.LinkID
+	session   SessionID
+	box       string
+	toControl []fleetMessage // to the control box
+	toEntry   []fleetMessage // to the entry
+	size      *wireSize
+	received  int // of sim.sends
 }
 
 // fleetCall is a request of a caller.
 type fleetCall struct {
-	id       event.RequestID
-	sent     event.Time
-	amount   int
-	repeat   bool
-	decision chan gateway.Decision
-	leaves   event.Time // when its caller leaves; 0 is never
-	print    poison.Fingerprint
-	attempt  int // how often it was sent before
+	id          event.RequestID
+	sent        event.Time
+	amount      int
+	repeat      bool
+	decision    chan gateway.Decision
+	cancelAt    event.Time // when its caller leaves; 0 is never
+	fingerprint poison.Fingerprint
+	attempt     int // how often it was sent before
 }
 
 // fleetEnd is when a request ends that runs, perhaps with its endpoint.
-type fleetEnd struct {
-	at  event.Time
-	f   message.Finish
-	end *poison.End
+type fleetFinish struct {
+	at     event.Time
+	finish message.Finish
+	crash  *poison.End
 }
 
 // fleetEntry is one entry.
 type fleetEntry struct {
-	name   event.BoxID
-	origin event.Time // of its process' clock
-	client *gateway.OwnerClient
-	link   *fleetLink
-	calls  []*fleetCall
-	ends   []fleetEnd
-	dialAt event.Time // when the dial under way ends; 0 is none
-	dial   string
-	awake  event.Time // it stands still until then
-	off    event.Time // it does not run until then
-	cut    event.Time // it reaches no control box until then
-	weight float64    // its part of the callers
+	name        event.BoxID
+	clockOrigin event.Time // of its process' clock
+	client      *gateway.OwnerClient
+	link        *fleetLink
+	calls       []*fleetCall
+	finishes    []fleetFinish
+	dialAt      event.Time // when the dial under way ends; 0 is none
+	dialAddress string
+	frozenUntil event.Time // it stands still until then
+	downUntil   event.Time // it does not run until then
+	cutUntil    event.Time // it reaches no control box until then
+	weight      float64    // its part of the callers
 	// pace is the width of the entry's link, in bytes a second, and share the part of a core that
 	// its process has; 0 lets messages and work take no time.
-	pace, share float64
-	busy        event.Time // it works until then on what it took
-	linkFree    event.Time // when what is on its link has arrived
+	linkRate, cpuShare float64
+	busyUntil          event.Time // it works until then on what it took
+	linkFreeAt         event.Time // when what is on its link has arrived
 }
 
 // fleetSim is a deployment.
 type fleetSim struct {
 	*sim
-	entries  []*fleetEntry
-	arrivals []fleetArrival
-	asked    []event.Time // when callers sent requests, but for repeats
-	lives    uint64
-	calls    int
-	sessions SessionID
-	sequence uint64
-	demand   float64 // tokens a second
-	back     map[string]event.Time
-	frozen   map[string]*State
-	decode   func([]byte) (*routing.Table, error)
-	ending   *simEnding // endpoints that end; nil for one that does not
-	limiting *simLimit  // what the endpoint that does not end asks for; nil for nothing
+	entries        []*fleetEntry
+	arrivals       []fleetArrival
+	firstAttempts  []event.Time // when callers sent requests, but for repeats
+	entryInstances uint64
+	requests       int
+	sessions       SessionID
+	sequence       uint64
+	demand         float64 // tokens a second
+	restartAt      map[string]event.Time
+	frozenStates   map[string]*State
+	decode         func([]byte) (*routing.Table, error)
+	crashing       *crashSim        // endpoints that end; nil for one that does not
+	limited        *limitedEndpoint // what the endpoint that does not end asks for; nil for nothing
 }
 
 func newFleetSim(t testing.TB, n int, seed uint64) *fleetSim {
@@ -128,7 +128,7 @@
 // newFleetSimOf returns a deployment whose configurations are read by decode.
 func newFleetSimOf(t testing.TB, n int, seed uint64, decode func([]byte) (*routing.Table, error)) *fleetSim {
 	f := &fleetSim{
-		sim: newSim(t, 3, 2), back: make(map[string]event.Time), frozen: make(map[string]*State),
+		sim: newSim(t, 3, 2), restartAt: make(map[string]event.Time), frozenStates: make(map[string]*State),
 		demand: 3 * fleetTeam.Rate, decode: decode,
 	}
 	f.random = rand.New(rand.NewPCG(seed, uint64(n)))
@@ -159,20 +159,20 @@
 }
 
 func (f *fleetSim) startEntry(e *fleetEntry) {
-	f.lives++
-	e.origin = f.now
+	f.entryInstances++
+	e.clockOrigin = f.now
 	e.client = gateway.NewOwnerClient(gateway.ClientConfig{
-		Entry: e.name, Life: f.lives, Control: slices.Clone(f.order), Limits: fleetLimits,
+		Entry: e.name, Life: f.entryInstances, Control: slices.Clone(f.order), Limits: fleetLimits,
 		Fresh: 5 * event.Second, Log: zap.NewNop(),
 	})
-	e.calls, e.ends, e.dialAt = nil, nil, 0
+	e.calls, e.finishes, e.dialAt = nil, nil, 0
 }
 
 // killEntry ends an entry's process; what it has under way runs on at the endpoints.
 func (f *fleetSim) killEntry(e *fleetEntry, off event.Duration) {
 	f.dropLink(e)
 	e.client = nil
-	e.off = f.now.Add(off)
+	e.downUntil = f.now.Add(off)
 }
 
 // dropLink ends an entry's connection, on both sides.
@@ -191,18 +191,18 @@
 }
 
 // now is the time by an entry's own clock.
-func (e *fleetEntry) now(now event.Time) event.Time { return event.Time(now.Sub(e.origin)) }
+func (e *fleetEntry) now(now event.Time) event.Time { return event.Time(now.Sub(e.clockOrigin)) }
 
 // runFleet lets time go on for all.
 func (f *fleetSim) runFleet(span event.Duration) {
 	for end := f.now.Add(span); f.now < end; {
 		f.run(simStep)
-		f.comeBack()
+		f.restoreBoxes()
 		if int64(f.now)%int64(event.Second) == 0 {
-			f.beat()
+			f.sendHeartbeats()
 		}
-		if f.ending != nil {
-			f.ending.step(f)
+		if f.crashing != nil {
+			f.crashing.step(f)
 		}
 		for _, e := range f.entries {
 			f.stepEntry(e)
@@ -210,30 +210,30 @@
 	}
 }
 
-// beat lets the endpoint tell of itself.
-func (f *fleetSim) beat() {
+// sendHeartbeats lets the endpoint tell of itself.
+func (f *fleetSim) sendHeartbeats() {
 	f.sequence++
-	if f.ending != nil {
-		f.ending.beat(f)
+	if f.crashing != nil {
+		f.crashing.sendHeartbeats(f)
 		return
 	}
 	for _, name := range f.order {
 		if b := f.boxes[name]; b.state != nil {
-			f.tell(b, registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 1 << 20, Sequence: f.sequence})
+			f.heartbeat(b, registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 1 << 20, Sequence: f.sequence})
 		}
 	}
 }
 
-// comeBack restarts and thaws control boxes whose time has come.
-func (f *fleetSim) comeBack() {
+// restoreBoxes restarts and thaws control boxes whose time has come.
+func (f *fleetSim) restoreBoxes() {
 	for _, name := range slices.Clone(f.order) {
-		at, ok := f.back[name]
+		at, ok := f.restartAt[name]
 		if !ok || f.now < at {
 			continue
 		}
-		delete(f.back, name)
-		if state := f.frozen[name]; state != nil {
-			delete(f.frozen, name)
+		delete(f.restartAt, name)
+		if state := f.frozenStates[name]; state != nil {
+			delete(f.frozenStates, name)
 			f.boxes[name].state = state
 			continue
 		}
@@ -243,21 +243,21 @@
 
 func (f *fleetSim) stepEntry(e *fleetEntry) {
 	switch {
-	case e.client == nil && f.now >= e.off:
+	case e.client == nil && f.now >= e.downUntil:
 		f.startEntry(e)
-	case e.client == nil || f.now < e.awake || e.busy > f.now.Add(simStep):
+	case e.client == nil || f.now < e.frozenUntil || e.busyUntil > f.now.Add(simStep):
 		return
 	}
 	now := e.now(f.now)
 	f.deliver(e)
-	f.callersOf(e, now)
+	f.stepCallers(e, now)
 	if int64(now)%int64(fleetTick) == 0 {
 		e.client.Tick(now)
 	}
 	f.connect(e, now)
-	f.carryOut(e)
-	f.takeDecisions(e, now)
-	f.carryOut(e)
+	f.applyEffects(e)
+	f.receiveDecisions(e, now)
+	f.applyEffects(e)
 }
 
 // connect ends a dial that is under way.
@@ -266,24 +266,24 @@
 		return
 	}
 	e.dialAt = 0
-	b := f.boxes[e.dial]
-	if b == nil || b.state == nil || f.now < e.cut {
-		e.client.DialFailed(now, e.dial, nil)
+	b := f.boxes[e.dialAddress]
+	if b == nil || b.state == nil || f.now < e.cutUntil {
+		e.client.DialFailed(now, e.dialAddress, nil)
 		return
 	}
 	f.sessions++
-	e.link = &fleetLink{id: gateway.LinkID(f.sessions), session: f.sessions, box: e.dial, size: newWireSize()}
-	e.linkFree = f.now // what was on the way of a connection before is lost
-	e.client.Dialed(now, e.link.id, e.dial)
+	e.link = &fleetLink{id: gateway.LinkID(f.sessions), session: f.sessions, box: e.dialAddress, size: newWireSize()}
+	e.linkFreeAt = f.now // what was on the way of a connection before is lost
+	e.client.Dialed(now, e.link.id, e.dialAddress)
 	e.client.Reads(e.link.id, level.Newest)
 }
 
-// carryOut does what an entry asks of the world.
-func (f *fleetSim) carryOut(e *fleetEntry) {
+// applyEffects does what an entry asks of the world.
+func (f *fleetSim) applyEffects(e *fleetEntry) {
 	out := e.client.Take()
 	for _, s := range out.Sends {
 		if e.link != nil && s.Link == e.link.id {
-			e.link.up = append(e.link.up, fleetMail{f.delay(), s.Message})
+			e.link.toControl = append(e.link.toControl, fleetMessage{f.drawArrival(), s.Message})
 		}
 	}
 	for _, id := range out.Closes {
@@ -296,15 +296,15 @@
 		}
 	}
 	if out.Dial != "" {
-		e.dial, e.dialAt = out.Dial, f.now.Add(simStep)
-		if f.now < e.cut {
+		e.dialAddress, e.dialAt = out.Dial, f.now.Add(simStep)
+		if f.now < e.cutUntil {
 			e.dialAt = f.now.Add(400 * event.Millisecond)
 		}
 	}
 }
 
-// delay draws how long a message takes: a moment, now and then much longer.
-func (f *fleetSim) delay() event.Time {
+// drawArrival draws how long a message takes: a moment, now and then much longer.
+func (f *fleetSim) drawArrival() event.Time {
 	if f.random.IntN(200) == 0 {
 		return f.now.Add(event.Duration(f.random.IntN(400)) * event.Millisecond)
 	}
@@ -313,18 +313,18 @@
 
 // deliver moves the mail of an entry's connection, in order, unless it is cut off.
 func (f *fleetSim) deliver(e *fleetEntry) {
-	if e.link == nil || f.now < e.cut {
+	if e.link == nil || f.now < e.cutUntil {
 		return
 	}
 	l := e.link
 	b := f.boxes[l.box]
-	if b.state == nil && f.frozen[l.box] == nil {
+	if b.state == nil && f.frozenStates[l.box] == nil {
 		f.dropLink(e)
 		return
 	}
-	for len(l.up) > 0 && l.up[0].at <= f.now && b.state != nil && !f.isBusy(b) {
-		m := l.up[0].m
-		l.up = l.up[1:]
+	for len(l.toControl) > 0 && l.toControl[0].at <= f.now && b.state != nil && !f.isBusy(b) {
+		m := l.toControl[0].envelope
+		l.toControl = l.toControl[1:]
 		switch {
 		case m.Hello != nil:
 			f.step(b, &SessionOpened{FormatVersion: level.Newest, Session: l.session, Hello: *m.Hello})
@@ -336,75 +336,75 @@
 			f.step(b, &NodesRequested{Session: l.session, Want: m.Want})
 		}
 	}
-	for _, m := range f.sends[l.session][l.taken:] {
-		l.down = append(l.down, fleetMail{max(f.delay(), e.arrives(f.now, l, m)), m})
-		l.taken++
+	for _, m := range f.sends[l.session][l.received:] {
+		l.toEntry = append(l.toEntry, fleetMessage{max(f.drawArrival(), e.arrivalTime(f.now, l, m)), m})
+		l.received++
 	}
-	for len(l.down) > 0 && l.down[0].at <= f.now && e.busy <= f.now.Add(simStep) {
-		m := l.down[0].m
-		l.down = l.down[1:]
-		e.work(f.now, func() { e.client.Received(e.now(f.now), l.id, m) })
+	for len(l.toEntry) > 0 && l.toEntry[0].at <= f.now && e.busyUntil <= f.now.Add(simStep) {
+		m := l.toEntry[0].envelope
+		l.toEntry = l.toEntry[1:]
+		e.runCharged(f.now, func() { e.client.Received(e.now(f.now), l.id, m) })
 	}
-	if f.closed[l.session] && len(l.down) == 0 && e.link == l {
+	if f.closed[l.session] && len(l.toEntry) == 0 && e.link == l {
 		f.dropLink(e)
 	}
 }
 
-// callersOf lets callers send to an entry, leave it, and have their answers.
-func (f *fleetSim) callersOf(e *fleetEntry, now event.Time) {
+// stepCallers lets callers send to an entry, leave it, and have their answers.
+func (f *fleetSim) stepCallers(e *fleetEntry, now event.Time) {
 	total := 0.0
 	for _, one := range f.entries {
 		total += one.weight
 	}
 	const mean = 1000
 	rate := f.demand / mean * e.weight / total * simStep.Seconds()
-	if f.ending != nil {
-		f.ending.callersOf(f, e, now)
+	if f.crashing != nil {
+		f.crashing.stepCallers(f, e, now)
 		rate = 0
 	}
 	for ; rate > 0; rate-- {
 		if f.random.Float64() < rate && e.client.Table(now) != nil {
-			f.call(e, now, f.random.IntN(2*mean), false)
+			f.sendRequest(e, now, f.random.IntN(2*mean), false)
 			if f.random.IntN(3) == 0 {
-				f.call(e, now, 0, true) // its first attempt counted against the quota
+				f.sendRequest(e, now, 0, true) // its first attempt counted against the quota
 			}
 		}
 	}
 	for _, c := range e.calls {
-		if c.leaves != 0 && f.now >= c.leaves {
+		if c.cancelAt != 0 && f.now >= c.cancelAt {
 			e.client.Withdraw(now, c.id)
 		}
 	}
-	e.calls = slices.DeleteFunc(e.calls, func(c *fleetCall) bool { return c.leaves != 0 && f.now >= c.leaves })
-	if f.limiting != nil {
-		f.limiting.answer(f, e, now)
+	e.calls = slices.DeleteFunc(e.calls, func(c *fleetCall) bool { return c.cancelAt != 0 && f.now >= c.cancelAt })
+	if f.limited != nil {
+		f.limited.deliverResponses(f, e, now)
 	}
-	e.ends = slices.DeleteFunc(e.ends, func(end fleetEnd) bool {
+	e.finishes = slices.DeleteFunc(e.finishes, func(end fleetFinish) bool {
 		if f.now < end.at {
 			return false
 		}
-		if end.end != nil {
-			e.client.Ended(now, *end.end)
+		if end.crash != nil {
+			e.client.Ended(now, *end.crash)
 		}
-		e.client.Finish(now, end.f)
+		e.client.Finish(now, end.finish)
 		return true
 	})
 }
 
-func (f *fleetSim) call(e *fleetEntry, now event.Time, amount int, repeat bool) {
-	f.calls++
-	if f.limiting != nil {
+func (f *fleetSim) sendRequest(e *fleetEntry, now event.Time, amount int, repeat bool) {
+	f.requests++
+	if f.limited != nil {
 		amount, repeat = 1, false // no other bound than the endpoint's limit
 	}
 	c := &fleetCall{
-		id: event.RequestID(fmt.Sprintf("%s-%d", e.name, f.calls)), sent: f.now, amount: amount, repeat: repeat,
+		id: event.RequestID(fmt.Sprintf("%s-%d", e.name, f.requests)), sent: f.now, amount: amount, repeat: repeat,
 		decision: make(chan gateway.Decision, 1),
 	}
 	if f.random.IntN(30) == 0 {
-		c.leaves = f.now.Add(event.Duration(f.random.IntN(60)) * event.Millisecond)
+		c.cancelAt = f.now.Add(event.Duration(f.random.IntN(60)) * event.Millisecond)
 	}
 	if !repeat {
-		f.asked = append(f.asked, f.now)
+		f.firstAttempts = append(f.firstAttempts, f.now)
 	}
 	e.calls = append(e.calls, c)
 	e.client.Submit(now, message.Submission{
@@ -415,15 +415,15 @@
 	}, c.decision)
 }
 
-// takeDecisions lets requests that were granted arrive at the endpoint, some of them
+// receiveDecisions lets requests that were granted arrive at the endpoint, some of them
 // late: their entry stood still between the grant and the dispatch.
-func (f *fleetSim) takeDecisions(e *fleetEntry, now event.Time) {
+func (f *fleetSim) receiveDecisions(e *fleetEntry, now event.Time) {
 	e.calls = slices.DeleteFunc(e.calls, func(c *fleetCall) bool {
 		select {
 		case d := <-c.decision:
 			switch {
-			case f.ending != nil:
-				f.ending.decided(f, e, now, c, d)
+			case f.crashing != nil:
+				f.crashing.applyDecision(f, e, now, c, d)
 			case d.Granted:
 				f.dispatch(e, now, c, d)
 			}
@@ -436,8 +436,8 @@
 
 func (f *fleetSim) dispatch(e *fleetEntry, now event.Time, c *fleetCall, d gateway.Decision) {
 	end := message.Finish{Finished: event.Finished{ID: c.id, Pool: "s"}, Endpoint: "e"}
-	if f.limiting != nil {
-		f.limiting.dispatch(f, e, now, c, d)
+	if f.limited != nil {
+		f.limited.dispatch(f, e, now, c, d)
 		return
 	}
 	if f.random.IntN(40) == 0 || e.client.Table(now) == nil {
@@ -455,5 +455,5 @@
 		return
 	}
 	f.arrivals = append(f.arrivals, fleetArrival{sent: c.sent, arrived: arrived, amount: c.amount, repeat: c.repeat})
-	e.ends = append(e.ends, fleetEnd{at: arrived.Add(event.Duration(f.random.IntN(800)) * event.Millisecond), f: end})
+	e.finishes = append(e.finishes, fleetFinish{at: arrived.Add(event.Duration(f.random.IntN(800)) * event.Millisecond), finish: end})
 }
--- a/cluster/folders_test.go
+++ b/cluster/folders_test.go
@@ -53,9 +53,9 @@
 	return state, nil
 }
 
-// TestRecordedFolders: a box that is replaced starts on the folder that its earlier build has written. Those
+// TestFoldersOfEarlierBuilds: a box that is replaced starts on the folder that its earlier build has written. Those
 // of two builds were called damaged, and each control box ended as it was replaced.
-func TestRecordedFolders(t *testing.T) {
+func TestFoldersOfEarlierBuilds(t *testing.T) {
 	for commit, want := range folderLevels {
 		state, err := openRecorded(t, commit)
 		if err != nil {
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestLaterFolderIsLeftAsItIs: the folder of a later build is not taken for damaged, and nothing in it is
+// TestFolderOfLaterBuildIsUnchanged: the folder of a later build is not taken for damaged, and nothing in it is
 // changed.
-func TestLaterFolderIsLeftAsItIs(t *testing.T) {
+func TestFolderOfLaterBuildIsUnchanged(t *testing.T) {
 	later := t.TempDir()
 	disk, id, restored, err := store.Open(later, "box", 1)
 	if err != nil {
--- a/cluster/greet_bench_test.go
+++ b/cluster/greet_bench_test.go
@@ -14,13 +14,13 @@
 	"lynxramp.org/routing"
 )
 
-// BenchmarkGreetings tells what a new owner works until it has answered the first questions of all entries,
+// BenchmarkNewSessions tells what a new owner works until it has answered the first questions of all entries,
 // as milliseconds of processor time without the encoding of messages, and how long those answers are.
-func BenchmarkGreetings(b *testing.B) {
+func BenchmarkNewSessions(b *testing.B) {
 	for _, size := range []struct{ entries, teams int }{{100, 333}, {385, 5}, {385, 100}, {385, 333}, {770, 333}, {1540, 333}} {
 		b.Run(fmt.Sprintf("%d_entries/%d_teams", size.entries, size.teams), func(b *testing.B) {
 			for range b.N {
-				greet, bytes := greetAll(b, size.entries, size.teams)
+				greet, bytes := openAllSessions(b, size.entries, size.teams)
 				b.ReportMetric(float64(greet.Microseconds())/1000, "ms")
 				b.ReportMetric(float64(bytes)/1000, "kB")
 			}
@@ -28,9 +28,9 @@
 	}
 }
 
-// greetAll has entries connect to an owner that begins, and returns what that worked and the bytes of its
+// openAllSessions has entries connect to an owner that begins, and returns what that worked and the bytes of its
 // answers.
-func greetAll(b *testing.B, entries, teams int) (time.Duration, int) {
+func openAllSessions(b *testing.B, entries, teams int) (time.Duration, int) {
 	s := newSim(b, 1, 0)
 	s.settings = func(seed uint64) Settings {
 		set := simSettings(seed)
--- a/cluster/growth_sim_test.go
+++ b/cluster/growth_sim_test.go
@@ -19,13 +19,13 @@
 // The boxes of this file are as small as those that are served: entries of 0.144 of a core
 // behind 10 Mbit/s.
 const (
-	smallShare = 0.144
-	smallPace  = 10e6 / 8
+	smallCPUShare = 0.144
+	smallLinkRate = 10e6 / 8
 	// growthBound is how long after its acknowledgement a configuration must be in force at all
 	// entries.
-	growthBound = 2500 * event.Millisecond
+	configApplyBound = 2500 * event.Millisecond
 	// growthRecovery is how long after a start of all processes all must serve again.
-	growthRecovery = 15 * event.Second
+	recoveryBound = 15 * event.Second
 )
 
 // wireSize tells how many bytes messages take on one connection.
@@ -55,44 +55,44 @@
 	return w.bytes - before
 }
 
-// arrives returns when a message that is sent now has come to an entry over its own link.
-func (e *fleetEntry) arrives(now event.Time, l *fleetLink, m *message.Envelope) event.Time {
-	if e.pace == 0 {
+// arrivalTime returns when a message that is sent now has come to an entry over its own link.
+func (e *fleetEntry) arrivalTime(now event.Time, l *fleetLink, m *message.Envelope) event.Time {
+	if e.linkRate == 0 {
 		return now
 	}
-	took := event.Duration(float64(l.size.of(m)) / e.pace * float64(event.Second))
-	e.linkFree = max(e.linkFree, now).Add(took)
-	return e.linkFree
+	took := event.Duration(float64(l.size.of(m)) / e.linkRate * float64(event.Second))
+	e.linkFreeAt = max(e.linkFreeAt, now).Add(took)
+	return e.linkFreeAt
 }
 
-// work lets an entry do something, and counts the processor time that it took as long as it
+// runCharged lets an entry do something, and counts the processor time that it took as long as it
 // takes on the entry's part of a core.
-func (e *fleetEntry) work(now event.Time, do func()) {
-	if e.share == 0 {
+func (e *fleetEntry) runCharged(now event.Time, do func()) {
+	if e.cpuShare == 0 {
 		do()
 		return
 	}
-	e.busy = max(e.busy, now).Add(event.Duration(float64(cputime.Of(do)) / e.share))
+	e.busyUntil = max(e.busyUntil, now).Add(event.Duration(float64(cputime.Of(do)) / e.cpuShare))
 }
 
 // growthSim is a deployment of small boxes whose configuration grows.
 type growthSim struct {
 	*fleetSim
-	table routing.Table
-	acked event.Time // when the newest configuration was acknowledged
+	table          routing.Table
+	acknowledgedAt event.Time // when the newest configuration was acknowledged
 }
 
 func newGrowthSim(t testing.TB, entries int) *growthSim {
 	g := &growthSim{fleetSim: newFleetSimOf(t, entries, 1, decodeTable)}
 	for _, e := range g.entries {
-		e.pace, e.share = smallPace, smallShare
+		e.linkRate, e.cpuShare = smallLinkRate, smallCPUShare
 	}
 	g.table = routing.Table{
 		Version: 1, Services: []routing.Service{{Name: "s"}}, Teams: []routing.Team{fleetTeam},
 	}
 	g.addRoutes(20)
 	g.change(func(*routing.Table) {})
-	g.mustBeInForce(growthBound)
+	g.mustBeInForce(configApplyBound)
 	return g
 }
 
@@ -137,22 +137,22 @@
 			g.runFleet(simStep)
 			continue
 		}
-		g.token++
-		token := g.token
-		g.step(owner, &DocumentSubmitted{CallID: token, Document: Document{Version: g.table.Version, Data: data}})
-		for sent := g.now; g.now.Sub(sent) < event.Second && g.answers[token].Status == 0; {
+		g.lastCall++
+		callID := g.lastCall
+		g.step(owner, &DocumentSubmitted{CallID: callID, Document: Document{Version: g.table.Version, Data: data}})
+		for sent := g.now; g.now.Sub(sent) < event.Second && g.answers[callID].Status == 0; {
 			g.runFleet(simStep)
 		}
-		if g.answers[token].Status == StatusDone {
-			g.acked = g.now
+		if g.answers[callID].Status == StatusDone {
+			g.acknowledgedAt = g.now
 			return
 		}
 	}
 	g.t.Fatalf("version %d was not acknowledged", g.table.Version)
 }
 
-// behind returns how many entries don't serve by the newest configuration.
-func (g *growthSim) behind() int {
+// staleEntries returns how many entries don't serve by the newest configuration.
+func (g *growthSim) staleEntries() int {
 	n := 0
 	for _, e := range g.entries {
 		if e.client == nil {
@@ -170,16 +170,16 @@
 // after its acknowledgement at the most.
 func (g *growthSim) mustBeInForce(within event.Duration) {
 	g.t.Helper()
-	end := g.acked.Add(within)
-	for g.now < end && g.behind() > 0 {
+	end := g.acknowledgedAt.Add(within)
+	for g.now < end && g.staleEntries() > 0 {
 		g.runFleet(simStep)
 	}
-	if n := g.behind(); n > 0 {
+	if n := g.staleEntries(); n > 0 {
 		g.t.Errorf("version %d with %d routes: %d of %d entries don't serve by it %v after its acknowledgement",
-			g.table.Version, len(g.table.Routes), n, len(g.entries), g.now.Sub(g.acked))
+			g.table.Version, len(g.table.Routes), n, len(g.entries), g.now.Sub(g.acknowledgedAt))
 		return
 	}
-	g.t.Logf("version %d with %d routes in force everywhere %v after its acknowledgement", g.table.Version, len(g.table.Routes), g.now.Sub(g.acked))
+	g.t.Logf("version %d with %d routes in force everywhere %v after its acknowledgement", g.table.Version, len(g.table.Routes), g.now.Sub(g.acknowledgedAt))
 }
 
 // restartAll starts all processes anew.
@@ -191,7 +191,7 @@
 		g.killEntry(e, event.Second)
 	}
 	g.runFleet(event.Second)
-	g.acked = g.now
+	g.acknowledgedAt = g.now
 }
 
 var _ io.Writer = (*wireSize)(nil)
--- a/cluster/levels_test.go
+++ b/cluster/levels_test.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestSnapshotAboveIsTold: a box whose folder is of a later build must say so, and not that the folder
+// TestSnapshotOfLaterBuildIsUnsupported: a box whose folder is of a later build must say so, and not that the folder
 // is damaged: an operator would take its disk for lost.
-func TestSnapshotAboveIsTold(t *testing.T) {
+func TestSnapshotOfLaterBuildIsUnsupported(t *testing.T) {
 	var m stateMachine
 	later := append([]byte{formatVersioned, byte(level.Newest + 2)}, fullMachine(t, level.Negotiated).snapshot()[2:]...)
 	for name, c := range map[string]struct {
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestWholeDocumentIsNoPart: a whole configuration and a part of one have the same kind of command,
+// TestWholeDocumentIsNotParsedAsPart: a whole configuration and a part of one have the same kind of command,
 // in builds that don't know of each other.
-func TestWholeDocumentIsNoPart(t *testing.T) {
+func TestWholeDocumentIsNotParsedAsPart(t *testing.T) {
 	for _, text := range []string{"{}", "\t{}", " {}", "\n\n{}", `{"version":2,"routes":[]}`} {
 		var m stateMachine
 		d := Document{Version: 2, Data: []byte(text)}
@@ -126,9 +126,9 @@
 	}
 }
 
-// TestCommandsAboveAreTold: a command that a box does not know used to be passed over, so that it
+// TestCommandsOfLaterBuildAreUnsupported: a command that a box does not know used to be passed over, so that it
 // differed from the others from there on, and might lead next.
-func TestCommandsAboveAreTold(t *testing.T) {
+func TestCommandsOfLaterBuildAreUnsupported(t *testing.T) {
 	for name, command := range map[string][]byte{"a later kind": {lastCommand + 1, 1}, "a later level": encodeFormatVersion(level.Newest + 1)} {
 		if err := checkReadable(command, level.Newest); !level.IsUnsupported(err) {
 			t.Errorf("%s: %v", name, err)
--- a/cluster/peers_test.go
+++ b/cluster/peers_test.go
@@ -16,10 +16,10 @@
 	"lynxramp.org/message"
 )
 
-// TestLostConnectionIsToldAfterItsBox: a control box connected, said who it is and ended at once. That it had
+// TestDisconnectFollowsConnect: a control box connected, said who it is and ended at once. That it had
 // come and that it had gone were told by two queues, and where the end came first the box counted as
 // connected for good, so that the group's level could be raised while it was away.
-func TestLostConnectionIsToldAfterItsBox(t *testing.T) {
+func TestDisconnectFollowsConnect(t *testing.T) {
 	s := &Server{
 		config: Config{LinkAddress: "127.0.0.1:1"}, log: zap.NewNop(), peers: newPeers("127.0.0.1:1", zap.NewNop()),
 		events: make(chan Event, eventQueueSize), logEvents: make(chan Event, eventQueueSize),
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestRememberedBoxesAreBounded: a control box goes by the name that a peer gives itself, and remembered all
+// TestKnownPeersAreBounded: a control box goes by the name that a peer gives itself, and remembered all
 // of them for good.
-func TestRememberedBoxesAreBounded(t *testing.T) {
+func TestKnownPeersAreBounded(t *testing.T) {
 	s := newSim(t, 3, 1)
 	s.run(4 * event.Second)
 	b := s.mustOwner()
--- a/cluster/pieces_test.go
+++ b/cluster/pieces_test.go
@@ -16,9 +16,9 @@
 
 const (
 	// allEndpoints is more than the deployment of the other tests has.
-	allEndpoints = 10000
+	pagedEndpoints = 10000
 	// mostView bounds a message on endpoints, in bytes: 26 ms of a link of 1.25 MB/s.
-	mostView = 32 << 10
+	viewSizeBound = 32 << 10
 )
 
 // largeEndpoint is one of them, with names as long and as unlike as those of real ones.
@@ -33,13 +33,13 @@
 func newLargeSim(t *testing.T) *sim {
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
-	for i := range allEndpoints {
-		s.tell(s.mustOwner(), largeEndpoint(i))
+	for i := range pagedEndpoints {
+		s.heartbeat(s.mustOwner(), largeEndpoint(i))
 		if i%200 == 199 {
 			s.run(simStep)
 		}
 	}
-	for len(s.answers) < allEndpoints {
+	for len(s.answers) < pagedEndpoints {
 		s.run(simStep)
 	}
 	return s
@@ -54,19 +54,19 @@
 	return data.Len()
 }
 
-// TestViewIsBounded: a session began with all endpoints in one message, in front of the
+// TestFirstViewSizeIsBounded: a session began with all endpoints in one message, in front of the
 // owner's signs of life, and from its beginning with each new connection.
-func TestViewIsBounded(t *testing.T) {
+func TestFirstViewSizeIsBounded(t *testing.T) {
 	s := newLargeSim(t)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
-	if got := sizeOfView(t, firstView(t, s, 1)); got > mostView {
-		t.Errorf("a session began with %d bytes on %d endpoints, want %d at the most", got, allEndpoints, mostView)
+	if got := sizeOfView(t, firstView(t, s, 1)); got > viewSizeBound {
+		t.Errorf("a session began with %d bytes on %d endpoints, want %d at the most", got, pagedEndpoints, viewSizeBound)
 	}
 }
 
-// TestNewsAreBounded: all endpoints fell silent at once, as when their data centre is cut
+// TestDownUpdateSizeIsBounded: all endpoints fell silent at once, as when their data centre is cut
 // off, and each entry was told so in one message.
-func TestNewsAreBounded(t *testing.T) {
+func TestDownUpdateSizeIsBounded(t *testing.T) {
 	s := newLargeSim(t)
 	s.stop(s.mustOwner().name) // the next one counts from its beginning for all alike
 	s.run(2 * second)
@@ -78,52 +78,52 @@
 		if m.View == nil {
 			continue
 		}
-		if got := sizeOfView(t, m.View); got > mostView {
-			t.Fatalf("a message of %d bytes on endpoints that fell silent, want %d at the most", got, mostView)
+		if got := sizeOfView(t, m.View); got > viewSizeBound {
+			t.Fatalf("a message of %d bytes on endpoints that fell silent, want %d at the most", got, viewSizeBound)
 		}
-		for _, e := range unpack(t, m.View) {
+		for _, e := range decodeEndpoints(t, m.View) {
 			down[e.ID] = e.Down
 		}
 	}
-	if len(down) != allEndpoints || !down[largeEndpoint(7).ID] {
-		t.Errorf("the entry was told of %d of %d endpoints that fell silent", len(down), allEndpoints)
+	if len(down) != pagedEndpoints || !down[largeEndpoint(7).ID] {
+		t.Errorf("the entry was told of %d of %d endpoints that fell silent", len(down), pagedEndpoints)
 	}
 }
 
-// TestPiecesMakeTheWhole: an entry that says what it has is told the rest, each piece once,
+// TestPagesCoverAllEndpoints: an entry that says what it has is told the rest, each piece once,
 // and goes on with another owner from where it was. What changes meanwhile it is told too.
-func TestPiecesMakeTheWhole(t *testing.T) {
+func TestPagesCoverAllEndpoints(t *testing.T) {
 	s := newLargeSim(t)
-	e := newPieceEntry(t, s, 1)
+	e := newPagedEntry(t, s, 1)
 	for range 3 {
-		e.ask()
+		e.ping()
 	}
-	if e.whole || len(e.known) == 0 {
+	if e.isComplete || len(e.known) == 0 {
 		t.Fatalf("all of %d endpoints were told in four pieces", len(e.known))
 	}
 	first := largeEndpoint(0)
 	first.Leaving, first.Sequence = true, 2
-	s.tell(s.mustOwner(), first)
-	s.token++
-	s.step(s.mustOwner(), &EndpointRemoved{CallID: s.token, Name: largeEndpoint(1).ID})
+	s.heartbeat(s.mustOwner(), first)
+	s.lastCall++
+	s.step(s.mustOwner(), &EndpointRemoved{CallID: s.lastCall, Name: largeEndpoint(1).ID})
 	s.run(200 * event.Millisecond)
 	s.stop(s.mustOwner().name)
 	s.run(2 * second)
 	before := len(e.known)
-	e.begin(2)
-	if e.told[0].Whole {
+	e.openSession(2)
+	if e.views[0].Whole {
 		t.Error("another owner begins anew")
 	}
-	for !e.whole && len(e.told) < 40 {
-		e.ask()
+	for !e.isComplete && len(e.views) < 40 {
+		e.ping()
 	}
-	if len(e.known) != allEndpoints-1 || !e.known[first.ID].Leaving || e.twice > 1 {
-		t.Errorf("%d endpoints known, %d before the owner changed, %d told twice", len(e.known), before, e.twice)
+	if len(e.known) != pagedEndpoints-1 || !e.known[first.ID].Leaving || e.duplicates > 1 {
+		t.Errorf("%d endpoints known, %d before the owner changed, %d told twice", len(e.known), before, e.duplicates)
 	}
 }
 
-// TestPieceIsNotSentAgain: while a piece is on its way questions bring no other.
-func TestPieceIsNotSentAgain(t *testing.T) {
+// TestPageIsSentOnce: while a piece is on its way questions bring no other.
+func TestPageIsSentOnce(t *testing.T) {
 	s := newLargeSim(t)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	for range 5 {
@@ -141,61 +141,61 @@
 }
 
 // pieceEntry is what an entry knows of endpoints.
-type pieceEntry struct {
-	t        *testing.T
-	sim      *sim
-	session  SessionID
-	read     int // messages of the session
-	revision uint64
-	known    map[string]message.Endpoint
-	told     []*message.View
-	twice    int // endpoints that were told though they were known and had not changed
-	whole    bool
+type pagedEntry struct {
+	t          *testing.T
+	sim        *sim
+	session    SessionID
+	received   int // messages of the session
+	revision   uint64
+	known      map[string]message.Endpoint
+	views      []*message.View
+	duplicates int // endpoints that were told though they were known and had not changed
+	isComplete bool
 }
 
-func newPieceEntry(t *testing.T, s *sim, id SessionID) *pieceEntry {
-	e := &pieceEntry{t: t, sim: s, known: make(map[string]message.Endpoint)}
-	e.begin(id)
+func newPagedEntry(t *testing.T, s *sim, id SessionID) *pagedEntry {
+	e := &pagedEntry{t: t, sim: s, known: make(map[string]message.Endpoint)}
+	e.openSession(id)
 	return e
 }
 
-// begin begins a session with the present owner.
-func (e *pieceEntry) begin(id SessionID) {
-	e.session, e.read, e.told = id, 0, nil
+// openSession begins a session with the present owner.
+func (e *pagedEntry) openSession(id SessionID) {
+	e.session, e.received, e.views = id, 0, nil
 	e.sim.step(e.sim.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: id, Hello: message.Hello{Entry: "entry", Revision: e.revision}})
-	e.take()
+	e.receive()
 }
 
-// ask sends the owner a question and takes what comes.
-func (e *pieceEntry) ask() {
+// ping sends the owner a question and takes what comes.
+func (e *pagedEntry) ping() {
 	e.sim.step(e.sim.mustOwner(), &PingReceived{Session: e.session, Ping: message.Ping{Revision: e.revision}})
-	e.take()
+	e.receive()
 }
 
-func (e *pieceEntry) take() {
+func (e *pagedEntry) receive() {
 	list := e.sim.sends[e.session]
-	for _, m := range list[e.read:] {
+	for _, m := range list[e.received:] {
 		if m.View != nil {
-			e.see(m.View)
+			e.apply(m.View)
 		}
 	}
-	e.read = len(list)
+	e.received = len(list)
 }
 
-func (e *pieceEntry) see(v *message.View) {
-	if got := sizeOfView(e.t, v); got > mostView {
-		e.t.Errorf("a piece of %d bytes, want %d at the most", got, mostView)
+func (e *pagedEntry) apply(v *message.View) {
+	if got := sizeOfView(e.t, v); got > viewSizeBound {
+		e.t.Errorf("a piece of %d bytes, want %d at the most", got, viewSizeBound)
 	}
-	for _, one := range unpack(e.t, v) {
+	for _, one := range decodeEndpoints(e.t, v) {
 		if _, ok := e.known[one.ID]; ok {
-			e.twice++
+			e.duplicates++
 		}
 		e.known[one.ID] = one
 	}
 	for _, id := range v.Gone {
 		delete(e.known, string(id))
 	}
-	e.told = append(e.told, v)
+	e.views = append(e.views, v)
 	e.revision = max(e.revision, v.Revision)
-	e.whole = v.Revision > 0 && !v.More
+	e.isComplete = v.Revision > 0 && !v.More
 }
--- a/cluster/poison_test.go
+++ b/cluster/poison_test.go
@@ -12,9 +12,9 @@
 	"lynxramp.org/registry"
 )
 
-// TestEndsAreSavedBeforeTheyAreAcknowledged: an entry tells of an end until the log has it, and is
+// TestCrashesAreCommittedBeforeAcknowledged: an entry tells of an end until the log has it, and is
 // told so no sooner; the next owner knows of it.
-func TestEndsAreSavedBeforeTheyAreAcknowledged(t *testing.T) {
+func TestCrashesAreCommittedBeforeAcknowledged(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(3 * event.Second)
 	b := s.mustOwner()
@@ -33,14 +33,14 @@
 		return last
 	}
 	whole := func(string, string) bool { return false }
-	s.cut = func(from, to string) bool { return from == b.name || to == b.name }
+	s.isCut = func(from, to string) bool { return from == b.name || to == b.name }
 	s.step(b, &BatchReceived{Session: 1, Batch: &message.Batch{Ends: []poison.End{
 		{Number: 1, Print: "p", Endpoint: "e1"}, {Number: 2, Print: "p", Endpoint: "e2"},
 	}}})
 	if n := acked(); n != 0 {
 		t.Fatalf("ends up to %d are acknowledged that no other box has", n)
 	}
-	s.cut = whole
+	s.isCut = whole
 	s.run(200 * event.Millisecond)
 	if n := acked(); n != 2 {
 		t.Errorf("ends up to %d are acknowledged, want 2", n)
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestDeadEntryTellsNothing: an entry that comes back in another life, or not at all, has lost
+// TestRunOfLostEntryCountsAsCrash: an entry that comes back in another life, or not at all, has lost
 // what came of its runs. One of a request under which an endpoint had ended is taken for an end.
-func TestDeadEntryTellsNothing(t *testing.T) {
+func TestRunOfLostEntryCountsAsCrash(t *testing.T) {
 	for name, dies := range map[string]func(s *sim, b *simBox){
 		"another life": func(s *sim, b *simBox) {
 			s.step(b, &SessionOpened{FormatVersion: level.Newest, Session: 3, Hello: message.Hello{Entry: "entry", Life: 2}})
@@ -80,7 +80,7 @@
 			s.put(b, 1)
 			s.run(event.Second)
 			for _, id := range []string{"e1", "e2"} {
-				s.tell(b, registry.Endpoint{ID: id, Service: "s", Address: "10.0.0.1:8" + id[1:], Slots: 4, Sequence: 1})
+				s.heartbeat(b, registry.Endpoint{ID: id, Service: "s", Address: "10.0.0.1:8" + id[1:], Slots: 4, Sequence: 1})
 			}
 			s.run(200 * event.Millisecond)
 			s.step(b, &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry", Life: 1}})
--- a/cluster/quota_sim_test.go
+++ b/cluster/quota_sim_test.go
@@ -11,9 +11,9 @@
 	"lynxramp.org/event"
 )
 
-// mostInWindow returns the most that was both sent and run in any span of the window's
+// maxInWindow returns the most that was both sent and run in any span of the window's
 // length.
-func mostInWindow(list []fleetArrival, window event.Duration) (most int, from event.Time) {
+func maxInWindow(list []fleetArrival, window event.Duration) (most int, from event.Time) {
 	for _, first := range list {
 		sum := 0
 		for _, a := range list {
@@ -28,13 +28,13 @@
 	return most, from
 }
 
-// mostRepeats returns by how many the repeats that arrived in a window passed what the
+// maxRepeatsOverBudget returns by how many the repeats that arrived in a window passed what the
 // retry budget allows there, at the most. It grows with the requests that callers sent in
 // that window, in the one before, or half a window earlier.
-func mostRepeats(f *fleetSim) (over int, from event.Time) {
+func maxRepeatsOverBudget(f *fleetSim) (over int, from event.Time) {
 	asked := func(from event.Time) int {
 		n := 0
-		for _, at := range f.asked {
+		for _, at := range f.firstAttempts {
 			if at >= from && at <= from.Add(fleetLimits.RetryWindow) {
 				n++
 			}
@@ -62,8 +62,8 @@
 	return over, from
 }
 
-// moreSeeds is how many times as many seeds as usual are run.
-func moreSeeds(t *testing.T) uint64 {
+// seedFactor is how many times as many seeds as usual are run.
+func seedFactor(t *testing.T) uint64 {
 	text := os.Getenv("LYNXRAMP_SIM_SEEDS")
 	if text == "" {
 		return 1
@@ -75,17 +75,17 @@
 	return n
 }
 
-// interleavings runs a deployment through random troubles, at several counts of entries,
+// runWithFaults runs a deployment through random troubles, at several counts of entries,
 // and hands each to a check.
-func interleavings(t *testing.T, check func(*testing.T, *fleetSim)) {
+func runWithFaults(t *testing.T, check func(*testing.T, *fleetSim)) {
 	for entries, seeds := range map[int]uint64{4: 24, 22: 12, 103: 6} {
-		for seed := range seeds * moreSeeds(t) {
+		for seed := range seeds * seedFactor(t) {
 			t.Run(fmt.Sprintf("%d entries, seed %d", entries, seed+1), func(t *testing.T) {
 				t.Parallel()
 				f := newFleetSim(t, entries, seed+1)
 				f.runFleet(4 * event.Second)
 				for range 35 {
-					f.harm()
+					f.injectFault()
 					f.runFleet(event.Duration(f.random.IntN(1800)) * event.Millisecond / 10 * 10)
 				}
 				check(t, f)
@@ -94,25 +94,25 @@
 	}
 }
 
-// TestQuotaHoldsThroughEveryInterleaving: whatever happens to owners, entries and the ways
+// TestQuotaHoldsUnderFaults: whatever happens to owners, entries and the ways
 // between them, what was sent and ran in any window stays within the quota. The bound is on
 // what endpoints saw, at any count of entries.
-func TestQuotaHoldsThroughEveryInterleaving(t *testing.T) {
-	interleavings(t, func(t *testing.T, f *fleetSim) {
-		most, from := mostInWindow(f.arrivals, fleetLimits.QuotaWindow)
-		if float64(most) > fleetAllowed {
-			t.Errorf("%d tokens were sent and run in %v from %v, allowed %.0f", most, fleetLimits.QuotaWindow, event.Duration(from), fleetAllowed)
+func TestQuotaHoldsUnderFaults(t *testing.T) {
+	runWithFaults(t, func(t *testing.T, f *fleetSim) {
+		most, from := maxInWindow(f.arrivals, fleetLimits.QuotaWindow)
+		if float64(most) > fleetQuotaBound {
+			t.Errorf("%d tokens were sent and run in %v from %v, allowed %.0f", most, fleetLimits.QuotaWindow, event.Duration(from), fleetQuotaBound)
 		}
-		if float64(most) < fleetAllowed/2 {
+		if float64(most) < fleetQuotaBound/2 {
 			t.Errorf("%d tokens at the most in a window: the bound was never near", most)
 		}
 	})
 }
 
-// TestRetryBudgetHoldsThroughEveryInterleaving is the same for a service's retry budget.
-func TestRetryBudgetHoldsThroughEveryInterleaving(t *testing.T) {
-	interleavings(t, func(t *testing.T, f *fleetSim) {
-		if over, from := mostRepeats(f); over > 0 {
+// TestRetryBudgetHoldsUnderFaults is the same for a service's retry budget.
+func TestRetryBudgetHoldsUnderFaults(t *testing.T) {
+	runWithFaults(t, func(t *testing.T, f *fleetSim) {
+		if over, from := maxRepeatsOverBudget(f); over > 0 {
 			t.Errorf("%d repeats too many arrived in %v from %v", over, fleetLimits.RetryWindow, event.Duration(from))
 		}
 	})
--- a/cluster/server_test.go
+++ b/cluster/server_test.go
@@ -34,11 +34,11 @@
 // startServers starts a group of control boxes, each on a loopback address of its own.
 func startServers(t *testing.T, count int) []*Server {
 	t.Helper()
-	return startServersAt(t, make([]func() event.Duration, count))
+	return startServersWithClocks(t, make([]func() event.Duration, count))
 }
 
-// startServersAt is startServers with boxes that go by clocks; nil is the usual one.
-func startServersAt(t *testing.T, clocks []func() event.Duration) []*Server {
+// startServersWithClocks is startServers with boxes that go by clocks; nil is the usual one.
+func startServersWithClocks(t *testing.T, clocks []func() event.Duration) []*Server {
 	t.Helper()
 	count := len(clocks)
 	port := freePort(t)
@@ -82,18 +82,18 @@
 	return d, term
 }
 
-// TestServersTakeALargeConfiguration goes through real connections and disks: 14,000 routes are
+// TestServersReplicateLargeConfiguration goes through real connections and disks: 14,000 routes are
 // acknowledged, read back as they were sent and known to all boxes, in the term in which they
 // were sent.
-func TestServersTakeALargeConfiguration(t *testing.T) {
+func TestServersReplicateLargeConfiguration(t *testing.T) {
 	servers := startServers(t, 3)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	put := func(d Document) *Server {
 		for ctx.Err() == nil {
 			for _, s := range servers {
-				token := func(k CallID) Event { return &DocumentSubmitted{CallID: k, Document: d} }
-				if a := s.call(ctx, token); a.Status == StatusDone {
+				submitEvent := func(k CallID) Event { return &DocumentSubmitted{CallID: k, Document: d} }
+				if a := s.call(ctx, submitEvent); a.Status == StatusDone {
 					return s
 				}
 			}
--- a/cluster/sim_test.go
+++ b/cluster/sim_test.go
@@ -51,46 +51,46 @@
 
 // simBox is one control box.
 type simBox struct {
-	name  string
-	disk  *simDisk
-	state *State // nil while it is off
-	tree  *hashtree.Tree
-	joins bool        // it asks to join while it has no vote or hears no leader
-	reads level.Level // 0 is the newest
+	name          string
+	disk          *simDisk
+	state         *State // nil while it is off
+	tree          *hashtree.Tree
+	wantsToJoin   bool        // it asks to join while it has no vote or hears no leader
+	formatVersion level.Level // 0 is the newest
 	// life names the box's process, and met has those of other boxes that it has heard.
-	life uint64
-	met  map[string]uint64
+	instance      uint64
+	peerInstances map[string]uint64
 	// stalled disks save nothing; what rests on it waits.
-	stalled bool
-	waiting []consensus.Ready
+	isDiskStalled bool
+	unsaved       []consensus.Ready
 	// decoding is a document that is decoded beside the loop, until decoded.
-	decoding DocumentDecoded
-	decoded  event.Time
+	decoding  DocumentDecoded
+	decodedAt event.Time
 	// busy is until when it works on events that it took: it takes none before.
-	busy event.Time
+	busyUntil event.Time
 }
 
 // sim runs control boxes in simulated time.
 type sim struct {
-	t        testing.TB
-	now      event.Time
-	boxes    map[string]*simBox
-	order    []string
-	messages []consensus.Message
-	cut      func(from, to string) bool
-	answers  map[CallID]Answer
-	sends    map[SessionID][]*message.Envelope
-	closed   map[SessionID]bool
-	token    CallID
-	random   *rand.Rand
-	lives    int
-	started  uint64 // processes of boxes
-	settings func(seed uint64) Settings
+	t          testing.TB
+	now        event.Time
+	boxes      map[string]*simBox
+	order      []string
+	messages   []consensus.Message
+	isCut      func(from, to string) bool
+	answers    map[CallID]Answer
+	sends      map[SessionID][]*message.Envelope
+	closed     map[SessionID]bool
+	lastCall   CallID
+	random     *rand.Rand
+	emptyBoxes int
+	instances  uint64 // processes of boxes
+	settings   func(seed uint64) Settings
 	// compactLeast is that of the boxes' states, if it is not 0.
-	compactLeast int
+	compactThreshold int
 	// charge is how much simulated time an event's processor time takes on a control box; 0 lets
 	// events take none.
-	charge float64
+	cpuTimeScale float64
 }
 
 var simLimits = admission.Limits{QuotaWindow: 8 * event.Second, RetryWindow: 10 * event.Second, RetryRatio: 0.2, RetryMin: 20}
@@ -118,7 +118,7 @@
 	s := &sim{
 		t: t, boxes: make(map[string]*simBox), answers: make(map[CallID]Answer), closed: make(map[SessionID]bool),
 		sends: make(map[SessionID][]*message.Envelope), random: rand.New(rand.NewPCG(1, 2)),
-		cut: func(string, string) bool { return false }, settings: simSettings,
+		isCut: func(string, string) bool { return false }, settings: simSettings,
 	}
 	var members []consensus.Member
 	for i := range founders {
@@ -138,7 +138,7 @@
 }
 
 func (s *sim) add(name string, disk *simDisk) {
-	b := &simBox{name: name, disk: disk, joins: true}
+	b := &simBox{name: name, disk: disk, wantsToJoin: true}
 	s.boxes[name] = b
 	if !slices.Contains(s.order, name) {
 		s.order = append(s.order, name)
@@ -148,39 +148,39 @@
 
 // addEmpty starts a box with an empty disk.
 func (s *sim) addEmpty(name string) {
-	s.lives++
+	s.emptyBoxes++
 	s.add(name, &simDisk{member: consensus.Member{
-		ID: consensus.MakeID(event.BoxID(name), event.Incarnation(100+s.lives)), Address: name + ":operators",
+		ID: consensus.MakeID(event.BoxID(name), event.Incarnation(100+s.emptyBoxes)), Address: name + ":operators",
 	}})
 }
 
 // start starts a box with what its disk holds.
 func (s *sim) start(b *simBox) {
 	settings := s.settings(s.random.Uint64())
-	settings.FormatVersion = b.reads
+	settings.FormatVersion = b.formatVersion
 	state, err := NewState(s.now, b.disk.member.ID, b.disk.restored, settings)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if s.compactLeast > 0 {
-		state.compactThreshold = s.compactLeast
+	if s.compactThreshold > 0 {
+		state.compactThreshold = s.compactThreshold
 	}
 	b.state = state
-	s.started++
-	b.life = s.started
-	b.met = make(map[string]uint64)
+	s.instances++
+	b.instance = s.instances
+	b.peerInstances = make(map[string]uint64)
 }
 
 func (s *sim) stop(name string) {
 	for _, other := range s.order {
 		b := s.boxes[other]
-		if last := b.met[name]; last > 0 {
-			delete(b.met, name)
+		if last := b.peerInstances[name]; last > 0 {
+			delete(b.peerInstances, name)
 			s.step(b, &PeerDisconnected{Box: event.BoxID(name), Connection: last})
 		}
 	}
 	s.boxes[name].state = nil
-	s.boxes[name].waiting = nil
+	s.boxes[name].unsaved = nil
 	s.boxes[name].decoding = DocumentDecoded{}
 }
 
@@ -192,17 +192,17 @@
 		return
 	}
 	var out Effects
-	work := s.work(func() { b.state.Step(s.now, e, &out) })
+	work := s.cpuTimeOf(func() { b.state.Step(s.now, e, &out) })
 	if out.Fatal != nil {
-		s.t.Fatalf("%s, which reads level %d, stops: %v", b.name, b.reads, out.Fatal)
+		s.t.Fatalf("%s, which reads level %d, stops: %v", b.name, b.formatVersion, out.Fatal)
 	}
-	b.busy = max(b.busy, s.now).Add(work)
+	b.busyUntil = max(b.busyUntil, s.now).Add(work)
 	s.messages = append(s.messages, out.Ready.Immediate...)
-	b.waiting = append(b.waiting, out.Ready)
+	b.unsaved = append(b.unsaved, out.Ready)
 	for _, a := range out.Answers {
 		s.answers[a.CallID] = a
 	}
-	if to := s.boxes[string(out.Leader.Box())]; len(out.Heartbeats) > 0 && to != nil && !s.cut(b.name, to.name) {
+	if to := s.boxes[string(out.Leader.Box())]; len(out.Heartbeats) > 0 && to != nil && !s.isCut(b.name, to.name) {
 		defer s.step(to, &HeartbeatsForwarded{IDs: out.Heartbeats})
 	}
 	for _, one := range out.Sends {
@@ -215,13 +215,13 @@
 	s.saveAll(b)
 }
 
-// work does something and returns how much simulated time it takes.
-func (s *sim) work(do func()) event.Duration {
-	if s.charge == 0 {
+// cpuTimeOf does something and returns how much simulated time it takes.
+func (s *sim) cpuTimeOf(do func()) event.Duration {
+	if s.cpuTimeScale == 0 {
 		do()
 		return 0
 	}
-	return event.Duration(s.charge * float64(cputime.Of(do)))
+	return event.Duration(s.cpuTimeScale * float64(cputime.Of(do)))
 }
 
 // decode does what Server's decoder does: the loop goes on meanwhile.
@@ -230,19 +230,19 @@
 		return
 	}
 	b.decoding = DocumentDecoded{Version: d.Version}
-	work := s.work(func() {
+	work := s.cpuTimeOf(func() {
 		if b.decoding.Table, b.decoding.Err = s.settings(0).Decode(d.Data); b.decoding.Err == nil {
 			b.tree = hashtree.Build(b.decoding.Table, b.tree)
 			b.decoding.Tree = b.tree
 		}
 	})
-	b.decoded = max(b.decoded, s.now).Add(work)
+	b.decodedAt = max(b.decodedAt, s.now).Add(work)
 	s.finishDecoding(b)
 }
 
 // finishDecoding hands over what was decoded when its time has come.
 func (s *sim) finishDecoding(b *simBox) {
-	if b.state == nil || b.decoding.Version == 0 || b.decoded > s.now {
+	if b.state == nil || b.decoding.Version == 0 || b.decodedAt > s.now {
 		return
 	}
 	e := b.decoding
@@ -251,12 +251,12 @@
 }
 
 func (s *sim) saveAll(b *simBox) {
-	if b.stalled {
+	if b.isDiskStalled {
 		return
 	}
-	for len(b.waiting) > 0 {
-		r := b.waiting[0]
-		b.waiting = b.waiting[1:]
+	for len(b.unsaved) > 0 {
+		r := b.unsaved[0]
+		b.unsaved = b.unsaved[1:]
 		b.disk.save(&r)
 		s.messages = append(s.messages, r.Messages...)
 		if n := len(r.Entries); n > 0 {
@@ -275,7 +275,7 @@
 		s.messages = nil
 		for _, m := range sent {
 			to := s.boxes[string(m.To.Box())]
-			if to == nil || to.disk.member.ID != m.To || s.cut(string(m.From.Box()), to.name) {
+			if to == nil || to.disk.member.ID != m.To || s.isCut(string(m.From.Box()), to.name) {
 				continue
 			}
 			if s.isBusy(to) {
@@ -283,8 +283,8 @@
 				continue
 			}
 			from := s.boxes[string(m.From.Box())]
-			s.meet(from, to)
-			s.step(to, &MessageReceived{Message: asSent(from, m)})
+			s.connectPeer(from, to)
+			s.step(to, &MessageReceived{Message: inSenderFormat(from, m)})
 		}
 		for _, name := range s.order {
 			b := s.boxes[name]
@@ -293,37 +293,37 @@
 			}
 			s.finishDecoding(b)
 			s.step(b, &Tick{})
-			if b.state != nil && b.joins {
+			if b.state != nil && b.wantsToJoin {
 				s.join(b)
 			}
 		}
 	}
 }
 
-// meet tells a box what another one says of itself at the beginning of a connection. Builds before
+// connectPeer tells a box what another one says of itself at the beginning of a connection. Builds before
 // level.Negotiated take no note of that; those before level.Chunked send all alike.
-func (s *sim) meet(from, to *simBox) {
-	reads := cmp.Or(from.reads, level.Newest)
+func (s *sim) connectPeer(from, to *simBox) {
+	reads := cmp.Or(from.formatVersion, level.Newest)
 	switch {
-	case to.state == nil || to.met[from.name] == from.life || (to.reads >= level.Chunked && to.reads < level.Negotiated):
+	case to.state == nil || to.peerInstances[from.name] == from.instance || (to.formatVersion >= level.Chunked && to.formatVersion < level.Negotiated):
 		return
-	case to.reads > 0 && to.reads < level.Chunked:
-		reads = to.reads
+	case to.formatVersion > 0 && to.formatVersion < level.Chunked:
+		reads = to.formatVersion
 	}
-	to.met[from.name] = from.life
-	s.step(to, &PeerConnected{Box: event.BoxID(from.name), Connection: from.life, FormatVersion: reads})
+	to.peerInstances[from.name] = from.instance
+	s.step(to, &PeerConnected{Box: event.BoxID(from.name), Connection: from.instance, FormatVersion: reads})
 }
 
-// asSent returns a message as a build of the sender's level sends it.
-func asSent(from *simBox, m consensus.Message) consensus.Message {
-	if from.reads > 0 && from.reads < level.Chunked {
+// inSenderFormat returns a message as a build of the sender's level sends it.
+func inSenderFormat(from *simBox, m consensus.Message) consensus.Message {
+	if from.formatVersion > 0 && from.formatVersion < level.Chunked {
 		m.Seq, m.Offset, m.Size, m.Sum = 0, 0, 0, 0
 	}
 	return m
 }
 
 // isBusy reports whether a box still works on events that it took before this step.
-func (s *sim) isBusy(b *simBox) bool { return s.charge > 0 && b.busy > s.now.Add(simStep) }
+func (s *sim) isBusy(b *simBox) bool { return s.cpuTimeScale > 0 && b.busyUntil > s.now.Add(simStep) }
 
 // join does what Server.maintainMembership does.
 func (s *sim) join(b *simBox) {
@@ -333,7 +333,7 @@
 		return
 	}
 	for _, name := range s.order {
-		if name != b.name && !s.cut(b.name, name) {
+		if name != b.name && !s.isCut(b.name, name) {
 			s.step(s.boxes[name], &JoinRequested{Member: b.disk.member})
 		}
 	}
@@ -366,22 +366,22 @@
 
 // put sends a configuration to a box and returns its token.
 func (s *sim) put(b *simBox, version uint64) CallID {
-	s.token++
-	s.step(b, &DocumentSubmitted{CallID: s.token, Document: Document{Version: version, Data: fmt.Appendf(nil, "v%d", version)}})
-	return s.token
+	s.lastCall++
+	s.step(b, &DocumentSubmitted{CallID: s.lastCall, Document: Document{Version: version, Data: fmt.Appendf(nil, "v%d", version)}})
+	return s.lastCall
 }
 
-func (s *sim) tell(b *simBox, e registry.Endpoint) CallID {
-	s.token++
-	s.step(b, &HeartbeatReceived{CallID: s.token, Endpoint: e})
-	return s.token
+func (s *sim) heartbeat(b *simBox, e registry.Endpoint) CallID {
+	s.lastCall++
+	s.step(b, &HeartbeatReceived{CallID: s.lastCall, Endpoint: e})
+	return s.lastCall
 }
 
 // read asks a box for the configuration.
 func (s *sim) read(b *simBox) Answer {
-	s.token++
-	s.step(b, &DocumentRequested{CallID: s.token})
-	return s.answers[s.token]
+	s.lastCall++
+	s.step(b, &DocumentRequested{CallID: s.lastCall})
+	return s.answers[s.lastCall]
 }
 
 func (s *sim) voters() []string {
--- a/cluster/size_test.go
+++ b/cluster/size_test.go
@@ -31,7 +31,7 @@
 // registerMany lets all endpoints come.
 func registerMany(s *sim) {
 	for i := range manyEndpoints {
-		s.tell(s.mustOwner(), manyEndpoint(i, 1))
+		s.heartbeat(s.mustOwner(), manyEndpoint(i, 1))
 		if i%50 == 49 {
 			s.run(simStep)
 		}
@@ -63,35 +63,35 @@
 // takes time.
 type manySim struct {
 	*fleetSim
-	beats uint64
+	heartbeats uint64
 }
 
 func newManySim(t *testing.T) *manySim {
 	f := &manySim{fleetSim: newFleetSim(t, manyEntries, 1)}
 	registerMany(f.sim)
-	f.beats = 1
-	f.charge = 2
-	f.play(3 * second)
+	f.heartbeats = 1
+	f.cpuTimeScale = 2
+	f.runWithHeartbeats(3 * second)
 	return f
 }
 
-// play lets time go on; each endpoint tells of itself once a second, at any box that is up.
-func (f *manySim) play(span event.Duration) {
+// runWithHeartbeats lets time go on; each endpoint tells of itself once a second, at any box that is up.
+func (f *manySim) runWithHeartbeats(span event.Duration) {
 	for end := f.now.Add(span); f.now < end; {
 		f.runFleet(simStep)
-		const beatsPerStep = manyEndpoints * int(simStep) / int(event.Second)
-		for range beatsPerStep {
-			f.beats++
+		const heartbeatsPerStep = manyEndpoints * int(simStep) / int(event.Second)
+		for range heartbeatsPerStep {
+			f.heartbeats++
 			b := f.boxes[f.order[f.random.IntN(len(f.order))]]
 			if b.state != nil && !f.isBusy(b) {
-				f.tell(b, manyEndpoint(int(f.beats)%manyEndpoints, f.beats))
+				f.heartbeat(b, manyEndpoint(int(f.heartbeats)%manyEndpoints, f.heartbeats))
 			}
 		}
 	}
 }
 
-// owned returns how many entries have an owner.
-func (f *manySim) owned() int {
+// entriesWithOwner returns how many entries have an owner.
+func (f *manySim) entriesWithOwner() int {
 	n := 0
 	for _, e := range f.entries {
 		if e.link != nil && e.client.Owned() {
@@ -101,31 +101,31 @@
 	return n
 }
 
-// TestOwnerChangesAtSize: after the owner's end there is another, and keeps the pools, and
+// TestOwnerChangeInLargeDeployment: after the owner's end there is another, and keeps the pools, and
 // nearly all entries are back with it within a second of its election.
-func TestOwnerChangesAtSize(t *testing.T) {
+func TestOwnerChangeInLargeDeployment(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a large deployment")
 	}
 	f := newManySim(t)
 	old := f.mustOwner()
 	f.stop(old.name)
-	f.play(consensus.MinElectionTimeout + consensus.ElectionJitter + event.Second)
-	if got := f.owned(); got < manyEntries*95/100 {
+	f.runWithHeartbeats(consensus.MinElectionTimeout + consensus.ElectionJitter + event.Second)
+	if got := f.entriesWithOwner(); got < manyEntries*95/100 {
 		t.Errorf("%d of %d entries have an owner a second after an election", got, manyEntries)
 	}
 	term := f.mustOwner().state.Node().Term()
-	f.play(2 * second)
+	f.runWithHeartbeats(2 * second)
 	if got := f.mustOwner().state.Node().Term(); got != term {
 		t.Errorf("term %d became %d with nothing wrong", term, got)
 	}
-	if got := f.owned(); got < manyEntries*95/100 {
+	if got := f.entriesWithOwner(); got < manyEntries*95/100 {
 		t.Errorf("%d of %d entries have an owner later", got, manyEntries)
 	}
 }
 
-// unpack returns the endpoints of a view.
-func unpack(t *testing.T, v *message.View) []message.Endpoint {
+// decodeEndpoints returns the endpoints of a view.
+func decodeEndpoints(t *testing.T, v *message.View) []message.Endpoint {
 	t.Helper()
 	list, err := v.List()
 	if err != nil {
@@ -143,30 +143,30 @@
 	return s.sends[id][0].View
 }
 
-// TestSessionIsToldWhatChanged: an entry that knows the registry up to a revision is told
+// TestSessionReceivesChangesSinceRevision: an entry that knows the registry up to a revision is told
 // what came after it, by any owner; one that knows nothing is told all.
-func TestSessionIsToldWhatChanged(t *testing.T) {
+func TestSessionReceivesChangesSinceRevision(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 1)
 	for i := range 40 {
-		s.tell(s.mustOwner(), manyEndpoint(i, 1))
+		s.heartbeat(s.mustOwner(), manyEndpoint(i, 1))
 	}
 	s.run(second)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	all := firstView(t, s, 1)
-	if list := unpack(t, all); !all.Whole || len(list) != 40 || all.Revision == 0 {
+	if list := decodeEndpoints(t, all); !all.Whole || len(list) != 40 || all.Revision == 0 {
 		t.Errorf("an entry that knows nothing was told %d endpoints, whole %v", len(list), all.Whole)
 	}
-	s.tell(s.mustOwner(), manyEndpoint(40, 1))
-	s.token++
-	s.step(s.mustOwner(), &EndpointRemoved{CallID: s.token, Name: manyEndpoint(7, 1).ID})
+	s.heartbeat(s.mustOwner(), manyEndpoint(40, 1))
+	s.lastCall++
+	s.step(s.mustOwner(), &EndpointRemoved{CallID: s.lastCall, Name: manyEndpoint(7, 1).ID})
 	s.run(second)
 	s.stop(s.mustOwner().name)
 	s.run(6 * second) // all fall silent
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry", Revision: all.Revision}})
 	some := firstView(t, s, 2)
-	if list := unpack(t, some); some.Whole || len(list) != 1 || list[0].ID != manyEndpoint(40, 1).ID || len(some.Gone) != 1 {
+	if list := decodeEndpoints(t, some); some.Whole || len(list) != 1 || list[0].ID != manyEndpoint(40, 1).ID || len(some.Gone) != 1 {
 		t.Errorf("an entry that knows 40 endpoints was told %+v and %v, want one more and one gone", list, some.Gone)
 	}
 	if !some.Signs || len(some.Silent) != 40 {
@@ -174,9 +174,9 @@
 	}
 }
 
-// TestNewsOfATickGoTogether: entries are told at once of all endpoints that came within a
+// TestChangesOfATickAreBatched: entries are told at once of all endpoints that came within a
 // tick, not of each by itself.
-func TestNewsOfATickGoTogether(t *testing.T) {
+func TestChangesOfATickAreBatched(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
@@ -184,7 +184,7 @@
 	registerMany(s)
 	told := 0
 	for _, m := range s.sends[1][before:] {
-		told += len(unpack(t, m.View))
+		told += len(decodeEndpoints(t, m.View))
 	}
 	if told != manyEndpoints {
 		t.Errorf("the entry was told of %d endpoints, want %d", told, manyEndpoints)
@@ -194,23 +194,23 @@
 	}
 }
 
-// cutReplies lets the others' answers to the owner be lost: its lease ends, and nobody
+// dropReplies lets the others' answers to the owner be lost: its lease ends, and nobody
 // misses it.
-func cutReplies(s *sim) (owner *simBox) {
+func dropReplies(s *sim) (owner *simBox) {
 	owner = s.mustOwner()
-	s.cut = func(_, to string) bool { return to == owner.name }
+	s.isCut = func(_, to string) bool { return to == owner.name }
 	return owner
 }
 
-// TestShortLapseKeepsTheSessions: an owner whose lease lapses for a moment decides nothing
+// TestShortLeaseLapseKeepsSessions: an owner whose lease lapses for a moment decides nothing
 // meanwhile, and goes on with the entries that it has.
-func TestShortLapseKeepsTheSessions(t *testing.T) {
+func TestShortLeaseLapseKeepsSessions(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 1)
-	s.tell(s.mustOwner(), manyEndpoint(1, 1))
+	s.heartbeat(s.mustOwner(), manyEndpoint(1, 1))
 	s.run(second)
-	owner := cutReplies(s)
+	owner := dropReplies(s)
 	s.step(owner, &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	for owner.state.owns(s.now) {
 		s.run(simStep)
@@ -222,7 +222,7 @@
 			t.Errorf("an owner without a lease told %+v", m)
 		}
 	}
-	s.cut = func(string, string) bool { return false }
+	s.isCut = func(string, string) bool { return false }
 	s.run(300 * event.Millisecond)
 	if s.mustOwner() != owner || s.closed[1] {
 		t.Errorf("the sessions were closed (%v) for a short lapse", s.closed[1])
@@ -232,12 +232,12 @@
 	}
 }
 
-// TestLongLapseEndsTheSessions: the entries of an owner that stays without a lease are sent
+// TestLongLeaseLapseClosesSessions: the entries of an owner that stays without a lease are sent
 // away before they would find out.
-func TestLongLapseEndsTheSessions(t *testing.T) {
+func TestLongLeaseLapseClosesSessions(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
-	owner := cutReplies(s)
+	owner := dropReplies(s)
 	s.step(owner, &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	s.run(consensus.MinElectionTimeout - consensus.LeaseMargin + leaseGracePeriod + 50*event.Millisecond)
 	if !s.closed[1] {
@@ -245,14 +245,14 @@
 	}
 }
 
-// TestElectionTurnsNoEndpointAway: a box takes the word of an endpoint that has no news
+// TestHeartbeatIsAcceptedDuringElection: a box takes the word of an endpoint that has no news
 // while an election goes on, and the next owner hears of it. A box that is without a leader
 // for longer takes none.
-func TestElectionTurnsNoEndpointAway(t *testing.T) {
+func TestHeartbeatIsAcceptedDuringElection(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	e := manyEndpoint(1, 1)
-	s.tell(s.mustOwner(), e)
+	s.heartbeat(s.mustOwner(), e)
 	s.run(second)
 	old := s.mustOwner().name
 	other := s.boxes[s.order[0]]
@@ -262,7 +262,7 @@
 	s.stop(old)
 	s.run(500 * event.Millisecond)
 	for e.Sequence = 2; e.Sequence < 20; e.Sequence++ {
-		if a := s.answers[s.tell(other, e)]; a.Status != StatusDone {
+		if a := s.answers[s.heartbeat(other, e)]; a.Status != StatusDone {
 			t.Fatalf("%v after the leader's end an endpoint was turned away: %+v", 500*event.Millisecond, a)
 		}
 		s.run(400 * event.Millisecond)
@@ -276,15 +276,15 @@
 		}
 	}
 	s.run(leaderGracePeriod + second)
-	if a := s.answers[s.tell(other, e)]; a.Status != StatusNotLeader {
+	if a := s.answers[s.heartbeat(other, e)]; a.Status != StatusNotLeader {
 		t.Errorf("a box without a leader for long answered %+v", a)
 	}
 }
 
-// TestEntryThatComesDuringAnElectionIsKept: it is taken up by the box that it came to when
+// TestSessionIsPendingDuringElection: it is taken up by the box that it came to when
 // that one comes to own the pools, or sent on to the one that does, and to any other when
 // there is none for long.
-func TestEntryThatComesDuringAnElectionIsKept(t *testing.T) {
+func TestSessionIsPendingDuringElection(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.stop(s.mustOwner().name)
--- a/cluster/starts_test.go
+++ b/cluster/starts_test.go
@@ -11,16 +11,16 @@
 	"lynxramp.org/registry"
 )
 
-// TestNewStartSettlesWhatRan: an endpoint crashed and started again under its name within a heartbeat. Its
+// TestNewInstanceFreesCapacity: an endpoint crashed and started again under its name within a heartbeat. Its
 // messages were taken for late ones, and what had run on it held its place until the entry told the
 // end of each. Now its place is free at once, and what comes late of the start before, also of its runs,
 // changes nothing of the new one.
-func TestNewStartSettlesWhatRan(t *testing.T) {
+func TestNewInstanceFreesCapacity(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 1)
 	e := registry.Endpoint{ID: "e", Born: 1000, Service: "s", Address: "10.0.0.1:80", Slots: 1, Sequence: 900}
-	s.tell(s.mustOwner(), e)
+	s.heartbeat(s.mustOwner(), e)
 	s.run(second)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("a")})
@@ -29,8 +29,8 @@
 	}
 	again := e
 	again.Born, again.Sequence = 2000, 1
-	token := s.tell(s.mustOwner(), again)
-	for s.answers[token].Status != StatusDone {
+	callID := s.heartbeat(s.mustOwner(), again)
+	for s.answers[callID].Status != StatusDone {
 		s.run(simStep)
 	}
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("b")})
@@ -39,7 +39,7 @@
 	}
 	late := e
 	late.Sequence, late.Leaving = 901, true
-	s.tell(s.mustOwner(), late)
+	s.heartbeat(s.mustOwner(), late)
 	s.step(s.mustOwner(), &EndpointRemoved{CallID: 99, Name: "e", Born: 1000})
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: &message.Batch{Finish: []message.Finish{
 		{Finished: event.Finished{ID: "a", Pool: "s"}, Endpoint: "e/1000", Suspect: true},
@@ -53,7 +53,7 @@
 	}
 	s.stop(s.mustOwner().name)
 	s.run(4 * second)
-	s.tell(s.mustOwner(), late)
+	s.heartbeat(s.mustOwner(), late)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry"}})
 	s.step(s.mustOwner(), &BatchReceived{Session: 2, Batch: submit("d")})
 	s.run(second)
@@ -62,23 +62,23 @@
 	}
 }
 
-// TestOldStartIsNoSignOfLife: a late heartbeat of the start before, at any box, does not keep the owner from
+// TestHeartbeatOfOldInstanceIsIgnored: a late heartbeat of the start before, at any box, does not keep the owner from
 // finding that the last one is silent.
-func TestOldStartIsNoSignOfLife(t *testing.T) {
+func TestHeartbeatOfOldInstanceIsIgnored(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 1)
 	old := registry.Endpoint{ID: "e", Born: 1000, Service: "s", Address: "10.0.0.1:80", Slots: 9, Sequence: 1}
-	s.tell(s.mustOwner(), old)
+	s.heartbeat(s.mustOwner(), old)
 	s.run(second)
 	again := old
 	again.Born = 2000
-	s.tell(s.mustOwner(), again)
+	s.heartbeat(s.mustOwner(), again)
 	for range 2 * (downAfterHeartbeats + 1) {
 		s.run(second / 2)
 		for _, name := range s.order {
 			old.Sequence++
-			s.tell(s.boxes[name], old)
+			s.heartbeat(s.boxes[name], old)
 		}
 	}
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
@@ -89,24 +89,24 @@
 	}
 }
 
-// TestEndpointOfNoService: an endpoint of a service that the configuration does not have is not taken in, nor
+// TestEndpointOfUnknownServiceIsRejected: an endpoint of a service that the configuration does not have is not taken in, nor
 // in place of a good one whose name it uses. One whose service was taken from the configuration still
 // tells that it leaves.
-func TestEndpointOfNoService(t *testing.T) {
+func TestEndpointOfUnknownServiceIsRejected(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 1)
 	s.run(second)
 	good := registry.Endpoint{ID: "e", Born: 1000, Service: "s", Address: "10.0.0.1:80", Slots: 9, Sequence: 1}
-	s.tell(s.mustOwner(), good)
+	s.heartbeat(s.mustOwner(), good)
 	s.run(second)
 	for _, e := range []registry.Endpoint{
 		{ID: "e", Born: 1000, Service: "nobody", Address: "10.0.0.9:80", Slots: 9, Sequence: 100},
 		{ID: "e", Born: 2000, Service: "nobody", Address: "10.0.0.9:80", Slots: 9, Sequence: 1},
 		{ID: "f", Service: "nobody", Address: "10.0.0.1:80", Slots: 9, Sequence: 1},
 	} {
-		if token := s.tell(s.mustOwner(), e); s.answers[token].Status != StatusUnknownService {
-			t.Errorf("%+v got %+v", e, s.answers[token])
+		if callID := s.heartbeat(s.mustOwner(), e); s.answers[callID].Status != StatusUnknownService {
+			t.Errorf("%+v got %+v", e, s.answers[callID])
 		}
 	}
 	s.run(second)
@@ -119,20 +119,20 @@
 	good.Sequence, good.Leaving = 2, true
 	s.mustOwner().state.config.table.Services[0].Name = "t"
 	s.mustOwner().state.config.table.Index()
-	token := s.tell(s.mustOwner(), good)
+	callID := s.heartbeat(s.mustOwner(), good)
 	s.run(second)
-	if s.answers[token].Status != StatusDone {
-		t.Errorf("leaving got %+v", s.answers[token])
+	if s.answers[callID].Status != StatusDone {
+		t.Errorf("leaving got %+v", s.answers[callID])
 	}
 }
 
-// TestEntryBelowTheGroup: an entry that goes back to an earlier build once the group's level was raised would name
+// TestEntryBelowGroupVersionGetsNothing: an entry that goes back to an earlier build once the group's level was raised would name
 // endpoints by ids that they don't know. It is sent nothing, and said so; one that reads all is served.
-func TestEntryBelowTheGroup(t *testing.T) {
+func TestEntryBelowGroupVersionGetsNothing(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 1)
-	s.tell(s.mustOwner(), registry.Endpoint{ID: "e", Born: 1000, Service: "s", Address: "10.0.0.1:80", Slots: 9, Sequence: 1})
+	s.heartbeat(s.mustOwner(), registry.Endpoint{ID: "e", Born: 1000, Service: "s", Address: "10.0.0.1:80", Slots: 9, Sequence: 1})
 	s.run(second)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Negotiated, Session: 1, Hello: message.Hello{Entry: "back"}})
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry"}})
@@ -153,10 +153,10 @@
 	}
 }
 
-// TestAwayEntryHoldsTheLevel: an entry of an earlier build that is away for a moment must be able to come back, so
+// TestDisconnectedEntryBlocksVersionRaise: an entry of an earlier build that is away for a moment must be able to come back, so
 // that the level that entries must read is not raised meanwhile, nor by a new owner before all can have found it:
 // it was raised in an owner's first moment, before any entry had come.
-func TestAwayEntryHoldsTheLevel(t *testing.T) {
+func TestDisconnectedEntryBlocksVersionRaise(t *testing.T) {
 	s := newSim(t, 3, 0)
 	for _, name := range s.order {
 		s.stop(name)
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -17,7 +17,7 @@
 
 const second = event.Second
 
-func TestThreeSeedsFoundAndTwoJoin(t *testing.T) {
+func TestThreeBootstrapAndTwoJoin(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	if got := len(s.voters()); got != 5 {
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestSparesStandBy(t *testing.T) {
+func TestBoxesBeyondVoterLimitStayLearners(t *testing.T) {
 	s := newSim(t, 3, 4)
 	s.run(6 * second)
 	m := s.mustOwner().state.Node().Members()
@@ -58,16 +58,16 @@
 		}
 	}
 	s.run(4 * second)
-	token := s.put(s.mustOwner(), 8)
+	callID := s.put(s.mustOwner(), 8)
 	s.run(second)
-	if s.answers[token].Status != StatusDone {
-		t.Errorf("no commit with 3 of 5 voters: %+v", s.answers[token])
+	if s.answers[callID].Status != StatusDone {
+		t.Errorf("no commit with 3 of 5 voters: %+v", s.answers[callID])
 	}
 }
 
-// TestSilentVoterStaysWithoutSuccessor: nobody leaves the group before another can
+// TestUnreachableVoterStaysWithoutReplacement: nobody leaves the group before another can
 // take the place.
-func TestSilentVoterStaysWithoutSuccessor(t *testing.T) {
+func TestUnreachableVoterStaysWithoutReplacement(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	for _, name := range s.order {
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestLostDisksLoseNothing wipes two disks right after an acknowledgement while all
+// TestTwoLostDisksKeepAcknowledgedDocument wipes two disks right after an acknowledgement while all
 // others lose power.
-func TestLostDisksLoseNothing(t *testing.T) {
+func TestTwoLostDisksKeepAcknowledgedDocument(t *testing.T) {
 	for first := range 5 {
 		for next := range 5 {
 			if next == first {
@@ -92,8 +92,8 @@
 			}
 			s := newSim(t, 3, 2)
 			s.run(5 * second)
-			token := s.put(s.mustOwner(), 9)
-			for s.answers[token].Status != StatusDone {
+			callID := s.put(s.mustOwner(), 9)
+			for s.answers[callID].Status != StatusDone {
 				s.run(simStep)
 			}
 			for _, name := range s.order {
@@ -118,15 +118,15 @@
 	}
 }
 
-// TestCutOffOwnerAnswersNothing cuts the owner off in silence: after its lease it
+// TestPartitionedOwnerAnswersNoRead cuts the owner off in silence: after its lease it
 // neither reads nor grants, and another one has taken over.
-func TestCutOffOwnerAnswersNothing(t *testing.T) {
+func TestPartitionedOwnerAnswersNoRead(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	old := s.mustOwner()
 	s.put(old, 3)
 	s.run(second)
-	s.cut = func(from, to string) bool { return from == old.name || to == old.name }
+	s.isCut = func(from, to string) bool { return from == old.name || to == old.name }
 	s.run(4 * second)
 	if a := s.read(old); a.Status == StatusDone {
 		t.Errorf("a box that is cut off answered a read: %+v", a)
@@ -142,9 +142,9 @@
 	}
 }
 
-// TestFrozenOwnerFindsItsLeaseOver lets an owner stand still; its first event after
+// TestFrozenOwnerLosesLease lets an owner stand still; its first event after
 // that is a read.
-func TestFrozenOwnerFindsItsLeaseOver(t *testing.T) {
+func TestFrozenOwnerLosesLease(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	old := s.mustOwner()
@@ -167,13 +167,13 @@
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	leader := s.mustOwner()
-	leader.stalled = true
-	token := s.put(leader, 5)
+	leader.isDiskStalled = true
+	callID := s.put(leader, 5)
 	s.run(second)
-	if s.answers[token].Status != StatusDone {
+	if s.answers[callID].Status != StatusDone {
 		t.Error("no commit while the leader's disk stalls")
 	}
-	leader.stalled = false
+	leader.isDiskStalled = false
 	s.saveAll(leader)
 	s.run(second)
 	s.mustOwner()
@@ -184,12 +184,12 @@
 	s.run(5 * second)
 	s.put(s.mustOwner(), 6)
 	s.run(second)
-	s.token++
-	token := s.token
-	s.step(s.mustOwner(), &DocumentSubmitted{CallID: token, Document: Document{Version: 6, Data: []byte("other")}})
+	s.lastCall++
+	callID := s.lastCall
+	s.step(s.mustOwner(), &DocumentSubmitted{CallID: callID, Document: Document{Version: 6, Data: []byte("other")}})
 	older := s.put(s.mustOwner(), 5)
 	s.run(second)
-	for _, k := range []CallID{token, older} {
+	for _, k := range []CallID{callID, older} {
 		if s.answers[k].Status != StatusDone {
 			t.Errorf("a resent or older configuration was not acknowledged: %+v", s.answers[k])
 		}
@@ -199,7 +199,7 @@
 	}
 }
 
-func TestBoxThatDoesNotOwnNamesTheLeader(t *testing.T) {
+func TestFollowerReturnsLeaderAddress(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	leader := s.mustOwner()
@@ -233,13 +233,13 @@
 	return b
 }
 
-// TestLeavingEndpointGetsNothingAfterItsAcknowledgement also changes the owner.
-func TestLeavingEndpointGetsNothingAfterItsAcknowledgement(t *testing.T) {
+// TestDrainingEndpointGetsNoGrantAfterAcknowledgement also changes the owner.
+func TestDrainingEndpointGetsNoGrantAfterAcknowledgement(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 1)
 	ready := registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 100, Sequence: 1}
-	s.tell(s.mustOwner(), ready)
+	s.heartbeat(s.mustOwner(), ready)
 	s.run(second)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("a")})
@@ -249,16 +249,16 @@
 	leaving := ready
 	leaving.Leaving = true
 	leaving.Sequence = 3
-	token := s.tell(s.mustOwner(), leaving)
-	if s.answers[token].Status == StatusDone {
+	callID := s.heartbeat(s.mustOwner(), leaving)
+	if s.answers[callID].Status == StatusDone {
 		t.Error("leaving was acknowledged before it was committed")
 	}
-	for s.answers[token].Status != StatusDone {
+	for s.answers[callID].Status != StatusDone {
 		s.run(simStep)
 	}
 	late := ready
 	late.Sequence = 2
-	s.tell(s.mustOwner(), late)
+	s.heartbeat(s.mustOwner(), late)
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("b")})
 	s.run(second)
 	if got := s.grants(1); len(got) != 1 {
@@ -274,12 +274,12 @@
 	}
 }
 
-// TestNewOwnerKnowsWhatRuns: a place that an entry says is taken is not given again.
-func TestNewOwnerKnowsWhatRuns(t *testing.T) {
+// TestNewOwnerCountsRunningRequests: a place that an entry says is taken is not given again.
+func TestNewOwnerCountsRunningRequests(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 1)
-	s.tell(s.mustOwner(), registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 1, Sequence: 1})
+	s.heartbeat(s.mustOwner(), registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 1, Sequence: 1})
 	s.run(second)
 	s.stop(s.mustOwner().name)
 	s.run(4 * second)
@@ -296,12 +296,12 @@
 	}
 }
 
-func TestSilentEndpointIsTakenForDown(t *testing.T) {
+func TestEndpointWithoutHeartbeatsIsDown(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 1)
 	e := registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 9, Sequence: 1}
-	s.tell(s.mustOwner(), e)
+	s.heartbeat(s.mustOwner(), e)
 	s.run((downAfterHeartbeats + 1) * second)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("a")})
@@ -309,7 +309,7 @@
 		t.Fatalf("granted %+v to an endpoint that is silent", got)
 	}
 	e.Sequence = 2
-	s.tell(s.mustOwner(), e)
+	s.heartbeat(s.mustOwner(), e)
 	s.run(simStep)
 	if got := s.grants(1); len(got) != 1 {
 		t.Errorf("grants %+v, want one when the endpoint was heard again", got)
@@ -322,7 +322,7 @@
 	return d.packed.encodePart(0)
 }
 
-func TestMachineSurvivesItsSnapshot(t *testing.T) {
+func TestSnapshotRoundTrip(t *testing.T) {
 	var m stateMachine
 	for i, command := range [][]byte{
 		firstPart(Document{Version: 4, Data: []byte(`{"version": 4}`)}),
@@ -348,14 +348,14 @@
 	}
 }
 
-// TestOwnerCountsWhatAnEntrySpentAlone: an entry that was away and comes back to the same
+// TestOwnerCountsSpendingOfDegradedEntry: an entry that was away and comes back to the same
 // owner tells what it spent in between out of what it was lent. All of a quota but that is
 // then given out, and no more.
-func TestOwnerCountsWhatAnEntrySpentAlone(t *testing.T) {
+func TestOwnerCountsSpendingOfDegradedEntry(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 1)
-	s.tell(s.mustOwner(), registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 1000, Sequence: 1})
+	s.heartbeat(s.mustOwner(), registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 1000, Sequence: 1})
 	s.run(second)
 	granted, next := 0, 0
 	spend := func(session SessionID, amount int) {
@@ -391,14 +391,14 @@
 	}
 }
 
-// TestEndpointIsHeardByAnyBox: a heartbeat without news is taken by any box that
+// TestHeartbeatIsAcceptedByAnyBox: a heartbeat without news is taken by any box that
 // hears the leader, which is told of it; one with news goes to the leader.
-func TestEndpointIsHeardByAnyBox(t *testing.T) {
+func TestHeartbeatIsAcceptedByAnyBox(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 1)
 	e := registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 9, Sequence: 1}
-	s.tell(s.mustOwner(), e)
+	s.heartbeat(s.mustOwner(), e)
 	s.run(second)
 	var other *simBox
 	for _, name := range s.order {
@@ -408,8 +408,8 @@
 	}
 	for range 3 * downAfterHeartbeats {
 		e.Sequence++
-		if token := s.tell(other, e); s.answers[token].Status != StatusDone || s.answers[token].HeartbeatAddress == "" {
-			t.Fatalf("a heartbeat without news got %+v", s.answers[token])
+		if callID := s.heartbeat(other, e); s.answers[callID].Status != StatusDone || s.answers[callID].HeartbeatAddress == "" {
+			t.Fatalf("a heartbeat without news got %+v", s.answers[callID])
 		}
 		s.run(second / 2)
 	}
@@ -420,14 +420,14 @@
 	}
 	e.Sequence++
 	e.Leaving = true
-	if token := s.tell(other, e); s.answers[token].Status != StatusNotLeader {
-		t.Errorf("news got %+v at a box that does not lead", s.answers[token])
+	if callID := s.heartbeat(other, e); s.answers[callID].Status != StatusNotLeader {
+		t.Errorf("news got %+v at a box that does not lead", s.answers[callID])
 	}
 	// A box that hears no leader takes no heartbeat.
-	s.cut = func(from, to string) bool { return from == other.name || to == other.name }
+	s.isCut = func(from, to string) bool { return from == other.name || to == other.name }
 	s.run(2 * second)
 	e.Leaving = false
-	if token := s.tell(other, e); s.answers[token].Status == StatusDone {
-		t.Errorf("a box that is cut off took a heartbeat: %+v", s.answers[token])
+	if callID := s.heartbeat(other, e); s.answers[callID].Status == StatusDone {
+		t.Errorf("a box that is cut off took a heartbeat: %+v", s.answers[callID])
 	}
 }
--- a/cluster/suspended_test.go
+++ b/cluster/suspended_test.go
@@ -12,17 +12,17 @@
 	"lynxramp.org/internal/uptime"
 )
 
-// TestSuspendedOwnerAnswersNoRead: a control box whose computer wakes after a while still had its lease by a clock
+// TestSuspendedOwnerLosesLease: a control box whose computer wakes after a while still had its lease by a clock
 // that had stood still, and answered a read of the configuration with one that was not the newest any
 // more.
-func TestSuspendedOwnerAnswersNoRead(t *testing.T) {
+func TestSuspendedOwnerLosesLease(t *testing.T) {
 	const boxes = 3
 	var slept [boxes]atomic.Int64
 	var clocks []func() event.Duration
 	for i := range boxes {
 		clocks = append(clocks, func() event.Duration { return uptime.Now() + event.Duration(slept[i].Load()) })
 	}
-	servers := startServersAt(t, clocks)
+	servers := startServersWithClocks(t, clocks)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	leader := -1
--- a/cluster/takeup_test.go
+++ b/cluster/takeup_test.go
@@ -12,17 +12,17 @@
 	"lynxramp.org/routing"
 )
 
-// TestEntriesServeWhileChangesFollowEachOther: an operator sends a small change of a large
+// TestEntriesServeDuringFrequentChanges: an operator sends a small change of a large
 // configuration as soon as the one before is acknowledged, for longer than entries serve without word
 // that theirs is the newest. Entries must go on serving: an answer of the owner counts
 // only for an entry that has the version that is committed by then, so that they would refuse all from
 // Fresh on if each version came before the last one is decoded, fetched and in force.
-func TestEntriesServeWhileChangesFollowEachOther(t *testing.T) {
+func TestEntriesServeDuringFrequentChanges(t *testing.T) {
 	g := newGrowthSim(t, 3)
 	g.change(func(*routing.Table) { g.addRoutes(14000) })
-	g.mustBeInForce(growthBound)
+	g.mustBeInForce(configApplyBound)
 	g.runFleet(event.Second)
-	g.charge = 1
+	g.cpuTimeScale = 1
 	changes, refusing := 0, 0
 	for end := g.now.Add(15 * event.Second); g.now < end; changes++ {
 		g.change(func(table *routing.Table) { table.Routes[changes*997%len(table.Routes)].Rank-- })
@@ -38,12 +38,12 @@
 	}
 }
 
-// TestOwnerTakesUpWithTheNewestConfiguration: a box starts with a snapshot of version 1 and, in its log
+// TestNewOwnerUsesNewestConfiguration: a box starts with a snapshot of version 1 and, in its log
 // behind it, version 2, which gives team u a quota and takes half of that of team t. It is elected,
 // and owns the pools by version 1: the snapshot's document was decoded, version 2 is not yet. Entries
 // that were not restarted go by version 2. A team that version 1 does not know has no quota at all
 // until version 2 is decoded.
-func TestOwnerTakesUpWithTheNewestConfiguration(t *testing.T) {
+func TestNewOwnerUsesNewestConfiguration(t *testing.T) {
 	document := func(version uint64, teams ...routing.Team) Document {
 		data, err := json.Marshal(routing.Table{Version: version, Services: []routing.Service{{Name: "s"}}, Teams: teams})
 		if err != nil {
--- a/cluster/upgrade_sim_test.go
+++ b/cluster/upgrade_sim_test.go
@@ -18,66 +18,66 @@
 
 // upgrade is a group whose boxes are replaced one after the other by a later build, while anything
 // happens to it.
-type upgrade struct {
+type upgradeSim struct {
 	*sim
-	from     level.Level
-	states   map[uint64]string // what all members had when they had applied an entry
-	applied  map[*State]uint64
-	sent     map[CallID]uint64 // versions by call
-	down     *simBox
-	cutOff   string
-	sequence uint64
-	session  SessionID
-	number   uint64
-	commands map[byte]int // applied, by kind
+	from      level.Level
+	states    map[uint64]string // what all members had when they had applied an entry
+	applied   map[*State]uint64
+	submitted map[CallID]uint64 // versions by call
+	stopped   *simBox
+	isolated  string
+	sequence  uint64
+	session   SessionID
+	number    uint64
+	commands  map[byte]int // applied, by kind
 }
 
-func newUpgrade(t *testing.T, from level.Level, boxes int, seed uint64) *upgrade {
-	u := &upgrade{
+func newUpgrade(t *testing.T, from level.Level, boxes int, seed uint64) *upgradeSim {
+	u := &upgradeSim{
 		sim: newSim(t, boxes, 0), from: from, states: make(map[uint64]string), applied: make(map[*State]uint64),
-		sent: make(map[CallID]uint64), commands: make(map[byte]int),
+		submitted: make(map[CallID]uint64), commands: make(map[byte]int),
 	}
 	u.random = rand.New(rand.NewPCG(seed, 5))
-	u.compactLeast = 1
+	u.compactThreshold = 1
 	for _, name := range u.order {
 		b := u.boxes[name]
 		u.stop(name)
-		b.reads = from
+		b.formatVersion = from
 		b.disk.restored.Snapshot.Data = nil // as builds before level.Negotiated found a group
 		u.restart(name)
 	}
-	u.cut = func(one, other string) bool { return one == u.cutOff || other == u.cutOff }
+	u.isCut = func(one, other string) bool { return one == u.isolated || other == u.isolated }
 	return u
 }
 
-// do lets one thing happen.
-func (u *upgrade) do() {
+// randomAction lets one thing happen.
+func (u *upgradeSim) randomAction() {
 	owner := u.owner()
 	switch n := u.random.IntN(100); {
 	case n < 12 && owner != nil:
-		token := u.put(owner, uint64(len(u.sent)+1))
-		u.sent[token] = uint64(len(u.sent) + 1)
+		callID := u.put(owner, uint64(len(u.submitted)+1))
+		u.submitted[callID] = uint64(len(u.submitted) + 1)
 	case n < 40 && owner != nil:
 		u.sequence++
-		u.tell(owner, registry.Endpoint{
+		u.heartbeat(owner, registry.Endpoint{
 			ID: fmt.Sprint("e", u.random.IntN(9)), Service: "s", Address: fmt.Sprint("a", u.random.IntN(9)), Slots: int(u.sequence), Sequence: u.sequence,
 			Born: u.random.Uint64N(4),
 		})
 	case n < 45 && owner != nil:
-		u.token++
-		u.step(owner, &EndpointRemoved{CallID: u.token, Name: fmt.Sprint("e", u.random.IntN(9)), Born: u.random.Uint64N(3)})
+		u.lastCall++
+		u.step(owner, &EndpointRemoved{CallID: u.lastCall, Name: fmt.Sprint("e", u.random.IntN(9)), Born: u.random.Uint64N(3)})
 	case n < 60 && owner != nil:
-		u.tellEnd(owner)
-	case n < 70 && u.down == nil:
-		u.down = u.boxes[u.order[u.random.IntN(len(u.order))]]
-		u.stop(u.down.name)
-	case n < 85 && u.down != nil:
-		u.restart(u.down.name)
-		u.down = nil
-	case n < 89 && u.down == nil:
-		u.cutOff = u.order[u.random.IntN(len(u.order))]
+		u.reportCrash(owner)
+	case n < 70 && u.stopped == nil:
+		u.stopped = u.boxes[u.order[u.random.IntN(len(u.order))]]
+		u.stop(u.stopped.name)
+	case n < 85 && u.stopped != nil:
+		u.restart(u.stopped.name)
+		u.stopped = nil
+	case n < 89 && u.stopped == nil:
+		u.isolated = u.order[u.random.IntN(len(u.order))]
 	case n < 97:
-		u.cutOff = ""
+		u.isolated = ""
 	}
 	for range 1 + u.random.IntN(20) {
 		u.run(simStep)
@@ -85,8 +85,8 @@
 	}
 }
 
-// tellEnd has an entry tell that an endpoint ended under a request.
-func (u *upgrade) tellEnd(owner *simBox) {
+// reportCrash has an entry tell that an endpoint ended under a request.
+func (u *upgradeSim) reportCrash(owner *simBox) {
 	u.session++
 	u.number++
 	u.step(owner, &SessionOpened{Session: u.session, Hello: message.Hello{Entry: "entry", Life: 1}, FormatVersion: level.Newest})
@@ -98,7 +98,7 @@
 
 // check fails the test if two members differ that have applied the same entries, or if the level of one
 // was lowered.
-func (u *upgrade) check() {
+func (u *upgradeSim) check() {
 	for _, name := range u.order {
 		b := u.boxes[name]
 		if b.state == nil {
@@ -118,36 +118,36 @@
 }
 
 // replace has a box end as it is told to, and start anew with a later build.
-func (u *upgrade) replace(name string, to level.Level) {
+func (u *upgradeSim) replace(name string, to level.Level) {
 	b := u.boxes[name]
 	if b.state != nil {
 		u.step(b, &StopRequested{})
 		u.run(200 * event.Millisecond)
 		u.stop(name)
 	}
-	if u.down == b {
-		u.down = nil
+	if u.stopped == b {
+		u.stopped = nil
 	}
-	b.reads = to
+	b.formatVersion = to
 	u.run(simStep * event.Duration(u.random.IntN(100)))
 	u.restart(name)
 }
 
-// mustAgree brings all back, and checks that nothing acknowledged is lost, that all have the same, and
+// mustConverge brings all back, and checks that nothing acknowledged is lost, that all have the same, and
 // that the group has the level that all read.
-func (u *upgrade) mustAgree(want level.Level) {
-	u.cutOff = ""
-	if u.down != nil {
-		u.restart(u.down.name)
-		u.down = nil
+func (u *upgradeSim) mustConverge(want level.Level) {
+	u.isolated = ""
+	if u.stopped != nil {
+		u.restart(u.stopped.name)
+		u.stopped = nil
 	}
 	for range 1800 { // an owner waits 13 s for entries that may have to find it
 		u.run(simStep)
 		u.check()
 	}
 	acknowledged := uint64(0)
-	for token, version := range u.sent {
-		if u.answers[token].Status == StatusDone {
+	for callID, version := range u.submitted {
+		if u.answers[callID].Status == StatusDone {
 			acknowledged = max(acknowledged, version)
 		}
 	}
@@ -169,12 +169,12 @@
 	}
 }
 
-// TestUpgrade replaces the boxes of a group in any order by a later build, while boxes are killed and cut
+// TestRollingUpgrade replaces the boxes of a group in any order by a later build, while boxes are killed and cut
 // off, snapshots are taken, one loses its disk, configurations and endpoints change and requests end
 // endpoints. An upgrade from an earlier build had ended every control box; in others a command that
 // earlier members did not know was passed over there, so that members differed and the one that
 // differed might lead next.
-func TestUpgrade(t *testing.T) {
+func TestRollingUpgrade(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		from := rapid.SampledFrom([]level.Level{level.Listed, level.Compressed, level.Chunked, level.Suspects, level.Negotiated}).Draw(rt, "from")
 		u := newUpgrade(t, from, rapid.SampledFrom([]int{3, 5}).Draw(rt, "boxes"), rapid.Uint64().Draw(rt, "seed"))
@@ -189,31 +189,31 @@
 		stopsAt := rapid.IntRange(0, len(order)).Draw(rt, "stops")
 		for i, name := range order {
 			for range rapid.IntRange(1, 15).Draw(rt, "steps") {
-				u.do()
+				u.randomAction()
 			}
 			if i == stopsAt {
 				break
 			}
 			u.replace(name, level.Newest)
-			if i == wiped && u.down == nil {
+			if i == wiped && u.stopped == nil {
 				u.stop(name)
 				u.addEmpty(name)
 			}
 		}
 		for range 10 {
-			u.do()
+			u.randomAction()
 		}
 		if stopsAt < len(order) {
-			u.mustAgree(from)
+			u.mustConverge(from)
 			return
 		}
-		u.mustAgree(level.Newest)
+		u.mustConverge(level.Newest)
 	})
 }
 
-// TestGoingBack: a build that turns out bad is replaced by the one before, on the same folders, as long
+// TestRollback: a build that turns out bad is replaced by the one before, on the same folders, as long
 // as not all boxes have it.
-func TestGoingBack(t *testing.T) {
+func TestRollback(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		from := rapid.SampledFrom([]level.Level{level.Listed, level.Compressed, level.Chunked, level.Suspects, level.Negotiated}).Draw(rt, "from")
 		u := newUpgrade(t, from, 3, rapid.Uint64().Draw(rt, "seed"))
@@ -221,21 +221,21 @@
 		for _, to := range []level.Level{level.Newest, from} {
 			for _, name := range u.order[:2] {
 				for range rapid.IntRange(1, 10).Draw(rt, "steps") {
-					u.do()
+					u.randomAction()
 				}
 				u.replace(name, to)
 			}
 		}
 		for range 5 {
-			u.do()
+			u.randomAction()
 		}
-		u.mustAgree(from)
+		u.mustConverge(from)
 	})
 }
 
-// TestMemberBelowTheGroup: a box that goes back to an earlier build once the level was raised is sent
+// TestMemberBelowGroupVersionGetsNothing: a box that goes back to an earlier build once the level was raised is sent
 // nothing, and is not let in with an empty disk: it would pass over what it does not know.
-func TestMemberBelowTheGroup(t *testing.T) {
+func TestMemberBelowGroupVersionGetsNothing(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(2 * event.Second)
 	if got := s.mustOwner().state.machine.formatVersion; got != level.Newest {
@@ -249,15 +249,15 @@
 	}
 	s.stop(back.name)
 	before := simDisk{member: back.disk.member, restored: back.disk.restored}
-	back.reads = level.Suspects
+	back.formatVersion = level.Suspects
 	if _, err := NewState(s.now, back.disk.member.ID, back.disk.restored, Settings{FormatVersion: level.Suspects}); !level.IsUnsupported(err) {
 		t.Errorf("the folder of a later build: %v", err)
 	}
 	back.disk.restored.Snapshot.Data = nil // a build before level.Negotiated does not look
 	s.restart(back.name)
-	token := s.put(s.mustOwner(), 5)
+	callID := s.put(s.mustOwner(), 5)
 	s.run(2 * event.Second)
-	if s.answers[token].Status != StatusDone {
+	if s.answers[callID].Status != StatusDone {
 		t.Error("a change is not taken while one box of three is of an earlier build")
 	}
 	if got := back.state.Document().Version; got != 0 {
@@ -265,7 +265,7 @@
 	}
 	s.stop(back.name)
 	s.addEmpty(back.name)
-	s.boxes[back.name].reads = level.Suspects
+	s.boxes[back.name].formatVersion = level.Suspects
 	s.stop(back.name)
 	s.restart(back.name)
 	s.run(3 * event.Second)
@@ -273,7 +273,7 @@
 		t.Errorf("members are %+v, want those of before", got)
 	}
 	s.stop(back.name)
-	s.boxes[back.name].reads = 0
+	s.boxes[back.name].formatVersion = 0
 	s.boxes[back.name].disk = &before
 	s.restart(back.name)
 	s.run(3 * event.Second)
@@ -282,9 +282,9 @@
 	}
 }
 
-// TestLeadMovesTwiceAtMost: each control box that was replaced handed its lead to any other one, which was
+// TestRollingRestartTransfersLeadershipTwiceAtMost: each control box that was replaced handed its lead to any other one, which was
 // replaced in its turn. A box that was replaced already is to have it.
-func TestLeadMovesTwiceAtMost(t *testing.T) {
+func TestRollingRestartTransfersLeadershipTwiceAtMost(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newSim(t, rapid.SampledFrom([]int{3, 5}).Draw(rt, "boxes"), 0)
 		s.run(2 * event.Second)
--- a/cluster/upload_property_test.go
+++ b/cluster/upload_property_test.go
@@ -13,33 +13,33 @@
 )
 
 // chaos is a group to which configurations are sent while anything happens to it.
-type chaos struct {
+type chaosSim struct {
 	*sim
-	down    *simBox // at most one box is stopped at a time
-	wiped   bool    // a box lost its disk; only one does
-	cutOff  string  // a box that no message reaches or leaves
-	loss    int     // of 100 messages
-	sent    map[uint64]Document
-	calls   map[CallID]uint64 // versions by call
-	applied map[*State]uint64
+	stopped  *simBox // at most one box is stopped at a time
+	wiped    bool    // a box lost its disk; only one does
+	isolated string  // a box that no message reaches or leaves
+	loss     int     // of 100 messages
+	sent     map[uint64]Document
+	calls    map[CallID]uint64 // versions by call
+	applied  map[*State]uint64
 }
 
-func newChaos(t *rapid.T, tb testing.TB) *chaos {
-	c := &chaos{sim: newSim(tb, 3, 0), sent: make(map[uint64]Document), calls: make(map[CallID]uint64), applied: make(map[*State]uint64)}
+func newChaos(t *rapid.T, tb testing.TB) *chaosSim {
+	c := &chaosSim{sim: newSim(tb, 3, 0), sent: make(map[uint64]Document), calls: make(map[CallID]uint64), applied: make(map[*State]uint64)}
 	seed := rapid.Uint64().Draw(t, "seed")
-	c.compactLeast = 1 // a snapshot is due after twice the last one's size
+	c.compactThreshold = 1 // a snapshot is due after twice the last one's size
 	for _, name := range c.order {
 		c.boxes[name].state.compactThreshold = 1
 	}
 	c.random = rand.New(rand.NewPCG(seed, 3))
-	c.cut = func(from, to string) bool {
-		return from == c.cutOff || to == c.cutOff || c.random.IntN(100) < c.loss
+	c.isCut = func(from, to string) bool {
+		return from == c.isolated || to == c.isolated || c.random.IntN(100) < c.loss
 	}
 	return c
 }
 
 // send sends a configuration of some parts, a new one or an earlier one again, to any box.
-func (c *chaos) send() {
+func (c *chaosSim) send() {
 	version := uint64(len(c.sent))
 	if version == 0 || c.random.IntN(3) == 0 {
 		version++
@@ -49,38 +49,38 @@
 		version -= uint64(c.random.IntN(2)) * uint64(c.random.IntN(int(version)))
 	}
 	b := c.boxes[c.order[c.random.IntN(len(c.order))]]
-	c.token++
-	c.calls[c.token] = version
-	c.step(b, &DocumentSubmitted{CallID: c.token, Document: c.sent[version]})
+	c.lastCall++
+	c.calls[c.lastCall] = version
+	c.step(b, &DocumentSubmitted{CallID: c.lastCall, Document: c.sent[version]})
 }
 
-// happen lets one thing happen.
-func (c *chaos) happen() {
+// randomAction lets one thing happen.
+func (c *chaosSim) randomAction() {
 	switch n := c.random.IntN(100); {
 	case n < 10:
 		c.send()
 	case n < 20:
 		c.change()
-	case n < 43 && c.down == nil:
-		c.down = c.boxes[c.order[c.random.IntN(len(c.order))]]
+	case n < 43 && c.stopped == nil:
+		c.stopped = c.boxes[c.order[c.random.IntN(len(c.order))]]
 		if owner := c.owner(); owner != nil && n < 42 {
-			c.down = owner
+			c.stopped = owner
 		}
-		c.stop(c.down.name)
-	case n < 50 && c.down != nil:
-		c.restart(c.down.name)
-		c.down = nil
-	case n < 51 && c.down != nil && !c.wiped:
+		c.stop(c.stopped.name)
+	case n < 50 && c.stopped != nil:
+		c.restart(c.stopped.name)
+		c.stopped = nil
+	case n < 51 && c.stopped != nil && !c.wiped:
 		c.wiped = true
-		c.addEmpty(c.down.name)
-		c.down = nil
+		c.addEmpty(c.stopped.name)
+		c.stopped = nil
 	case n < 53:
-		c.cutOff = c.order[c.random.IntN(len(c.order))]
+		c.isolated = c.order[c.random.IntN(len(c.order))]
 	case n < 60:
-		c.cutOff = ""
+		c.isolated = ""
 	case n < 62:
 		b := c.boxes[c.order[c.random.IntN(len(c.order))]]
-		b.stalled = true
+		b.isDiskStalled = true
 	case n < 70:
 		c.endStalls()
 	}
@@ -93,17 +93,17 @@
 }
 
 // change lets some endpoints change, so that there are snapshots.
-func (c *chaos) change() {
+func (c *chaosSim) change() {
 	owner := c.owner()
 	for i := 0; owner != nil && i < 4; i++ {
-		e := manyEndpoint(i, uint64(c.token)+1)
-		e.Slots = 1 + int(c.token)
-		c.tell(owner, e)
+		e := manyEndpoint(i, uint64(c.lastCall)+1)
+		e.Slots = 1 + int(c.lastCall)
+		c.heartbeat(owner, e)
 	}
 }
 
-// partly returns how many boxes have a part of a configuration.
-func (c *chaos) partly() int {
+// partialUploads returns how many boxes have a part of a configuration.
+func (c *chaosSim) partialUploads() int {
 	n := 0
 	for _, name := range c.order {
 		if state := c.boxes[name].state; state != nil && state.machine.upload.data != nil {
@@ -113,10 +113,10 @@
 	return n
 }
 
-func (c *chaos) endStalls() {
+func (c *chaosSim) endStalls() {
 	for _, name := range c.order {
 		b := c.boxes[name]
-		b.stalled = false
+		b.isDiskStalled = false
 		if b.state != nil {
 			c.saveAll(b)
 		}
@@ -124,7 +124,7 @@
 }
 
 // check fails the test if a box has a configuration that nobody sent, or goes back.
-func (c *chaos) check() {
+func (c *chaosSim) check() {
 	for _, name := range c.order {
 		state := c.boxes[name].state
 		if state == nil {
@@ -142,33 +142,33 @@
 }
 
 // acknowledged returns the highest version of which a call was acknowledged.
-func (c *chaos) acknowledged() uint64 {
+func (c *chaosSim) acknowledged() uint64 {
 	highest := uint64(0)
-	for token, version := range c.calls {
-		if c.answers[token].Status == StatusDone {
+	for callID, version := range c.calls {
+		if c.answers[callID].Status == StatusDone {
 			highest = max(highest, version)
 		}
 	}
 	return highest
 }
 
-// TestConfigurationsArriveWhole sends configurations of one and more parts while messages are lost,
+// TestConfigurationUploadsUnderFaults sends configurations of one and more parts while messages are lost,
 // doubled and reordered, boxes end and come back, one loses its disk, disks stall and snapshots are
 // taken. No box has ever anything but what was sent, what was acknowledged is never lost, and
 // the last one sent is in force everywhere once all is well.
-func TestConfigurationsArriveWhole(t *testing.T) {
+func TestConfigurationUploadsUnderFaults(t *testing.T) {
 	snapshots, documents, partly := 0, 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newChaos(rt, t)
 		c.run(2 * second)
 		c.loss = rapid.SampledFrom([]int{0, 5, 20}).Draw(rt, "loss")
 		for range rapid.IntRange(50, 200).Draw(rt, "steps") {
-			c.happen()
-			partly += c.partly()
+			c.randomAction()
+			partly += c.partialUploads()
 		}
-		c.loss, c.cutOff = 0, ""
-		if c.down != nil {
-			c.restart(c.down.name)
+		c.loss, c.isolated = 0, ""
+		if c.stopped != nil {
+			c.restart(c.stopped.name)
 		}
 		c.endStalls()
 		c.run(6 * second)
--- a/cluster/upload_test.go
+++ b/cluster/upload_test.go
@@ -44,10 +44,10 @@
 	}
 }
 
-// TestNewestConfigurationFollowsTheOneUnderWay: of those that come while one is being replicated
+// TestOnlyNewestPendingConfigurationIsLogged: of those that come while one is being replicated
 // only the newest goes into the log, and answers the calls of all. A call whose caller is gone
 // holds nothing up.
-func TestNewestConfigurationFollowsTheOneUnderWay(t *testing.T) {
+func TestOnlyNewestPendingConfigurationIsLogged(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
 	owner := s.mustOwner()
@@ -69,21 +69,21 @@
 	s.wantDocument(owner.name, noiseDocument(9, 1<<20))
 }
 
-// TestCallsEndWithTheirLeader: the calls that wait on a leader are told when it leads no more.
-func TestCallsEndWithTheirLeader(t *testing.T) {
+// TestCallsEndWhenLeadershipIsLost: the calls that wait on a leader are told when it leads no more.
+func TestCallsEndWhenLeadershipIsLost(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
 	old := s.mustOwner()
-	s.cut = func(from, to string) bool { return from == old.name || to == old.name }
+	s.isCut = func(from, to string) bool { return from == old.name || to == old.name }
 	s.step(old, &DocumentSubmitted{CallID: 100, Document: noiseDocument(1, 1<<20)})
 	s.step(old, &DocumentSubmitted{CallID: 101, Document: noiseDocument(2, 1<<20)})
 	s.run(3 * second)
-	for token := CallID(100); token <= 101; token++ {
-		if a := s.answers[token]; a.Status != StatusUnknown {
-			t.Errorf("call %d was answered with %+v", token, a)
+	for callID := CallID(100); callID <= 101; callID++ {
+		if a := s.answers[callID]; a.Status != StatusUnknown {
+			t.Errorf("call %d was answered with %+v", callID, a)
 		}
 	}
-	s.cut = func(string, string) bool { return false }
+	s.isCut = func(string, string) bool { return false }
 	next := s.mustOwner()
 	s.step(next, &DocumentSubmitted{CallID: 102, Document: noiseDocument(3, 1<<20)})
 	s.run(2 * second)
@@ -92,8 +92,8 @@
 	}
 }
 
-// parts returns the commands of a document.
-func parts(d Document) [][]byte {
+// encodeParts returns the commands of a document.
+func encodeParts(d Document) [][]byte {
 	d.pack()
 	var list [][]byte
 	for i := range d.packed.parts {
@@ -127,22 +127,22 @@
 	var m stateMachine
 	for i, size := range []int{0, 1, maxPartBytes - 1, maxPartBytes, maxPartBytes + 1, 3 * maxPartBytes, 1 << 20} {
 		d := noiseDocument(uint64(i+1), size)
-		apply(t, &m, parts(d)...)
+		apply(t, &m, encodeParts(d)...)
 		wantInForce(t, &m, d)
 		d = Document{Version: d.Version, Data: bytes.Repeat([]byte("{}\n"), size/3)}
 		var other stateMachine
-		apply(t, &other, parts(d)...)
+		apply(t, &other, encodeParts(d)...)
 		wantInForce(t, &other, d)
 	}
 }
 
-// TestPartsOfOtherDocuments: parts that are given up, that come twice, out of turn or too late
+// TestPartsOfOtherDocumentsAreIgnored: parts that are given up, that come twice, out of turn or too late
 // change nothing of a document that comes whole.
-func TestPartsOfOtherDocuments(t *testing.T) {
+func TestPartsOfOtherDocumentsAreIgnored(t *testing.T) {
 	a, b := noiseDocument(3, 4*maxPartBytes), noiseDocument(4, 4*maxPartBytes)
 	sameVersion := noiseDocument(4, 4*maxPartBytes)
 	sameVersion.Data[0]++
-	pa, pb, ps := parts(a), parts(b), parts(sameVersion)
+	pa, pb, ps := encodeParts(a), encodeParts(b), encodeParts(sameVersion)
 	var m stateMachine
 	apply(t, &m, pa[0], pa[1], ps[0], ps[1], pb[2], pb[0], pb[0], pb[2], pb[1], ps[1], pb[1], pb[2], pa[2])
 	if m.document.Version != 0 || m.upload.key.Sum != parseKey(pb[0][1:]).Sum || len(m.upload.parts) != 3 {
@@ -158,7 +158,7 @@
 // TestDamagedPartIsNotApplied: what its sum does not confirm does not come in force.
 func TestDamagedPartIsNotApplied(t *testing.T) {
 	var m stateMachine
-	list := parts(noiseDocument(1, 2*maxPartBytes))
+	list := encodeParts(noiseDocument(1, 2*maxPartBytes))
 	for name, bad := range map[string][]byte{
 		"short":     list[1][:partHeader],
 		"cut":       list[1][:len(list[1])-5],
@@ -182,13 +182,13 @@
 	}
 }
 
-// TestSnapshotHasPartsUnderWay: a machine that was restored goes on with a document of which it
+// TestSnapshotKeepsIncompleteUpload: a machine that was restored goes on with a document of which it
 // had a part, and takes the very bytes that another one takes.
-func TestSnapshotHasPartsUnderWay(t *testing.T) {
+func TestSnapshotKeepsIncompleteUpload(t *testing.T) {
 	first, second := noiseDocument(1, maxPartBytes+7), noiseDocument(2, 3*maxPartBytes)
-	list := parts(second)
+	list := encodeParts(second)
 	var m, again stateMachine
-	apply(t, &m, parts(first)...)
+	apply(t, &m, encodeParts(first)...)
 	apply(t, &m, list[0], list[1], encodeEndpoint(registry.Endpoint{ID: "a", Service: "s", Address: "10.0.0.1:80", Sequence: 2}))
 	if err := again.restore(m.snapshot(), level.Newest); err != nil {
 		t.Fatal(err)
@@ -208,8 +208,8 @@
 // FuzzRestore reads anything as a snapshot.
 func FuzzRestore(f *testing.F) {
 	var m stateMachine
-	list := parts(noiseDocument(2, 2*maxPartBytes))
-	for _, c := range append(parts(noiseDocument(1, 9)), list[0]) {
+	list := encodeParts(noiseDocument(2, 2*maxPartBytes))
+	for _, c := range append(encodeParts(noiseDocument(1, 9)), list[0]) {
 		if _, err := m.apply(1, c); err != nil {
 			f.Fatal(err)
 		}
