--- a/cluster/absent_test.go
+++ b/cluster/absent_test.go
@@ -12,11 +12,9 @@
 	"lynxramp.org/message"
 )
 
-// TestTickTimeWithAbsentEntries: an owner looked through all requests of all entries at each
-// tick for each entry that was away, for as long as it remembered it. A second's ticks with a
-// third of 390 entries away, as when a data centre is lost, and 20,000 requests of the others
-// must leave the lease its time. The best of some runs counts, for machines that do other
-// work too.
+// TestTickTimeWithAbsentEntries guards against ticks whose cost grows with the number of absent entries:
+// the owner used to scan all requests for each of them at each tick. It takes the best of several runs, as
+// the machine may be busy.
 func TestTickTimeWithAbsentEntries(t *testing.T) {
 	const (
 		entries, absent = 390, 130
@@ -44,7 +42,7 @@
 	var out Effects
 	owner.state.owner.tick(now, owner.state, &out)
 	if got := forgottenEntries(owner.state.owner); got == 0 || got > maxForgetPerTick {
-		t.Errorf("%d entries forgotten in one step, want some, %d at the most", got, maxForgetPerTick)
+		t.Errorf("%d entries forgotten in one tick, want 1 to %d", got, maxForgetPerTick)
 	}
 	best := time.Hour
 	for range 3 {
@@ -55,16 +53,16 @@
 		}
 		best = min(best, time.Since(began))
 	}
-	t.Logf("a second's ticks take %v", best)
+	t.Logf("the ticks of one second take %v", best)
 	if got := forgottenEntries(owner.state.owner); got != absent {
-		t.Errorf("%d of %d absent entries are forgotten seconds later", got, absent)
+		t.Errorf("%d of %d absent entries forgotten after one more second", got, absent)
 	}
 	if best > maxTickTime {
-		t.Errorf("a second's ticks with %d of %d entries away and %d requests take %v, want %v at the most", absent, entries, requests, best, maxTickTime)
+		t.Errorf("the ticks of one second with %d of %d entries absent and %d requests take %v, want at most %v", absent, entries, requests, best, maxTickTime)
 	}
 }
 
-// forgottenEntries returns of how many entries an owner took as ended what they had running.
+// forgottenEntries returns the number of entries whose requests an owner has taken as terminated.
 func forgottenEntries(o *owner) int {
 	n := 0
 	for _, e := range o.entries {
--- a/cluster/address_test.go
+++ b/cluster/address_test.go
@@ -9,7 +9,7 @@
 	"lynxramp.org/registry"
 )
 
-// heartbeatFor lets an endpoint tell of itself once a second.
+// heartbeatFor sends heartbeats of an endpoint once a second.
 func heartbeatFor(s *sim, e *registry.Endpoint, seconds int) {
 	for range seconds {
 		e.Sequence++
@@ -23,11 +23,11 @@
 	return ok
 }
 
-// TestDelayedHeartbeatOfCrashedEndpoint: a word of an endpoint that has crashed arrives after another
-// came to its address. The one that lives keeps the address, or has it back within
-// seconds, whether the dead one was known before or not, and whoever owns the pools.
+// TestDelayedHeartbeatOfCrashedEndpoint sends a heartbeat of a crashed endpoint after another endpoint has
+// taken its address. The live one must keep the address or get it back within seconds, also after a change
+// of owner.
 func TestDelayedHeartbeatOfCrashedEndpoint(t *testing.T) {
-	for name, known := range map[string]bool{"known before": true, "never heard before": false} {
+	for name, known := range map[string]bool{"registered before": true, "not registered before": false} {
 		t.Run(name, func(t *testing.T) {
 			s := newSim(t, 3, 2)
 			s.run(5 * second)
@@ -41,14 +41,14 @@
 			s.heartbeat(s.mustOwner(), dead)
 			s.run(100 * event.Millisecond)
 			if known && !isRegistered(s, "alive") {
-				t.Error("a late word of an endpoint that was followed took the address")
+				t.Error("a delayed heartbeat of the replaced endpoint took the address")
 			}
 			heartbeatFor(s, &alive, 2)
 			s.stop(s.mustOwner().name)
 			s.run(2 * second)
 			heartbeatFor(s, &alive, 3)
 			if !isRegistered(s, "alive") || isRegistered(s, "dead") {
-				t.Error("seconds after the late word the endpoint that lives is not there")
+				t.Error("the live endpoint is not registered seconds after the delayed heartbeat")
 			}
 		})
 	}
--- a/cluster/asked_test.go
+++ b/cluster/asked_test.go
@@ -15,7 +15,7 @@
 	"lynxramp.org/registry"
 )
 
-// askingSim is an owner with endpoints that ask for something and entries that are connected.
+// feedbackSim is an owner with endpoints that send feedback and connected entries.
 type feedbackSim struct {
 	*sim
 	owner *simBox
@@ -42,7 +42,7 @@
 	s.step(s.owner, &SessionOpened{FormatVersion: formatVersion, Session: id, Hello: message.Hello{Entry: event.BoxID(fmt.Sprint("entry", id)), Life: 1}})
 }
 
-// reportLimits has an entry tell of endpoints from one to another that name a limit.
+// reportLimits has an entry report a rate limit of the endpoints with numbers in [from, to).
 func (s *feedbackSim) reportLimits(id SessionID, from, to int, rate float64) {
 	b := &message.Batch{}
 	for i := from; i < to; i++ {
@@ -53,7 +53,8 @@
 	s.step(s.owner, &BatchReceived{Session: id, Batch: b})
 }
 
-// receivedFeedback returns what a session was told that endpoints ask for, and the longest message of it.
+// receivedFeedback returns the feedback of endpoints that a session received, and the size of its longest
+// message with feedback.
 func (s *feedbackSim) receivedFeedback(id SessionID) (states map[event.EndpointID]backpressure.State, longest int) {
 	states = make(map[event.EndpointID]backpressure.State)
 	for _, m := range s.sends[id] {
@@ -68,8 +69,8 @@
 	return states, longest
 }
 
-// TestFeedbackReachesAllEntries: those that are connected, those that come later, in messages of bounded
-// length, and none that does not read it.
+// TestFeedbackReachesAllEntries: connected entries and those that connect later receive all feedback in
+// force, in messages of bounded size; entries of a format version without feedback receive none.
 func TestFeedbackReachesAllEntries(t *testing.T) {
 	const endpoints = 1000
 	s := newFeedbackSim(t, endpoints, 3, level.Newest)
@@ -85,18 +86,18 @@
 	for id, want := range map[SessionID]int{1: endpoints, 3: endpoints, 4: 0, 5: endpoints} {
 		states, longest := s.receivedFeedback(id)
 		if len(states) != want || longest > 17_000 {
-			t.Errorf("entry %d was told of %d endpoints, want %d; the longest message has %d bytes", id, len(states), want, longest)
+			t.Errorf("entry %d received feedback of %d endpoints, want %d; the longest message has %d bytes", id, len(states), want, longest)
 		}
 		for _, one := range states {
 			if !one.Limited || one.Rate != 2.5 {
-				t.Fatalf("entry %d was told %+v", id, one)
+				t.Fatalf("entry %d received %+v", id, one)
 			}
 		}
 	}
 }
 
-// BenchmarkLimitedEndpoints tells what an owner works when all of many endpoints name a limit and all entries are
-// told, as milliseconds of processor time without the encoding of messages, and how long these are.
+// BenchmarkLimitedEndpoints measures the CPU time of an owner, without the encoding of messages, when many
+// endpoints report a rate limit and all entries receive them, and the size of these messages.
 func BenchmarkLimitedEndpoints(b *testing.B) {
 	for _, entries := range []int{100, 385, 770} {
 		b.Run(fmt.Sprintf("1000_endpoints/%d_entries", entries), func(b *testing.B) {
--- a/cluster/bulk_bench_test.go
+++ b/cluster/bulk_bench_test.go
@@ -9,7 +9,7 @@
 	"lynxramp.org/level"
 )
 
-// largeMachine has a configuration of many routes and many endpoints.
+// largeMachine returns a state machine with a large configuration and many endpoints.
 func largeMachine(b *testing.B, d Document) *stateMachine {
 	m := &stateMachine{}
 	commands := encodeParts(d)
@@ -24,7 +24,7 @@
 	return m
 }
 
-// BenchmarkSnapshot takes a snapshot, which the loop does now and then.
+// BenchmarkSnapshot takes a snapshot, which runs in the event loop.
 func BenchmarkSnapshot(b *testing.B) {
 	m := largeMachine(b, routesDocument(1, manyRoutes))
 	for b.Loop() {
@@ -32,7 +32,7 @@
 	}
 }
 
-// BenchmarkRestore takes a leader's snapshot over, which the loop does once.
+// BenchmarkRestore restores the snapshot of a leader, which runs in the event loop.
 func BenchmarkRestore(b *testing.B) {
 	data := largeMachine(b, routesDocument(1, manyRoutes)).snapshot()
 	for b.Loop() {
@@ -43,7 +43,7 @@
 	}
 }
 
-// BenchmarkPack compresses a configuration, beside the loop.
+// BenchmarkPack compresses a configuration, which runs outside the event loop.
 func BenchmarkPack(b *testing.B) {
 	d := routesDocument(1, manyRoutes)
 	for b.Loop() {
@@ -52,7 +52,7 @@
 	}
 }
 
-// BenchmarkApplyPart applies a part of a configuration, each of which is a command by itself.
+// BenchmarkApplyPart applies one part of a configuration, a command of its own.
 func BenchmarkApplyPart(b *testing.B) {
 	list := encodeParts(routesDocument(1, manyRoutes))
 	b.ResetTimer()
--- a/cluster/bulk_sim_test.go
+++ b/cluster/bulk_sim_test.go
@@ -16,22 +16,22 @@
 	"lynxramp.org/message"
 )
 
-// The links and disks of slow boxes.
+// Speed of the links and disks of slow boxes.
 const (
 	slowStep    = 2 * event.Millisecond
 	slowLatency = event.Millisecond
-	slowTick    = 50 * event.Millisecond // as tickInterval
-	// slowLink is what a box sends to all others together, in bytes a second: 10 Mbit/s.
+	slowTick    = 50 * event.Millisecond // same as tickInterval
+	// slowLink is the bandwidth of a box to all others together, in bytes per second: 10 Mbit/s.
 	slowLink = 10e6 / 8
-	// slowSync and slowDisk are what a disk takes to save: a time, and bytes a second.
+	// slowSync is the latency of a save, slowDisk the throughput of a disk in bytes per second.
 	slowSync = 100 * event.Millisecond
 	slowDisk = 4 << 20
 )
 
-// manyRoutes are the routes of a large configuration, of about 205 bytes each.
+// manyRoutes is the number of routes of a large configuration; each takes about 205 bytes.
 const manyRoutes = 14000
 
-// routesDocument is a configuration of so many routes.
+// routesDocument returns a configuration with a number of routes.
 func routesDocument(version uint64, routes int) Document {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"version": %d, "routes": [`, version)
@@ -46,7 +46,7 @@
 	return Document{Version: version, Data: b.Bytes()}
 }
 
-// noiseDocument is a configuration that can't be compressed.
+// noiseDocument returns a configuration that can't be compressed.
 func noiseDocument(version uint64, size int) Document {
 	random := rand.New(rand.NewPCG(version, 5))
 	data := make([]byte, size)
@@ -56,21 +56,21 @@
 	return Document{Version: version, Data: data}
 }
 
-// flying is a message on its way.
+// inFlightMessage is a message that arrives at a time.
 type inFlightMessage struct {
 	message consensus.Message
 	at      event.Time
 }
 
-// slowBox is a box's way to the others and to its disk.
+// slowBox is the network link and the disk of a box.
 type slowBox struct {
-	linkFreeAt event.Time // when what was sent has left
+	linkFreeAt event.Time // when all messages sent so far have left
 	saving     []consensus.Ready
 	savedAt    event.Time
 	codecs     map[consensus.ID]*byteCounter
 }
 
-// counter counts what a message takes on a connection.
+// byteCounter counts the encoded bytes of a connection.
 type byteCounter struct {
 	bytes int
 	out   *gob.Encoder
@@ -81,12 +81,12 @@
 	return len(data), nil
 }
 
-// slowSim is a sim of boxes with thin links and slow disks.
+// slowSim is a sim of boxes with slow links and disks.
 type slowSim struct {
 	*sim
 	slowBoxes map[string]*slowBox
 	inFlight  []inFlightMessage
-	sent      int // bytes in all
+	sent      int // bytes sent by all boxes
 }
 
 func newSlowSim(t testing.TB, founders, joining int) *slowSim {
@@ -94,7 +94,7 @@
 	return s
 }
 
-// box returns the way of a box, and keeps its saves from being done at once.
+// box returns the link and disk of a box, and takes over the box's saves.
 func (s *slowSim) box(name string) *slowBox {
 	b, ok := s.slowBoxes[name]
 	if !ok {
@@ -105,7 +105,7 @@
 	return b
 }
 
-// size returns what a message takes on its connection.
+// size returns the encoded size of a message on its connection.
 func (b *slowBox) size(m consensus.Message) int {
 	c, ok := b.codecs[m.To]
 	if !ok {
@@ -120,7 +120,7 @@
 	return c.bytes - before
 }
 
-// send puts messages on their way, one behind the other.
+// send queues new messages on the links of their senders.
 func (s *slowSim) send() {
 	for _, m := range s.messages {
 		from := s.box(string(m.From.Box()))
@@ -150,7 +150,7 @@
 	s.inFlight = append(late, s.inFlight...)
 }
 
-// save lets a disk go on: what waits is saved together.
+// save advances the disk of a box: all pending saves are done together.
 func (s *slowSim) save(b *simBox) {
 	slow := s.box(b.name)
 	if b.state == nil {
@@ -187,7 +187,7 @@
 	}
 }
 
-// reportSaved tells a box of the last entry that its disk has taken.
+// reportSaved reports the last saved entry to a box.
 func (s *slowSim) reportSaved(b *simBox, saved []consensus.Ready) {
 	for _, r := range slices.Backward(saved) {
 		if n := len(r.Entries); n > 0 {
@@ -201,7 +201,7 @@
 	}
 }
 
-// run lets time go on.
+// run advances simulated time.
 func (s *slowSim) run(span event.Duration) {
 	for end := s.now.Add(span); s.now < end; {
 		s.now = s.now.Add(slowStep)
@@ -221,7 +221,7 @@
 	}
 }
 
-// kill ends a box and loses what it had not saved.
+// kill stops a box; what it had not saved or sent is lost.
 func (s *slowSim) kill(name string) {
 	s.stop(name)
 	s.box(name).saving = nil
@@ -229,7 +229,7 @@
 	s.box(name).linkFreeAt = 0
 }
 
-// operator sends a configuration again each second until it is acknowledged, as an operator does.
+// operator submits a configuration each second until it is acknowledged.
 type operator struct {
 	s        *slowSim
 	document Document
@@ -241,7 +241,7 @@
 	return &operator{s: s, document: d, sent: -event.Time(second)}
 }
 
-// done sends if it is time, and reports whether a call was acknowledged.
+// done submits the configuration when it is due, and reports whether a call was acknowledged.
 func (o *operator) done() bool {
 	s := o.s
 	if owner := s.owner(); owner != nil && s.now.Sub(o.sent) >= second {
@@ -256,25 +256,23 @@
 	return slices.ContainsFunc(o.callIDs, func(t CallID) bool { return s.answers[t].Status == StatusDone })
 }
 
-// checkOwner fails the test if nobody owns the pools or the term is another.
+// checkOwner fails the test if there is no owner or the term has changed.
 func (s *slowSim) checkOwner(term consensus.Term) {
 	s.t.Helper()
 	if got := s.mustOwner().state.Node().Term(); got != term {
-		s.t.Fatalf("term %d at %v, was %d", got, event.Duration(s.now), term)
+		s.t.Fatalf("term %d at %v, want %d", got, event.Duration(s.now), term)
 	}
 }
 
-// TestLargeConfigurationOverSlowLinks: a configuration of 14,000 routes stayed unacknowledged and
-// cost the leader its lease again and again: it was one entry, sent whole in front of the
-// heartbeats, and once more every 120 ms while its reply was late. It must be acknowledged
-// without a change of leader, with 10 Mbit/s out of each box and disks of 100 ms.
+// TestLargeConfigurationOverSlowLinks: a large configuration must be acknowledged without a change of
+// leader. As one log entry it would delay the heartbeats behind it, so that the leader loses its lease.
 func TestLargeConfigurationOverSlowLinks(t *testing.T) { testLargeConfiguration(t, 2) }
 
-// TestLargeConfigurationForManyBoxes: the same with 24 boxes, 19 of them without a vote, which all
-// get the log out of the leader's one link.
+// TestLargeConfigurationForManyBoxes is the same with 24 boxes, 19 of them learners, that all receive the
+// log over the leader's link.
 func TestLargeConfigurationForManyBoxes(t *testing.T) { testLargeConfiguration(t, 21) }
 
-// testLargeConfiguration sends a large configuration to three founders and so many boxes that join.
+// testLargeConfiguration submits a large configuration to three founders and a number of boxes that join.
 func testLargeConfiguration(t *testing.T, joining int) {
 	s := newSlowSim(t, 3, joining)
 	s.run(event.Duration(6+joining) * second)
@@ -299,12 +297,11 @@
 	}
 }
 
-// TestLargeConfigurationSurvivesLeaderChanges: each leader that got a part of a large configuration
-// to the others ended before it had all of it there: the next one began anew, for ever. What
-// was replicated must count, so that it is in force though no leader lives as long as the
-// whole takes.
+// TestLargeConfigurationSurvivesLeaderChanges: no leader lives as long as the replication of a large
+// configuration takes. Replicated parts must be kept by the next leader, or the upload would never
+// complete.
 func TestLargeConfigurationSurvivesLeaderChanges(t *testing.T) {
-	const life = 1500 * event.Millisecond // of a leader, less than the whole takes
+	const life = 1500 * event.Millisecond // of a leader; the replication takes longer
 	s := newSlowSim(t, 3, 2)
 	s.run(8 * second)
 	d := noiseDocument(1, 3<<20)
@@ -317,7 +314,7 @@
 			s.run(slowStep)
 			continue
 		}
-		o.sent = s.now.Add(-second) // the operator finds the new leader at once
+		o.sent = s.now.Add(-second) // the operator submits to the new leader at once
 		for until := s.now.Add(life); s.now < until && !o.done(); {
 			s.run(slowStep)
 		}
@@ -328,12 +325,12 @@
 			s.restart(owner.name)
 		}
 		if s.now.Sub(began) > 120*second {
-			t.Fatalf("not acknowledged within 120 s and %d leaders", ends)
+			t.Fatalf("not acknowledged within 120 s by %d leaders", ends)
 		}
 	}
-	t.Logf("%d bytes acknowledged after %v and the ends of %d leaders", len(d.Data), s.now.Sub(began), ends)
+	t.Logf("%d bytes acknowledged after %v; %d leaders were killed", len(d.Data), s.now.Sub(began), ends)
 	if ends == 0 {
-		t.Error("no leader ended meanwhile")
+		t.Error("no leader was killed before the acknowledgement")
 	}
 	s.run(10 * second)
 	for _, name := range s.order {
@@ -341,9 +338,9 @@
 	}
 }
 
-// TestReplacedBoxCatchesUpOverSlowLink: a box whose disk was lost was sent the whole state as one
-// message, again every 120 ms: the leader lost its lease and the box never caught up. It must
-// become a voter while changes go on, and the leader must keep its lease.
+// TestReplacedBoxCatchesUpOverSlowLink: a box with a lost disk must become a voter while changes continue,
+// and the leader must keep its lease. A snapshot sent as one message, and sent again before it arrived,
+// would prevent both.
 func TestReplacedBoxCatchesUpOverSlowLink(t *testing.T) {
 	s := newSlowSim(t, 3, 0)
 	s.run(4 * second)
@@ -353,7 +350,7 @@
 			t.Fatal("the large configuration was not acknowledged")
 		}
 	}
-	for i := range 2 * minCompactBytes / entryOverhead { // so that the log is compacted
+	for i := range 2 * minCompactBytes / entryOverhead { // enough for a compaction of the log
 		s.heartbeat(s.mustOwner(), manyEndpoint(i, 1))
 		s.run(slowStep)
 	}
@@ -372,7 +369,7 @@
 		s.run(50 * slowStep)
 		s.checkOwner(term)
 		if s.now.Sub(began) > 60*second {
-			t.Fatal("the box was no voter after 60 s")
+			t.Fatal("the box is not a voter after 60 s")
 		}
 	}
 	t.Logf("voter again after %v", s.now.Sub(began))
@@ -380,12 +377,12 @@
 	s.wantDocument(lost, s.mustOwner().state.Document())
 }
 
-// logBound is what the log of a box may take in memory, in bytes, when its state is 1 MB: twice the
-// least between two snapshots, and a configuration that is not committed.
+// logBound is the most memory that the log of a box may take when its state is 1 MB, in bytes: twice the
+// least size between two snapshots, and a configuration that is not committed.
 const logBound = 2*minCompactBytes + 2<<20
 
-// TestLogSizeIsBounded: 60 changes of 1 MB within 6 s stayed in memory, as the log kept 256
-// entries of any size and as all that was not yet replicated piled up in it.
+// TestLogSizeIsBounded submits large changes faster than they are replicated: pending ones must not
+// accumulate in the log.
 func TestLogSizeIsBounded(t *testing.T) {
 	s := newSlowSim(t, 3, 0)
 	s.run(4 * second)
@@ -410,8 +407,8 @@
 	}
 }
 
-// TestLogSizeOfCommittedChangesIsBounded: the same where each change is committed before the
-// next one comes.
+// TestLogSizeOfCommittedChangesIsBounded is the same where each change is committed before the next one:
+// the log must be compacted by size, not by its number of entries.
 func TestLogSizeOfCommittedChangesIsBounded(t *testing.T) {
 	s := newSlowSim(t, 3, 0)
 	s.run(4 * second)
@@ -424,7 +421,7 @@
 	s.wantLogWithin(most)
 }
 
-// logBytes returns what the longest log takes in memory.
+// logBytes returns the size of the largest log in memory.
 func (s *slowSim) logBytes() int {
 	most := 0
 	for _, name := range s.order {
@@ -435,8 +432,8 @@
 
 func (s *slowSim) wantLogWithin(most int) {
 	s.t.Helper()
-	s.t.Logf("the log took %d bytes at the most", most)
+	s.t.Logf("largest size of the log: %d bytes", most)
 	if most > logBound {
-		s.t.Errorf("the log took %d bytes, want %d at the most", most, logBound)
+		s.t.Errorf("the log took %d bytes, want at most %d", most, logBound)
 	}
 }
--- a/cluster/fleet_harm_test.go
+++ b/cluster/fleet_harm_test.go
@@ -6,7 +6,7 @@
 	"lynxramp.org/event"
 )
 
-// injectFault draws one trouble and begins it.
+// injectFault starts a random fault.
 func (f *fleetSim) injectFault() {
 	span := func(most int) event.Duration { return event.Duration(1+f.random.IntN(most)) * event.Millisecond }
 	box := f.order[f.random.IntN(len(f.order))]
@@ -22,37 +22,37 @@
 	}
 	part := f.random.Float64()
 	switch f.random.IntN(10) {
-	case 0: // a control box is killed
+	case 0: // kill a control box
 		f.killBox(box, span(1500))
-	case 1: // all of them are
+	case 1: // kill all control boxes
 		for _, name := range f.order {
 			f.killBox(name, span(800))
 		}
-	case 2: // a control box stands still
+	case 2: // suspend a control box
 		if b := f.boxes[box]; b.state != nil && len(f.frozenStates) == 0 {
 			f.frozenStates[box], b.state = b.state, nil
 			f.restartAt[box] = f.now.Add(span(3000))
 		}
-	case 3: // a control box is cut off from the others, perhaps one way
+	case 3: // partition a control box from the others, perhaps in one direction
 		until, oneWay := f.now.Add(span(3000)), f.random.IntN(2) == 0
 		f.isCut = func(from, to string) bool { return f.now < until && (from == box || (to == box && !oneWay)) }
-	case 4: // a planned change of the owner
+	case 4: // request a graceful stop of a control box
 		if b := f.boxes[box]; b.state != nil {
 			f.step(b, &StopRequested{})
 		}
-	case 5, 6: // entries are killed, and perhaps the owner with them
+	case 5, 6: // kill entries, and perhaps the owner with them
 		some(part, func(e *fleetEntry) { f.killEntry(e, span(700)) })
 		if f.random.IntN(2) == 0 {
 			f.killBox(box, span(1500))
 		}
-	case 7: // entries are cut off
+	case 7: // cut entries off from the control boxes
 		some(part, func(e *fleetEntry) { e.cutUntil = f.now.Add(span(6000)) })
-	case 8: // entries stand still
+	case 8: // suspend entries
 		some(part, func(e *fleetEntry) { e.frozenUntil = f.now.Add(span(4000)) })
-	case 9: // connections are reset
+	case 9: // reset connections of entries
 		some(part, f.dropLink)
 	}
-	if f.random.IntN(3) == 0 { // callers move, and come in other numbers
+	if f.random.IntN(3) == 0 { // change the load and its distribution over entries
 		f.demand = fleetTeam.Rate * 6 * f.random.Float64()
 		some(1, func(e *fleetEntry) { e.weight = f.random.Float64() * f.random.Float64() })
 	}
--- a/cluster/fleet_sim_test.go
+++ b/cluster/fleet_sim_test.go
@@ -20,23 +20,22 @@
 	"lynxramp.org/routing"
 )
 
-// The simulation of this file puts entries, with their real reducers, beside the simulated
-// control boxes, and harms both. What it checks is what an endpoint sees: requests that
-// were sent and arrived.
+// This file simulates entries, with their real reducers, together with the control boxes, and injects
+// faults into both. The tests check the requests that arrive at endpoints.
 
-// fleetTick is how often an entry's loop ticks.
+// fleetTick is the tick interval of an entry's event loop.
 const fleetTick = 50 * event.Millisecond
 
-// fleetLimits are the bounds of the simulated deployment.
+// fleetLimits are the admission limits of the simulated deployment.
 var fleetLimits = admission.Limits{
 	QuotaWindow: 8 * event.Second, QuotaOvershoot: 0.1, QuotaSlack: 10000,
 	RetryWindow: 10 * event.Second, RetryRatio: 0.2, RetryMin: 50,
 }
 
-// fleetTeam is the team whose quota is looked at, and fleetAllowed what it may have in a
-// window at the very most.
+// fleetTeam is the team whose quota is checked.
 var fleetTeam = routing.Team{Name: "t", Rate: 16000, Burst: 16000}
 
+// fleetQuotaBound is the most that the team may use in a window, in tokens.
 const fleetQuotaBound = (16000*8+16000)*1.1 + 10000
 
 // fleetArrival is a request that an endpoint ran.
@@ -46,13 +45,13 @@
 	repeat        bool
 }
 
-// fleetMail is a message on its way between an entry and a control box.
+// fleetMessage is a message in transit between an entry and a control box.
 type fleetMessage struct {
 	at       event.Time
 	envelope *message.Envelope
 }
 
-// fleetLink is a connection of an entry to a control box.
+// fleetLink is the connection of an entry to a control box.
 type fleetLink struct {
 	id        gateway.LinkID
 	session   SessionID
@@ -60,7 +59,7 @@
 	toControl []fleetMessage // to the control box
 	toEntry   []fleetMessage // to the entry
 	size      *wireSize
-	received  int // of sim.sends
+	received  int // messages of sim.sends taken so far
 }
 
 // fleetCall is a request of a caller.
@@ -70,62 +69,62 @@
 	amount      int
 	repeat      bool
 	decision    chan gateway.Decision
-	cancelAt    event.Time // when its caller leaves; 0 is never
+	cancelAt    event.Time // when its caller cancels it; 0 means never
 	fingerprint poison.Fingerprint
-	attempt     int // how often it was sent before
+	attempt     int // number of earlier attempts
 }
 
-// fleetEnd is when a request ends that runs, perhaps with its endpoint.
+// fleetFinish is the pending end of a running request, and of its endpoint if that crashes.
 type fleetFinish struct {
 	at     event.Time
 	finish message.Finish
 	crash  *poison.End
 }
 
-// fleetEntry is one entry.
+// fleetEntry is a simulated entry.
 type fleetEntry struct {
 	name        event.BoxID
-	clockOrigin event.Time // of its process' clock
+	clockOrigin event.Time // start of its process's clock
 	client      *gateway.OwnerClient
 	link        *fleetLink
 	calls       []*fleetCall
 	finishes    []fleetFinish
-	dialAt      event.Time // when the dial under way ends; 0 is none
+	dialAt      event.Time // when the pending dial completes; 0 if there is none
 	dialAddress string
-	frozenUntil event.Time // it stands still until then
-	downUntil   event.Time // it does not run until then
-	cutUntil    event.Time // it reaches no control box until then
-	weight      float64    // its part of the callers
-	// pace is the width of the entry's link, in bytes a second, and share the part of a core that
-	// its process has; 0 lets messages and work take no time.
+	frozenUntil event.Time // its process is suspended until then
+	downUntil   event.Time // its process is not running until then
+	cutUntil    event.Time // it can't reach control boxes until then
+	weight      float64    // relative share of the callers
+	// linkRate is the bandwidth of the entry's link in bytes per second, cpuShare the fraction of a core
+	// that its process gets; 0 lets messages or work take no time.
 	linkRate, cpuShare float64
-	busyUntil          event.Time // it works until then on what it took
-	linkFreeAt         event.Time // when what is on its link has arrived
+	busyUntil          event.Time // it takes no message before
+	linkFreeAt         event.Time // when all messages on the link have arrived
 }
 
-// fleetSim is a deployment.
+// fleetSim is a simulated deployment of control boxes, entries and endpoints.
 type fleetSim struct {
 	*sim
 	entries        []*fleetEntry
 	arrivals       []fleetArrival
-	firstAttempts  []event.Time // when callers sent requests, but for repeats
+	firstAttempts  []event.Time // when callers sent requests, without retries
 	entryInstances uint64
 	requests       int
 	sessions       SessionID
 	sequence       uint64
-	demand         float64 // tokens a second
+	demand         float64 // tokens per second
 	restartAt      map[string]event.Time
 	frozenStates   map[string]*State
 	decode         func([]byte) (*routing.Table, error)
-	crashing       *crashSim        // endpoints that end; nil for one that does not
-	limited        *limitedEndpoint // what the endpoint that does not end asks for; nil for nothing
+	crashing       *crashSim        // endpoints that crash; nil for a single one that does not
+	limited        *limitedEndpoint // state of the single endpoint's rate limit; nil if it has none
 }
 
 func newFleetSim(t testing.TB, n int, seed uint64) *fleetSim {
 	return newFleetSimOf(t, n, seed, decodeFleet)
 }
 
-// newFleetSimOf returns a deployment whose configurations are read by decode.
+// newFleetSimOf returns a deployment that decodes configurations with decode.
 func newFleetSimOf(t testing.TB, n int, seed uint64, decode func([]byte) (*routing.Table, error)) *fleetSim {
 	f := &fleetSim{
 		sim: newSim(t, 3, 2), restartAt: make(map[string]event.Time), frozenStates: make(map[string]*State),
@@ -168,14 +167,14 @@
 	e.calls, e.finishes, e.dialAt = nil, nil, 0
 }
 
-// killEntry ends an entry's process; what it has under way runs on at the endpoints.
+// killEntry kills an entry's process; its requests keep running on the endpoints.
 func (f *fleetSim) killEntry(e *fleetEntry, off event.Duration) {
 	f.dropLink(e)
 	e.client = nil
 	e.downUntil = f.now.Add(off)
 }
 
-// dropLink ends an entry's connection, on both sides.
+// dropLink closes an entry's connection on both sides.
 func (f *fleetSim) dropLink(e *fleetEntry) {
 	if e.link == nil {
 		return
@@ -190,10 +189,10 @@
 	}
 }
 
-// now is the time by an entry's own clock.
+// now returns the time by the entry's own clock.
 func (e *fleetEntry) now(now event.Time) event.Time { return event.Time(now.Sub(e.clockOrigin)) }
 
-// runFleet lets time go on for all.
+// runFleet advances the time of all control boxes, entries and endpoints.
 func (f *fleetSim) runFleet(span event.Duration) {
 	for end := f.now.Add(span); f.now < end; {
 		f.run(simStep)
@@ -210,7 +209,7 @@
 	}
 }
 
-// sendHeartbeats lets the endpoint tell of itself.
+// sendHeartbeats sends the heartbeat of the endpoint to all control boxes.
 func (f *fleetSim) sendHeartbeats() {
 	f.sequence++
 	if f.crashing != nil {
@@ -224,7 +223,7 @@
 	}
 }
 
-// restoreBoxes restarts and thaws control boxes whose time has come.
+// restoreBoxes restarts and resumes the control boxes that are due.
 func (f *fleetSim) restoreBoxes() {
 	for _, name := range slices.Clone(f.order) {
 		at, ok := f.restartAt[name]
@@ -260,7 +259,7 @@
 	f.applyEffects(e)
 }
 
-// connect ends a dial that is under way.
+// connect completes a pending dial.
 func (f *fleetSim) connect(e *fleetEntry, now event.Time) {
 	if e.dialAt == 0 || f.now < e.dialAt {
 		return
@@ -273,12 +272,12 @@
 	}
 	f.sessions++
 	e.link = &fleetLink{id: gateway.LinkID(f.sessions), session: f.sessions, box: e.dialAddress, size: newWireSize()}
-	e.linkFreeAt = f.now // what was on the way of a connection before is lost
+	e.linkFreeAt = f.now // messages of the previous connection are lost
 	e.client.Dialed(now, e.link.id, e.dialAddress)
 	e.client.Reads(e.link.id, level.Newest)
 }
 
-// applyEffects does what an entry asks of the world.
+// applyEffects applies the effects of an entry's owner client.
 func (f *fleetSim) applyEffects(e *fleetEntry) {
 	out := e.client.Take()
 	for _, s := range out.Sends {
@@ -303,7 +302,7 @@
 	}
 }
 
-// drawArrival draws how long a message takes: a moment, now and then much longer.
+// drawArrival draws when a message arrives: now, or rarely much later.
 func (f *fleetSim) drawArrival() event.Time {
 	if f.random.IntN(200) == 0 {
 		return f.now.Add(event.Duration(f.random.IntN(400)) * event.Millisecond)
@@ -311,7 +310,7 @@
 	return f.now
 }
 
-// deliver moves the mail of an entry's connection, in order, unless it is cut off.
+// deliver delivers the messages on an entry's connection in order, unless it is cut off.
 func (f *fleetSim) deliver(e *fleetEntry) {
 	if e.link == nil || f.now < e.cutUntil {
 		return
@@ -350,7 +349,7 @@
 	}
 }
 
-// stepCallers lets callers send to an entry, leave it, and have their answers.
+// stepCallers sends requests of callers to an entry, cancels some, and finishes those that are due.
 func (f *fleetSim) stepCallers(e *fleetEntry, now event.Time) {
 	total := 0.0
 	for _, one := range f.entries {
@@ -366,7 +365,7 @@
 		if f.random.Float64() < rate && e.client.Table(now) != nil {
 			f.sendRequest(e, now, f.random.IntN(2*mean), false)
 			if f.random.IntN(3) == 0 {
-				f.sendRequest(e, now, 0, true) // its first attempt counted against the quota
+				f.sendRequest(e, now, 0, true) // the quota counted its first attempt
 			}
 		}
 	}
@@ -394,7 +393,7 @@
 func (f *fleetSim) sendRequest(e *fleetEntry, now event.Time, amount int, repeat bool) {
 	f.requests++
 	if f.limited != nil {
-		amount, repeat = 1, false // no other bound than the endpoint's limit
+		amount, repeat = 1, false // only the endpoint's rate limit applies
 	}
 	c := &fleetCall{
 		id: event.RequestID(fmt.Sprintf("%s-%d", e.name, f.requests)), sent: f.now, amount: amount, repeat: repeat,
@@ -415,8 +414,8 @@
 	}, c.decision)
 }
 
-// receiveDecisions lets requests that were granted arrive at the endpoint, some of them
-// late: their entry stood still between the grant and the dispatch.
+// receiveDecisions sends granted requests to the endpoint, some of them late: their entry was suspended
+// between the grant and the dispatch.
 func (f *fleetSim) receiveDecisions(e *fleetEntry, now event.Time) {
 	e.calls = slices.DeleteFunc(e.calls, func(c *fleetCall) bool {
 		select {
--- a/cluster/folders_test.go
+++ b/cluster/folders_test.go
@@ -15,13 +15,13 @@
 	"lynxramp.org/store"
 )
 
-// folderLevels are the builds whose folders are kept, and the level that the forms in them have.
+// folderLevels are the format versions of the recorded folders, by the commit whose build wrote them.
 var folderLevels = map[string]level.Level{
 	"d61e540": level.Listed, "50d3523": level.Listed, "e994de1": level.Chunked, "53e223b": level.Chunked, "de049ca": level.Suspects,
 	"9c63b0b": level.Negotiated, "a229638": level.Instances,
 }
 
-// openRecorded opens a copy of a folder that the build of a commit has written.
+// openRecorded opens a copy of the folder that the build of a commit has written.
 func openRecorded(t *testing.T, commit string) (*State, error) {
 	t.Helper()
 	dir := t.TempDir()
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, e := range restored.Entries { // what is in the log is committed, in these folders
+	for _, e := range restored.Entries { // all entries of these logs are committed
 		if _, err := state.machine.apply(e.Index, e.Data); err != nil && e.Kind != 0 && e.Kind != 2 {
 			t.Errorf("%s: entry %d: %v", commit, e.Index, err)
 		}
@@ -53,8 +53,8 @@
 	return state, nil
 }
 
-// TestFoldersOfEarlierBuilds: a box that is replaced starts on the folder that its earlier build has written. Those
-// of two builds were called damaged, and each control box ended as it was replaced.
+// TestFoldersOfEarlierBuilds: a build must open the folders of earlier ones, and not report them as
+// damaged.
 func TestFoldersOfEarlierBuilds(t *testing.T) {
 	for commit, want := range folderLevels {
 		state, err := openRecorded(t, commit)
@@ -64,19 +64,19 @@
 		}
 		m := &state.machine
 		if m.document.Version != 9 || len(m.registry.Endpoints) != 3 || len(m.registry.Gone) != 300 {
-			t.Errorf("%s: version %d, %d endpoints, %d ended; want 9, 3 and 300", commit, m.document.Version, len(m.registry.Endpoints), len(m.registry.Gone))
+			t.Errorf("%s: version %d, %d endpoints, %d removed; want 9, 3 and 300", commit, m.document.Version, len(m.registry.Endpoints), len(m.registry.Gone))
 		}
 		if state.node.Members().Voters == nil || state.snapshotIndex <= 1 {
-			t.Errorf("%s: members %+v, a snapshot at %d", commit, state.node.Members(), state.snapshotIndex)
+			t.Errorf("%s: members %+v, snapshot at index %d", commit, state.node.Members(), state.snapshotIndex)
 		}
 		if m.formatVersion != want {
-			t.Errorf("%s: the folder tells level %d, want %d", commit, m.formatVersion, want)
+			t.Errorf("%s: format version %d, want %d", commit, m.formatVersion, want)
 		}
 	}
 }
 
-// TestFolderOfLaterBuildIsUnchanged: the folder of a later build is not taken for damaged, and nothing in it is
-// changed.
+// TestFolderOfLaterBuildIsUnchanged: a folder of a later build is reported as unsupported, not as damaged,
+// and not modified.
 func TestFolderOfLaterBuildIsUnchanged(t *testing.T) {
 	later := t.TempDir()
 	disk, id, restored, err := store.Open(later, "box", 1)
@@ -85,7 +85,7 @@
 	}
 	m := stateMachine{formatVersion: level.Newest}
 	snapshot := m.snapshot()
-	snapshot[1]++ // the level
+	snapshot[1]++ // the format version
 	restored.Snapshot.Index, restored.Snapshot.Data = 3, snapshot
 	if err := disk.Save(&consensus.Ready{Snapshot: &restored.Snapshot}); err != nil {
 		t.Fatal(err)
@@ -99,14 +99,14 @@
 		t.Fatal(err)
 	}
 	if _, err = NewState(0, id.Member(), restored, simSettings(1)); !level.IsUnsupported(err) {
-		t.Errorf("%v, want that a later build is needed", err)
+		t.Errorf("%v, want an error that a later build is needed", err)
 	}
 	if after := contentsOf(t, later); !slices.Equal(before, after) {
 		t.Error("the folder of a later build was changed")
 	}
 }
 
-// contentsOf returns the names and contents of a folder's files, in order.
+// contentsOf returns the names and contents of the files of a folder, in order.
 func contentsOf(t *testing.T, dir string) []string {
 	t.Helper()
 	files, err := os.ReadDir(dir)
--- a/cluster/greet_bench_test.go
+++ b/cluster/greet_bench_test.go
@@ -14,8 +14,8 @@
 	"lynxramp.org/routing"
 )
 
-// BenchmarkNewSessions tells what a new owner works until it has answered the first questions of all entries,
-// as milliseconds of processor time without the encoding of messages, and how long those answers are.
+// BenchmarkNewSessions measures the CPU time until a new owner has answered the first pings of all entries,
+// without the encoding of messages, and the size of its messages.
 func BenchmarkNewSessions(b *testing.B) {
 	for _, size := range []struct{ entries, teams int }{{100, 333}, {385, 5}, {385, 100}, {385, 333}, {770, 333}, {1540, 333}} {
 		b.Run(fmt.Sprintf("%d_entries/%d_teams", size.entries, size.teams), func(b *testing.B) {
@@ -28,8 +28,8 @@
 	}
 }
 
-// openAllSessions has entries connect to an owner that begins, and returns what that worked and the bytes of its
-// answers.
+// openAllSessions connects entries to a new owner, and returns its CPU time and the encoded size of its
+// messages.
 func openAllSessions(b *testing.B, entries, teams int) (time.Duration, int) {
 	s := newSim(b, 1, 0)
 	s.settings = func(seed uint64) Settings {
--- a/cluster/growth_sim_test.go
+++ b/cluster/growth_sim_test.go
@@ -16,19 +16,18 @@
 	"lynxramp.org/routing"
 )
 
-// The boxes of this file are as small as those that are served: entries of 0.144 of a core
-// behind 10 Mbit/s.
+// Simulated entries are as small as real ones: 0.144 of a core and a link of 10 Mbit/s.
 const (
 	smallCPUShare = 0.144
 	smallLinkRate = 10e6 / 8
-	// growthBound is how long after its acknowledgement a configuration must be in force at all
-	// entries.
+	// configApplyBound is the longest time from the acknowledgement of a configuration until it is in force
+	// at all entries.
 	configApplyBound = 2500 * event.Millisecond
-	// growthRecovery is how long after a start of all processes all must serve again.
+	// recoveryBound is the longest time from a restart of all processes until all entries serve again.
 	recoveryBound = 15 * event.Second
 )
 
-// wireSize tells how many bytes messages take on one connection.
+// wireSize measures the encoded size of messages on one connection.
 type wireSize struct {
 	encoder *gob.Encoder
 	bytes   int
@@ -40,13 +39,13 @@
 	return w
 }
 
-// Write counts.
+// Write counts the encoded bytes.
 func (w *wireSize) Write(p []byte) (int, error) {
 	w.bytes += len(p)
 	return len(p), nil
 }
 
-// of returns the bytes of a message.
+// of returns the encoded size of a message.
 func (w *wireSize) of(m *message.Envelope) int {
 	before := w.bytes
 	if err := w.encoder.Encode(m); err != nil {
@@ -55,7 +54,7 @@
 	return w.bytes - before
 }
 
-// arrivalTime returns when a message that is sent now has come to an entry over its own link.
+// arrivalTime returns when a message that is sent now arrives over the entry's link.
 func (e *fleetEntry) arrivalTime(now event.Time, l *fleetLink, m *message.Envelope) event.Time {
 	if e.linkRate == 0 {
 		return now
@@ -65,8 +64,8 @@
 	return e.linkFreeAt
 }
 
-// runCharged lets an entry do something, and counts the processor time that it took as long as it
-// takes on the entry's part of a core.
+// runCharged runs a function and keeps the entry busy for the CPU time of it, scaled to the entry's share
+// of a core.
 func (e *fleetEntry) runCharged(now event.Time, do func()) {
 	if e.cpuShare == 0 {
 		do()
@@ -75,11 +74,11 @@
 	e.busyUntil = max(e.busyUntil, now).Add(event.Duration(float64(cputime.Of(do)) / e.cpuShare))
 }
 
-// growthSim is a deployment of small boxes whose configuration grows.
+// growthSim is a deployment of small entries whose configuration grows.
 type growthSim struct {
 	*fleetSim
 	table          routing.Table
-	acknowledgedAt event.Time // when the newest configuration was acknowledged
+	acknowledgedAt event.Time // when the newest configuration was acknowledged, or all processes were restarted
 }
 
 func newGrowthSim(t testing.TB, entries int) *growthSim {
@@ -96,11 +95,11 @@
 	return g
 }
 
-// decodeTable reads the configurations of this file: a table as JSON.
+// decodeTable decodes a configuration of this file: a routing table as JSON.
 func decodeTable(data []byte) (*routing.Table, error) {
 	t := &routing.Table{}
 	if err := json.Unmarshal(data, t); err != nil {
-		return decodeFleet(data) // the first one of the simulation
+		return decodeFleet(data) // the first configuration of newFleetSimOf
 	}
 	if found := routing.Check(t); len(found) > 0 {
 		return nil, found
@@ -109,7 +108,7 @@
 	return t, nil
 }
 
-// addRoutes adds routes with hosts and prefixes as unlike as those of users.
+// addRoutes adds routes with varied hosts and prefixes, which compress as badly as real ones.
 func (g *growthSim) addRoutes(n int) {
 	for range n {
 		number := len(g.table.Routes)
@@ -122,7 +121,7 @@
 	}
 }
 
-// change sends a changed configuration until it is acknowledged.
+// change submits a changed configuration until it is acknowledged.
 func (g *growthSim) change(do func(*routing.Table)) {
 	g.t.Helper()
 	g.table.Version++
@@ -151,7 +150,7 @@
 	g.t.Fatalf("version %d was not acknowledged", g.table.Version)
 }
 
-// staleEntries returns how many entries don't serve by the newest configuration.
+// staleEntries returns how many entries don't use the newest configuration.
 func (g *growthSim) staleEntries() int {
 	n := 0
 	for _, e := range g.entries {
@@ -166,8 +165,8 @@
 	return n
 }
 
-// mustBeInForce waits until the newest configuration is in force at all entries, for some time
-// after its acknowledgement at the most.
+// mustBeInForce waits until the newest configuration is in force at all entries, at most a time after its
+// acknowledgement.
 func (g *growthSim) mustBeInForce(within event.Duration) {
 	g.t.Helper()
 	end := g.acknowledgedAt.Add(within)
@@ -175,14 +174,14 @@
 		g.runFleet(simStep)
 	}
 	if n := g.staleEntries(); n > 0 {
-		g.t.Errorf("version %d with %d routes: %d of %d entries don't serve by it %v after its acknowledgement",
+		g.t.Errorf("version %d with %d routes: not in force at %d of %d entries %v after its acknowledgement",
 			g.table.Version, len(g.table.Routes), n, len(g.entries), g.now.Sub(g.acknowledgedAt))
 		return
 	}
-	g.t.Logf("version %d with %d routes in force everywhere %v after its acknowledgement", g.table.Version, len(g.table.Routes), g.now.Sub(g.acknowledgedAt))
+	g.t.Logf("version %d with %d routes in force at all entries %v after its acknowledgement", g.table.Version, len(g.table.Routes), g.now.Sub(g.acknowledgedAt))
 }
 
-// restartAll starts all processes anew.
+// restartAll restarts all processes.
 func (g *growthSim) restartAll() {
 	for _, name := range g.order {
 		g.killBox(name, event.Second)
@@ -196,7 +195,7 @@
 
 var _ io.Writer = (*wireSize)(nil)
 
-// addTeams adds teams with as many keys each.
+// addTeams adds teams with a number of keys each.
 func (g *growthSim) addTeams(table *routing.Table, teams, keys int) {
 	for range teams {
 		team := routing.Team{Name: fmt.Sprintf("team%x", g.random.Uint64()>>20), Rate: 1000, Burst: 1000, InTokens: true, PlainTokens: 200}
--- a/cluster/growth_test.go
+++ b/cluster/growth_test.go
@@ -10,14 +10,10 @@
 	"lynxramp.org/routing"
 )
 
-// TestGrowingConfigurationReachesAllEntries has what a fleet of small boxes went through. Symptom: after
-// the third change that added 1,400 routes no entry served any more, not even after all processes
-// had been started anew; entries went by an old configuration and did not hear that endpoints
-// leave. Sequence: each change was followed by a small one as soon as it was acknowledged; then all
-// processes were killed. Cause: a document of 880 kB takes 0.7 s on a link of 10 Mbit/s, and an
-// entry gave the owner up that was silent for 0.5 s, so that the document was sent from its
-// beginning on each next connection. What settled it: the entries' links were full to the end at 1 %
-// of their processors, with no change of the owner; "owner lost: owner does not answer" each 0.55 s.
+// TestGrowingConfigurationReachesAllEntries adds many routes several times, each time followed by a small
+// change, and then restarts all processes. A large configuration over a slow link must neither delay the
+// owner's pongs beyond the entries' timeout nor be sent from its beginning on each connection: no entry
+// would ever get it.
 func TestGrowingConfigurationReachesAllEntries(t *testing.T) {
 	g := newGrowthSim(t, 6)
 	for range 3 {
@@ -30,8 +26,7 @@
 	g.mustBeInForce(recoveryBound)
 }
 
-// TestLargeChangeIsInForceInTime: one change of ten times the routes, teams or keys of the largest
-// that was seen.
+// TestLargeChangeIsInForceInTime adds many routes, teams or keys in one change.
 func TestLargeChangeIsInForceInTime(t *testing.T) {
 	const many = 14000
 	for name, grow := range map[string]func(*growthSim, *routing.Table){
@@ -51,8 +46,8 @@
 	}
 }
 
-// TestLargeChangeResumesAfterDisconnects: connections that last 0.3 s each, and owners that are killed,
-// make a large change slower. They must not make it begin anew for ever.
+// TestLargeChangeResumesAfterDisconnects: a change that takes longer to send than connections last must
+// resume on the next connection, also after a change of owner.
 func TestLargeChangeResumesAfterDisconnects(t *testing.T) {
 	g := newGrowthSim(t, 3)
 	g.change(func(*routing.Table) { g.addRoutes(14000) })
@@ -69,12 +64,11 @@
 			g.killBox(owner.name, event.Second)
 		}
 	}
-	t.Errorf("%d entries don't serve by the change %v after its acknowledgement", g.staleEntries(), g.now.Sub(g.acknowledgedAt))
+	t.Errorf("the change is not in force at %d entries %v after its acknowledgement", g.staleEntries(), g.now.Sub(g.acknowledgedAt))
 }
 
-// BenchmarkGrowth tells how long after its acknowledgement one change that adds routes is in force
-// at all entries, in simulated milliseconds: with the link of an entry alone, with its processor alone, and
-// with both.
+// BenchmarkGrowth measures the simulated time from the acknowledgement of a change that adds routes until
+// it is in force at all entries, with the entries' link, CPU share or both limited.
 func BenchmarkGrowth(b *testing.B) {
 	for _, routes := range []int{1400, 4200, 14000, 28000, 56000} {
 		for name, size := range map[string][2]float64{"both": {smallLinkRate, smallCPUShare}, "link": {smallLinkRate, 0}, "processor": {0, smallCPUShare}} {
--- a/cluster/levels_test.go
+++ b/cluster/levels_test.go
@@ -18,7 +18,7 @@
 	"lynxramp.org/registry"
 )
 
-// fullMachine returns a machine with some of all that the log may bring, at a level.
+// fullMachine returns a state machine that has applied all kinds of commands of a format version.
 func fullMachine(t *testing.T, l level.Level) *stateMachine {
 	t.Helper()
 	m := &stateMachine{}
@@ -52,10 +52,10 @@
 	return m
 }
 
-// contents is all that a machine has, for comparisons.
+// contents returns the whole state as text, for comparisons.
 func (m *stateMachine) contents(t *testing.T) string {
 	t.Helper()
-	m.registry.IsGone("") // it makes what is derived, which is there or not after a snapshot
+	m.registry.IsGone("") // builds the derived fields, which a restored state may lack
 	data, err := json.Marshal([]any{
 		m.formatVersion, m.document.Version, m.document.Data, m.upload.key, m.upload.parts, m.registry, m.spending.Record(), m.poison.Record(),
 	})
@@ -65,52 +65,51 @@
 	return string(data)
 }
 
-// TestSnapshotsOfAllLevels: boxes were replaced by a later build, and ended as they read what the
-// build before had written. Each form that was ever written is read, and written by a group whose
-// members read no other.
+// TestSnapshotsOfAllLevels: this build must restore the snapshots of all format versions, and write those
+// of an earlier one for a group that has it.
 func TestSnapshotsOfAllLevels(t *testing.T) {
 	for _, l := range []level.Level{level.Listed, level.Chunked, level.Suspects, level.Negotiated, level.Instances} {
 		m := fullMachine(t, l)
 		var again stateMachine
 		if err := again.restore(m.snapshot(), level.Newest); err != nil {
-			t.Errorf("level %d: %v", l, err)
+			t.Errorf("format version %d: %v", l, err)
 			continue
 		}
 		if diff := cmp.Diff(m.contents(t), again.contents(t)); diff != "" {
-			t.Errorf("level %d (-want +got):\n%s", l, diff)
+			t.Errorf("format version %d (-want +got):\n%s", l, diff)
 		}
 		if m.formatVersion != l {
-			t.Errorf("a log with forms up to level %d tells level %d", l, m.formatVersion)
+			t.Errorf("a log with encodings up to format version %d has format version %d", l, m.formatVersion)
 		}
 	}
 }
 
-// TestSnapshotOfLaterBuildIsUnsupported: a box whose folder is of a later build must say so, and not that the folder
-// is damaged: an operator would take its disk for lost.
+// TestSnapshotOfLaterBuildIsUnsupported: a snapshot of a later build must be reported as such, not as
+// damaged, or an operator would discard an intact disk.
 func TestSnapshotOfLaterBuildIsUnsupported(t *testing.T) {
 	var m stateMachine
 	later := append([]byte{formatVersioned, byte(level.Newest + 2)}, fullMachine(t, level.Negotiated).snapshot()[2:]...)
 	for name, c := range map[string]struct {
-		data []byte
-		says string
+		data     []byte
+		wantText string
 	}{
-		"a later level":  {later, fmt.Sprint("level ", level.Newest+2)},
-		"a later format": {[]byte{lastFormat + 1, 0, 0}, "format 4"},
+		"later format version": {later, fmt.Sprint("level ", level.Newest+2)},
+		"a later format":       {[]byte{lastFormat + 1, 0, 0}, "format 4"},
 	} {
 		err := m.restore(c.data, level.Newest)
-		if !level.IsUnsupported(err) || !strings.Contains(err.Error(), c.says) || !strings.Contains(err.Error(), fmt.Sprint(level.Newest)) {
-			t.Errorf("%s: %v, want what was found and what is read", name, err)
+		if !level.IsUnsupported(err) || !strings.Contains(err.Error(), c.wantText) || !strings.Contains(err.Error(), fmt.Sprint(level.Newest)) {
+			t.Errorf("%s: %v, want an error with the format version found and the one supported", name, err)
 		}
 	}
-	for name, data := range map[string][]byte{"no snapshot": []byte("?"), "JSON that is cut": []byte(`{"version":`), "a format alone": {formatVersioned}} {
+	for name, data := range map[string][]byte{"not a snapshot": []byte("?"), "truncated JSON": []byte(`{"version":`), "format byte alone": {formatVersioned}} {
 		if err := m.restore(data, level.Newest); level.IsUnsupported(err) || !errors.Is(err, errSnapshot) {
-			t.Errorf("%s: %v, want that it can't be read", name, err)
+			t.Errorf("%s: %v, want errSnapshot", name, err)
 		}
 	}
 }
 
-// TestWholeDocumentIsNotParsedAsPart: a whole configuration and a part of one have the same kind of command,
-// in builds that don't know of each other.
+// TestWholeDocumentIsNotParsedAsPart: a whole configuration and a part of one are commands of the same kind
+// and must be told apart by content.
 func TestWholeDocumentIsNotParsedAsPart(t *testing.T) {
 	for _, text := range []string{"{}", "\t{}", " {}", "\n\n{}", `{"version":2,"routes":[]}`} {
 		var m stateMachine
@@ -126,10 +125,10 @@
 	}
 }
 
-// TestCommandsOfLaterBuildAreUnsupported: a command that a box does not know used to be passed over, so that it
-// differed from the others from there on, and might lead next.
+// TestCommandsOfLaterBuildAreUnsupported: a box that skips commands it does not know would diverge from the
+// other members.
 func TestCommandsOfLaterBuildAreUnsupported(t *testing.T) {
-	for name, command := range map[string][]byte{"a later kind": {lastCommand + 1, 1}, "a later level": encodeFormatVersion(level.Newest + 1)} {
+	for name, command := range map[string][]byte{"unknown kind": {lastCommand + 1, 1}, "later format version": encodeFormatVersion(level.Newest + 1)} {
 		if err := checkReadable(command, level.Newest); !level.IsUnsupported(err) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -141,7 +140,8 @@
 	}
 }
 
-// FuzzCommand: whatever a command's bytes are, it is carried out, or changes nothing and an error says why.
+// FuzzCommand: a command of arbitrary bytes is applied, or returns an error and changes at most an
+// incomplete upload.
 func FuzzCommand(f *testing.F) {
 	d := Document{Version: 2, Data: []byte(`{"version":2}`)}
 	f.Add(d.encodeWhole())
@@ -153,7 +153,7 @@
 		var m stateMachine
 		before := m.contents(t)
 		if _, err := m.apply(2, command); err != nil && m.contents(t) != before && m.upload.key == (documentKey{}) {
-			t.Errorf("%v, and the state is another", err)
+			t.Errorf("error %v, but the state has changed", err)
 		}
 	})
 }
--- a/cluster/limit_sim_test.go
+++ b/cluster/limit_sim_test.go
@@ -15,49 +15,50 @@
 	"lynxramp.org/message"
 )
 
-// The simulation of this file has an endpoint that names a limit and takes it back, beside entries and control
-// boxes that are harmed. What it checks is what the endpoint gets.
+// This file simulates an endpoint that sets and withdraws a rate limit while faults are injected into
+// entries and control boxes. The tests check the requests that arrive at the endpoint.
 
-// Bounds on what an endpoint gets that names a limit.
+// Bounds on the requests that a rate-limited endpoint receives: in any window of limitWindow at most
+// limitFactor times what the limit allows, plus limitSlack.
 const (
 	limitWindow = 4 * event.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// limitKnown is how long after its answer named the limit an entry counts as one that knows it.
+	// limitPropagation is how long after the response with the limit an entry must respect it.
 	limitPropagation = 500 * event.Millisecond
 )
 
-// simLimit is an endpoint that names a limit.
+// limitedEndpoint is an endpoint that may send a rate limit in its responses.
 type limitedEndpoint struct {
 	random          *rand.Rand
 	feedback        backpressure.Feedback
-	limitedSince    event.Time // when it first did; 0 before
+	limitedSince    event.Time // when it first sent a limit; 0 if it has not
 	arrivals        []event.Time
-	total           int // arrivals, of entries that do not know of the limit too
+	total           int // arrivals, including those from entries that have not received the limit yet
 	limitReceivedAt map[*gateway.OwnerClient]event.Time
 	responses       []limitedResponse
 	blocked         int
-	maxResponseTime event.Duration // time to an answer's head; 0.8 s if it is not set
+	maxResponseTime event.Duration // largest delay of a response's headers; 0 means 0.8 s
 }
 
-// simAnswer is an answer on its way to an entry.
+// limitedResponse is a response in transit to an entry.
 type limitedResponse struct {
-	at, sent   event.Time // sent by the entry's own clock
+	at, sent   event.Time // sent: when the request was sent, by the entry's clock
 	entry      *fleetEntry
 	client     *gateway.OwnerClient
 	id         event.RequestID
 	isDegraded bool
-	// began is what the endpoint asked for when it took the request: some answers have that, others what it asks
-	// for when they come.
+	// feedbackAtStart is the feedback when the request arrived. Some responses carry it; others (nil) carry
+	// that of the time they arrive.
 	feedbackAtStart *backpressure.Feedback
 }
 
-// dispatch sends a request that was granted, unless the gate stops it.
+// dispatch sends a granted request to the endpoint, unless the entry's gate blocks it.
 func (l *limitedEndpoint) dispatch(f *fleetSim, e *fleetEntry, now event.Time, c *fleetCall, d gateway.Decision) {
 	gate := e.client.Gate()
 	end := message.Finish{Finished: event.Finished{ID: c.id, Pool: "s", Void: true, Unused: true}, Endpoint: "e", Unsent: true}
 	if l.random.IntN(40) == 0 {
-		e.client.Finish(now, end) // its caller left
+		e.client.Finish(now, end) // the caller cancelled the request
 		return
 	}
 	if gate.Check(now, d.Endpoint, d.Permit) != backpressure.NotStopped {
@@ -81,7 +82,7 @@
 	l.responses = append(l.responses, a)
 }
 
-// deliverResponses has an entry hear the answers that have come to it, with what the endpoint asks for now.
+// deliverResponses delivers the responses that are due to an entry.
 func (l *limitedEndpoint) deliverResponses(f *fleetSim, e *fleetEntry, now event.Time) {
 	var left []limitedResponse
 	for _, a := range l.responses {
@@ -90,7 +91,7 @@
 			continue
 		}
 		if a.client != e.client {
-			continue // its life is over
+			continue // the entry was restarted
 		}
 		gate, feedback := e.client.Gate(), l.feedback
 		if a.feedbackAtStart != nil {
@@ -113,7 +114,8 @@
 	l.responses = left
 }
 
-// maxSince returns the most arrivals in a window, of those from a moment on.
+// maxSince returns the largest number of arrivals in a window, of those since a time, and the time of the
+// window's last arrival.
 func (l *limitedEndpoint) maxSince(from event.Time) (most int, at event.Time) {
 	first := 0
 	for i, arrived := range l.arrivals {
@@ -127,11 +129,12 @@
 	return most, at
 }
 
-// TestRateLimitHoldsUnderFaults: whatever happens to owners, entries and the ways between them, an
-// endpoint gets no more from the entries that know its limit than that allows, and more again when it is over.
+// TestRateLimitHoldsUnderFaults: whatever faults owners, entries and connections have, an endpoint receives
+// no more requests than its limit allows from entries that have received the limit, and more again once it
+// is withdrawn.
 func TestRateLimitHoldsUnderFaults(t *testing.T) {
 	cases := []limitCase{
-		{4, 106}, // an owner spent the parts of entries that were cut off and decided alone
+		{4, 106}, // guards against an owner that uses the shares of partitioned entries, which use them as well
 	}
 	for entries, seeds := range map[int]uint64{4: 24, 22: 12, 103: 6} {
 		for seed := range seeds * seedFactor(t) {
@@ -146,7 +149,7 @@
 	}
 }
 
-// limitCase is a run of the simulation.
+// limitCase is a case of the simulation.
 type limitCase struct {
 	entries int
 	seed    uint64
@@ -159,30 +162,30 @@
 	f.runFleet(4 * event.Second)
 	rate := 0.5 * math.Exp2(6*l.random.Float64())
 	l.feedback = backpressure.Feedback{Limited: true, Rate: rate}
-	between := []int{1800, 6000}[(c.seed-1)%2] // ms at the most: much harm, or time to use the limit in full
+	between := []int{1800, 6000}[(c.seed-1)%2] // ms between faults at most: frequent faults, or time to use the whole limit
 	for range 25 {
 		f.runFleet(event.Duration(f.random.IntN(between)) * event.Millisecond / 10 * 10)
 		f.injectFault()
-		f.demand = 1000 * (20 + 4*rate) // that many requests a second, and others come elsewhere
+		f.demand = 1000 * (20 + 4*rate) // 20 + 4*rate requests per second
 	}
 	most, at := l.maxSince(l.limitedSince.Add(settleTime))
 	allowed := rate*limitWindow.Seconds()*limitFactor + limitSlack
-	t.Logf("limit %.1f: %d in a window, allowed %.1f; %d in all, %d grants stopped", rate, most, allowed, l.total, l.blocked)
+	t.Logf("limit %.1f: %d in a window, allowed %.1f; %d in all, %d grants blocked", rate, most, allowed, l.total, l.blocked)
 	if float64(most) > allowed {
-		t.Errorf("%d requests in %v to %v, %.1f are allowed", most, limitWindow, event.Duration(at), allowed)
+		t.Errorf("%d requests in the %v up to %v, allowed %.1f", most, limitWindow, event.Duration(at), allowed)
 	}
 	l.feedback = backpressure.Feedback{}
 	f.demand = 3 * fleetTeam.Rate
-	f.runFleet(12 * event.Second) // what is harmed comes back, and a request hears the end
+	f.runFleet(12 * event.Second) // faults end, and a response carries the withdrawal
 	before := l.total
 	f.runFleet(4 * event.Second)
 	if n := l.total - before; float64(n) < 4*10 {
-		t.Errorf("%d requests in 4 s, 12 s after the limit was over", n)
+		t.Errorf("%d requests in 4 s, 12 s after the limit was withdrawn", n)
 	}
 }
 
-// TestWithdrawnRateLimitEnds: nothing is harmed, and answers take long, so that those that name the limit and
-// those that do not come in any order.
+// TestWithdrawnRateLimitEnds: without faults, but with slow responses, so that those with and without the
+// limit arrive in any order.
 func TestWithdrawnRateLimitEnds(t *testing.T) {
 	for entries, seeds := range map[int]uint64{1: 40, 4: 24, 22: 4} {
 		for seed := range seeds {
@@ -196,11 +199,11 @@
 					l.feedback = backpressure.Feedback{Limited: true, Rate: 2 + 6*l.random.Float64()}
 					f.runFleet(9 * event.Second)
 					l.feedback = backpressure.Feedback{}
-					f.runFleet(6 * event.Second) // two answers of the longest
+					f.runFleet(6 * event.Second) // twice the slowest response
 					before := l.total
 					f.runFleet(4 * event.Second)
 					if n := l.total - before; float64(n) < 4*40 {
-						t.Errorf("%d requests in 4 s, 6 s after the limit was over", n)
+						t.Errorf("%d requests in 4 s, 6 s after the limit was withdrawn", n)
 					}
 				}
 			})
--- a/cluster/peers_test.go
+++ b/cluster/peers_test.go
@@ -16,9 +16,9 @@
 	"lynxramp.org/message"
 )
 
-// TestDisconnectFollowsConnect: a control box connected, said who it is and ended at once. That it had
-// come and that it had gone were told by two queues, and where the end came first the box counted as
-// connected for good, so that the group's level could be raised while it was away.
+// TestDisconnectFollowsConnect: the connect and disconnect of a peer must arrive in this order. In the
+// other order the peer would count as connected for ever, and the group's format version could be raised
+// without it.
 func TestDisconnectFollowsConnect(t *testing.T) {
 	s := &Server{
 		config: Config{LinkAddress: "127.0.0.1:1"}, log: zap.NewNop(), peers: newPeers("127.0.0.1:1", zap.NewNop()),
@@ -39,13 +39,13 @@
 	c.Send(join.Introduced())
 	first := nextEvent(t, s.logEvents)
 	if told, ok := first.(*PeerConnected); !ok || told.Box != "127.0.0.2:1" || told.FormatVersion != level.Newest {
-		t.Fatalf("first came %T %+v", first, first)
+		t.Fatalf("first event is %T %+v, want PeerConnected", first, first)
 	}
 	c.Close()
 	<-served
 	second := nextEvent(t, s.logEvents)
 	if lost, ok := second.(*PeerDisconnected); !ok || lost.Connection != first.(*PeerConnected).Connection {
-		t.Errorf("then came %T %+v", second, second)
+		t.Errorf("second event is %T %+v, want PeerDisconnected", second, second)
 	}
 }
 
@@ -55,13 +55,13 @@
 	case e := <-from:
 		return e
 	case <-time.After(5 * time.Second):
-		t.Fatal("no event comes")
+		t.Fatal("no event within 5 s")
 		return nil
 	}
 }
 
-// TestKnownPeersAreBounded: a control box goes by the name that a peer gives itself, and remembered all
-// of them for good.
+// TestKnownPeersAreBounded: peers choose their own names, so the number of names that a box keeps must be
+// bounded, while members are always kept.
 func TestKnownPeersAreBounded(t *testing.T) {
 	s := newSim(t, 3, 1)
 	s.run(4 * event.Second)
@@ -74,11 +74,11 @@
 			s.step(b, &PeerDisconnected{Box: box, Connection: 1000 + i})
 		}
 		if n := len(b.state.formats.peers); n > maxPeers {
-			t.Fatalf("%d boxes are remembered", n)
+			t.Fatalf("%d boxes are known, want at most %d", n, maxPeers)
 		}
 	}
 	if len(b.state.formats.peers) < maxPeers/2 {
-		t.Errorf("%d boxes are remembered, though half of those that came are connected", len(b.state.formats.peers))
+		t.Errorf("%d boxes are known although half of those that connected still are", len(b.state.formats.peers))
 	}
 	for _, m := range b.state.allMembers() {
 		box := m.ID.Box()
@@ -88,7 +88,7 @@
 		s.step(b, &PeerDisconnected{Box: box, Connection: 5000})
 		s.step(b, &PeerConnected{Box: box, Connection: 5001, FormatVersion: level.Newest})
 		if p := b.state.formats.peers[box]; p == nil || !p.connections[5001] {
-			t.Errorf("%s, one of %d members, is not remembered", box, members)
+			t.Errorf("%s, one of %d members, is not known", box, members)
 		}
 	}
 }
--- a/cluster/pieces_test.go
+++ b/cluster/pieces_test.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// allEndpoints is more than the deployment of the other tests has.
+	// pagedEndpoints is larger than the deployments of the other tests.
 	pagedEndpoints = 10000
-	// mostView bounds a message on endpoints, in bytes: 26 ms of a link of 1.25 MB/s.
+	// viewSizeBound is the largest message with endpoints, in bytes: 26 ms on a link of 1.25 MB/s.
 	viewSizeBound = 32 << 10
 )
 
-// largeEndpoint is one of them, with names as long and as unlike as those of real ones.
+// largeEndpoint returns endpoint i, with names that are as long and compress as badly as real ones.
 func largeEndpoint(i int) registry.Endpoint {
 	return registry.Endpoint{
 		ID: fmt.Sprintf("i-%08x", uint32(i)*2654435761), Service: fmt.Sprint("s", i%2), Slots: 8, Sequence: 1,
@@ -29,7 +29,7 @@
 	}
 }
 
-// newLargeSim returns control boxes that know many endpoints.
+// newLargeSim returns control boxes with many registered endpoints.
 func newLargeSim(t *testing.T) *sim {
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
@@ -54,21 +54,21 @@
 	return data.Len()
 }
 
-// TestFirstViewSizeIsBounded: a session began with all endpoints in one message, in front of the
-// owner's signs of life, and from its beginning with each new connection.
+// TestFirstViewSizeIsBounded: all endpoints in the first message of a session would delay the owner's
+// pongs, and be sent again on each new connection.
 func TestFirstViewSizeIsBounded(t *testing.T) {
 	s := newLargeSim(t)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	if got := sizeOfView(t, firstView(t, s, 1)); got > viewSizeBound {
-		t.Errorf("a session began with %d bytes on %d endpoints, want %d at the most", got, pagedEndpoints, viewSizeBound)
+		t.Errorf("the first view has %d bytes with %d endpoints registered, want at most %d", got, pagedEndpoints, viewSizeBound)
 	}
 }
 
-// TestDownUpdateSizeIsBounded: all endpoints fell silent at once, as when their data centre is cut
-// off, and each entry was told so in one message.
+// TestDownUpdateSizeIsBounded: when all endpoints are down at once, as after the partition of a data
+// centre, entries must receive that in several messages.
 func TestDownUpdateSizeIsBounded(t *testing.T) {
 	s := newLargeSim(t)
-	s.stop(s.mustOwner().name) // the next one counts from its beginning for all alike
+	s.stop(s.mustOwner().name) // the next owner counts the heartbeats of all from the same time
 	s.run(2 * second)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	before := len(s.sends[1])
@@ -79,19 +79,19 @@
 			continue
 		}
 		if got := sizeOfView(t, m.View); got > viewSizeBound {
-			t.Fatalf("a message of %d bytes on endpoints that fell silent, want %d at the most", got, viewSizeBound)
+			t.Fatalf("a message of %d bytes with endpoints that are down, want at most %d", got, viewSizeBound)
 		}
 		for _, e := range decodeEndpoints(t, m.View) {
 			down[e.ID] = e.Down
 		}
 	}
 	if len(down) != pagedEndpoints || !down[largeEndpoint(7).ID] {
-		t.Errorf("the entry was told of %d of %d endpoints that fell silent", len(down), pagedEndpoints)
+		t.Errorf("the entry received %d of %d endpoints that are down", len(down), pagedEndpoints)
 	}
 }
 
-// TestPagesCoverAllEndpoints: an entry that says what it has is told the rest, each piece once,
-// and goes on with another owner from where it was. What changes meanwhile it is told too.
+// TestPagesCoverAllEndpoints: an entry receives each endpoint once and each change in between, and
+// continues from its revision after a change of owner.
 func TestPagesCoverAllEndpoints(t *testing.T) {
 	s := newLargeSim(t)
 	e := newPagedEntry(t, s, 1)
@@ -99,7 +99,7 @@
 		e.ping()
 	}
 	if e.isComplete || len(e.known) == 0 {
-		t.Fatalf("all of %d endpoints were told in four pieces", len(e.known))
+		t.Fatalf("all of %d endpoints were sent in four pages", len(e.known))
 	}
 	first := largeEndpoint(0)
 	first.Leaving, first.Sequence = true, 2
@@ -112,17 +112,17 @@
 	before := len(e.known)
 	e.openSession(2)
 	if e.views[0].Whole {
-		t.Error("another owner begins anew")
+		t.Error("another owner sends the endpoints from the beginning")
 	}
 	for !e.isComplete && len(e.views) < 40 {
 		e.ping()
 	}
 	if len(e.known) != pagedEndpoints-1 || !e.known[first.ID].Leaving || e.duplicates > 1 {
-		t.Errorf("%d endpoints known, %d before the owner changed, %d told twice", len(e.known), before, e.duplicates)
+		t.Errorf("%d endpoints known, %d before the owner changed, %d received twice", len(e.known), before, e.duplicates)
 	}
 }
 
-// TestPageIsSentOnce: while a piece is on its way questions bring no other.
+// TestPageIsSentOnce: pings while a page is in transit must not cause another one.
 func TestPageIsSentOnce(t *testing.T) {
 	s := newLargeSim(t)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
@@ -136,20 +136,20 @@
 		}
 	}
 	if views != 1 {
-		t.Errorf("%d views sent to an entry that has none of them yet, want 1", views)
+		t.Errorf("%d views sent before the entry acknowledged one, want 1", views)
 	}
 }
 
-// pieceEntry is what an entry knows of endpoints.
+// pagedEntry is an entry that receives the endpoints in pages.
 type pagedEntry struct {
 	t          *testing.T
 	sim        *sim
 	session    SessionID
-	received   int // messages of the session
+	received   int // messages of the session received so far
 	revision   uint64
 	known      map[string]message.Endpoint
 	views      []*message.View
-	duplicates int // endpoints that were told though they were known and had not changed
+	duplicates int // endpoints received again without a change
 	isComplete bool
 }
 
@@ -159,14 +159,14 @@
 	return e
 }
 
-// openSession begins a session with the present owner.
+// openSession opens a session with the present owner.
 func (e *pagedEntry) openSession(id SessionID) {
 	e.session, e.received, e.views = id, 0, nil
 	e.sim.step(e.sim.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: id, Hello: message.Hello{Entry: "entry", Revision: e.revision}})
 	e.receive()
 }
 
-// ping sends the owner a question and takes what comes.
+// ping sends the owner a ping and receives the messages that follow.
 func (e *pagedEntry) ping() {
 	e.sim.step(e.sim.mustOwner(), &PingReceived{Session: e.session, Ping: message.Ping{Revision: e.revision}})
 	e.receive()
@@ -184,7 +184,7 @@
 
 func (e *pagedEntry) apply(v *message.View) {
 	if got := sizeOfView(e.t, v); got > viewSizeBound {
-		e.t.Errorf("a piece of %d bytes, want %d at the most", got, viewSizeBound)
+		e.t.Errorf("a page of %d bytes, want at most %d", got, viewSizeBound)
 	}
 	for _, one := range decodeEndpoints(e.t, v) {
 		if _, ok := e.known[one.ID]; ok {
--- a/cluster/poison_sim_test.go
+++ b/cluster/poison_sim_test.go
@@ -15,31 +15,32 @@
 	"lynxramp.org/registry"
 )
 
-// The simulation of this file has endpoints that end under some requests, and some that end by
-// themselves, beside entries and control boxes that are harmed, also at the very moment of an end.
+// This file simulates endpoints that crash under some requests, and some that crash by themselves, while
+// faults are injected into entries and control boxes, also at the moment of a crash.
 
 const (
 	simEndpoints = 12
-	// simPoisonRuns is how long a request runs that ends its endpoint, and simBack how long
-	// after it another one is there at the same address.
+	// poisonRunTime is how long a request runs that crashes its endpoint, and endpointRestartTime how long
+	// after that another endpoint is up at the same address.
 	poisonRunTime       = 60 * event.Millisecond
 	endpointRestartTime = 1500 * event.Millisecond
-	// simContact is how long nothing must have harmed a box, or the control boxes, for it to
-	// count as in touch, and simPoisonMost how often one in touch may send a request later than
-	// that after three endpoints ended under it.
+	// settleTime is how long an entry and the control boxes must be without a fault to count as healthy,
+	// and maxLatePoisonRuns how often healthy entries may send a request later than that after its third
+	// crash.
 	settleTime        = 3 * event.Second
 	maxLatePoisonRuns = 3
-	// simPace is how many others come at each entry, a second, a third of them one hot request.
+	// requestRate is the rate of other requests at each entry, per second; a third of them are one hot
+	// request.
 	requestRate = 40
 )
 
-// simPaces are how often requests come that end endpoints: of one that comes seldom, an owner
-// that forgets learns anew each time.
+// poisonIntervals are the intervals of the requests that crash endpoints. An owner that forgets crashes
+// would learn of a rare one anew each time.
 var poisonIntervals = []event.Duration{250 * event.Millisecond, 2 * event.Second, 6 * event.Second}
 
 const hotFingerprint = poison.Fingerprint("hot")
 
-// simEndpoint is a place of an endpoint, with the one that is there.
+// crashingEndpoint is an address at which instances of an endpoint run, one after the other.
 type crashingEndpoint struct {
 	id        event.EndpointID
 	address   string
@@ -48,33 +49,33 @@
 	runs      []*requestRun
 }
 
-// simRun is a call that runs.
+// requestRun is a running request.
 type requestRun struct {
 	call      *fleetCall
 	entry     *fleetEntry
-	client    *gateway.OwnerClient // of the entry's life
+	client    *gateway.OwnerClient // of the entry's process that sent the request
 	startedAt event.Time
 	endsAt    event.Time
 }
 
-// simPoison is a request that ends what runs it.
+// poisonRequest is a request that crashes the endpoint that runs it.
 type poisonRequest struct {
 	fingerprint     poison.Fingerprint
 	interval        event.Duration
 	from, to        event.Time
 	nextAt          event.Time
 	crashes         []event.Time
-	crashesWithKill []event.Time // those ends at which the entry was killed
-	sent            []event.Time // by entries in touch
+	crashesWithKill []event.Time // the crashes at which the entry was killed too
+	sent            []event.Time // by healthy entries
 }
 
-// simEnding are the endpoints and what callers send them.
+// crashSim simulates the endpoints and the requests of callers.
 type crashSim struct {
 	random    *rand.Rand
 	endpoints []*crashingEndpoint
 	poisons   []*poisonRequest
 	instances int
-	crashRate float64 // of endpoints by themselves, a second
+	crashRate float64 // crashes of an endpoint by itself, per second
 	// killPart is the part of ends under poisons at which the entry that saw it is killed at the
 	// same moment, and with it the owner in half of them.
 	killShare          float64
@@ -82,7 +83,7 @@
 	owner              string
 	ownerChanges       []event.Time
 	entryFaultAt       map[*fleetEntry]event.Time
-	hotServed, hotSent int // of hot requests at entries in touch
+	hotServed, hotSent int // hot requests at healthy entries
 	otherServed        int
 	otherSent          int
 	healthyWhenSent    map[*fleetCall]bool
@@ -118,7 +119,7 @@
 	}
 }
 
-// step lets endpoints end and come back, and looks who is in touch.
+// step crashes and restarts endpoints, finishes requests and records faults.
 func (g *crashSim) step(f *fleetSim) {
 	g.observeFaults(f)
 	for _, e := range g.endpoints {
@@ -155,7 +156,7 @@
 	}
 }
 
-// observeFaults takes note of what is harmed now.
+// observeFaults records what is faulty now.
 func (g *crashSim) observeFaults(f *fleetSim) {
 	owner := ""
 	if b := f.owner(); b != nil {
@@ -186,8 +187,8 @@
 	return f.now.Sub(g.controlFaultAt) > settleTime && f.now.Sub(g.entryFaultAt[e]) > settleTime
 }
 
-// crash ends an endpoint with all that runs there. A kill takes the entry that ran the request,
-// before it tells of it, and perhaps the owner.
+// crash crashes an endpoint with the requests that run there. With kills it also kills the entry that sent
+// the poison request, before that can report the crash, and perhaps the owner.
 func (g *crashSim) crash(f *fleetSim, e *crashingEndpoint, kills bool) {
 	e.isAlive, e.restartAt = false, f.now.Add(endpointRestartTime)
 	runs := e.runs
@@ -206,14 +207,14 @@
 		g.finish(r, f.now, message.RanUnclear, &poison.End{
 			Print: r.call.fingerprint, Endpoint: e.id, Request: r.call.id, Attempt: r.call.attempt, Ran: f.now.Sub(r.startedAt),
 		}, e)
-		// Some callers have us send it again at once.
+		// Some requests are retried at once.
 		if r.entry.client == r.client && r.call.attempt == 0 && g.random.IntN(3) == 0 {
 			g.sendRequest(f, r.entry, &fleetCall{id: r.call.id, fingerprint: r.call.fingerprint, attempt: 1, repeat: true})
 		}
 	}
 }
 
-// finish tells the entry of a run's end, if it still lives.
+// finish reports the end of a run to its entry if that was not restarted.
 func (g *crashSim) finish(r *requestRun, at event.Time, ran message.Ran, end *poison.End, e *crashingEndpoint) {
 	if r.entry.client != r.client || r.client == nil {
 		return
@@ -240,7 +241,7 @@
 	return nil
 }
 
-// stepCallers lets callers send to an entry.
+// stepCallers sends requests of callers to an entry.
 func (g *crashSim) stepCallers(f *fleetSim, e *fleetEntry, now event.Time) {
 	if e.client.Table(now) == nil {
 		return
@@ -284,7 +285,7 @@
 	}, c.decision)
 }
 
-// applyDecision carries out a decision on a call.
+// applyDecision dispatches a granted request.
 func (g *crashSim) applyDecision(f *fleetSim, e *fleetEntry, now event.Time, c *fleetCall, d gateway.Decision) {
 	if !d.Granted {
 		return
@@ -307,8 +308,7 @@
 	g.endpoints[i].runs = append(g.endpoints[i].runs, r)
 }
 
-// lateRuns returns how often a request was sent by entries in touch later than simContact after the
-// third end.
+// lateRuns returns how often healthy entries sent the request later than settleTime after its third crash.
 func (p *poisonRequest) lateRuns() int {
 	late := 0
 	for _, at := range p.sent {
@@ -319,12 +319,12 @@
 	return late
 }
 
-// simFate is how long after an endpoint's end an owner knows of it by itself: it is silent for
-// four beats, or followed by another.
+// crashDetectionTime is how long after the crash of an endpoint an owner detects it without a report: the
+// endpoint misses four heartbeats or is replaced by another.
 const crashDetectionTime = 5 * event.Second
 
-// unobservedCrashes returns of how many ends nobody lived to tell: the entry was killed at that moment, and
-// the owner that had granted the run was lost before it knew of the endpoint's end.
+// unobservedCrashes returns the number of crashes that were not reported: the entry was killed at that
+// moment, and the owner that had granted the request was lost before it detected the crash.
 func (g *crashSim) unobservedCrashes(p *poisonRequest) int {
 	n := 0
 	for _, at := range p.crashesWithKill {
@@ -335,14 +335,14 @@
 	return n
 }
 
-// servedShares returns which parts of the hot request and of others were served, of those that came to
-// entries in touch.
+// servedShares returns the shares of the hot request and of others that were served, of those sent to
+// healthy entries.
 func (g *crashSim) servedShares() (hot, others float64) {
 	return float64(g.hotServed) / float64(max(1, g.hotSent)), float64(g.otherServed) / float64(max(1, g.otherSent))
 }
 
-// runPoisonRequests runs a deployment with requests that end endpoints, one after the other and some
-// at once, through random troubles.
+// runPoisonRequests runs a deployment with several poison requests that overlap in time, optionally with
+// random faults.
 func runPoisonRequests(t *testing.T, entries int, seed uint64, withFaults bool, killShare, crashRate float64) *crashSim {
 	f := newFleetSim(t, entries, seed)
 	g := newCrashSim(f, seed)
@@ -362,10 +362,10 @@
 	return g
 }
 
-// TestPoisonRunsAreBoundedUnderFaults: whatever happens to owners, entries and the ways
-// between them, also at the very moment of an end, a request under which three endpoints ended
-// is sent on simPoisonMost times at the most by entries in touch. Two of its ends may be known to
-// nobody, their entry and owner having died of them; each one beyond may cost one more.
+// TestPoisonRunsAreBoundedUnderFaults: whatever faults owners, entries and connections have, also at the
+// moment of a crash, healthy entries send a request at most maxLatePoisonRuns times after its third crash.
+// Two of the crashes may be unobserved, as their entry and owner died with them; each further one allows
+// one more run.
 func TestPoisonRunsAreBoundedUnderFaults(t *testing.T) {
 	for entries, seeds := range map[int]uint64{4: 24, 22: 6} {
 		for seed := range seeds * seedFactor(t) {
@@ -375,42 +375,42 @@
 				for _, p := range g.poisons {
 					unobserved := g.unobservedCrashes(p)
 					if late := p.lateRuns(); late > maxLatePoisonRuns+max(0, unobserved-2) {
-						t.Errorf("%s was sent %d times when it was known; %d endpoints ended under it, %d unseen", p.fingerprint, late, len(p.crashes), unobserved)
+						t.Errorf("%s was sent %d times after its third crash; %d endpoints crashed, %d crashes unobserved", p.fingerprint, late, len(p.crashes), unobserved)
 					}
 				}
 				hot, others := g.servedShares()
 				t.Logf("hot %.3f of %d, others %.3f of %d", hot, g.hotSent, others, g.otherSent)
-				// Where every end takes an entry, and half of them the owner, no trial comes to an end.
+				// If each crash kills an entry, and half of them the owner too, no trial completes.
 				if killShare < 1 && hot < others-0.1 {
-					t.Errorf("%.3f of a hot request were served, %.3f of others", hot, others)
+					t.Errorf("%.3f of the hot requests were served, %.3f of others", hot, others)
 				}
 			})
 		}
 	}
 }
 
-// TestPoisonRequestCrashesFewEndpoints: where nothing else is harmed few endpoints end under each such
-// request, and others are served.
+// TestPoisonRequestCrashesFewEndpoints: without other faults each poison request crashes few endpoints, and
+// other requests are served.
 func TestPoisonRequestCrashesFewEndpoints(t *testing.T) {
 	for seed := range 6 * seedFactor(t) {
 		t.Run(fmt.Sprint(seed+1), func(t *testing.T) {
 			g := runPoisonRequests(t, 4, seed+1, false, 0, 0)
 			for _, p := range g.poisons {
-				t.Logf("%s: %d ends, %d late", p.fingerprint, len(p.crashes), p.lateRuns())
+				t.Logf("%s: %d crashes, %d late runs", p.fingerprint, len(p.crashes), p.lateRuns())
 				if len(p.crashes) < 3 || len(p.crashes) > 5 {
-					t.Errorf("%d endpoints ended under %s", len(p.crashes), p.fingerprint)
+					t.Errorf("%d endpoints crashed under %s, want 3 to 5", len(p.crashes), p.fingerprint)
 				}
 			}
 			if hot, others := g.servedShares(); hot < 0.97 || others < 0.97 {
-				t.Errorf("served %.3f of the hot request, %.3f of others", hot, others)
+				t.Errorf("%.3f of the hot requests were served, %.3f of others, want 0.97 or more", hot, others)
 			}
 		})
 	}
 }
 
-// TestHotRequestIsNotTakenForPoison: endpoints end by themselves, each after 5 s in the mean, with
-// all that runs there. A request that runs on all of them at once is none that ends them: of it
-// as many are served as of others, over all seeds.
+// TestHotRequestIsNotTakenForPoison: endpoints crash by themselves every 5 s on average with all that runs
+// there. A request that runs on all of them at once must not be blocked as their cause: over all seeds, as
+// many of it are served as of others.
 func TestHotRequestIsNotTakenForPoison(t *testing.T) {
 	var all crashSim
 	for seed := range 6 * seedFactor(t) {
@@ -424,6 +424,6 @@
 	hot, others := all.servedShares()
 	t.Logf("hot %.4f of %d, others %.4f of %d", hot, all.hotSent, others, all.otherSent)
 	if hot < others-0.01 {
-		t.Errorf("%.4f of the hot request were served, %.4f of others", hot, others)
+		t.Errorf("%.4f of the hot requests were served, %.4f of others", hot, others)
 	}
 }
--- a/cluster/poison_test.go
+++ b/cluster/poison_test.go
@@ -12,8 +12,8 @@
 	"lynxramp.org/registry"
 )
 
-// TestCrashesAreCommittedBeforeAcknowledged: an entry tells of an end until the log has it, and is
-// told so no sooner; the next owner knows of it.
+// TestCrashesAreCommittedBeforeAcknowledged: a reported crash is acknowledged only once the log has it, so
+// that the entry repeats the report until then and the next owner has it.
 func TestCrashesAreCommittedBeforeAcknowledged(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(3 * event.Second)
@@ -38,37 +38,37 @@
 		{Number: 1, Print: "p", Endpoint: "e1"}, {Number: 2, Print: "p", Endpoint: "e2"},
 	}}})
 	if n := acked(); n != 0 {
-		t.Fatalf("ends up to %d are acknowledged that no other box has", n)
+		t.Fatalf("crashes up to %d are acknowledged before they are committed", n)
 	}
 	s.isCut = whole
 	s.run(200 * event.Millisecond)
 	if n := acked(); n != 2 {
-		t.Errorf("ends up to %d are acknowledged, want 2", n)
+		t.Errorf("crashes up to %d are acknowledged, want 2", n)
 	}
 	s.stop(b.name)
 	s.run(3 * event.Second)
 	next := s.mustOwner()
 	call := &poison.Call{Fingerprint: "p", Request: "1", Remaining: event.Second}
 	if v, _ := next.state.owner.poison.Check(s.now, call); v != poison.Wait {
-		t.Errorf("the next owner knows nothing: %v", v)
+		t.Errorf("the next owner does not hold back the request: %v", v)
 	}
-	// A greeting tells the entry what must not run without an owner.
+	// The first view has the requests that a degraded entry must not run.
 	s.step(next, &Tick{})
 	s.step(next, &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry", Life: 1}})
 	view := s.sends[2][0].View
 	if view == nil || view.Suspects == nil || len(view.Suspects.List) != 1 || view.Suspects.List[0] != "p" {
-		t.Errorf("greeted with %+v", view)
+		t.Errorf("the first view is %+v, want one with the suspect", view)
 	}
 }
 
-// TestRunOfLostEntryCountsAsCrash: an entry that comes back in another life, or not at all, has lost
-// what came of its runs. One of a request under which an endpoint had ended is taken for an end.
+// TestRunOfLostEntryCountsAsCrash: an entry that restarts or stays disconnected can't report the outcome of
+// its runs. A run of a request under which an endpoint crashed before is counted as a crash.
 func TestRunOfLostEntryCountsAsCrash(t *testing.T) {
 	for name, dies := range map[string]func(s *sim, b *simBox){
-		"another life": func(s *sim, b *simBox) {
+		"restarted": func(s *sim, b *simBox) {
 			s.step(b, &SessionOpened{FormatVersion: level.Newest, Session: 3, Hello: message.Hello{Entry: "entry", Life: 2}})
 		},
-		"away for long": func(s *sim, b *simBox) {
+		"disconnected for long": func(s *sim, b *simBox) {
 			s.step(b, &SessionClosed{Session: 1})
 			s.run(entryTimeout + event.Second)
 		},
@@ -92,7 +92,7 @@
 			}})
 			s.run(200 * event.Millisecond)
 			if len(s.grants(1)) != 1 {
-				t.Fatalf("%d grants", len(s.grants(1)))
+				t.Fatalf("%d grants, want 1", len(s.grants(1)))
 			}
 			dies(s, b)
 			ticket.ID = "2"
@@ -104,7 +104,7 @@
 			}
 			s.run(200 * event.Millisecond)
 			if lines := b.state.machine.poison.Record().Lines; len(lines) != 1 || len(lines[0].Ends) != 2 || lines[0].Trials != 1 {
-				t.Errorf("the log has %+v, want two ends and a trial", lines)
+				t.Errorf("the log has %+v, want two crashes and a trial", lines)
 			}
 		})
 	}
--- a/cluster/quota_sim_test.go
+++ b/cluster/quota_sim_test.go
@@ -11,8 +11,8 @@
 	"lynxramp.org/event"
 )
 
-// maxInWindow returns the most that was both sent and run in any span of the window's
-// length.
+// maxInWindow returns the largest amount that was both sent and run within a window, and the window's
+// start.
 func maxInWindow(list []fleetArrival, window event.Duration) (most int, from event.Time) {
 	for _, first := range list {
 		sum := 0
@@ -28,11 +28,11 @@
 	return most, from
 }
 
-// maxRepeatsOverBudget returns by how many the repeats that arrived in a window passed what the
-// retry budget allows there, at the most. It grows with the requests that callers sent in
-// that window, in the one before, or half a window earlier.
+// maxRepeatsOverBudget returns by how much the retries that arrived in a window exceed the retry budget at
+// most. The budget grows with the requests that callers sent in that window, in the one before, or half a
+// window earlier.
 func maxRepeatsOverBudget(f *fleetSim) (over int, from event.Time) {
-	asked := func(from event.Time) int {
+	firstAttempts := func(from event.Time) int {
 		n := 0
 		for _, at := range f.firstAttempts {
 			if at >= from && at <= from.Add(fleetLimits.RetryWindow) {
@@ -53,7 +53,7 @@
 			}
 		}
 		w := fleetLimits.RetryWindow
-		most := max(asked(first.arrived), asked(first.arrived.Add(-w/2)), asked(first.arrived.Add(-w)))
+		most := max(firstAttempts(first.arrived), firstAttempts(first.arrived.Add(-w/2)), firstAttempts(first.arrived.Add(-w)))
 		allowed := int(fleetLimits.RetryRatio*float64(most)) + fleetLimits.RetryMin
 		if n-allowed > over {
 			over, from = n-allowed, first.arrived
@@ -62,7 +62,7 @@
 	return over, from
 }
 
-// seedFactor is how many times as many seeds as usual are run.
+// seedFactor returns the factor by which LYNXRAMP_SIM_SEEDS multiplies the number of seeds.
 func seedFactor(t *testing.T) uint64 {
 	text := os.Getenv("LYNXRAMP_SIM_SEEDS")
 	if text == "" {
@@ -75,8 +75,7 @@
 	return n
 }
 
-// runWithFaults runs a deployment through random troubles, at several counts of entries,
-// and hands each to a check.
+// runWithFaults runs deployments of several sizes with random faults and calls check on each.
 func runWithFaults(t *testing.T, check func(*testing.T, *fleetSim)) {
 	for entries, seeds := range map[int]uint64{4: 24, 22: 12, 103: 6} {
 		for seed := range seeds * seedFactor(t) {
@@ -94,9 +93,8 @@
 	}
 }
 
-// TestQuotaHoldsUnderFaults: whatever happens to owners, entries and the ways
-// between them, what was sent and ran in any window stays within the quota. The bound is on
-// what endpoints saw, at any count of entries.
+// TestQuotaHoldsUnderFaults: whatever faults owners, entries and connections have, the tokens that were
+// sent and run in any window stay within the quota, for any number of entries.
 func TestQuotaHoldsUnderFaults(t *testing.T) {
 	runWithFaults(t, func(t *testing.T, f *fleetSim) {
 		most, from := maxInWindow(f.arrivals, fleetLimits.QuotaWindow)
@@ -104,16 +102,16 @@
 			t.Errorf("%d tokens were sent and run in %v from %v, allowed %.0f", most, fleetLimits.QuotaWindow, event.Duration(from), fleetQuotaBound)
 		}
 		if float64(most) < fleetQuotaBound/2 {
-			t.Errorf("%d tokens at the most in a window: the bound was never near", most)
+			t.Errorf("at most %d tokens in a window: less than half of the bound, so the test checks nothing", most)
 		}
 	})
 }
 
-// TestRetryBudgetHoldsUnderFaults is the same for a service's retry budget.
+// TestRetryBudgetHoldsUnderFaults checks the same of the retry budget of a service.
 func TestRetryBudgetHoldsUnderFaults(t *testing.T) {
 	runWithFaults(t, func(t *testing.T, f *fleetSim) {
 		if over, from := maxRepeatsOverBudget(f); over > 0 {
-			t.Errorf("%d repeats too many arrived in %v from %v", over, fleetLimits.RetryWindow, event.Duration(from))
+			t.Errorf("%d retries more than allowed arrived in %v from %v", over, fleetLimits.RetryWindow, event.Duration(from))
 		}
 	})
 }
--- a/cluster/server_test.go
+++ b/cluster/server_test.go
@@ -31,13 +31,13 @@
 	return port
 }
 
-// startServers starts a group of control boxes, each on a loopback address of its own.
+// startServers starts a group of control boxes, each on its own loopback address.
 func startServers(t *testing.T, count int) []*Server {
 	t.Helper()
 	return startServersWithClocks(t, make([]func() event.Duration, count))
 }
 
-// startServersWithClocks is startServers with boxes that go by clocks; nil is the usual one.
+// startServersWithClocks is startServers with a clock for each box; nil is the default clock.
 func startServersWithClocks(t *testing.T, clocks []func() event.Duration) []*Server {
 	t.Helper()
 	count := len(clocks)
@@ -64,13 +64,13 @@
 			s.clock = event.NewClockFrom(clocks[i])
 		}
 		list = append(list, s)
-		go func() { _ = s.Run(ctx) }() // it ends with the test
+		go func() { _ = s.Run(ctx) }() // returns when ctx ends
 	}
 	return list
 }
 
-// look returns what a box has, and the term that it is in.
-func (s *Server) look() (Document, consensus.Term) {
+// documentAndTerm returns the configuration and the term of a box.
+func (s *Server) documentAndTerm() (Document, consensus.Term) {
 	var d Document
 	var term consensus.Term
 	done := make(chan struct{})
@@ -82,9 +82,8 @@
 	return d, term
 }
 
-// TestServersReplicateLargeConfiguration goes through real connections and disks: 14,000 routes are
-// acknowledged, read back as they were sent and known to all boxes, in the term in which they
-// were sent.
+// TestServersReplicateLargeConfiguration uses real connections and disks: a large configuration must be
+// acknowledged, read back unchanged and replicated to all boxes without a change of term.
 func TestServersReplicateLargeConfiguration(t *testing.T) {
 	servers := startServers(t, 3)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -103,7 +102,7 @@
 		return nil
 	}
 	leader := put(noiseDocument(1, 10))
-	_, term := leader.look()
+	_, term := leader.documentAndTerm()
 	want := routesDocument(2, manyRoutes)
 	began := time.Now()
 	want.pack()
@@ -113,8 +112,8 @@
 		t.Errorf("read back: status %d, %d bytes", a.Status, len(a.Document.Data))
 	}
 	for i, s := range servers {
-		d, now := s.look()
-		for ; d.Version != want.Version && ctx.Err() == nil; d, now = s.look() {
+		d, now := s.documentAndTerm()
+		for ; d.Version != want.Version && ctx.Err() == nil; d, now = s.documentAndTerm() {
 			time.Sleep(tickInterval)
 		}
 		if !bytes.Equal(d.Data, want.Data) || now != term {
--- a/cluster/sim_test.go
+++ b/cluster/sim_test.go
@@ -21,19 +21,19 @@
 	"lynxramp.org/routing"
 )
 
-// simQuota is what the team of the tests may spend in a window.
+// simQuota is the quota of the simulated team per window, in tokens.
 const simQuota = 10000
 
-// simStep is how finely simulated time goes on.
+// simStep is the resolution of simulated time.
 const simStep = 10 * event.Millisecond
 
-// simDisk is what a simulated box has saved.
+// simDisk is the persistent state of a simulated box.
 type simDisk struct {
 	member   consensus.Member
 	restored consensus.PersistentState
 }
 
-// save does what package store does for a Ready.
+// save applies a Ready to the disk, as package store does.
 func (d *simDisk) save(r *consensus.Ready) {
 	if r.HardState != nil {
 		d.restored.HardState = *r.HardState
@@ -49,24 +49,25 @@
 	}
 }
 
-// simBox is one control box.
+// simBox is a simulated control box.
 type simBox struct {
 	name          string
 	disk          *simDisk
-	state         *State // nil while it is off
+	state         *State // nil while it is stopped
 	tree          *hashtree.Tree
-	wantsToJoin   bool        // it asks to join while it has no vote or hears no leader
-	formatVersion level.Level // 0 is the newest
-	// life names the box's process, and met has those of other boxes that it has heard.
+	wantsToJoin   bool        // it requests to join while it is no voter or has no contact to a leader
+	formatVersion level.Level // 0 means level.Newest
+	// instance identifies the running process; peerInstances has the instances of other boxes that have
+	// connected to it.
 	instance      uint64
 	peerInstances map[string]uint64
-	// stalled disks save nothing; what rests on it waits.
+	// isDiskStalled keeps the disk from saving anything; unsaved holds what waits for it.
 	isDiskStalled bool
 	unsaved       []consensus.Ready
-	// decoding is a document that is decoded beside the loop, until decoded.
+	// decoding is a document that is decoded outside the event loop; it is done at decodedAt.
 	decoding  DocumentDecoded
 	decodedAt event.Time
-	// busy is until when it works on events that it took: it takes none before.
+	// busyUntil is when the box is done with the events it has received; it takes no others before.
 	busyUntil event.Time
 }
 
@@ -84,12 +85,12 @@
 	lastCall   CallID
 	random     *rand.Rand
 	emptyBoxes int
-	instances  uint64 // processes of boxes
+	instances  uint64 // processes of boxes started so far
 	settings   func(seed uint64) Settings
-	// compactLeast is that of the boxes' states, if it is not 0.
+	// compactThreshold replaces that of the boxes' states unless it is 0.
 	compactThreshold int
-	// charge is how much simulated time an event's processor time takes on a control box; 0 lets
-	// events take none.
+	// cpuTimeScale converts the CPU time of an event on a control box to simulated time; 0 lets events take
+	// no time.
 	cpuTimeScale float64
 }
 
@@ -113,7 +114,7 @@
 	}
 }
 
-// newSim starts founders and as many boxes that join.
+// newSim starts a group of founders, and boxes with empty disks that join it.
 func newSim(t testing.TB, founders, joining int) *sim {
 	s := &sim{
 		t: t, boxes: make(map[string]*simBox), answers: make(map[CallID]Answer), closed: make(map[SessionID]bool),
@@ -154,7 +155,7 @@
 	}})
 }
 
-// start starts a box with what its disk holds.
+// start starts a box from the content of its disk.
 func (s *sim) start(b *simBox) {
 	settings := s.settings(s.random.Uint64())
 	settings.FormatVersion = b.formatVersion
@@ -186,7 +187,7 @@
 
 func (s *sim) restart(name string) { s.start(s.boxes[name]) }
 
-// step hands an event to a box and carries out what follows.
+// step applies an event to a box and applies the effects.
 func (s *sim) step(b *simBox, e Event) {
 	if b.state == nil {
 		return
@@ -194,7 +195,7 @@
 	var out Effects
 	work := s.cpuTimeOf(func() { b.state.Step(s.now, e, &out) })
 	if out.Fatal != nil {
-		s.t.Fatalf("%s, which reads level %d, stops: %v", b.name, b.formatVersion, out.Fatal)
+		s.t.Fatalf("%s, which supports format version %d, stops: %v", b.name, b.formatVersion, out.Fatal)
 	}
 	b.busyUntil = max(b.busyUntil, s.now).Add(work)
 	s.messages = append(s.messages, out.Ready.Immediate...)
@@ -215,7 +216,7 @@
 	s.saveAll(b)
 }
 
-// cpuTimeOf does something and returns how much simulated time it takes.
+// cpuTimeOf runs a function and returns the simulated time that it takes.
 func (s *sim) cpuTimeOf(do func()) event.Duration {
 	if s.cpuTimeScale == 0 {
 		do()
@@ -224,7 +225,7 @@
 	return event.Duration(s.cpuTimeScale * float64(cputime.Of(do)))
 }
 
-// decode does what Server's decoder does: the loop goes on meanwhile.
+// decode decodes a document outside the event loop, as a Server's decoder does.
 func (s *sim) decode(b *simBox, d Document) {
 	if d.Version == 0 {
 		return
@@ -240,7 +241,7 @@
 	s.finishDecoding(b)
 }
 
-// finishDecoding hands over what was decoded when its time has come.
+// finishDecoding sends a box the decoded document once its decoding time has passed.
 func (s *sim) finishDecoding(b *simBox) {
 	if b.state == nil || b.decoding.Version == 0 || b.decodedAt > s.now {
 		return
@@ -267,7 +268,7 @@
 	}
 }
 
-// run lets time go on.
+// run advances simulated time.
 func (s *sim) run(span event.Duration) {
 	for end := s.now.Add(span); s.now < end; {
 		s.now = s.now.Add(simStep)
@@ -300,8 +301,8 @@
 	}
 }
 
-// connectPeer tells a box what another one says of itself at the beginning of a connection. Builds before
-// level.Negotiated take no note of that; those before level.Chunked send all alike.
+// connectPeer reports a peer's format version to a box when the peer's connection opens. Builds before
+// level.Negotiated ignore such reports; those before level.Chunked send the same encoding to all peers.
 func (s *sim) connectPeer(from, to *simBox) {
 	reads := cmp.Or(from.formatVersion, level.Newest)
 	switch {
@@ -314,7 +315,7 @@
 	s.step(to, &PeerConnected{Box: event.BoxID(from.name), Connection: from.instance, FormatVersion: reads})
 }
 
-// inSenderFormat returns a message as a build of the sender's level sends it.
+// inSenderFormat returns a message as a build of the sender's format version sends it.
 func inSenderFormat(from *simBox, m consensus.Message) consensus.Message {
 	if from.formatVersion > 0 && from.formatVersion < level.Chunked {
 		m.Seq, m.Offset, m.Size, m.Sum = 0, 0, 0, 0
@@ -322,10 +323,10 @@
 	return m
 }
 
-// isBusy reports whether a box still works on events that it took before this step.
+// isBusy reports whether a box is still working on earlier events.
 func (s *sim) isBusy(b *simBox) bool { return s.cpuTimeScale > 0 && b.busyUntil > s.now.Add(simStep) }
 
-// join does what Server.maintainMembership does.
+// join sends join requests, as Server.maintainMembership does.
 func (s *sim) join(b *simBox) {
 	node := b.state.Node()
 	quiet := s.now.Sub(node.LastLeaderContact()) > leaderTimeout && node.Leader() != node.ID()
@@ -348,7 +349,7 @@
 			continue
 		}
 		if found != nil {
-			s.t.Fatalf("%s and %s own the pools at %v", found.name, name, event.Duration(s.now))
+			s.t.Fatalf("%s and %s both own the pools at %v", found.name, name, event.Duration(s.now))
 		}
 		found = b
 	}
@@ -359,25 +360,26 @@
 	s.t.Helper()
 	b := s.owner()
 	if b == nil {
-		s.t.Fatalf("nobody owns the pools at %v", event.Duration(s.now))
+		s.t.Fatalf("no box owns the pools at %v", event.Duration(s.now))
 	}
 	return b
 }
 
-// put sends a configuration to a box and returns its token.
+// put submits a configuration to a box and returns the id of the call.
 func (s *sim) put(b *simBox, version uint64) CallID {
 	s.lastCall++
 	s.step(b, &DocumentSubmitted{CallID: s.lastCall, Document: Document{Version: version, Data: fmt.Appendf(nil, "v%d", version)}})
 	return s.lastCall
 }
 
+// heartbeat sends a box a heartbeat of an endpoint and returns the id of the call.
 func (s *sim) heartbeat(b *simBox, e registry.Endpoint) CallID {
 	s.lastCall++
 	s.step(b, &HeartbeatReceived{CallID: s.lastCall, Endpoint: e})
 	return s.lastCall
 }
 
-// read asks a box for the configuration.
+// read requests the configuration from a box.
 func (s *sim) read(b *simBox) Answer {
 	s.lastCall++
 	s.step(b, &DocumentRequested{CallID: s.lastCall})
@@ -393,7 +395,7 @@
 	return names
 }
 
-// ping sends an entry's question and returns what the owner lent with its answer.
+// ping sends the owner a ping of an entry and returns the budget leases in the pong.
 func (s *sim) ping(session SessionID, p message.Ping) budget.LeaseUpdate {
 	s.step(s.mustOwner(), &PingReceived{Session: session, Ping: p})
 	sent := s.sends[session]
--- a/cluster/size_test.go
+++ b/cluster/size_test.go
@@ -14,13 +14,13 @@
 	"lynxramp.org/registry"
 )
 
-// The size that the tests of this file play.
+// Size of the deployments in the tests of this file.
 const (
 	manyEntries   = 300
 	manyEndpoints = 3000
 )
 
-// manyEndpoint is one of them, as it tells of itself for the nth time.
+// manyEndpoint returns endpoint i with heartbeat sequence number n.
 func manyEndpoint(i int, n uint64) registry.Endpoint {
 	return registry.Endpoint{
 		ID: fmt.Sprintf("i-%08x", i*7919), Service: "s", Slots: 8, Sequence: n,
@@ -28,7 +28,7 @@
 	}
 }
 
-// registerMany lets all endpoints come.
+// registerMany registers all endpoints.
 func registerMany(s *sim) {
 	for i := range manyEndpoints {
 		s.heartbeat(s.mustOwner(), manyEndpoint(i, 1))
@@ -39,10 +39,9 @@
 	s.run(200 * event.Millisecond)
 }
 
-// TestNewOwnerIsReadyWithinItsLease: what a box does in one step when it comes to own the
-// pools must end long before its lease does, whatever the number of endpoints: the loop
-// that renews the lease stands still meanwhile. The best of some runs counts, for machines
-// that do other work too.
+// TestNewOwnerIsReadyWithinItsLease: the step in which a box becomes the owner must take far less time than
+// a lease, whatever the number of endpoints, as the event loop can't renew the lease meanwhile. It takes
+// the best of several runs, as the machine may be busy.
 func TestNewOwnerIsReadyWithinItsLease(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
@@ -55,12 +54,11 @@
 		best = min(best, time.Since(began))
 	}
 	if most := time.Duration(consensus.MinElectionTimeout / 8); best > most {
-		t.Errorf("a new owner takes up %d endpoints in %v, want %v at the most", manyEndpoints, best, most)
+		t.Errorf("becoming the owner of %d endpoints took %v, want at most %v", manyEndpoints, best, most)
 	}
 }
 
-// manySim is a deployment of many entries and endpoints, in which the work of control boxes
-// takes time.
+// manySim is a deployment of many entries and endpoints in which events take time on control boxes.
 type manySim struct {
 	*fleetSim
 	heartbeats uint64
@@ -75,7 +73,7 @@
 	return f
 }
 
-// runWithHeartbeats lets time go on; each endpoint tells of itself once a second, at any box that is up.
+// runWithHeartbeats advances time; each endpoint sends a heartbeat once a second to a random running box.
 func (f *manySim) runWithHeartbeats(span event.Duration) {
 	for end := f.now.Add(span); f.now < end; {
 		f.runFleet(simStep)
@@ -90,7 +88,7 @@
 	}
 }
 
-// entriesWithOwner returns how many entries have an owner.
+// entriesWithOwner returns how many entries are connected to an owner.
 func (f *manySim) entriesWithOwner() int {
 	n := 0
 	for _, e := range f.entries {
@@ -101,8 +99,8 @@
 	return n
 }
 
-// TestOwnerChangeInLargeDeployment: after the owner's end there is another, and keeps the pools, and
-// nearly all entries are back with it within a second of its election.
+// TestOwnerChangeInLargeDeployment: after the loss of the owner another one must be elected and stay, and
+// nearly all entries must be connected to it within a second of its election.
 func TestOwnerChangeInLargeDeployment(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a large deployment")
@@ -117,10 +115,10 @@
 	term := f.mustOwner().state.Node().Term()
 	f.runWithHeartbeats(2 * second)
 	if got := f.mustOwner().state.Node().Term(); got != term {
-		t.Errorf("term %d became %d with nothing wrong", term, got)
+		t.Errorf("term changed from %d to %d without a fault", term, got)
 	}
 	if got := f.entriesWithOwner(); got < manyEntries*95/100 {
-		t.Errorf("%d of %d entries have an owner later", got, manyEntries)
+		t.Errorf("%d of %d entries have an owner two seconds later", got, manyEntries)
 	}
 }
 
@@ -134,17 +132,17 @@
 	return list
 }
 
-// firstView is what a session was told first.
+// firstView returns the first message of a session, which must be a view.
 func firstView(t *testing.T, s *sim, id SessionID) *message.View {
 	t.Helper()
 	if len(s.sends[id]) == 0 || s.sends[id][0].View == nil {
-		t.Fatalf("session %d was told %+v first, want a view", id, s.sends[id])
+		t.Fatalf("session %d received %+v, want a view first", id, s.sends[id])
 	}
 	return s.sends[id][0].View
 }
 
-// TestSessionReceivesChangesSinceRevision: an entry that knows the registry up to a revision is told
-// what came after it, by any owner; one that knows nothing is told all.
+// TestSessionReceivesChangesSinceRevision: an entry that has the endpoints up to a revision must receive
+// only later changes, from any owner; one without a revision receives all.
 func TestSessionReceivesChangesSinceRevision(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -156,26 +154,26 @@
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	all := firstView(t, s, 1)
 	if list := decodeEndpoints(t, all); !all.Whole || len(list) != 40 || all.Revision == 0 {
-		t.Errorf("an entry that knows nothing was told %d endpoints, whole %v", len(list), all.Whole)
+		t.Errorf("an entry without a revision received %d endpoints, whole %v", len(list), all.Whole)
 	}
 	s.heartbeat(s.mustOwner(), manyEndpoint(40, 1))
 	s.lastCall++
 	s.step(s.mustOwner(), &EndpointRemoved{CallID: s.lastCall, Name: manyEndpoint(7, 1).ID})
 	s.run(second)
 	s.stop(s.mustOwner().name)
-	s.run(6 * second) // all fall silent
+	s.run(6 * second) // all endpoints are down
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry", Revision: all.Revision}})
 	some := firstView(t, s, 2)
 	if list := decodeEndpoints(t, some); some.Whole || len(list) != 1 || list[0].ID != manyEndpoint(40, 1).ID || len(some.Gone) != 1 {
-		t.Errorf("an entry that knows 40 endpoints was told %+v and %v, want one more and one gone", list, some.Gone)
+		t.Errorf("an entry with 40 endpoints received %+v and removals %v, want one of each", list, some.Gone)
 	}
 	if !some.Signs || len(some.Silent) != 40 {
-		t.Errorf("%d endpoints are told to be silent, want 40", len(some.Silent))
+		t.Errorf("%d endpoints are listed as down, want 40", len(some.Silent))
 	}
 }
 
-// TestChangesOfATickAreBatched: entries are told at once of all endpoints that came within a
-// tick, not of each by itself.
+// TestChangesOfATickAreBatched: the endpoints registered within a tick are sent to entries in one message,
+// not one message each.
 func TestChangesOfATickAreBatched(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
@@ -187,23 +185,23 @@
 		told += len(decodeEndpoints(t, m.View))
 	}
 	if told != manyEndpoints {
-		t.Errorf("the entry was told of %d endpoints, want %d", told, manyEndpoints)
+		t.Errorf("the entry received %d endpoints, want %d", told, manyEndpoints)
 	}
 	if got, most := len(s.sends[1])-before, manyEndpoints/50+10; got > most {
-		t.Errorf("%d messages told it, want %d at the most", got, most)
+		t.Errorf("the entry received %d messages, want at most %d", got, most)
 	}
 }
 
-// dropReplies lets the others' answers to the owner be lost: its lease ends, and nobody
-// misses it.
+// dropReplies drops the messages to the owner, so that its lease expires while the others still receive its
+// heartbeats.
 func dropReplies(s *sim) (owner *simBox) {
 	owner = s.mustOwner()
 	s.isCut = func(_, to string) bool { return to == owner.name }
 	return owner
 }
 
-// TestShortLeaseLapseKeepsSessions: an owner whose lease lapses for a moment decides nothing
-// meanwhile, and goes on with the entries that it has.
+// TestShortLeaseLapseKeepsSessions: an owner whose lease lapses briefly sends no decisions meanwhile, and
+// keeps its sessions.
 func TestShortLeaseLapseKeepsSessions(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -219,21 +217,21 @@
 	s.step(owner, &PingReceived{Session: 1})
 	for _, m := range s.sends[1] {
 		if m.Decisions != nil || m.Pong != nil {
-			t.Errorf("an owner without a lease told %+v", m)
+			t.Errorf("an owner without a lease sent %+v", m)
 		}
 	}
 	s.isCut = func(string, string) bool { return false }
 	s.run(300 * event.Millisecond)
 	if s.mustOwner() != owner || s.closed[1] {
-		t.Errorf("the sessions were closed (%v) for a short lapse", s.closed[1])
+		t.Errorf("owner or session (closed: %v) lost after a short lapse of the lease", s.closed[1])
 	}
 	if got := s.grants(1); len(got) != 1 {
-		t.Errorf("grants %+v, want the one that was decided meanwhile", got)
+		t.Errorf("grants %+v, want the one decided during the lapse", got)
 	}
 }
 
-// TestLongLeaseLapseClosesSessions: the entries of an owner that stays without a lease are sent
-// away before they would find out.
+// TestLongLeaseLapseClosesSessions: an owner whose lease stays lapsed closes its sessions before the
+// entries time out.
 func TestLongLeaseLapseClosesSessions(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -241,13 +239,12 @@
 	s.step(owner, &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	s.run(consensus.MinElectionTimeout - consensus.LeaseMargin + leaseGracePeriod + 50*event.Millisecond)
 	if !s.closed[1] {
-		t.Error("the session of an owner whose lease is over goes on")
+		t.Error("the session of an owner without a lease is still open")
 	}
 }
 
-// TestHeartbeatIsAcceptedDuringElection: a box takes the word of an endpoint that has no news
-// while an election goes on, and the next owner hears of it. A box that is without a leader
-// for longer takes none.
+// TestHeartbeatIsAcceptedDuringElection: a box accepts unchanged heartbeats during an election and forwards
+// them to the next owner. A box without a leader for longer accepts none.
 func TestHeartbeatIsAcceptedDuringElection(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -263,12 +260,12 @@
 	s.run(500 * event.Millisecond)
 	for e.Sequence = 2; e.Sequence < 20; e.Sequence++ {
 		if a := s.answers[s.heartbeat(other, e)]; a.Status != StatusDone {
-			t.Fatalf("%v after the leader's end an endpoint was turned away: %+v", 500*event.Millisecond, a)
+			t.Fatalf("a heartbeat %v after the loss of the leader was answered with %+v", 500*event.Millisecond, a)
 		}
 		s.run(400 * event.Millisecond)
 	}
 	if owner := s.mustOwner(); owner.state.owner.down[e.ID] {
-		t.Error("the next owner takes an endpoint for down that told of itself")
+		t.Error("an endpoint with heartbeats is down at the next owner")
 	}
 	for _, name := range s.order {
 		if name != other.name {
@@ -277,13 +274,12 @@
 	}
 	s.run(leaderGracePeriod + second)
 	if a := s.answers[s.heartbeat(other, e)]; a.Status != StatusNotLeader {
-		t.Errorf("a box without a leader for long answered %+v", a)
+		t.Errorf("a box that has had no leader for long answered %+v", a)
 	}
 }
 
-// TestSessionIsPendingDuringElection: it is taken up by the box that it came to when
-// that one comes to own the pools, or sent on to the one that does, and to any other when
-// there is none for long.
+// TestSessionIsPendingDuringElection: a session that begins during an election is served by its box if that
+// becomes the owner, redirected to the new owner otherwise, and closed if there is no leader for long.
 func TestSessionIsPendingDuringElection(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -313,10 +309,10 @@
 		switch {
 		case name == owner.name:
 			if len(sent) < 2 || sent[0].View == nil || sent[len(sent)-1].Pong == nil {
-				t.Errorf("the owner told the entry that came early %+v, want a view and an answer to its question", sent)
+				t.Errorf("the owner sent the pending session %+v, want a view and a pong", sent)
 			}
 		case len(sent) == 0 || sent[0].Redirect == nil || sent[0].Redirect.Leader != owner.name:
-			t.Errorf("%s told the entry that came early %+v, want that %s leads", name, sent, owner.name)
+			t.Errorf("%s sent the pending session %+v, want a redirect to %s", name, sent, owner.name)
 		}
 	}
 	for _, name := range s.order {
@@ -328,6 +324,6 @@
 	s.step(owner, &SessionOpened{FormatVersion: level.Newest, Session: 50, Hello: message.Hello{Entry: "late"}})
 	s.run(pendingSessionTimeout + 2*simStep)
 	if !s.closed[50] {
-		t.Error("an entry is kept for long by a box that knows no leader")
+		t.Error("a box without a leader keeps a session pending beyond the timeout")
 	}
 }
--- a/cluster/starts_test.go
+++ b/cluster/starts_test.go
@@ -11,10 +11,9 @@
 	"lynxramp.org/registry"
 )
 
-// TestNewInstanceFreesCapacity: an endpoint crashed and started again under its name within a heartbeat. Its
-// messages were taken for late ones, and what had run on it held its place until the entry told the
-// end of each. Now its place is free at once, and what comes late of the start before, also of its runs,
-// changes nothing of the new one.
+// TestNewInstanceFreesCapacity: an endpoint that crashes and restarts under its name within a heartbeat
+// frees the capacity that the previous instance used at once. Delayed messages of the previous instance,
+// and of its requests, must not change the new one.
 func TestNewInstanceFreesCapacity(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -25,7 +24,7 @@
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("a")})
 	if got := s.grants(1); len(got) != 1 || got[0].Endpoint != "e/1000" {
-		t.Fatalf("grants %+v, want one to the first start", got)
+		t.Fatalf("grants %+v, want one to the first instance", got)
 	}
 	again := e
 	again.Born, again.Sequence = 2000, 1
@@ -35,7 +34,7 @@
 	}
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("b")})
 	if got := s.grants(1); len(got) != 2 || got[1].Endpoint != "e/2000" {
-		t.Fatalf("grants %+v, want one to the second start", got)
+		t.Fatalf("grants %+v, want one to the second instance", got)
 	}
 	late := e
 	late.Sequence, late.Leaving = 901, true
@@ -62,8 +61,8 @@
 	}
 }
 
-// TestHeartbeatOfOldInstanceIsIgnored: a late heartbeat of the start before, at any box, does not keep the owner from
-// finding that the last one is silent.
+// TestHeartbeatOfOldInstanceIsIgnored: delayed heartbeats of a previous instance, at any box, must not keep
+// the owner from detecting that the present one is down.
 func TestHeartbeatOfOldInstanceIsIgnored(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -85,13 +84,13 @@
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("a")})
 	s.run(second)
 	if got := s.grants(1); len(got) != 0 {
-		t.Errorf("granted %+v to a start that is silent", got)
+		t.Errorf("granted %+v to an instance that is down", got)
 	}
 }
 
-// TestEndpointOfUnknownServiceIsRejected: an endpoint of a service that the configuration does not have is not taken in, nor
-// in place of a good one whose name it uses. One whose service was taken from the configuration still
-// tells that it leaves.
+// TestEndpointOfUnknownServiceIsRejected: an endpoint of a service that is not configured must neither be
+// registered nor replace a valid one of the same name. One whose service was removed from the configuration
+// may still report that it drains.
 func TestEndpointOfUnknownServiceIsRejected(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -106,7 +105,7 @@
 		{ID: "f", Service: "nobody", Address: "10.0.0.1:80", Slots: 9, Sequence: 1},
 	} {
 		if callID := s.heartbeat(s.mustOwner(), e); s.answers[callID].Status != StatusUnknownService {
-			t.Errorf("%+v got %+v", e, s.answers[callID])
+			t.Errorf("%+v was answered with %+v", e, s.answers[callID])
 		}
 	}
 	s.run(second)
@@ -114,7 +113,7 @@
 	want := good
 	want.ID = "e/1000"
 	if len(known) != 1 || known[want.ID] != want {
-		t.Errorf("endpoints are %+v", known)
+		t.Errorf("registered endpoints are %+v, want %+v alone", known, want)
 	}
 	good.Sequence, good.Leaving = 2, true
 	s.mustOwner().state.config.table.Services[0].Name = "t"
@@ -122,12 +121,12 @@
 	callID := s.heartbeat(s.mustOwner(), good)
 	s.run(second)
 	if s.answers[callID].Status != StatusDone {
-		t.Errorf("leaving got %+v", s.answers[callID])
+		t.Errorf("the draining endpoint was answered with %+v", s.answers[callID])
 	}
 }
 
-// TestEntryBelowGroupVersionGetsNothing: an entry that goes back to an earlier build once the group's level was raised would name
-// endpoints by ids that they don't know. It is sent nothing, and said so; one that reads all is served.
+// TestEntryBelowGroupVersionGetsNothing: an entry rolled back to a build below the group's format version
+// would use endpoint ids that the group does not know, so it must receive nothing.
 func TestEntryBelowGroupVersionGetsNothing(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(5 * second)
@@ -149,18 +148,18 @@
 	}
 	s.step(s.mustOwner(), &SessionClosed{Session: 1})
 	if n := len(s.mustOwner().state.owner.unsupported); n > 0 {
-		t.Errorf("%d sessions are remembered", n)
+		t.Errorf("%d closed sessions are still tracked as unsupported", n)
 	}
 }
 
-// TestDisconnectedEntryBlocksVersionRaise: an entry of an earlier build that is away for a moment must be able to come back, so
-// that the level that entries must read is not raised meanwhile, nor by a new owner before all can have found it:
-// it was raised in an owner's first moment, before any entry had come.
+// TestDisconnectedEntryBlocksVersionRaise: a briefly disconnected entry of an earlier build must be able to
+// return, so the group's format version must not be raised while it is away, nor by a new owner before all
+// entries can have connected.
 func TestDisconnectedEntryBlocksVersionRaise(t *testing.T) {
 	s := newSim(t, 3, 0)
 	for _, name := range s.order {
 		s.stop(name)
-		s.boxes[name].disk.restored.Snapshot.Data = nil // as builds before level.Negotiated found a group
+		s.boxes[name].disk.restored.Snapshot.Data = nil // as in a group bootstrapped by a build before level.Negotiated
 		s.restart(name)
 	}
 	s.run(200 * event.Millisecond)
@@ -170,18 +169,18 @@
 	groupLevel := func() level.Level { return s.mustOwner().state.machine.formatVersion }
 	s.run(second)
 	if got := groupLevel(); got >= level.Instances {
-		t.Fatalf("the level is %d before any entry can have been heard", got)
+		t.Fatalf("the group has format version %d before entries can have connected", got)
 	}
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Negotiated, Session: 1, Hello: message.Hello{Entry: "old"}})
 	s.run(20 * second)
 	s.step(s.mustOwner(), &SessionClosed{Session: 1})
 	s.run(3 * second)
 	if got := groupLevel(); got >= level.Instances {
-		t.Fatalf("the level is %d while an entry is away for 3 s that reads %d", got, level.Negotiated)
+		t.Fatalf("the group has format version %d while an entry with version %d is disconnected", got, level.Negotiated)
 	}
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "old", Life: 2}})
 	s.run(2 * second)
 	if got := groupLevel(); got != level.Newest {
-		t.Errorf("the level is %d once all read %d", got, level.Newest)
+		t.Errorf("the group has format version %d once all support %d", got, level.Newest)
 	}
 }
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestDeadVoterIsReplaced loses a box for good, brings an empty one, and loses two
-// more right after: the group still commits.
+// TestDeadVoterIsReplaced: an empty box replaces a voter that is lost for good, so that the group still
+// commits after the loss of two more.
 func TestDeadVoterIsReplaced(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -65,8 +65,7 @@
 	}
 }
 
-// TestUnreachableVoterStaysWithoutReplacement: nobody leaves the group before another can
-// take the place.
+// TestUnreachableVoterStaysWithoutReplacement: no voter is removed before another box can replace it.
 func TestUnreachableVoterStaysWithoutReplacement(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -78,12 +77,12 @@
 	}
 	s.run(10 * second)
 	if got := len(s.voters()); got != 5 {
-		t.Errorf("%d voters, want 5: the silent one has no successor", got)
+		t.Errorf("%d voters, want 5: nothing can replace the unreachable one", got)
 	}
 }
 
-// TestTwoLostDisksKeepAcknowledgedDocument wipes two disks right after an acknowledgement while all
-// others lose power.
+// TestTwoLostDisksKeepAcknowledgedDocument wipes two disks right after an acknowledgement while all boxes
+// lose power.
 func TestTwoLostDisksKeepAcknowledgedDocument(t *testing.T) {
 	for first := range 5 {
 		for next := range 5 {
@@ -118,8 +117,8 @@
 	}
 }
 
-// TestPartitionedOwnerAnswersNoRead cuts the owner off in silence: after its lease it
-// neither reads nor grants, and another one has taken over.
+// TestPartitionedOwnerAnswersNoRead: an owner that is partitioned answers no reads once its lease has
+// expired, and another box is the owner.
 func TestPartitionedOwnerAnswersNoRead(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -129,11 +128,11 @@
 	s.isCut = func(from, to string) bool { return from == old.name || to == old.name }
 	s.run(4 * second)
 	if a := s.read(old); a.Status == StatusDone {
-		t.Errorf("a box that is cut off answered a read: %+v", a)
+		t.Errorf("a partitioned box answered a read: %+v", a)
 	}
 	next := s.mustOwner()
 	if next == old {
-		t.Fatal("the box that is cut off still owns the pools")
+		t.Fatal("the partitioned box still owns the pools")
 	}
 	s.put(next, 4)
 	s.run(second)
@@ -142,8 +141,8 @@
 	}
 }
 
-// TestFrozenOwnerLosesLease lets an owner stand still; its first event after
-// that is a read.
+// TestFrozenOwnerLosesLease: the first event of an owner after its process was suspended is a read; it must
+// not be answered.
 func TestFrozenOwnerLosesLease(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -154,15 +153,14 @@
 	s.run(4 * second)
 	old.state = frozen
 	if a := s.read(old); a.Status == StatusDone {
-		t.Errorf("a box that was frozen answered a read: %+v", a)
+		t.Errorf("a box that was suspended answered a read: %+v", a)
 	}
 	if !s.closed[1] {
-		t.Error("the session of an owner whose lease is over goes on")
+		t.Error("the session of an owner without a lease is still open")
 	}
 }
 
-// TestLeaderWithStalledDiskStillCommits: its own copy does not count, those of the
-// others do.
+// TestLeaderWithStalledDiskStillCommits: entries saved by a majority of the others are committed.
 func TestLeaderWithStalledDiskStillCommits(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -195,7 +193,7 @@
 		}
 	}
 	if a := s.read(s.mustOwner()); string(a.Document.Data) != "v6" {
-		t.Errorf("%q is in force, want v6", a.Document.Data)
+		t.Errorf("configuration %q is in force, want v6", a.Document.Data)
 	}
 }
 
@@ -214,7 +212,7 @@
 	}
 }
 
-// grants returns the grants that a session was sent.
+// grants returns the grants that a session received.
 func (s *sim) grants(id SessionID) []event.Granted {
 	var list []event.Granted
 	for _, m := range s.sends[id] {
@@ -233,7 +231,8 @@
 	return b
 }
 
-// TestDrainingEndpointGetsNoGrantAfterAcknowledgement also changes the owner.
+// TestDrainingEndpointGetsNoGrantAfterAcknowledgement: neither a delayed heartbeat nor a change of owner
+// may revert an acknowledged drain.
 func TestDrainingEndpointGetsNoGrantAfterAcknowledgement(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -251,7 +250,7 @@
 	leaving.Sequence = 3
 	callID := s.heartbeat(s.mustOwner(), leaving)
 	if s.answers[callID].Status == StatusDone {
-		t.Error("leaving was acknowledged before it was committed")
+		t.Error("the drain was acknowledged before it was committed")
 	}
 	for s.answers[callID].Status != StatusDone {
 		s.run(simStep)
@@ -262,7 +261,7 @@
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("b")})
 	s.run(second)
 	if got := s.grants(1); len(got) != 1 {
-		t.Errorf("grants %+v: one came after the acknowledgement", got)
+		t.Errorf("grants %+v, want none after the drain was acknowledged", got)
 	}
 	s.stop(s.mustOwner().name)
 	s.run(4 * second)
@@ -270,11 +269,11 @@
 	s.step(s.mustOwner(), &BatchReceived{Session: 2, Batch: submit("c")})
 	s.run(second)
 	if got := s.grants(2); len(got) != 0 {
-		t.Errorf("the next owner granted %+v to an endpoint that is leaving", got)
+		t.Errorf("the next owner granted %+v to a draining endpoint", got)
 	}
 }
 
-// TestNewOwnerCountsRunningRequests: a place that an entry says is taken is not given again.
+// TestNewOwnerCountsRunningRequests: a new owner must not grant capacity that an entry reports as in use.
 func TestNewOwnerCountsRunningRequests(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -287,12 +286,12 @@
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry", Running: []message.Running{running}}})
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("new")})
 	if got := s.grants(1); len(got) != 0 {
-		t.Fatalf("granted %+v though the only place is taken", got)
+		t.Fatalf("granted %+v although the endpoint has no free capacity", got)
 	}
 	done := message.Finish{Finished: event.Finished{ID: "old", Pool: "s"}, Endpoint: "e"}
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: &message.Batch{Finish: []message.Finish{done}}})
 	if got := s.grants(1); len(got) != 1 {
-		t.Errorf("grants %+v, want one when the place came free", got)
+		t.Errorf("grants %+v, want one once the capacity is free", got)
 	}
 }
 
@@ -306,17 +305,17 @@
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("a")})
 	if got := s.grants(1); len(got) != 0 {
-		t.Fatalf("granted %+v to an endpoint that is silent", got)
+		t.Fatalf("granted %+v to an endpoint that is down", got)
 	}
 	e.Sequence = 2
 	s.heartbeat(s.mustOwner(), e)
 	s.run(simStep)
 	if got := s.grants(1); len(got) != 1 {
-		t.Errorf("grants %+v, want one when the endpoint was heard again", got)
+		t.Errorf("grants %+v, want one after the endpoint's next heartbeat", got)
 	}
 }
 
-// firstPart is the command that brings the first part of a document.
+// firstPart returns the command with the first part of a document.
 func firstPart(d Document) []byte {
 	d.pack()
 	return d.packed.encodePart(0)
@@ -348,9 +347,8 @@
 	}
 }
 
-// TestOwnerCountsSpendingOfDegradedEntry: an entry that was away and comes back to the same
-// owner tells what it spent in between out of what it was lent. All of a quota but that is
-// then given out, and no more.
+// TestOwnerCountsSpendingOfDegradedEntry: an entry that reconnects to the same owner reports what it spent
+// of its lease while degraded. The owner must then grant the rest of the quota and no more.
 func TestOwnerCountsSpendingOfDegradedEntry(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -365,14 +363,14 @@
 		b.Submit[0].Quota = amount
 		before := len(s.grants(session))
 		s.step(s.mustOwner(), &BatchReceived{Session: session, Batch: b})
-		s.run(simStep) // a record may have to be committed
+		s.run(simStep) // the owner may have to commit a budget record first
 		s.run(simStep)
 		granted += amount * (len(s.grants(session)) - before)
 	}
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry", Life: 5}})
 	lent := s.ping(1, message.Ping{})
 	if len(lent.UpTo) == 0 {
-		t.Fatal("the entry was lent nothing")
+		t.Fatal("the entry has no lease")
 	}
 	held := lent.UpTo[slices.IndexFunc(lent.UpTo, func(h budget.Lease) bool { return h.Account == budget.Team("t") })]
 	s.ping(1, message.Ping{Has: lent.Number})
@@ -387,12 +385,12 @@
 		spend(2, simQuota/100)
 	}
 	if sum := granted + held.Spent; sum > simQuota || sum < simQuota*3/4 {
-		t.Errorf("%d granted and %d spent alone of %d", granted, held.Spent, simQuota)
+		t.Errorf("%d granted and %d spent while degraded, of a quota of %d", granted, held.Spent, simQuota)
 	}
 }
 
-// TestHeartbeatIsAcceptedByAnyBox: a heartbeat without news is taken by any box that
-// hears the leader, which is told of it; one with news goes to the leader.
+// TestHeartbeatIsAcceptedByAnyBox: a box with contact to the leader accepts an unchanged heartbeat and
+// forwards it to the leader; a changed one must be sent to the leader.
 func TestHeartbeatIsAcceptedByAnyBox(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -409,25 +407,25 @@
 	for range 3 * downAfterHeartbeats {
 		e.Sequence++
 		if callID := s.heartbeat(other, e); s.answers[callID].Status != StatusDone || s.answers[callID].HeartbeatAddress == "" {
-			t.Fatalf("a heartbeat without news got %+v", s.answers[callID])
+			t.Fatalf("an unchanged heartbeat was answered with %+v", s.answers[callID])
 		}
 		s.run(second / 2)
 	}
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("a")})
 	if got := s.grants(1); len(got) != 1 {
-		t.Errorf("grants %+v: the owner takes an endpoint for down that another box hears", got)
+		t.Errorf("grants %+v, want one to an endpoint whose heartbeats another box accepts", got)
 	}
 	e.Sequence++
 	e.Leaving = true
 	if callID := s.heartbeat(other, e); s.answers[callID].Status != StatusNotLeader {
-		t.Errorf("news got %+v at a box that does not lead", s.answers[callID])
+		t.Errorf("a box that is not the leader answered a changed heartbeat with %+v", s.answers[callID])
 	}
-	// A box that hears no leader takes no heartbeat.
+	// A box without contact to the leader accepts no heartbeats.
 	s.isCut = func(from, to string) bool { return from == other.name || to == other.name }
 	s.run(2 * second)
 	e.Leaving = false
 	if callID := s.heartbeat(other, e); s.answers[callID].Status == StatusDone {
-		t.Errorf("a box that is cut off took a heartbeat: %+v", s.answers[callID])
+		t.Errorf("a partitioned box accepted a heartbeat: %+v", s.answers[callID])
 	}
 }
--- a/cluster/suspended_test.go
+++ b/cluster/suspended_test.go
@@ -12,9 +12,8 @@
 	"lynxramp.org/internal/uptime"
 )
 
-// TestSuspendedOwnerLosesLease: a control box whose computer wakes after a while still had its lease by a clock
-// that had stood still, and answered a read of the configuration with one that was not the newest any
-// more.
+// TestSuspendedOwnerLosesLease: the lease must expire while the machine is suspended, which a monotonic
+// clock may not count, or the box would answer a read with an outdated configuration.
 func TestSuspendedOwnerLosesLease(t *testing.T) {
 	const boxes = 3
 	var slept [boxes]atomic.Int64
@@ -35,20 +34,20 @@
 		}
 	}
 	if leader < 0 {
-		t.Fatal("nobody leads")
+		t.Fatal("no box leads")
 	}
-	// What its lease rests on when it wakes is what it had heard before.
+	// The lease after the suspension is based on what was received before it.
 	a := servers[leader].ReadDocument(ctx)
 	for ; a.Status != StatusDone && ctx.Err() == nil; a = servers[leader].ReadDocument(ctx) {
 		time.Sleep(tickInterval)
 	}
 	slept[leader].Add(int64(2 * event.Second))
 	if now := servers[leader].clock.Now(); now < a.ValidUntil {
-		t.Fatalf("the lease lasts until %v, it is %v", a.ValidUntil, now)
+		t.Fatalf("the lease is valid until %v, it is only %v", a.ValidUntil, now)
 	}
 	held := make(chan bool, 1)
 	servers[leader].events <- inspect(func(now event.Time, s *State) { held <- s.node.HasLease(now) && s.node.LeaseEnd(now) <= a.ValidUntil })
 	if <-held {
-		t.Error("it holds the lease that it had before it slept")
+		t.Error("the box still holds its lease from before the suspension")
 	}
 }
--- a/cluster/takeup_test.go
+++ b/cluster/takeup_test.go
@@ -12,11 +12,10 @@
 	"lynxramp.org/routing"
 )
 
-// TestEntriesServeDuringFrequentChanges: an operator sends a small change of a large
-// configuration as soon as the one before is acknowledged, for longer than entries serve without word
-// that theirs is the newest. Entries must go on serving: an answer of the owner counts
-// only for an entry that has the version that is committed by then, so that they would refuse all from
-// Fresh on if each version came before the last one is decoded, fetched and in force.
+// TestEntriesServeDuringFrequentChanges submits changes of a large configuration, each as soon as the last
+// one is acknowledged, for longer than entries serve with a configuration that is not confirmed as the
+// newest. An owner confirms only the newest committed version, so entries would reject all requests if each
+// version were replaced before it is decoded, sent and in force.
 func TestEntriesServeDuringFrequentChanges(t *testing.T) {
 	g := newGrowthSim(t, 3)
 	g.change(func(*routing.Table) { g.addRoutes(14000) })
@@ -34,15 +33,13 @@
 	}
 	t.Logf("%d changes in 15 s", changes)
 	if refusing > 0 {
-		t.Errorf("entries refused all at %d of %d looks while changes followed each other", refusing, 3*changes)
+		t.Errorf("entries had no valid configuration at %d of %d checks during the changes", refusing, 3*changes)
 	}
 }
 
-// TestNewOwnerUsesNewestConfiguration: a box starts with a snapshot of version 1 and, in its log
-// behind it, version 2, which gives team u a quota and takes half of that of team t. It is elected,
-// and owns the pools by version 1: the snapshot's document was decoded, version 2 is not yet. Entries
-// that were not restarted go by version 2. A team that version 1 does not know has no quota at all
-// until version 2 is decoded.
+// TestNewOwnerUsesNewestConfiguration: a box with version 1 in its snapshot and version 2 in its log is
+// elected when only version 1 is decoded. It must not own the pools with version 1, which has other quotas
+// than the entries use.
 func TestNewOwnerUsesNewestConfiguration(t *testing.T) {
 	document := func(version uint64, teams ...routing.Team) Document {
 		data, err := json.Marshal(routing.Table{Version: version, Services: []routing.Service{{Name: "s"}}, Teams: teams})
--- a/cluster/upgrade_sim_test.go
+++ b/cluster/upgrade_sim_test.go
@@ -16,12 +16,11 @@
 	"lynxramp.org/registry"
 )
 
-// upgrade is a group whose boxes are replaced one after the other by a later build, while anything
-// happens to it.
+// upgradeSim is a group whose boxes are replaced one after the other by a later build, with random faults.
 type upgradeSim struct {
 	*sim
 	from      level.Level
-	states    map[uint64]string // what all members had when they had applied an entry
+	states    map[uint64]string // state of the members by the last applied entry
 	applied   map[*State]uint64
 	submitted map[CallID]uint64 // versions by call
 	stopped   *simBox
@@ -43,14 +42,14 @@
 		b := u.boxes[name]
 		u.stop(name)
 		b.formatVersion = from
-		b.disk.restored.Snapshot.Data = nil // as builds before level.Negotiated found a group
+		b.disk.restored.Snapshot.Data = nil // as in a group bootstrapped by a build before level.Negotiated
 		u.restart(name)
 	}
 	u.isCut = func(one, other string) bool { return one == u.isolated || other == u.isolated }
 	return u
 }
 
-// randomAction lets one thing happen.
+// randomAction runs a random change or fault and advances time.
 func (u *upgradeSim) randomAction() {
 	owner := u.owner()
 	switch n := u.random.IntN(100); {
@@ -85,7 +84,7 @@
 	}
 }
 
-// reportCrash has an entry tell that an endpoint ended under a request.
+// reportCrash has an entry report that an endpoint crashed under a request.
 func (u *upgradeSim) reportCrash(owner *simBox) {
 	u.session++
 	u.number++
@@ -96,8 +95,7 @@
 	}}}})
 }
 
-// check fails the test if two members differ that have applied the same entries, or if the level of one
-// was lowered.
+// check fails the test if two members that have applied the same entries have different states.
 func (u *upgradeSim) check() {
 	for _, name := range u.order {
 		b := u.boxes[name]
@@ -117,7 +115,7 @@
 	}
 }
 
-// replace has a box end as it is told to, and start anew with a later build.
+// replace stops a box gracefully and restarts it with another build.
 func (u *upgradeSim) replace(name string, to level.Level) {
 	b := u.boxes[name]
 	if b.state != nil {
@@ -133,15 +131,15 @@
 	u.restart(name)
 }
 
-// mustConverge brings all back, and checks that nothing acknowledged is lost, that all have the same, and
-// that the group has the level that all read.
+// mustConverge ends all faults, and checks that no acknowledged configuration is lost, that all members
+// have applied the same entries and that the group's format version is the wanted one.
 func (u *upgradeSim) mustConverge(want level.Level) {
 	u.isolated = ""
 	if u.stopped != nil {
 		u.restart(u.stopped.name)
 		u.stopped = nil
 	}
-	for range 1800 { // an owner waits 13 s for entries that may have to find it
+	for range 1800 { // an owner waits 13 s for entries that may still connect
 		u.run(simStep)
 		u.check()
 	}
@@ -161,26 +159,24 @@
 			u.t.Fatalf("%s has applied %d entries, the owner %d", name, got, all)
 		}
 		if want >= level.Negotiated && state.machine.formatVersion != want {
-			u.t.Fatalf("%s: the group has level %d, want %d", name, state.machine.formatVersion, want)
+			u.t.Fatalf("%s: the group has format version %d, want %d", name, state.machine.formatVersion, want)
 		}
 		if want < level.Negotiated && state.machine.formatVersion > want {
-			u.t.Fatalf("%s: the log tells level %d while a member reads %d", name, state.machine.formatVersion, want)
+			u.t.Fatalf("%s: the log has format version %d while a member supports %d", name, state.machine.formatVersion, want)
 		}
 	}
 }
 
-// TestRollingUpgrade replaces the boxes of a group in any order by a later build, while boxes are killed and cut
-// off, snapshots are taken, one loses its disk, configurations and endpoints change and requests end
-// endpoints. An upgrade from an earlier build had ended every control box; in others a command that
-// earlier members did not know was passed over there, so that members differed and the one that
-// differed might lead next.
+// TestRollingUpgrade replaces the boxes of a group by a later build, in any order, with random faults,
+// snapshots and changes. A build must not fail on the data of an earlier one, and no member may skip
+// commands that others apply.
 func TestRollingUpgrade(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		from := rapid.SampledFrom([]level.Level{level.Listed, level.Compressed, level.Chunked, level.Suspects, level.Negotiated}).Draw(rt, "from")
 		u := newUpgrade(t, from, rapid.SampledFrom([]int{3, 5}).Draw(rt, "boxes"), rapid.Uint64().Draw(rt, "seed"))
 		defer func() {
 			if t.Failed() {
-				t.Logf("from level %d, %d boxes", from, len(u.order))
+				t.Logf("from format version %d, %d boxes", from, len(u.order))
 			}
 		}()
 		u.run(2 * event.Second)
@@ -211,8 +207,8 @@
 	})
 }
 
-// TestRollback: a build that turns out bad is replaced by the one before, on the same folders, as long
-// as not all boxes have it.
+// TestRollback: as long as not all boxes have the new build, it can be replaced by the previous one on the
+// same folders.
 func TestRollback(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		from := rapid.SampledFrom([]level.Level{level.Listed, level.Compressed, level.Chunked, level.Suspects, level.Negotiated}).Draw(rt, "from")
@@ -233,13 +229,13 @@
 	})
 }
 
-// TestMemberBelowGroupVersionGetsNothing: a box that goes back to an earlier build once the level was raised is sent
-// nothing, and is not let in with an empty disk: it would pass over what it does not know.
+// TestMemberBelowGroupVersionGetsNothing: a box with a build below the group's format version must receive
+// no log entries, and must not join with an empty disk: it would skip commands that it does not know.
 func TestMemberBelowGroupVersionGetsNothing(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(2 * event.Second)
 	if got := s.mustOwner().state.machine.formatVersion; got != level.Newest {
-		t.Fatalf("a new group has level %d", got)
+		t.Fatalf("a new group has format version %d", got)
 	}
 	var back *simBox
 	for _, name := range s.order {
@@ -253,12 +249,12 @@
 	if _, err := NewState(s.now, back.disk.member.ID, back.disk.restored, Settings{FormatVersion: level.Suspects}); !level.IsUnsupported(err) {
 		t.Errorf("the folder of a later build: %v", err)
 	}
-	back.disk.restored.Snapshot.Data = nil // a build before level.Negotiated does not look
+	back.disk.restored.Snapshot.Data = nil // a build before level.Negotiated does not check it
 	s.restart(back.name)
 	callID := s.put(s.mustOwner(), 5)
 	s.run(2 * event.Second)
 	if s.answers[callID].Status != StatusDone {
-		t.Error("a change is not taken while one box of three is of an earlier build")
+		t.Error("a change was not acknowledged while one box of three has an earlier build")
 	}
 	if got := back.state.Document().Version; got != 0 {
 		t.Errorf("the box of an earlier build has version %d", got)
@@ -270,7 +266,7 @@
 	s.restart(back.name)
 	s.run(3 * event.Second)
 	if got := s.mustOwner().state.node.Members(); len(got.Voters) != 3 || got.Has(s.boxes[back.name].disk.member.ID) {
-		t.Errorf("members are %+v, want those of before", got)
+		t.Errorf("members are %+v, want the previous ones", got)
 	}
 	s.stop(back.name)
 	s.boxes[back.name].formatVersion = 0
@@ -278,12 +274,12 @@
 	s.restart(back.name)
 	s.run(3 * event.Second)
 	if got := s.boxes[back.name].state.Document().Version; got != 5 {
-		t.Errorf("once it has the later build again it has version %d, want 5", got)
+		t.Errorf("with the later build again, the box has version %d, want 5", got)
 	}
 }
 
-// TestRollingRestartTransfersLeadershipTwiceAtMost: each control box that was replaced handed its lead to any other one, which was
-// replaced in its turn. A box that was replaced already is to have it.
+// TestRollingRestartTransfersLeadershipTwiceAtMost: leadership must be transferred to a box that was
+// already restarted, or it moves with each restart.
 func TestRollingRestartTransfersLeadershipTwiceAtMost(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newSim(t, rapid.SampledFrom([]int{3, 5}).Draw(rt, "boxes"), 0)
@@ -303,7 +299,7 @@
 			}
 		}
 		if moves > 2 {
-			rt.Fatalf("the lead moved %d times while %v were replaced", moves, order)
+			rt.Fatalf("leadership moved %d times while %v were restarted", moves, order)
 		}
 	})
 }
--- a/cluster/upload_property_test.go
+++ b/cluster/upload_property_test.go
@@ -12,15 +12,15 @@
 	"lynxramp.org/event"
 )
 
-// chaos is a group to which configurations are sent while anything happens to it.
+// chaosSim is a group to which configurations are submitted under random faults.
 type chaosSim struct {
 	*sim
 	stopped  *simBox // at most one box is stopped at a time
 	wiped    bool    // a box lost its disk; only one does
 	isolated string  // a box that no message reaches or leaves
-	loss     int     // of 100 messages
+	loss     int     // lost messages, in percent
 	sent     map[uint64]Document
-	calls    map[CallID]uint64 // versions by call
+	calls    map[CallID]uint64 // submitted versions
 	applied  map[*State]uint64
 }
 
@@ -38,7 +38,7 @@
 	return c
 }
 
-// send sends a configuration of some parts, a new one or an earlier one again, to any box.
+// send submits a configuration to any box, a new one or an earlier one again.
 func (c *chaosSim) send() {
 	version := uint64(len(c.sent))
 	if version == 0 || c.random.IntN(3) == 0 {
@@ -54,7 +54,7 @@
 	c.step(b, &DocumentSubmitted{CallID: c.lastCall, Document: c.sent[version]})
 }
 
-// randomAction lets one thing happen.
+// randomAction runs a random action or fault, reorders and duplicates messages, and advances time.
 func (c *chaosSim) randomAction() {
 	switch n := c.random.IntN(100); {
 	case n < 10:
@@ -92,7 +92,7 @@
 	c.check()
 }
 
-// change lets some endpoints change, so that there are snapshots.
+// change changes some endpoints, so that the log is compacted.
 func (c *chaosSim) change() {
 	owner := c.owner()
 	for i := 0; owner != nil && i < 4; i++ {
@@ -102,7 +102,7 @@
 	}
 }
 
-// partialUploads returns how many boxes have a part of a configuration.
+// partialUploads returns how many boxes have an incomplete upload.
 func (c *chaosSim) partialUploads() int {
 	n := 0
 	for _, name := range c.order {
@@ -123,7 +123,7 @@
 	}
 }
 
-// check fails the test if a box has a configuration that nobody sent, or goes back.
+// check fails the test if a box has a configuration that was not submitted, or an older one than before.
 func (c *chaosSim) check() {
 	for _, name := range c.order {
 		state := c.boxes[name].state
@@ -136,12 +136,12 @@
 		}
 		c.applied[state] = d.Version
 		if want := c.sent[d.Version]; d.Version > 0 && !bytes.Equal(d.Data, want.Data) {
-			c.t.Fatalf("%s has %d bytes in version %d, %d were sent", name, len(d.Data), d.Version, len(want.Data))
+			c.t.Fatalf("%s has %d bytes in version %d, %d were submitted", name, len(d.Data), d.Version, len(want.Data))
 		}
 	}
 }
 
-// acknowledged returns the highest version of which a call was acknowledged.
+// acknowledged returns the highest acknowledged version.
 func (c *chaosSim) acknowledged() uint64 {
 	highest := uint64(0)
 	for callID, version := range c.calls {
@@ -152,10 +152,10 @@
 	return highest
 }
 
-// TestConfigurationUploadsUnderFaults sends configurations of one and more parts while messages are lost,
-// doubled and reordered, boxes end and come back, one loses its disk, disks stall and snapshots are
-// taken. No box has ever anything but what was sent, what was acknowledged is never lost, and
-// the last one sent is in force everywhere once all is well.
+// TestConfigurationUploadsUnderFaults submits configurations of one or more parts while messages are lost,
+// duplicated and reordered, boxes stop and restart, one loses its disk, disks stall and snapshots are
+// taken. No box may have a configuration that was not submitted, acknowledged ones must not be lost, and
+// after the faults the last one must be in force on all boxes.
 func TestConfigurationUploadsUnderFaults(t *testing.T) {
 	snapshots, documents, partly := 0, 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -187,14 +187,14 @@
 				rt.Fatalf("%s has version %d, want %d", name, got, last)
 			}
 			if state.machine.upload.data != nil {
-				rt.Fatalf("%s keeps a part of version %d", name, state.machine.upload.key.Version)
+				rt.Fatalf("%s keeps an incomplete upload of version %d", name, state.machine.upload.key.Version)
 			}
 			snapshots += int(min(1, state.snapshotIndex/2))
 			documents += len(c.sent)
 		}
 	})
-	t.Logf("%d boxes took a snapshot, they were sent %d configurations and had a part of one %d times", snapshots, documents, partly)
+	t.Logf("%d snapshots, %d configurations submitted, %d times an incomplete upload", snapshots, documents, partly)
 	if snapshots == 0 || partly == 0 {
-		t.Errorf("%d boxes took a snapshot, and had a part of a configuration %d times", snapshots, partly)
+		t.Errorf("%d snapshots and %d times an incomplete upload, want some of both", snapshots, partly)
 	}
 }
--- a/cluster/upload_test.go
+++ b/cluster/upload_test.go
@@ -11,8 +11,8 @@
 	"lynxramp.org/registry"
 )
 
-// TestResentConfigurationIsLoggedOnce: an operator sends again each second what is not
-// acknowledged. Each call put the whole configuration into the log once more, 3 MB a second.
+// TestResentConfigurationIsLoggedOnce: a configuration that is submitted again before it is acknowledged
+// must not be appended to the log again.
 func TestResentConfigurationIsLoggedOnce(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
@@ -24,7 +24,7 @@
 		s.step(owner, &DocumentSubmitted{CallID: 100 + i, Document: d})
 	}
 	if got, most := owner.state.Node().LogBytes()-before, 11*len(d.Data)/10; got > most {
-		t.Errorf("%d calls took %d bytes of the log, want %d at the most", calls, got, most)
+		t.Errorf("%d calls took %d bytes of the log, want at most %d", calls, got, most)
 	}
 	s.run(second)
 	for i := range CallID(calls) {
@@ -35,7 +35,7 @@
 	s.wantDocument(owner.name, d)
 }
 
-// wantDocument checks what a box has, byte for byte.
+// wantDocument checks the configuration of a box byte for byte.
 func (s *sim) wantDocument(name string, want Document) {
 	s.t.Helper()
 	got := s.boxes[name].state.Document()
@@ -44,9 +44,8 @@
 	}
 }
 
-// TestOnlyNewestPendingConfigurationIsLogged: of those that come while one is being replicated
-// only the newest goes into the log, and answers the calls of all. A call whose caller is gone
-// holds nothing up.
+// TestOnlyNewestPendingConfigurationIsLogged: of the configurations that arrive while one is being
+// replicated only the newest is logged, and it answers all calls. A cancelled call delays nothing.
 func TestOnlyNewestPendingConfigurationIsLogged(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
@@ -57,7 +56,7 @@
 	}
 	s.step(owner, &CallCancelled{CallID: 101})
 	if got, most := owner.state.Node().LogBytes(), 11<<20/10; got > most {
-		t.Errorf("the log took %d bytes, want %d at the most", got, most)
+		t.Errorf("the log took %d bytes, want at most %d", got, most)
 	}
 	s.run(3 * second)
 	for i, v := range versions {
@@ -69,7 +68,7 @@
 	s.wantDocument(owner.name, noiseDocument(9, 1<<20))
 }
 
-// TestCallsEndWhenLeadershipIsLost: the calls that wait on a leader are told when it leads no more.
+// TestCallsEndWhenLeadershipIsLost: pending calls must be answered when their box is no longer the leader.
 func TestCallsEndWhenLeadershipIsLost(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
@@ -102,7 +101,7 @@
 	return list
 }
 
-// apply carries out commands, which must be readable.
+// apply applies commands, which must not fail.
 func apply(t *testing.T, m *stateMachine, commands ...[]byte) {
 	t.Helper()
 	for i, c := range commands {
@@ -118,11 +117,11 @@
 		t.Errorf("version %d of %d bytes is in force, want %d of %d", m.document.Version, len(m.document.Data), want.Version, len(want.Data))
 	}
 	if m.upload.data != nil {
-		t.Errorf("a part of version %d is kept", m.upload.key.Version)
+		t.Errorf("an incomplete upload of version %d is kept", m.upload.key.Version)
 	}
 }
 
-// TestDocumentsOfAllSizes are read back as they were sent.
+// TestDocumentsOfAllSizes: documents of one and more parts, compressible or not, are restored unchanged.
 func TestDocumentsOfAllSizes(t *testing.T) {
 	var m stateMachine
 	for i, size := range []int{0, 1, maxPartBytes - 1, maxPartBytes, maxPartBytes + 1, 3 * maxPartBytes, 1 << 20} {
@@ -136,8 +135,8 @@
 	}
 }
 
-// TestPartsOfOtherDocumentsAreIgnored: parts that are given up, that come twice, out of turn or too late
-// change nothing of a document that comes whole.
+// TestPartsOfOtherDocumentsAreIgnored: abandoned, duplicate, reordered and outdated parts must not change
+// the document that is completed.
 func TestPartsOfOtherDocumentsAreIgnored(t *testing.T) {
 	a, b := noiseDocument(3, 4*maxPartBytes), noiseDocument(4, 4*maxPartBytes)
 	sameVersion := noiseDocument(4, 4*maxPartBytes)
@@ -155,22 +154,22 @@
 	wantInForce(t, &m, b)
 }
 
-// TestDamagedPartIsNotApplied: what its sum does not confirm does not come in force.
+// TestDamagedPartIsNotApplied: a document that does not match its checksum or size must not take effect.
 func TestDamagedPartIsNotApplied(t *testing.T) {
 	var m stateMachine
 	list := encodeParts(noiseDocument(1, 2*maxPartBytes))
 	for name, bad := range map[string][]byte{
-		"short":     list[1][:partHeader],
-		"cut":       list[1][:len(list[1])-5],
-		"exchanged": append(bytes.Clone(list[1][:1+partHeader]), list[0][1+partHeader:]...),
-		"too long":  append(bytes.Clone(list[1][:1+partHeader]), compress(make([]byte, maxPartBytes+1))...),
+		"no content": list[1][:partHeader],
+		"truncated":  list[1][:len(list[1])-5],
+		"other part": append(bytes.Clone(list[1][:1+partHeader]), list[0][1+partHeader:]...),
+		"too long":   append(bytes.Clone(list[1][:1+partHeader]), compress(make([]byte, maxPartBytes+1))...),
 	} {
 		apply(t, &m, list[0])
 		if _, err := m.apply(9, bad); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 		if m.document.Version != 0 {
-			t.Errorf("%s: came in force", name)
+			t.Errorf("%s: the document took effect", name)
 		}
 		m = stateMachine{}
 	}
@@ -178,12 +177,12 @@
 	huge.pack()
 	huge.packed.key.Size = maxDocumentBytes + 1
 	if _, err := m.apply(9, huge.packed.encodePart(0)); err == nil {
-		t.Error("a document of more than the bound was begun")
+		t.Error("a document larger than the limit was accepted")
 	}
 }
 
-// TestSnapshotKeepsIncompleteUpload: a machine that was restored goes on with a document of which it
-// had a part, and takes the very bytes that another one takes.
+// TestSnapshotKeepsIncompleteUpload: a restored state machine must continue an incomplete upload, and have
+// the same snapshot as the original.
 func TestSnapshotKeepsIncompleteUpload(t *testing.T) {
 	first, second := noiseDocument(1, maxPartBytes+7), noiseDocument(2, 3*maxPartBytes)
 	list := encodeParts(second)
@@ -194,18 +193,18 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(m.snapshot(), again.snapshot()) {
-		t.Error("equal machines have unequal snapshots")
+		t.Error("the restored state machine has another snapshot than the original")
 	}
 	for _, one := range []*stateMachine{&m, &again} {
 		apply(t, one, list[2])
 		wantInForce(t, one, second)
 	}
 	if got, most := len(m.snapshot()), len(second.Data)*11/10; got > most {
-		t.Errorf("the snapshot has %d bytes, want %d at the most", got, most)
+		t.Errorf("the snapshot has %d bytes, want at most %d", got, most)
 	}
 }
 
-// FuzzRestore reads anything as a snapshot.
+// FuzzRestore: arbitrary bytes are rejected, or restored to a state whose snapshot restores to the same.
 func FuzzRestore(f *testing.F) {
 	var m stateMachine
 	list := encodeParts(noiseDocument(2, 2*maxPartBytes))
@@ -226,7 +225,7 @@
 			return
 		}
 		if err := two.restore(one.snapshot(), level.Newest); err != nil || !bytes.Equal(one.snapshot(), two.snapshot()) {
-			t.Errorf("a snapshot of what was read is not read: %v", err)
+			t.Errorf("the snapshot of a restored state is not restored to the same: %v", err)
 		}
 	})
 }
