--- a/cluster/poison_sim_test.go
+++ b/cluster/poison_sim_test.go
@@ -76,8 +76,8 @@
 	poisons   []*poisonRequest
 	instances int
 	crashRate float64 // crashes of an endpoint by itself, per second
-	// killPart is the part of ends under poisons at which the entry that saw it is killed at the
-	// same moment, and with it the owner in half of them.
+	// killShare is the share of poison crashes at which the entry that sent the request is killed at the
+	// same moment, in half of them together with the owner.
 	killShare          float64
 	controlFaultAt     event.Time
 	owner              string
