--- a/cluster/address_test.go
+++ b/cluster/address_test.go
@@ -27,26 +27,26 @@
 // taken its address. The live one must keep the address or get it back within seconds, also after a change
 // of owner.
 func TestDelayedHeartbeatOfCrashedEndpoint(t *testing.T) {
-	for name, known := range map[string]bool{"registered before": true, "not registered before": false} {
+	for name, wasRegistered := range map[string]bool{"registered before": true, "not registered before": false} {
 		t.Run(name, func(t *testing.T) {
 			s := newSim(t, 3, 2)
 			s.run(5 * second)
-			dead := registry.Endpoint{ID: "dead", Service: "s", Address: "10.0.0.1:80", Slots: 4}
-			alive := registry.Endpoint{ID: "alive", Service: "s", Address: "10.0.0.1:80", Slots: 4}
-			if known {
-				heartbeatFor(s, &dead, 2)
+			crashed := registry.Endpoint{ID: "dead", Service: "s", Address: "10.0.0.1:80", Slots: 4}
+			live := registry.Endpoint{ID: "alive", Service: "s", Address: "10.0.0.1:80", Slots: 4}
+			if wasRegistered {
+				heartbeatFor(s, &crashed, 2)
 			}
-			heartbeatFor(s, &alive, 3)
-			dead.Sequence++
-			s.heartbeat(s.mustOwner(), dead)
+			heartbeatFor(s, &live, 3)
+			crashed.Sequence++
+			s.heartbeat(s.mustOwner(), crashed)
 			s.run(100 * event.Millisecond)
-			if known && !isRegistered(s, "alive") {
+			if wasRegistered && !isRegistered(s, "alive") {
 				t.Error("a delayed heartbeat of the replaced endpoint took the address")
 			}
-			heartbeatFor(s, &alive, 2)
+			heartbeatFor(s, &live, 2)
 			s.stop(s.mustOwner().name)
 			s.run(2 * second)
-			heartbeatFor(s, &alive, 3)
+			heartbeatFor(s, &live, 3)
 			if !isRegistered(s, "alive") || isRegistered(s, "dead") {
 				t.Error("the live endpoint is not registered seconds after the delayed heartbeat")
 			}
--- a/cluster/bulk_sim_test.go
+++ b/cluster/bulk_sim_test.go
@@ -133,21 +133,21 @@
 }
 
 func (s *slowSim) deliver() {
-	var late []inFlightMessage
+	var pending []inFlightMessage
 	due := s.inFlight
 	s.inFlight = nil
 	for _, f := range due {
 		to := s.boxes[string(f.message.To.Box())]
 		switch {
 		case f.at > s.now:
-			late = append(late, f)
+			pending = append(pending, f)
 		case to == nil || to.disk.member.ID != f.message.To || s.isCut(string(f.message.From.Box()), to.name):
 		default:
 			s.connectPeer(s.boxes[string(f.message.From.Box())], to)
 			s.step(to, &MessageReceived{Message: f.message})
 		}
 	}
-	s.inFlight = append(late, s.inFlight...)
+	s.inFlight = append(pending, s.inFlight...)
 }
 
 // save advances the disk of a box: all pending saves are done together.
@@ -301,13 +301,13 @@
 // configuration takes. Replicated parts must be kept by the next leader, or the upload would never
 // complete.
 func TestLargeConfigurationSurvivesLeaderChanges(t *testing.T) {
-	const life = 1500 * event.Millisecond // of a leader; the replication takes longer
+	const lifetime = 1500 * event.Millisecond // of a leader; the replication takes longer
 	s := newSlowSim(t, 3, 2)
 	s.run(8 * second)
 	d := noiseDocument(1, 3<<20)
 	o := s.operator(d)
 	began := s.now
-	ends := 0
+	killed := 0
 	for !o.done() {
 		owner := s.owner()
 		if owner == nil {
@@ -315,21 +315,21 @@
 			continue
 		}
 		o.sent = s.now.Add(-second) // the operator submits to the new leader at once
-		for until := s.now.Add(life); s.now < until && !o.done(); {
+		for until := s.now.Add(lifetime); s.now < until && !o.done(); {
 			s.run(slowStep)
 		}
 		if !o.done() {
-			ends++
+			killed++
 			s.kill(owner.name)
 			s.run(second)
 			s.restart(owner.name)
 		}
 		if s.now.Sub(began) > 120*second {
-			t.Fatalf("not acknowledged within 120 s by %d leaders", ends)
+			t.Fatalf("not acknowledged within 120 s by %d leaders", killed)
 		}
 	}
-	t.Logf("%d bytes acknowledged after %v; %d leaders were killed", len(d.Data), s.now.Sub(began), ends)
-	if ends == 0 {
+	t.Logf("%d bytes acknowledged after %v; %d leaders were killed", len(d.Data), s.now.Sub(began), killed)
+	if killed == 0 {
 		t.Error("no leader was killed before the acknowledgement")
 	}
 	s.run(10 * second)
@@ -347,7 +347,7 @@
 	large := s.operator(noiseDocument(1, 3<<20))
 	for began := s.now; !large.done(); s.run(slowStep) {
 		if s.now.Sub(began) > 60*second {
-			t.Fatal("the large configuration was not acknowledged")
+			t.Fatal("the large configuration was not acknowledged within 60 s")
 		}
 	}
 	for i := range 2 * minCompactBytes / entryOverhead { // enough for a compaction of the log
--- a/cluster/fleet_sim_test.go
+++ b/cluster/fleet_sim_test.go
@@ -56,8 +56,8 @@
 	id        gateway.LinkID
 	session   SessionID
 	box       string
-	toControl []fleetMessage // to the control box
-	toEntry   []fleetMessage // to the entry
+	toControl []fleetMessage
+	toEntry   []fleetMessage
 	size      *wireSize
 	received  int // messages of sim.sends taken so far
 }
@@ -83,18 +83,18 @@
 
 // fleetEntry is a simulated entry.
 type fleetEntry struct {
-	name        event.BoxID
-	clockOrigin event.Time // start of its process's clock
-	client      *gateway.OwnerClient
-	link        *fleetLink
-	calls       []*fleetCall
-	finishes    []fleetFinish
-	dialAt      event.Time // when the pending dial completes; 0 if there is none
-	dialAddress string
-	frozenUntil event.Time // its process is suspended until then
-	downUntil   event.Time // its process is not running until then
-	cutUntil    event.Time // it can't reach control boxes until then
-	weight      float64    // relative share of the callers
+	name           event.BoxID
+	clockOrigin    event.Time // start of its process's clock
+	client         *gateway.OwnerClient
+	link           *fleetLink
+	calls          []*fleetCall
+	finishes       []fleetFinish
+	dialAt         event.Time // when the pending dial completes; 0 if there is none
+	dialAddress    string
+	suspendedUntil event.Time // its process is suspended until then
+	downUntil      event.Time // its process is not running until then
+	cutUntil       event.Time // it can't reach control boxes until then
+	weight         float64    // relative share of the callers
 	// linkRate is the bandwidth of the entry's link in bytes per second, cpuShare the fraction of a core
 	// that its process gets; 0 lets messages or work take no time.
 	linkRate, cpuShare float64
@@ -105,19 +105,19 @@
 // fleetSim is a simulated deployment of control boxes, entries and endpoints.
 type fleetSim struct {
 	*sim
-	entries        []*fleetEntry
-	arrivals       []fleetArrival
-	firstAttempts  []event.Time // when callers sent requests, without retries
-	entryInstances uint64
-	requests       int
-	sessions       SessionID
-	sequence       uint64
-	demand         float64 // tokens per second
-	restartAt      map[string]event.Time
-	frozenStates   map[string]*State
-	decode         func([]byte) (*routing.Table, error)
-	crashing       *crashSim        // endpoints that crash; nil for a single one that does not
-	limited        *limitedEndpoint // state of the single endpoint's rate limit; nil if it has none
+	entries         []*fleetEntry
+	arrivals        []fleetArrival
+	firstAttempts   []event.Time // when callers sent requests, without retries
+	entryInstances  uint64
+	requests        int
+	sessions        SessionID
+	sequence        uint64
+	demand          float64 // tokens per second
+	restartAt       map[string]event.Time
+	suspendedStates map[string]*State
+	decode          func([]byte) (*routing.Table, error)
+	crashing        *crashSim        // endpoints that crash; nil for a single one that does not
+	limited         *limitedEndpoint // state of the single endpoint's rate limit; nil if it has none
 }
 
 func newFleetSim(t testing.TB, n int, seed uint64) *fleetSim {
@@ -127,7 +127,7 @@
 // newFleetSimOf returns a deployment that decodes configurations with decode.
 func newFleetSimOf(t testing.TB, n int, seed uint64, decode func([]byte) (*routing.Table, error)) *fleetSim {
 	f := &fleetSim{
-		sim: newSim(t, 3, 2), restartAt: make(map[string]event.Time), frozenStates: make(map[string]*State),
+		sim: newSim(t, 3, 2), restartAt: make(map[string]event.Time), suspendedStates: make(map[string]*State),
 		demand: 3 * fleetTeam.Rate, decode: decode,
 	}
 	f.random = rand.New(rand.NewPCG(seed, uint64(n)))
@@ -231,8 +231,8 @@
 			continue
 		}
 		delete(f.restartAt, name)
-		if state := f.frozenStates[name]; state != nil {
-			delete(f.frozenStates, name)
+		if state := f.suspendedStates[name]; state != nil {
+			delete(f.suspendedStates, name)
 			f.boxes[name].state = state
 			continue
 		}
@@ -244,7 +244,7 @@
 	switch {
 	case e.client == nil && f.now >= e.downUntil:
 		f.startEntry(e)
-	case e.client == nil || f.now < e.frozenUntil || e.busyUntil > f.now.Add(simStep):
+	case e.client == nil || f.now < e.suspendedUntil || e.busyUntil > f.now.Add(simStep):
 		return
 	}
 	now := e.now(f.now)
@@ -317,7 +317,7 @@
 	}
 	l := e.link
 	b := f.boxes[l.box]
-	if b.state == nil && f.frozenStates[l.box] == nil {
+	if b.state == nil && f.suspendedStates[l.box] == nil {
 		f.dropLink(e)
 		return
 	}
--- a/cluster/folders_test.go
+++ b/cluster/folders_test.go
@@ -16,7 +16,7 @@
 )
 
 // folderLevels are the format versions of the recorded folders, by the commit whose build wrote them.
-var folderLevels = map[string]level.Level{
+var folderVersions = map[string]level.Level{
 	"d61e540": level.Listed, "50d3523": level.Listed, "e994de1": level.Chunked, "53e223b": level.Chunked, "de049ca": level.Suspects,
 	"9c63b0b": level.Negotiated, "a229638": level.Instances,
 }
@@ -56,7 +56,7 @@
 // TestFoldersOfEarlierBuilds: a build must open the folders of earlier ones, and not report them as
 // damaged.
 func TestFoldersOfEarlierBuilds(t *testing.T) {
-	for commit, want := range folderLevels {
+	for commit, want := range folderVersions {
 		state, err := openRecorded(t, commit)
 		if err != nil {
 			t.Errorf("%s: %v", commit, err)
@@ -78,8 +78,8 @@
 // TestFolderOfLaterBuildIsUnchanged: a folder of a later build is reported as unsupported, not as damaged,
 // and not modified.
 func TestFolderOfLaterBuildIsUnchanged(t *testing.T) {
-	later := t.TempDir()
-	disk, id, restored, err := store.Open(later, "box", 1)
+	dir := t.TempDir()
+	disk, id, restored, err := store.Open(dir, "box", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,15 +93,15 @@
 	if err := disk.Close(); err != nil {
 		t.Fatal(err)
 	}
-	before := contentsOf(t, later)
-	_, _, restored, err = store.Open(later, event.BoxID("box"), 1)
+	before := contentsOf(t, dir)
+	_, _, restored, err = store.Open(dir, event.BoxID("box"), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err = NewState(0, id.Member(), restored, simSettings(1)); !level.IsUnsupported(err) {
 		t.Errorf("%v, want an error that a later build is needed", err)
 	}
-	if after := contentsOf(t, later); !slices.Equal(before, after) {
+	if after := contentsOf(t, dir); !slices.Equal(before, after) {
 		t.Error("the folder of a later build was changed")
 	}
 }
--- a/cluster/levels_test.go
+++ b/cluster/levels_test.go
@@ -70,12 +70,12 @@
 func TestSnapshotsOfAllLevels(t *testing.T) {
 	for _, l := range []level.Level{level.Listed, level.Chunked, level.Suspects, level.Negotiated, level.Instances} {
 		m := fullMachine(t, l)
-		var again stateMachine
-		if err := again.restore(m.snapshot(), level.Newest); err != nil {
+		var restored stateMachine
+		if err := restored.restore(m.snapshot(), level.Newest); err != nil {
 			t.Errorf("format version %d: %v", l, err)
 			continue
 		}
-		if diff := cmp.Diff(m.contents(t), again.contents(t)); diff != "" {
+		if diff := cmp.Diff(m.contents(t), restored.contents(t)); diff != "" {
 			t.Errorf("format version %d (-want +got):\n%s", l, diff)
 		}
 		if m.formatVersion != l {
--- a/cluster/peers_test.go
+++ b/cluster/peers_test.go
@@ -38,13 +38,13 @@
 	join := &message.Envelope{Join: &consensus.Member{ID: consensus.MakeID("127.0.0.2:1", 7), Address: "127.0.0.2:2"}}
 	c.Send(join.Introduced())
 	first := nextEvent(t, s.logEvents)
-	if told, ok := first.(*PeerConnected); !ok || told.Box != "127.0.0.2:1" || told.FormatVersion != level.Newest {
+	if connected, ok := first.(*PeerConnected); !ok || connected.Box != "127.0.0.2:1" || connected.FormatVersion != level.Newest {
 		t.Fatalf("first event is %T %+v, want PeerConnected", first, first)
 	}
 	c.Close()
 	<-served
 	second := nextEvent(t, s.logEvents)
-	if lost, ok := second.(*PeerDisconnected); !ok || lost.Connection != first.(*PeerConnected).Connection {
+	if disconnected, ok := second.(*PeerDisconnected); !ok || disconnected.Connection != first.(*PeerConnected).Connection {
 		t.Errorf("second event is %T %+v, want PeerDisconnected", second, second)
 	}
 }
--- a/cluster/poison_sim_test.go
+++ b/cluster/poison_sim_test.go
@@ -177,7 +177,7 @@
 		}
 	}
 	for _, e := range f.entries {
-		if e.client == nil || f.now < e.frozenUntil || f.now < e.cutUntil || e.link == nil {
+		if e.client == nil || f.now < e.suspendedUntil || f.now < e.cutUntil || e.link == nil {
 			g.entryFaultAt[e] = f.now
 		}
 	}
@@ -257,7 +257,7 @@
 		if g.random.IntN(3) > 0 {
 			c.fingerprint = poison.Fingerprint(fmt.Sprint("one of its own ", f.requests))
 		}
-		if g.isHealthy(f, e) && f.now.Sub(e.frozenUntil) > settleTime {
+		if g.isHealthy(f, e) && f.now.Sub(e.suspendedUntil) > settleTime {
 			g.healthyWhenSent[c] = true
 			if c.fingerprint == hotFingerprint {
 				g.hotSent++
--- a/cluster/poison_test.go
+++ b/cluster/poison_test.go
@@ -32,7 +32,7 @@
 		}
 		return last
 	}
-	whole := func(string, string) bool { return false }
+	connected := func(string, string) bool { return false }
 	s.isCut = func(from, to string) bool { return from == b.name || to == b.name }
 	s.step(b, &BatchReceived{Session: 1, Batch: &message.Batch{Ends: []poison.End{
 		{Number: 1, Print: "p", Endpoint: "e1"}, {Number: 2, Print: "p", Endpoint: "e2"},
@@ -40,7 +40,7 @@
 	if n := acked(); n != 0 {
 		t.Fatalf("crashes up to %d are acknowledged before they are committed", n)
 	}
-	s.isCut = whole
+	s.isCut = connected
 	s.run(200 * event.Millisecond)
 	if n := acked(); n != 2 {
 		t.Errorf("crashes up to %d are acknowledged, want 2", n)
@@ -64,7 +64,7 @@
 // TestRunOfLostEntryCountsAsCrash: an entry that restarts or stays disconnected can't report the outcome of
 // its runs. A run of a request under which an endpoint crashed before is counted as a crash.
 func TestRunOfLostEntryCountsAsCrash(t *testing.T) {
-	for name, dies := range map[string]func(s *sim, b *simBox){
+	for name, loseEntry := range map[string]func(s *sim, b *simBox){
 		"restarted": func(s *sim, b *simBox) {
 			s.step(b, &SessionOpened{FormatVersion: level.Newest, Session: 3, Hello: message.Hello{Entry: "entry", Life: 2}})
 		},
@@ -94,7 +94,7 @@
 			if len(s.grants(1)) != 1 {
 				t.Fatalf("%d grants, want 1", len(s.grants(1)))
 			}
-			dies(s, b)
+			loseEntry(s, b)
 			ticket.ID = "2"
 			s.step(b, &BatchReceived{Session: 2, Batch: &message.Batch{Submit: []message.Submission{{Ticket: ticket, Print: "p"}}}})
 			for _, c := range b.state.owner.poison.TakeChanges() {
--- a/cluster/sim_test.go
+++ b/cluster/sim_test.go
@@ -94,11 +94,11 @@
 	cpuTimeScale float64
 }
 
-var simLimits = admission.Limits{QuotaWindow: 8 * event.Second, RetryWindow: 10 * event.Second, RetryRatio: 0.2, RetryMin: 20}
+var simAdmissionLimits = admission.Limits{QuotaWindow: 8 * event.Second, RetryWindow: 10 * event.Second, RetryRatio: 0.2, RetryMin: 20}
 
 func simSettings(seed uint64) Settings {
 	return Settings{
-		Limits:            simLimits,
+		Limits:            simAdmissionLimits,
 		Members:           consensus.MembershipLimits{MaxVoters: 5, ReplaceAfter: 1800 * event.Millisecond},
 		HeartbeatInterval: event.Second,
 		ConfigValidity:    5 * event.Second,
@@ -304,15 +304,15 @@
 // connectPeer reports a peer's format version to a box when the peer's connection opens. Builds before
 // level.Negotiated ignore such reports; those before level.Chunked send the same encoding to all peers.
 func (s *sim) connectPeer(from, to *simBox) {
-	reads := cmp.Or(from.formatVersion, level.Newest)
+	formatVersion := cmp.Or(from.formatVersion, level.Newest)
 	switch {
 	case to.state == nil || to.peerInstances[from.name] == from.instance || (to.formatVersion >= level.Chunked && to.formatVersion < level.Negotiated):
 		return
 	case to.formatVersion > 0 && to.formatVersion < level.Chunked:
-		reads = to.formatVersion
+		formatVersion = to.formatVersion
 	}
 	to.peerInstances[from.name] = from.instance
-	s.step(to, &PeerConnected{Box: event.BoxID(from.name), Connection: from.instance, FormatVersion: reads})
+	s.step(to, &PeerConnected{Box: event.BoxID(from.name), Connection: from.instance, FormatVersion: formatVersion})
 }
 
 // inSenderFormat returns a message as a build of the sender's format version sends it.
--- a/cluster/size_test.go
+++ b/cluster/size_test.go
@@ -180,12 +180,12 @@
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	before := len(s.sends[1])
 	registerMany(s)
-	told := 0
+	received := 0
 	for _, m := range s.sends[1][before:] {
-		told += len(decodeEndpoints(t, m.View))
+		received += len(decodeEndpoints(t, m.View))
 	}
-	if told != manyEndpoints {
-		t.Errorf("the entry received %d endpoints, want %d", told, manyEndpoints)
+	if received != manyEndpoints {
+		t.Errorf("the entry received %d endpoints, want %d", received, manyEndpoints)
 	}
 	if got, most := len(s.sends[1])-before, manyEndpoints/50+10; got > most {
 		t.Errorf("the entry received %d messages, want at most %d", got, most)
--- a/cluster/starts_test.go
+++ b/cluster/starts_test.go
@@ -26,9 +26,9 @@
 	if got := s.grants(1); len(got) != 1 || got[0].Endpoint != "e/1000" {
 		t.Fatalf("grants %+v, want one to the first instance", got)
 	}
-	again := e
-	again.Born, again.Sequence = 2000, 1
-	callID := s.heartbeat(s.mustOwner(), again)
+	restarted := e
+	restarted.Born, restarted.Sequence = 2000, 1
+	callID := s.heartbeat(s.mustOwner(), restarted)
 	for s.answers[callID].Status != StatusDone {
 		s.run(simStep)
 	}
@@ -36,9 +36,9 @@
 	if got := s.grants(1); len(got) != 2 || got[1].Endpoint != "e/2000" {
 		t.Fatalf("grants %+v, want one to the second instance", got)
 	}
-	late := e
-	late.Sequence, late.Leaving = 901, true
-	s.heartbeat(s.mustOwner(), late)
+	delayed := e
+	delayed.Sequence, delayed.Leaving = 901, true
+	s.heartbeat(s.mustOwner(), delayed)
 	s.step(s.mustOwner(), &EndpointRemoved{CallID: 99, Name: "e", Born: 1000})
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: &message.Batch{Finish: []message.Finish{
 		{Finished: event.Finished{ID: "a", Pool: "s"}, Endpoint: "e/1000", Suspect: true},
@@ -52,7 +52,7 @@
 	}
 	s.stop(s.mustOwner().name)
 	s.run(4 * second)
-	s.heartbeat(s.mustOwner(), late)
+	s.heartbeat(s.mustOwner(), delayed)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry"}})
 	s.step(s.mustOwner(), &BatchReceived{Session: 2, Batch: submit("d")})
 	s.run(second)
@@ -70,9 +70,9 @@
 	old := registry.Endpoint{ID: "e", Born: 1000, Service: "s", Address: "10.0.0.1:80", Slots: 9, Sequence: 1}
 	s.heartbeat(s.mustOwner(), old)
 	s.run(second)
-	again := old
-	again.Born = 2000
-	s.heartbeat(s.mustOwner(), again)
+	restarted := old
+	restarted.Born = 2000
+	s.heartbeat(s.mustOwner(), restarted)
 	for range 2 * (downAfterHeartbeats + 1) {
 		s.run(second / 2)
 		for _, name := range s.order {
@@ -166,21 +166,21 @@
 	for s.owner() == nil {
 		s.run(simStep)
 	}
-	groupLevel := func() level.Level { return s.mustOwner().state.machine.formatVersion }
+	groupVersion := func() level.Level { return s.mustOwner().state.machine.formatVersion }
 	s.run(second)
-	if got := groupLevel(); got >= level.Instances {
+	if got := groupVersion(); got >= level.Instances {
 		t.Fatalf("the group has format version %d before entries can have connected", got)
 	}
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Negotiated, Session: 1, Hello: message.Hello{Entry: "old"}})
 	s.run(20 * second)
 	s.step(s.mustOwner(), &SessionClosed{Session: 1})
 	s.run(3 * second)
-	if got := groupLevel(); got >= level.Instances {
+	if got := groupVersion(); got >= level.Instances {
 		t.Fatalf("the group has format version %d while an entry with version %d is disconnected", got, level.Negotiated)
 	}
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "old", Life: 2}})
 	s.run(2 * second)
-	if got := groupLevel(); got != level.Newest {
+	if got := groupVersion(); got != level.Newest {
 		t.Errorf("the group has format version %d once all support %d", got, level.Newest)
 	}
 }
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -141,19 +141,19 @@
 	}
 }
 
-// TestFrozenOwnerLosesLease: the first event of an owner after its process was suspended is a read; it must
+// TestOwnerLosesLeaseWhileSuspended: the first event of an owner after its process was suspended is a read; it must
 // not be answered.
-func TestFrozenOwnerLosesLease(t *testing.T) {
+func TestOwnerLosesLeaseWhileSuspended(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	old := s.mustOwner()
 	s.step(old, &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
-	frozen := old.state
+	suspended := old.state
 	old.state = nil
 	s.run(4 * second)
-	old.state = frozen
+	old.state = suspended
 	if a := s.read(old); a.Status == StatusDone {
-		t.Errorf("a box that was suspended answered a read: %+v", a)
+		t.Errorf("the owner answered a read after it was suspended: %+v", a)
 	}
 	if !s.closed[1] {
 		t.Error("the session of an owner without a lease is still open")
@@ -245,19 +245,19 @@
 	if got := s.grants(1); len(got) != 1 || got[0].Endpoint != "e" {
 		t.Fatalf("grants %+v, want one to e", got)
 	}
-	leaving := ready
-	leaving.Leaving = true
-	leaving.Sequence = 3
-	callID := s.heartbeat(s.mustOwner(), leaving)
+	draining := ready
+	draining.Leaving = true
+	draining.Sequence = 3
+	callID := s.heartbeat(s.mustOwner(), draining)
 	if s.answers[callID].Status == StatusDone {
 		t.Error("the drain was acknowledged before it was committed")
 	}
 	for s.answers[callID].Status != StatusDone {
 		s.run(simStep)
 	}
-	late := ready
-	late.Sequence = 2
-	s.heartbeat(s.mustOwner(), late)
+	delayed := ready
+	delayed.Sequence = 2
+	s.heartbeat(s.mustOwner(), delayed)
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("b")})
 	s.run(second)
 	if got := s.grants(1); len(got) != 1 {
@@ -333,15 +333,15 @@
 			t.Fatal(err)
 		}
 	}
-	var again stateMachine
-	if err := again.restore(m.snapshot(), level.Newest); err != nil {
+	var restored stateMachine
+	if err := restored.restore(m.snapshot(), level.Newest); err != nil {
 		t.Fatal(err)
 	}
-	if string(again.document.Data) != `{"version": 4}` || len(again.registry.Endpoints) != 1 || len(again.registry.Gone) != 1 {
-		t.Errorf("restored %+v", again)
+	if string(restored.document.Data) != `{"version": 4}` || len(restored.registry.Endpoints) != 1 || len(restored.registry.Gone) != 1 {
+		t.Errorf("restored %+v", restored)
 	}
 	for _, bad := range [][]byte{nil, {99}, {commandDocument, 1}, append([]byte{commandEndpoint}, '{')} {
-		if _, err := again.apply(9, bad); err == nil {
+		if _, err := restored.apply(9, bad); err == nil {
 			t.Errorf("command %v was applied", bad)
 		}
 	}
@@ -368,24 +368,24 @@
 		granted += amount * (len(s.grants(session)) - before)
 	}
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry", Life: 5}})
-	lent := s.ping(1, message.Ping{})
-	if len(lent.UpTo) == 0 {
+	leases := s.ping(1, message.Ping{})
+	if len(leases.UpTo) == 0 {
 		t.Fatal("the entry has no lease")
 	}
-	held := lent.UpTo[slices.IndexFunc(lent.UpTo, func(h budget.Lease) bool { return h.Account == budget.Team("t") })]
-	s.ping(1, message.Ping{Has: lent.Number})
+	lease := leases.UpTo[slices.IndexFunc(leases.UpTo, func(h budget.Lease) bool { return h.Account == budget.Team("t") })]
+	s.ping(1, message.Ping{Has: leases.Number})
 	for range 20 {
 		spend(1, simQuota/40)
 	}
 	s.step(s.mustOwner(), &SessionClosed{Session: 1})
 	s.run(second)
-	held.Spent = held.UpTo * 3 / 4
-	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry", Life: 5, Held: []budget.Lease{held}}})
+	lease.Spent = lease.UpTo * 3 / 4
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry", Life: 5, Held: []budget.Lease{lease}}})
 	for range 100 {
 		spend(2, simQuota/100)
 	}
-	if sum := granted + held.Spent; sum > simQuota || sum < simQuota*3/4 {
-		t.Errorf("%d granted and %d spent while degraded, of a quota of %d", granted, held.Spent, simQuota)
+	if sum := granted + lease.Spent; sum > simQuota || sum < simQuota*3/4 {
+		t.Errorf("%d granted and %d spent while degraded, of a quota of %d", granted, lease.Spent, simQuota)
 	}
 }
 
--- a/cluster/suspended_test.go
+++ b/cluster/suspended_test.go
@@ -12,14 +12,14 @@
 	"lynxramp.org/internal/uptime"
 )
 
-// TestSuspendedOwnerLosesLease: the lease must expire while the machine is suspended, which a monotonic
+// TestLeaseExpiresWhileMachineIsSuspended: the lease must expire while the machine is suspended, which a monotonic
 // clock may not count, or the box would answer a read with an outdated configuration.
-func TestSuspendedOwnerLosesLease(t *testing.T) {
+func TestLeaseExpiresWhileMachineIsSuspended(t *testing.T) {
 	const boxes = 3
-	var slept [boxes]atomic.Int64
+	var suspendedTime [boxes]atomic.Int64
 	var clocks []func() event.Duration
 	for i := range boxes {
-		clocks = append(clocks, func() event.Duration { return uptime.Now() + event.Duration(slept[i].Load()) })
+		clocks = append(clocks, func() event.Duration { return uptime.Now() + event.Duration(suspendedTime[i].Load()) })
 	}
 	servers := startServersWithClocks(t, clocks)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -41,13 +41,15 @@
 	for ; a.Status != StatusDone && ctx.Err() == nil; a = servers[leader].ReadDocument(ctx) {
 		time.Sleep(tickInterval)
 	}
-	slept[leader].Add(int64(2 * event.Second))
+	suspendedTime[leader].Add(int64(2 * event.Second))
 	if now := servers[leader].clock.Now(); now < a.ValidUntil {
 		t.Fatalf("the lease is valid until %v, it is only %v", a.ValidUntil, now)
 	}
-	held := make(chan bool, 1)
-	servers[leader].events <- inspect(func(now event.Time, s *State) { held <- s.node.HasLease(now) && s.node.LeaseEnd(now) <= a.ValidUntil })
-	if <-held {
+	hasLease := make(chan bool, 1)
+	servers[leader].events <- inspect(func(now event.Time, s *State) {
+		hasLease <- s.node.HasLease(now) && s.node.LeaseEnd(now) <= a.ValidUntil
+	})
+	if <-hasLease {
 		t.Error("the box still holds its lease from before the suspension")
 	}
 }
--- a/cluster/takeup_test.go
+++ b/cluster/takeup_test.go
@@ -22,18 +22,18 @@
 	g.mustBeInForce(configApplyBound)
 	g.runFleet(event.Second)
 	g.cpuTimeScale = 1
-	changes, refusing := 0, 0
+	changes, withoutConfig := 0, 0
 	for end := g.now.Add(15 * event.Second); g.now < end; changes++ {
 		g.change(func(table *routing.Table) { table.Routes[changes*997%len(table.Routes)].Rank-- })
 		for _, e := range g.entries {
 			if e.client == nil || e.client.Table(e.now(g.now)) == nil {
-				refusing++
+				withoutConfig++
 			}
 		}
 	}
 	t.Logf("%d changes in 15 s", changes)
-	if refusing > 0 {
-		t.Errorf("entries had no valid configuration at %d of %d checks during the changes", refusing, 3*changes)
+	if withoutConfig > 0 {
+		t.Errorf("entries had no valid configuration at %d of %d checks during the changes", withoutConfig, 3*changes)
 	}
 }
 
--- a/cluster/upgrade_sim_test.go
+++ b/cluster/upgrade_sim_test.go
@@ -31,7 +31,7 @@
 	commands  map[byte]int // applied, by kind
 }
 
-func newUpgrade(t *testing.T, from level.Level, boxes int, seed uint64) *upgradeSim {
+func newUpgradeSim(t *testing.T, from level.Level, boxes int, seed uint64) *upgradeSim {
 	u := &upgradeSim{
 		sim: newSim(t, boxes, 0), from: from, states: make(map[uint64]string), applied: make(map[*State]uint64),
 		submitted: make(map[CallID]uint64), commands: make(map[byte]int),
@@ -107,11 +107,11 @@
 			continue
 		}
 		u.applied[b.state] = index
-		has := b.state.machine.contents(u.t.(*testing.T))
-		if other, ok := u.states[index]; ok && other != has {
-			u.t.Fatalf("%s differs from the others at entry %d:\n%s\nothers:\n%s", name, index, has, other)
+		got := b.state.machine.contents(u.t.(*testing.T))
+		if other, ok := u.states[index]; ok && other != got {
+			u.t.Fatalf("%s differs from the others at entry %d:\n%s\nothers:\n%s", name, index, got, other)
 		}
-		u.states[index] = has
+		u.states[index] = got
 	}
 }
 
@@ -173,7 +173,7 @@
 func TestRollingUpgrade(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		from := rapid.SampledFrom([]level.Level{level.Listed, level.Compressed, level.Chunked, level.Suspects, level.Negotiated}).Draw(rt, "from")
-		u := newUpgrade(t, from, rapid.SampledFrom([]int{3, 5}).Draw(rt, "boxes"), rapid.Uint64().Draw(rt, "seed"))
+		u := newUpgradeSim(t, from, rapid.SampledFrom([]int{3, 5}).Draw(rt, "boxes"), rapid.Uint64().Draw(rt, "seed"))
 		defer func() {
 			if t.Failed() {
 				t.Logf("from format version %d, %d boxes", from, len(u.order))
@@ -212,7 +212,7 @@
 func TestRollback(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		from := rapid.SampledFrom([]level.Level{level.Listed, level.Compressed, level.Chunked, level.Suspects, level.Negotiated}).Draw(rt, "from")
-		u := newUpgrade(t, from, 3, rapid.Uint64().Draw(rt, "seed"))
+		u := newUpgradeSim(t, from, 3, rapid.Uint64().Draw(rt, "seed"))
 		u.run(2 * event.Second)
 		for _, to := range []level.Level{level.Newest, from} {
 			for _, name := range u.order[:2] {
@@ -237,43 +237,43 @@
 	if got := s.mustOwner().state.machine.formatVersion; got != level.Newest {
 		t.Fatalf("a new group has format version %d", got)
 	}
-	var back *simBox
+	var rolledBack *simBox
 	for _, name := range s.order {
 		if b := s.boxes[name]; b != s.mustOwner() {
-			back = b
+			rolledBack = b
 		}
 	}
-	s.stop(back.name)
-	before := simDisk{member: back.disk.member, restored: back.disk.restored}
-	back.formatVersion = level.Suspects
-	if _, err := NewState(s.now, back.disk.member.ID, back.disk.restored, Settings{FormatVersion: level.Suspects}); !level.IsUnsupported(err) {
+	s.stop(rolledBack.name)
+	before := simDisk{member: rolledBack.disk.member, restored: rolledBack.disk.restored}
+	rolledBack.formatVersion = level.Suspects
+	if _, err := NewState(s.now, rolledBack.disk.member.ID, rolledBack.disk.restored, Settings{FormatVersion: level.Suspects}); !level.IsUnsupported(err) {
 		t.Errorf("the folder of a later build: %v", err)
 	}
-	back.disk.restored.Snapshot.Data = nil // a build before level.Negotiated does not check it
-	s.restart(back.name)
+	rolledBack.disk.restored.Snapshot.Data = nil // a build before level.Negotiated does not check it
+	s.restart(rolledBack.name)
 	callID := s.put(s.mustOwner(), 5)
 	s.run(2 * event.Second)
 	if s.answers[callID].Status != StatusDone {
 		t.Error("a change was not acknowledged while one box of three has an earlier build")
 	}
-	if got := back.state.Document().Version; got != 0 {
+	if got := rolledBack.state.Document().Version; got != 0 {
 		t.Errorf("the box of an earlier build has version %d", got)
 	}
-	s.stop(back.name)
-	s.addEmpty(back.name)
-	s.boxes[back.name].formatVersion = level.Suspects
-	s.stop(back.name)
-	s.restart(back.name)
+	s.stop(rolledBack.name)
+	s.addEmpty(rolledBack.name)
+	s.boxes[rolledBack.name].formatVersion = level.Suspects
+	s.stop(rolledBack.name)
+	s.restart(rolledBack.name)
 	s.run(3 * event.Second)
-	if got := s.mustOwner().state.node.Members(); len(got.Voters) != 3 || got.Has(s.boxes[back.name].disk.member.ID) {
+	if got := s.mustOwner().state.node.Members(); len(got.Voters) != 3 || got.Has(s.boxes[rolledBack.name].disk.member.ID) {
 		t.Errorf("members are %+v, want the previous ones", got)
 	}
-	s.stop(back.name)
-	s.boxes[back.name].formatVersion = 0
-	s.boxes[back.name].disk = &before
-	s.restart(back.name)
+	s.stop(rolledBack.name)
+	s.boxes[rolledBack.name].formatVersion = 0
+	s.boxes[rolledBack.name].disk = &before
+	s.restart(rolledBack.name)
 	s.run(3 * event.Second)
-	if got := s.boxes[back.name].state.Document().Version; got != 5 {
+	if got := s.boxes[rolledBack.name].state.Document().Version; got != 5 {
 		t.Errorf("with the later build again, the box has version %d, want 5", got)
 	}
 }
--- a/cluster/upload_property_test.go
+++ b/cluster/upload_property_test.go
@@ -24,7 +24,7 @@
 	applied  map[*State]uint64
 }
 
-func newChaos(t *rapid.T, tb testing.TB) *chaosSim {
+func newChaosSim(t *rapid.T, tb testing.TB) *chaosSim {
 	c := &chaosSim{sim: newSim(tb, 3, 0), sent: make(map[uint64]Document), calls: make(map[CallID]uint64), applied: make(map[*State]uint64)}
 	seed := rapid.Uint64().Draw(t, "seed")
 	c.compactThreshold = 1 // a snapshot is due after twice the last one's size
@@ -159,7 +159,7 @@
 func TestConfigurationUploadsUnderFaults(t *testing.T) {
 	snapshots, documents, partly := 0, 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
-		c := newChaos(rt, t)
+		c := newChaosSim(rt, t)
 		c.run(2 * second)
 		c.loss = rapid.SampledFrom([]int{0, 5, 20}).Draw(rt, "loss")
 		for range rapid.IntRange(50, 200).Draw(rt, "steps") {
--- a/cluster/upload_test.go
+++ b/cluster/upload_test.go
@@ -61,7 +61,7 @@
 	s.run(3 * second)
 	for i, v := range versions {
 		a, answered := s.answers[100+CallID(i)]
-		if gone := v == 5; gone == answered || (answered && a.Status != StatusDone) {
+		if isCancelled := v == 5; isCancelled == answered || (answered && a.Status != StatusDone) {
 			t.Errorf("the call of version %d was answered with %+v, %v", v, a, answered)
 		}
 	}
@@ -186,16 +186,16 @@
 func TestSnapshotKeepsIncompleteUpload(t *testing.T) {
 	first, second := noiseDocument(1, maxPartBytes+7), noiseDocument(2, 3*maxPartBytes)
 	list := encodeParts(second)
-	var m, again stateMachine
+	var m, restored stateMachine
 	apply(t, &m, encodeParts(first)...)
 	apply(t, &m, list[0], list[1], encodeEndpoint(registry.Endpoint{ID: "a", Service: "s", Address: "10.0.0.1:80", Sequence: 2}))
-	if err := again.restore(m.snapshot(), level.Newest); err != nil {
+	if err := restored.restore(m.snapshot(), level.Newest); err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(m.snapshot(), again.snapshot()) {
+	if !bytes.Equal(m.snapshot(), restored.snapshot()) {
 		t.Error("the restored state machine has another snapshot than the original")
 	}
-	for _, one := range []*stateMachine{&m, &again} {
+	for _, one := range []*stateMachine{&m, &restored} {
 		apply(t, one, list[2])
 		wantInForce(t, one, second)
 	}
