--- a/cluster/limit_sim_test.go
+++ b/cluster/limit_sim_test.go
@@ -24,7 +24,7 @@
 	limitWindow = 4 * event.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// limitPropagation is how long after the response with the limit an entry must respect it.
+	// limitPropagation is the time after the response with the limit from which an entry must respect it.
 	limitPropagation = 500 * event.Millisecond
 )
 
@@ -134,7 +134,7 @@
 // is withdrawn.
 func TestRateLimitHoldsUnderFaults(t *testing.T) {
 	cases := []limitCase{
-		{4, 106}, // guards against an owner that uses the shares of partitioned entries, which use them as well
+		{4, 106}, // guards against an owner that uses the shares of partitioned, degraded entries
 	}
 	for entries, seeds := range map[int]uint64{4: 24, 22: 12, 103: 6} {
 		for seed := range seeds * seedFactor(t) {
--- a/cluster/peers_test.go
+++ b/cluster/peers_test.go
@@ -74,7 +74,7 @@
 			s.step(b, &PeerDisconnected{Box: box, Connection: 1000 + i})
 		}
 		if n := len(b.state.formats.peers); n > maxPeers {
-			t.Fatalf("%d boxes are known, want at most %d", n, maxPeers)
+			t.Fatalf("%d boxes are known, more than maxPeers", n)
 		}
 	}
 	if len(b.state.formats.peers) < maxPeers/2 {
--- a/cluster/starts_test.go
+++ b/cluster/starts_test.go
@@ -113,7 +113,7 @@
 	want := good
 	want.ID = "e/1000"
 	if len(known) != 1 || known[want.ID] != want {
-		t.Errorf("registered endpoints are %+v, want %+v alone", known, want)
+		t.Errorf("registered endpoints are %+v, want only the valid one", known)
 	}
 	good.Sequence, good.Leaving = 2, true
 	s.mustOwner().state.config.table.Services[0].Name = "t"
