--- a/cluster/pieces_test.go
+++ b/cluster/pieces_test.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// allEndpoints is more than the deployment of the other tests has.
-	allEndpoints = 10000
-	// mostView bounds a message on endpoints, in bytes: 26 ms of a link of 1.25 MB/s.
-	mostView = 32 << 10
+	// pagedEndpoints is larger than the deployments of the other tests.
+	pagedEndpoints = 10000
+	// viewSizeBound is the largest message with endpoints, in bytes: 26 ms on a link of 1.25 MB/s.
+	viewSizeBound = 32 << 10
 )
 
-// largeEndpoint is one of them, with names as long and as unlike as those of real ones.
+// largeEndpoint returns endpoint i, with names that are as long and compress as badly as real ones.
 func largeEndpoint(i int) registry.Endpoint {
 	return registry.Endpoint{
 		ID: fmt.Sprintf("i-%08x", uint32(i)*2654435761), Service: fmt.Sprint("s", i%2), Slots: 8, Sequence: 1,
@@ -29,17 +29,17 @@
 	}
 }
 
-// newLargeSim returns control boxes that know many endpoints.
+// newLargeSim returns control boxes with many registered endpoints.
 func newLargeSim(t *testing.T) *sim {
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
-	for i := range allEndpoints {
-		s.tell(s.mustOwner(), largeEndpoint(i))
+	for i := range pagedEndpoints {
+		s.heartbeat(s.mustOwner(), largeEndpoint(i))
 		if i%200 == 199 {
 			s.run(simStep)
 		}
 	}
-	for len(s.answers) < allEndpoints {
+	for len(s.answers) < pagedEndpoints {
 		s.run(simStep)
 	}
 	return s
@@ -54,21 +54,21 @@
 	return data.Len()
 }
 
-// TestViewIsBounded: a session began with all endpoints in one message, in front of the
-// owner's signs of life, and from its beginning with each new connection.
-func TestViewIsBounded(t *testing.T) {
+// TestFirstViewSizeIsBounded: all endpoints in the first message of a session would delay the owner's
+// pongs, and be sent again on each new connection.
+func TestFirstViewSizeIsBounded(t *testing.T) {
 	s := newLargeSim(t)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
-	if got := sizeOfView(t, firstView(t, s, 1)); got > mostView {
-		t.Errorf("a session began with %d bytes on %d endpoints, want %d at the most", got, allEndpoints, mostView)
+	if got := sizeOfView(t, firstView(t, s, 1)); got > viewSizeBound {
+		t.Errorf("the first view has %d bytes with %d endpoints registered, want at most %d", got, pagedEndpoints, viewSizeBound)
 	}
 }
 
-// TestNewsAreBounded: all endpoints fell silent at once, as when their data centre is cut
-// off, and each entry was told so in one message.
-func TestNewsAreBounded(t *testing.T) {
+// TestDownUpdateSizeIsBounded: when all endpoints are down at once, as after the partition of a data
+// centre, entries must receive that in several messages.
+func TestDownUpdateSizeIsBounded(t *testing.T) {
 	s := newLargeSim(t)
-	s.stop(s.mustOwner().name) // the next one counts from its beginning for all alike
+	s.stop(s.mustOwner().name) // the next owner counts the heartbeats of all from the same time
 	s.run(2 * second)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	before := len(s.sends[1])
@@ -78,52 +78,52 @@
 		if m.View == nil {
 			continue
 		}
-		if got := sizeOfView(t, m.View); got > mostView {
-			t.Fatalf("a message of %d bytes on endpoints that fell silent, want %d at the most", got, mostView)
+		if got := sizeOfView(t, m.View); got > viewSizeBound {
+			t.Fatalf("a message of %d bytes with endpoints that are down, want at most %d", got, viewSizeBound)
 		}
-		for _, e := range unpack(t, m.View) {
+		for _, e := range decodeEndpoints(t, m.View) {
 			down[e.ID] = e.Down
 		}
 	}
-	if len(down) != allEndpoints || !down[largeEndpoint(7).ID] {
-		t.Errorf("the entry was told of %d of %d endpoints that fell silent", len(down), allEndpoints)
+	if len(down) != pagedEndpoints || !down[largeEndpoint(7).ID] {
+		t.Errorf("the entry received %d of %d endpoints that are down", len(down), pagedEndpoints)
 	}
 }
 
-// TestPiecesMakeTheWhole: an entry that says what it has is told the rest, each piece once,
-// and goes on with another owner from where it was. What changes meanwhile it is told too.
-func TestPiecesMakeTheWhole(t *testing.T) {
+// TestPagesCoverAllEndpoints: an entry receives each endpoint once and each change in between, and
+// continues from its revision after a change of owner.
+func TestPagesCoverAllEndpoints(t *testing.T) {
 	s := newLargeSim(t)
-	e := newPieceEntry(t, s, 1)
+	e := newPagedEntry(t, s, 1)
 	for range 3 {
-		e.ask()
+		e.ping()
 	}
-	if e.whole || len(e.known) == 0 {
-		t.Fatalf("all of %d endpoints were told in four pieces", len(e.known))
+	if e.isComplete || len(e.known) == 0 {
+		t.Fatalf("all of %d endpoints were sent in four pages", len(e.known))
 	}
 	first := largeEndpoint(0)
 	first.Leaving, first.Sequence = true, 2
-	s.tell(s.mustOwner(), first)
-	s.token++
-	s.step(s.mustOwner(), &EndpointRemoved{CallID: s.token, Name: largeEndpoint(1).ID})
+	s.heartbeat(s.mustOwner(), first)
+	s.lastCall++
+	s.step(s.mustOwner(), &EndpointRemoved{CallID: s.lastCall, Name: largeEndpoint(1).ID})
 	s.run(200 * event.Millisecond)
 	s.stop(s.mustOwner().name)
 	s.run(2 * second)
 	before := len(e.known)
-	e.begin(2)
-	if e.told[0].Whole {
-		t.Error("another owner begins anew")
+	e.openSession(2)
+	if e.views[0].Whole {
+		t.Error("another owner sends the endpoints from the beginning")
 	}
-	for !e.whole && len(e.told) < 40 {
-		e.ask()
+	for !e.isComplete && len(e.views) < 40 {
+		e.ping()
 	}
-	if len(e.known) != allEndpoints-1 || !e.known[first.ID].Leaving || e.twice > 1 {
-		t.Errorf("%d endpoints known, %d before the owner changed, %d told twice", len(e.known), before, e.twice)
+	if len(e.known) != pagedEndpoints-1 || !e.known[first.ID].Leaving || e.duplicates > 1 {
+		t.Errorf("%d endpoints known, %d before the owner changed, %d received twice", len(e.known), before, e.duplicates)
 	}
 }
 
-// TestPieceIsNotSentAgain: while a piece is on its way questions bring no other.
-func TestPieceIsNotSentAgain(t *testing.T) {
+// TestPageIsSentOnce: pings while a page is in transit must not cause another one.
+func TestPageIsSentOnce(t *testing.T) {
 	s := newLargeSim(t)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	for range 5 {
@@ -136,66 +136,66 @@
 		}
 	}
 	if views != 1 {
-		t.Errorf("%d views sent to an entry that has none of them yet, want 1", views)
+		t.Errorf("%d views sent before the entry acknowledged one, want 1", views)
 	}
 }
 
-// pieceEntry is what an entry knows of endpoints.
-type pieceEntry struct {
-	t        *testing.T
-	sim      *sim
-	session  SessionID
-	read     int // messages of the session
-	revision uint64
-	known    map[string]message.Endpoint
-	told     []*message.View
-	twice    int // endpoints that were told though they were known and had not changed
-	whole    bool
+// pagedEntry is an entry that receives the endpoints in pages.
+type pagedEntry struct {
+	t          *testing.T
+	sim        *sim
+	session    SessionID
+	received   int // messages of the session received so far
+	revision   uint64
+	known      map[string]message.Endpoint
+	views      []*message.View
+	duplicates int // endpoints received again without a change
+	isComplete bool
 }
 
-func newPieceEntry(t *testing.T, s *sim, id SessionID) *pieceEntry {
-	e := &pieceEntry{t: t, sim: s, known: make(map[string]message.Endpoint)}
-	e.begin(id)
+func newPagedEntry(t *testing.T, s *sim, id SessionID) *pagedEntry {
+	e := &pagedEntry{t: t, sim: s, known: make(map[string]message.Endpoint)}
+	e.openSession(id)
 	return e
 }
 
-// begin begins a session with the present owner.
-func (e *pieceEntry) begin(id SessionID) {
-	e.session, e.read, e.told = id, 0, nil
+// openSession opens a session with the present owner.
+func (e *pagedEntry) openSession(id SessionID) {
+	e.session, e.received, e.views = id, 0, nil
 	e.sim.step(e.sim.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: id, Hello: message.Hello{Entry: "entry", Revision: e.revision}})
-	e.take()
+	e.receive()
 }
 
-// ask sends the owner a question and takes what comes.
-func (e *pieceEntry) ask() {
+// ping sends the owner a ping and receives the messages that follow.
+func (e *pagedEntry) ping() {
 	e.sim.step(e.sim.mustOwner(), &PingReceived{Session: e.session, Ping: message.Ping{Revision: e.revision}})
-	e.take()
+	e.receive()
 }
 
-func (e *pieceEntry) take() {
+func (e *pagedEntry) receive() {
 	list := e.sim.sends[e.session]
-	for _, m := range list[e.read:] {
+	for _, m := range list[e.received:] {
 		if m.View != nil {
-			e.see(m.View)
+			e.apply(m.View)
 		}
 	}
-	e.read = len(list)
+	e.received = len(list)
 }
 
-func (e *pieceEntry) see(v *message.View) {
-	if got := sizeOfView(e.t, v); got > mostView {
-		e.t.Errorf("a piece of %d bytes, want %d at the most", got, mostView)
+func (e *pagedEntry) apply(v *message.View) {
+	if got := sizeOfView(e.t, v); got > viewSizeBound {
+		e.t.Errorf("a page of %d bytes, want at most %d", got, viewSizeBound)
 	}
-	for _, one := range unpack(e.t, v) {
+	for _, one := range decodeEndpoints(e.t, v) {
 		if _, ok := e.known[one.ID]; ok {
-			e.twice++
+			e.duplicates++
 		}
 		e.known[one.ID] = one
 	}
 	for _, id := range v.Gone {
 		delete(e.known, string(id))
 	}
-	e.told = append(e.told, v)
+	e.views = append(e.views, v)
 	e.revision = max(e.revision, v.Revision)
-	e.whole = v.Revision > 0 && !v.More
+	e.isComplete = v.Revision > 0 && !v.More
 }
--- a/cluster/sim_test.go
+++ b/cluster/sim_test.go
@@ -21,19 +21,19 @@
 	"lynxramp.org/routing"
 )
 
-// simQuota is what the team of the tests may spend in a window.
+// simQuota is the quota of the simulated team per window, in tokens.
 const simQuota = 10000
 
-// simStep is how finely simulated time goes on.
+// simStep is the resolution of simulated time.
 const simStep = 10 * event.Millisecond
 
-// simDisk is what a simulated box has saved.
+// simDisk is the persistent state of a simulated box.
 type simDisk struct {
 	member   consensus.Member
 	restored consensus.PersistentState
 }
 
-// save does what package store does for a Ready.
+// save applies a Ready to the disk, as package store does.
 func (d *simDisk) save(r *consensus.Ready) {
 	if r.HardState != nil {
 		d.restored.HardState = *r.HardState
@@ -49,55 +49,56 @@
 	}
 }
 
-// simBox is one control box.
+// simBox is a simulated control box.
 type simBox struct {
-	name  string
-	disk  *simDisk
-	state *State // nil while it is off
-	tree  *hashtree.Tree
-	joins bool        // it asks to join while it has no vote or hears no leader
-	reads level.Level // 0 is the newest
-	// life names the box's process, and met has those of other boxes that it has heard.
-	life uint64
-	met  map[string]uint64
-	// stalled disks save nothing; what rests on it waits.
-	stalled bool
-	waiting []consensus.Ready
-	// decoding is a document that is decoded beside the loop, until decoded.
-	decoding DocumentDecoded
-	decoded  event.Time
-	// busy is until when it works on events that it took: it takes none before.
-	busy event.Time
+	name          string
+	disk          *simDisk
+	state         *State // nil while it is stopped
+	tree          *hashtree.Tree
+	wantsToJoin   bool        // it requests to join while it is no voter or has no contact to a leader
+	formatVersion level.Level // 0 means level.Newest
+	// instance identifies the running process; peerInstances has the instances of other boxes that have
+	// connected to it.
+	instance      uint64
+	peerInstances map[string]uint64
+	// isDiskStalled keeps the disk from saving anything; unsaved holds what waits for it.
+	isDiskStalled bool
+	unsaved       []consensus.Ready
+	// decoding is a document that is decoded outside the event loop; it is done at decodedAt.
+	decoding  DocumentDecoded
+	decodedAt event.Time
+	// busyUntil is when the box is done with the events it has received; it takes no others before.
+	busyUntil event.Time
 }
 
 // sim runs control boxes in simulated time.
 type sim struct {
-	t        testing.TB
-	now      event.Time
-	boxes    map[string]*simBox
-	order    []string
-	messages []consensus.Message
-	cut      func(from, to string) bool
-	answers  map[CallID]Answer
-	sends    map[SessionID][]*message.Envelope
-	closed   map[SessionID]bool
-	token    CallID
-	random   *rand.Rand
-	lives    int
-	started  uint64 // processes of boxes
-	settings func(seed uint64) Settings
-	// compactLeast is that of the boxes' states, if it is not 0.
-	compactLeast int
-	// charge is how much simulated time an event's processor time takes on a control box; 0 lets
-	// events take none.
-	charge float64
+	t          testing.TB
+	now        event.Time
+	boxes      map[string]*simBox
+	order      []string
+	messages   []consensus.Message
+	isCut      func(from, to string) bool
+	answers    map[CallID]Answer
+	sends      map[SessionID][]*message.Envelope
+	closed     map[SessionID]bool
+	lastCall   CallID
+	random     *rand.Rand
+	emptyBoxes int
+	instances  uint64 // processes of boxes started so far
+	settings   func(seed uint64) Settings
+	// compactThreshold replaces that of the boxes' states unless it is 0.
+	compactThreshold int
+	// cpuTimeScale converts the CPU time of an event on a control box to simulated time; 0 lets events take
+	// no time.
+	cpuTimeScale float64
 }
 
-var simLimits = admission.Limits{QuotaWindow: 8 * event.Second, RetryWindow: 10 * event.Second, RetryRatio: 0.2, RetryMin: 20}
+var simAdmissionLimits = admission.Limits{QuotaWindow: 8 * event.Second, RetryWindow: 10 * event.Second, RetryRatio: 0.2, RetryMin: 20}
 
 func simSettings(seed uint64) Settings {
 	return Settings{
-		Limits:            simLimits,
+		Limits:            simAdmissionLimits,
 		Members:           consensus.MembershipLimits{MaxVoters: 5, ReplaceAfter: 1800 * event.Millisecond},
 		HeartbeatInterval: event.Second,
 		ConfigValidity:    5 * event.Second,
@@ -113,12 +114,12 @@
 	}
 }
 
-// newSim starts founders and as many boxes that join.
+// newSim starts a group of founders, and boxes with empty disks that join it.
 func newSim(t testing.TB, founders, joining int) *sim {
 	s := &sim{
 		t: t, boxes: make(map[string]*simBox), answers: make(map[CallID]Answer), closed: make(map[SessionID]bool),
 		sends: make(map[SessionID][]*message.Envelope), random: rand.New(rand.NewPCG(1, 2)),
-		cut: func(string, string) bool { return false }, settings: simSettings,
+		isCut: func(string, string) bool { return false }, settings: simSettings,
 	}
 	var members []consensus.Member
 	for i := range founders {
@@ -138,7 +139,7 @@
 }
 
 func (s *sim) add(name string, disk *simDisk) {
-	b := &simBox{name: name, disk: disk, joins: true}
+	b := &simBox{name: name, disk: disk, wantsToJoin: true}
 	s.boxes[name] = b
 	if !slices.Contains(s.order, name) {
 		s.order = append(s.order, name)
@@ -148,61 +149,61 @@
 
 // addEmpty starts a box with an empty disk.
 func (s *sim) addEmpty(name string) {
-	s.lives++
+	s.emptyBoxes++
 	s.add(name, &simDisk{member: consensus.Member{
-		ID: consensus.MakeID(event.BoxID(name), event.Incarnation(100+s.lives)), Address: name + ":operators",
+		ID: consensus.MakeID(event.BoxID(name), event.Incarnation(100+s.emptyBoxes)), Address: name + ":operators",
 	}})
 }
 
-// start starts a box with what its disk holds.
+// start starts a box from the content of its disk.
 func (s *sim) start(b *simBox) {
 	settings := s.settings(s.random.Uint64())
-	settings.FormatVersion = b.reads
+	settings.FormatVersion = b.formatVersion
 	state, err := NewState(s.now, b.disk.member.ID, b.disk.restored, settings)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if s.compactLeast > 0 {
-		state.compactThreshold = s.compactLeast
+	if s.compactThreshold > 0 {
+		state.compactThreshold = s.compactThreshold
 	}
 	b.state = state
-	s.started++
-	b.life = s.started
-	b.met = make(map[string]uint64)
+	s.instances++
+	b.instance = s.instances
+	b.peerInstances = make(map[string]uint64)
 }
 
 func (s *sim) stop(name string) {
 	for _, other := range s.order {
 		b := s.boxes[other]
-		if last := b.met[name]; last > 0 {
-			delete(b.met, name)
+		if last := b.peerInstances[name]; last > 0 {
+			delete(b.peerInstances, name)
 			s.step(b, &PeerDisconnected{Box: event.BoxID(name), Connection: last})
 		}
 	}
 	s.boxes[name].state = nil
-	s.boxes[name].waiting = nil
+	s.boxes[name].unsaved = nil
 	s.boxes[name].decoding = DocumentDecoded{}
 }
 
 func (s *sim) restart(name string) { s.start(s.boxes[name]) }
 
-// step hands an event to a box and carries out what follows.
+// step applies an event to a box and applies the effects.
 func (s *sim) step(b *simBox, e Event) {
 	if b.state == nil {
 		return
 	}
 	var out Effects
-	work := s.work(func() { b.state.Step(s.now, e, &out) })
+	work := s.cpuTimeOf(func() { b.state.Step(s.now, e, &out) })
 	if out.Fatal != nil {
-		s.t.Fatalf("%s, which reads level %d, stops: %v", b.name, b.reads, out.Fatal)
+		s.t.Fatalf("%s, which supports format version %d, stops: %v", b.name, b.formatVersion, out.Fatal)
 	}
-	b.busy = max(b.busy, s.now).Add(work)
+	b.busyUntil = max(b.busyUntil, s.now).Add(work)
 	s.messages = append(s.messages, out.Ready.Immediate...)
-	b.waiting = append(b.waiting, out.Ready)
+	b.unsaved = append(b.unsaved, out.Ready)
 	for _, a := range out.Answers {
 		s.answers[a.CallID] = a
 	}
-	if to := s.boxes[string(out.Leader.Box())]; len(out.Heartbeats) > 0 && to != nil && !s.cut(b.name, to.name) {
+	if to := s.boxes[string(out.Leader.Box())]; len(out.Heartbeats) > 0 && to != nil && !s.isCut(b.name, to.name) {
 		defer s.step(to, &HeartbeatsForwarded{IDs: out.Heartbeats})
 	}
 	for _, one := range out.Sends {
@@ -215,34 +216,34 @@
 	s.saveAll(b)
 }
 
-// work does something and returns how much simulated time it takes.
-func (s *sim) work(do func()) event.Duration {
-	if s.charge == 0 {
+// cpuTimeOf runs a function and returns the simulated time that it takes.
+func (s *sim) cpuTimeOf(do func()) event.Duration {
+	if s.cpuTimeScale == 0 {
 		do()
 		return 0
 	}
-	return event.Duration(s.charge * float64(cputime.Of(do)))
+	return event.Duration(s.cpuTimeScale * float64(cputime.Of(do)))
 }
 
-// decode does what Server's decoder does: the loop goes on meanwhile.
+// decode decodes a document outside the event loop, as a Server's decoder does.
 func (s *sim) decode(b *simBox, d Document) {
 	if d.Version == 0 {
 		return
 	}
 	b.decoding = DocumentDecoded{Version: d.Version}
-	work := s.work(func() {
+	work := s.cpuTimeOf(func() {
 		if b.decoding.Table, b.decoding.Err = s.settings(0).Decode(d.Data); b.decoding.Err == nil {
 			b.tree = hashtree.Build(b.decoding.Table, b.tree)
 			b.decoding.Tree = b.tree
 		}
 	})
-	b.decoded = max(b.decoded, s.now).Add(work)
+	b.decodedAt = max(b.decodedAt, s.now).Add(work)
 	s.finishDecoding(b)
 }
 
-// finishDecoding hands over what was decoded when its time has come.
+// finishDecoding sends a box the decoded document once its decoding time has passed.
 func (s *sim) finishDecoding(b *simBox) {
-	if b.state == nil || b.decoding.Version == 0 || b.decoded > s.now {
+	if b.state == nil || b.decoding.Version == 0 || b.decodedAt > s.now {
 		return
 	}
 	e := b.decoding
@@ -251,12 +252,12 @@
 }
 
 func (s *sim) saveAll(b *simBox) {
-	if b.stalled {
+	if b.isDiskStalled {
 		return
 	}
-	for len(b.waiting) > 0 {
-		r := b.waiting[0]
-		b.waiting = b.waiting[1:]
+	for len(b.unsaved) > 0 {
+		r := b.unsaved[0]
+		b.unsaved = b.unsaved[1:]
 		b.disk.save(&r)
 		s.messages = append(s.messages, r.Messages...)
 		if n := len(r.Entries); n > 0 {
@@ -267,7 +268,7 @@
 	}
 }
 
-// run lets time go on.
+// run advances simulated time.
 func (s *sim) run(span event.Duration) {
 	for end := s.now.Add(span); s.now < end; {
 		s.now = s.now.Add(simStep)
@@ -275,7 +276,7 @@
 		s.messages = nil
 		for _, m := range sent {
 			to := s.boxes[string(m.To.Box())]
-			if to == nil || to.disk.member.ID != m.To || s.cut(string(m.From.Box()), to.name) {
+			if to == nil || to.disk.member.ID != m.To || s.isCut(string(m.From.Box()), to.name) {
 				continue
 			}
 			if s.isBusy(to) {
@@ -283,8 +284,8 @@
 				continue
 			}
 			from := s.boxes[string(m.From.Box())]
-			s.meet(from, to)
-			s.step(to, &MessageReceived{Message: asSent(from, m)})
+			s.connectPeer(from, to)
+			s.step(to, &MessageReceived{Message: inSenderFormat(from, m)})
 		}
 		for _, name := range s.order {
 			b := s.boxes[name]
@@ -293,39 +294,39 @@
 			}
 			s.finishDecoding(b)
 			s.step(b, &Tick{})
-			if b.state != nil && b.joins {
+			if b.state != nil && b.wantsToJoin {
 				s.join(b)
 			}
 		}
 	}
 }
 
-// meet tells a box what another one says of itself at the beginning of a connection. Builds before
-// level.Negotiated take no note of that; those before level.Chunked send all alike.
-func (s *sim) meet(from, to *simBox) {
-	reads := cmp.Or(from.reads, level.Newest)
+// connectPeer reports a peer's format version to a box when the peer's connection opens. Builds before
+// level.Negotiated ignore such reports; those before level.Chunked send the same encoding to all peers.
+func (s *sim) connectPeer(from, to *simBox) {
+	formatVersion := cmp.Or(from.formatVersion, level.Newest)
 	switch {
-	case to.state == nil || to.met[from.name] == from.life || (to.reads >= level.Chunked && to.reads < level.Negotiated):
+	case to.state == nil || to.peerInstances[from.name] == from.instance || (to.formatVersion >= level.Chunked && to.formatVersion < level.Negotiated):
 		return
-	case to.reads > 0 && to.reads < level.Chunked:
-		reads = to.reads
+	case to.formatVersion > 0 && to.formatVersion < level.Chunked:
+		formatVersion = to.formatVersion
 	}
-	to.met[from.name] = from.life
-	s.step(to, &PeerConnected{Box: event.BoxID(from.name), Connection: from.life, FormatVersion: reads})
+	to.peerInstances[from.name] = from.instance
+	s.step(to, &PeerConnected{Box: event.BoxID(from.name), Connection: from.instance, FormatVersion: formatVersion})
 }
 
-// asSent returns a message as a build of the sender's level sends it.
-func asSent(from *simBox, m consensus.Message) consensus.Message {
-	if from.reads > 0 && from.reads < level.Chunked {
+// inSenderFormat returns a message as a build of the sender's format version sends it.
+func inSenderFormat(from *simBox, m consensus.Message) consensus.Message {
+	if from.formatVersion > 0 && from.formatVersion < level.Chunked {
 		m.Seq, m.Offset, m.Size, m.Sum = 0, 0, 0, 0
 	}
 	return m
 }
 
-// isBusy reports whether a box still works on events that it took before this step.
-func (s *sim) isBusy(b *simBox) bool { return s.charge > 0 && b.busy > s.now.Add(simStep) }
+// isBusy reports whether a box is still working on earlier events.
+func (s *sim) isBusy(b *simBox) bool { return s.cpuTimeScale > 0 && b.busyUntil > s.now.Add(simStep) }
 
-// join does what Server.maintainMembership does.
+// join sends join requests, as Server.maintainMembership does.
 func (s *sim) join(b *simBox) {
 	node := b.state.Node()
 	quiet := s.now.Sub(node.LastLeaderContact()) > leaderTimeout && node.Leader() != node.ID()
@@ -333,7 +334,7 @@
 		return
 	}
 	for _, name := range s.order {
-		if name != b.name && !s.cut(b.name, name) {
+		if name != b.name && !s.isCut(b.name, name) {
 			s.step(s.boxes[name], &JoinRequested{Member: b.disk.member})
 		}
 	}
@@ -348,7 +349,7 @@
 			continue
 		}
 		if found != nil {
-			s.t.Fatalf("%s and %s own the pools at %v", found.name, name, event.Duration(s.now))
+			s.t.Fatalf("%s and %s both own the pools at %v", found.name, name, event.Duration(s.now))
 		}
 		found = b
 	}
@@ -359,29 +360,30 @@
 	s.t.Helper()
 	b := s.owner()
 	if b == nil {
-		s.t.Fatalf("nobody owns the pools at %v", event.Duration(s.now))
+		s.t.Fatalf("no box owns the pools at %v", event.Duration(s.now))
 	}
 	return b
 }
 
-// put sends a configuration to a box and returns its token.
+// put submits a configuration to a box and returns the id of the call.
 func (s *sim) put(b *simBox, version uint64) CallID {
-	s.token++
-	s.step(b, &DocumentSubmitted{CallID: s.token, Document: Document{Version: version, Data: fmt.Appendf(nil, "v%d", version)}})
-	return s.token
+	s.lastCall++
+	s.step(b, &DocumentSubmitted{CallID: s.lastCall, Document: Document{Version: version, Data: fmt.Appendf(nil, "v%d", version)}})
+	return s.lastCall
 }
 
-func (s *sim) tell(b *simBox, e registry.Endpoint) CallID {
-	s.token++
-	s.step(b, &HeartbeatReceived{CallID: s.token, Endpoint: e})
-	return s.token
+// heartbeat sends a box a heartbeat of an endpoint and returns the id of the call.
+func (s *sim) heartbeat(b *simBox, e registry.Endpoint) CallID {
+	s.lastCall++
+	s.step(b, &HeartbeatReceived{CallID: s.lastCall, Endpoint: e})
+	return s.lastCall
 }
 
-// read asks a box for the configuration.
+// read requests the configuration from a box.
 func (s *sim) read(b *simBox) Answer {
-	s.token++
-	s.step(b, &DocumentRequested{CallID: s.token})
-	return s.answers[s.token]
+	s.lastCall++
+	s.step(b, &DocumentRequested{CallID: s.lastCall})
+	return s.answers[s.lastCall]
 }
 
 func (s *sim) voters() []string {
@@ -393,7 +395,7 @@
 	return names
 }
 
-// ping sends an entry's question and returns what the owner lent with its answer.
+// ping sends the owner a ping of an entry and returns the budget leases in the pong.
 func (s *sim) ping(session SessionID, p message.Ping) budget.LeaseUpdate {
 	s.step(s.mustOwner(), &PingReceived{Session: session, Ping: p})
 	sent := s.sends[session]
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -17,7 +17,7 @@
 
 const second = event.Second
 
-func TestThreeSeedsFoundAndTwoJoin(t *testing.T) {
+func TestThreeBootstrapAndTwoJoin(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	if got := len(s.voters()); got != 5 {
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestSparesStandBy(t *testing.T) {
+func TestBoxesBeyondVoterLimitStayLearners(t *testing.T) {
 	s := newSim(t, 3, 4)
 	s.run(6 * second)
 	m := s.mustOwner().state.Node().Members()
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestDeadVoterIsReplaced loses a box for good, brings an empty one, and loses two
-// more right after: the group still commits.
+// TestDeadVoterIsReplaced: an empty box replaces a voter that is lost for good, so that the group still
+// commits after the loss of two more.
 func TestDeadVoterIsReplaced(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -58,16 +58,15 @@
 		}
 	}
 	s.run(4 * second)
-	token := s.put(s.mustOwner(), 8)
+	callID := s.put(s.mustOwner(), 8)
 	s.run(second)
-	if s.answers[token].Status != StatusDone {
-		t.Errorf("no commit with 3 of 5 voters: %+v", s.answers[token])
+	if s.answers[callID].Status != StatusDone {
+		t.Errorf("no commit with 3 of 5 voters: %+v", s.answers[callID])
 	}
 }
 
-// TestSilentVoterStaysWithoutSuccessor: nobody leaves the group before another can
-// take the place.
-func TestSilentVoterStaysWithoutSuccessor(t *testing.T) {
+// TestUnreachableVoterStaysWithoutReplacement: no voter is removed before another box can replace it.
+func TestUnreachableVoterStaysWithoutReplacement(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	for _, name := range s.order {
@@ -78,13 +77,13 @@
 	}
 	s.run(10 * second)
 	if got := len(s.voters()); got != 5 {
-		t.Errorf("%d voters, want 5: the silent one has no successor", got)
+		t.Errorf("%d voters, want 5: nothing can replace the unreachable one", got)
 	}
 }
 
-// TestLostDisksLoseNothing wipes two disks right after an acknowledgement while all
-// others lose power.
-func TestLostDisksLoseNothing(t *testing.T) {
+// TestTwoLostDisksKeepAcknowledgedDocument wipes two disks right after an acknowledgement while all boxes
+// lose power.
+func TestTwoLostDisksKeepAcknowledgedDocument(t *testing.T) {
 	for first := range 5 {
 		for next := range 5 {
 			if next == first {
@@ -92,8 +91,8 @@
 			}
 			s := newSim(t, 3, 2)
 			s.run(5 * second)
-			token := s.put(s.mustOwner(), 9)
-			for s.answers[token].Status != StatusDone {
+			callID := s.put(s.mustOwner(), 9)
+			for s.answers[callID].Status != StatusDone {
 				s.run(simStep)
 			}
 			for _, name := range s.order {
@@ -118,22 +117,22 @@
 	}
 }
 
-// TestCutOffOwnerAnswersNothing cuts the owner off in silence: after its lease it
-// neither reads nor grants, and another one has taken over.
-func TestCutOffOwnerAnswersNothing(t *testing.T) {
+// TestPartitionedOwnerAnswersNoRead: an owner that is partitioned answers no reads once its lease has
+// expired, and another box is the owner.
+func TestPartitionedOwnerAnswersNoRead(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	old := s.mustOwner()
 	s.put(old, 3)
 	s.run(second)
-	s.cut = func(from, to string) bool { return from == old.name || to == old.name }
+	s.isCut = func(from, to string) bool { return from == old.name || to == old.name }
 	s.run(4 * second)
 	if a := s.read(old); a.Status == StatusDone {
-		t.Errorf("a box that is cut off answered a read: %+v", a)
+		t.Errorf("a partitioned box answered a read: %+v", a)
 	}
 	next := s.mustOwner()
 	if next == old {
-		t.Fatal("the box that is cut off still owns the pools")
+		t.Fatal("the partitioned box still owns the pools")
 	}
 	s.put(next, 4)
 	s.run(second)
@@ -142,38 +141,37 @@
 	}
 }
 
-// TestFrozenOwnerFindsItsLeaseOver lets an owner stand still; its first event after
-// that is a read.
-func TestFrozenOwnerFindsItsLeaseOver(t *testing.T) {
+// TestOwnerLosesLeaseWhileSuspended: the first event of an owner after its process was suspended is a read; it must
+// not be answered.
+func TestOwnerLosesLeaseWhileSuspended(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	old := s.mustOwner()
 	s.step(old, &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
-	frozen := old.state
+	suspended := old.state
 	old.state = nil
 	s.run(4 * second)
-	old.state = frozen
+	old.state = suspended
 	if a := s.read(old); a.Status == StatusDone {
-		t.Errorf("a box that was frozen answered a read: %+v", a)
+		t.Errorf("the owner answered a read after it was suspended: %+v", a)
 	}
 	if !s.closed[1] {
-		t.Error("the session of an owner whose lease is over goes on")
+		t.Error("the session of an owner without a lease is still open")
 	}
 }
 
-// TestLeaderWithStalledDiskStillCommits: its own copy does not count, those of the
-// others do.
+// TestLeaderWithStalledDiskStillCommits: entries saved by a majority of the others are committed.
 func TestLeaderWithStalledDiskStillCommits(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	leader := s.mustOwner()
-	leader.stalled = true
-	token := s.put(leader, 5)
+	leader.isDiskStalled = true
+	callID := s.put(leader, 5)
 	s.run(second)
-	if s.answers[token].Status != StatusDone {
+	if s.answers[callID].Status != StatusDone {
 		t.Error("no commit while the leader's disk stalls")
 	}
-	leader.stalled = false
+	leader.isDiskStalled = false
 	s.saveAll(leader)
 	s.run(second)
 	s.mustOwner()
@@ -184,22 +182,22 @@
 	s.run(5 * second)
 	s.put(s.mustOwner(), 6)
 	s.run(second)
-	s.token++
-	token := s.token
-	s.step(s.mustOwner(), &DocumentSubmitted{CallID: token, Document: Document{Version: 6, Data: []byte("other")}})
+	s.lastCall++
+	callID := s.lastCall
+	s.step(s.mustOwner(), &DocumentSubmitted{CallID: callID, Document: Document{Version: 6, Data: []byte("other")}})
 	older := s.put(s.mustOwner(), 5)
 	s.run(second)
-	for _, k := range []CallID{token, older} {
+	for _, k := range []CallID{callID, older} {
 		if s.answers[k].Status != StatusDone {
 			t.Errorf("a resent or older configuration was not acknowledged: %+v", s.answers[k])
 		}
 	}
 	if a := s.read(s.mustOwner()); string(a.Document.Data) != "v6" {
-		t.Errorf("%q is in force, want v6", a.Document.Data)
+		t.Errorf("configuration %q is in force, want v6", a.Document.Data)
 	}
 }
 
-func TestBoxThatDoesNotOwnNamesTheLeader(t *testing.T) {
+func TestFollowerReturnsLeaderAddress(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	leader := s.mustOwner()
@@ -214,7 +212,7 @@
 	}
 }
 
-// grants returns the grants that a session was sent.
+// grants returns the grants that a session received.
 func (s *sim) grants(id SessionID) []event.Granted {
 	var list []event.Granted
 	for _, m := range s.sends[id] {
@@ -233,36 +231,37 @@
 	return b
 }
 
-// TestLeavingEndpointGetsNothingAfterItsAcknowledgement also changes the owner.
-func TestLeavingEndpointGetsNothingAfterItsAcknowledgement(t *testing.T) {
+// TestDrainingEndpointGetsNoGrantAfterAcknowledgement: neither a delayed heartbeat nor a change of owner
+// may revert an acknowledged drain.
+func TestDrainingEndpointGetsNoGrantAfterAcknowledgement(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 1)
 	ready := registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 100, Sequence: 1}
-	s.tell(s.mustOwner(), ready)
+	s.heartbeat(s.mustOwner(), ready)
 	s.run(second)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("a")})
 	if got := s.grants(1); len(got) != 1 || got[0].Endpoint != "e" {
 		t.Fatalf("grants %+v, want one to e", got)
 	}
-	leaving := ready
-	leaving.Leaving = true
-	leaving.Sequence = 3
-	token := s.tell(s.mustOwner(), leaving)
-	if s.answers[token].Status == StatusDone {
-		t.Error("leaving was acknowledged before it was committed")
+	draining := ready
+	draining.Leaving = true
+	draining.Sequence = 3
+	callID := s.heartbeat(s.mustOwner(), draining)
+	if s.answers[callID].Status == StatusDone {
+		t.Error("the drain was acknowledged before it was committed")
 	}
-	for s.answers[token].Status != StatusDone {
+	for s.answers[callID].Status != StatusDone {
 		s.run(simStep)
 	}
-	late := ready
-	late.Sequence = 2
-	s.tell(s.mustOwner(), late)
+	delayed := ready
+	delayed.Sequence = 2
+	s.heartbeat(s.mustOwner(), delayed)
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("b")})
 	s.run(second)
 	if got := s.grants(1); len(got) != 1 {
-		t.Errorf("grants %+v: one came after the acknowledgement", got)
+		t.Errorf("grants %+v, want none after the drain was acknowledged", got)
 	}
 	s.stop(s.mustOwner().name)
 	s.run(4 * second)
@@ -270,16 +269,16 @@
 	s.step(s.mustOwner(), &BatchReceived{Session: 2, Batch: submit("c")})
 	s.run(second)
 	if got := s.grants(2); len(got) != 0 {
-		t.Errorf("the next owner granted %+v to an endpoint that is leaving", got)
+		t.Errorf("the next owner granted %+v to a draining endpoint", got)
 	}
 }
 
-// TestNewOwnerKnowsWhatRuns: a place that an entry says is taken is not given again.
-func TestNewOwnerKnowsWhatRuns(t *testing.T) {
+// TestNewOwnerCountsRunningRequests: a new owner must not grant capacity that an entry reports as in use.
+func TestNewOwnerCountsRunningRequests(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 1)
-	s.tell(s.mustOwner(), registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 1, Sequence: 1})
+	s.heartbeat(s.mustOwner(), registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 1, Sequence: 1})
 	s.run(second)
 	s.stop(s.mustOwner().name)
 	s.run(4 * second)
@@ -287,42 +286,42 @@
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry", Running: []message.Running{running}}})
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("new")})
 	if got := s.grants(1); len(got) != 0 {
-		t.Fatalf("granted %+v though the only place is taken", got)
+		t.Fatalf("granted %+v although the endpoint has no free capacity", got)
 	}
 	done := message.Finish{Finished: event.Finished{ID: "old", Pool: "s"}, Endpoint: "e"}
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: &message.Batch{Finish: []message.Finish{done}}})
 	if got := s.grants(1); len(got) != 1 {
-		t.Errorf("grants %+v, want one when the place came free", got)
+		t.Errorf("grants %+v, want one once the capacity is free", got)
 	}
 }
 
-func TestSilentEndpointIsTakenForDown(t *testing.T) {
+func TestEndpointWithoutHeartbeatsIsDown(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 1)
 	e := registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 9, Sequence: 1}
-	s.tell(s.mustOwner(), e)
+	s.heartbeat(s.mustOwner(), e)
 	s.run((downAfterHeartbeats + 1) * second)
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("a")})
 	if got := s.grants(1); len(got) != 0 {
-		t.Fatalf("granted %+v to an endpoint that is silent", got)
+		t.Fatalf("granted %+v to an endpoint that is down", got)
 	}
 	e.Sequence = 2
-	s.tell(s.mustOwner(), e)
+	s.heartbeat(s.mustOwner(), e)
 	s.run(simStep)
 	if got := s.grants(1); len(got) != 1 {
-		t.Errorf("grants %+v, want one when the endpoint was heard again", got)
+		t.Errorf("grants %+v, want one after the endpoint's next heartbeat", got)
 	}
 }
 
-// firstPart is the command that brings the first part of a document.
+// firstPart returns the command with the first part of a document.
 func firstPart(d Document) []byte {
 	d.pack()
 	return d.packed.encodePart(0)
 }
 
-func TestMachineSurvivesItsSnapshot(t *testing.T) {
+func TestSnapshotRoundTrip(t *testing.T) {
 	var m stateMachine
 	for i, command := range [][]byte{
 		firstPart(Document{Version: 4, Data: []byte(`{"version": 4}`)}),
@@ -334,28 +333,27 @@
 			t.Fatal(err)
 		}
 	}
-	var again stateMachine
-	if err := again.restore(m.snapshot(), level.Newest); err != nil {
+	var restored stateMachine
+	if err := restored.restore(m.snapshot(), level.Newest); err != nil {
 		t.Fatal(err)
 	}
-	if string(again.document.Data) != `{"version": 4}` || len(again.registry.Endpoints) != 1 || len(again.registry.Removed) != 1 {
-		t.Errorf("restored %+v", again)
+	if string(restored.document.Data) != `{"version": 4}` || len(restored.registry.Endpoints) != 1 || len(restored.registry.Removed) != 1 {
+		t.Errorf("restored %+v", restored)
 	}
 	for _, bad := range [][]byte{nil, {99}, {commandDocument, 1}, append([]byte{commandEndpoint}, '{')} {
-		if _, err := again.apply(9, bad); err == nil {
+		if _, err := restored.apply(9, bad); err == nil {
 			t.Errorf("command %v was applied", bad)
 		}
 	}
 }
 
-// TestOwnerCountsWhatAnEntrySpentAlone: an entry that was away and comes back to the same
-// owner tells what it spent in between out of what it was lent. All of a quota but that is
-// then given out, and no more.
-func TestOwnerCountsWhatAnEntrySpentAlone(t *testing.T) {
+// TestOwnerCountsSpendingOfDegradedEntry: an entry that reconnects to the same owner reports what it spent
+// of its lease while degraded. The owner must then grant the rest of the quota and no more.
+func TestOwnerCountsSpendingOfDegradedEntry(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 1)
-	s.tell(s.mustOwner(), registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 1000, Sequence: 1})
+	s.heartbeat(s.mustOwner(), registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 1000, Sequence: 1})
 	s.run(second)
 	granted, next := 0, 0
 	spend := func(session SessionID, amount int) {
@@ -365,40 +363,40 @@
 		b.Submit[0].Quota = amount
 		before := len(s.grants(session))
 		s.step(s.mustOwner(), &BatchReceived{Session: session, Batch: b})
-		s.run(simStep) // a record may have to be committed
+		s.run(simStep) // the owner may have to commit a budget record first
 		s.run(simStep)
 		granted += amount * (len(s.grants(session)) - before)
 	}
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry", Life: 5}})
-	lent := s.ping(1, message.Ping{})
-	if len(lent.UpTo) == 0 {
-		t.Fatal("the entry was lent nothing")
+	leases := s.ping(1, message.Ping{})
+	if len(leases.UpTo) == 0 {
+		t.Fatal("the entry has no lease")
 	}
-	held := lent.UpTo[slices.IndexFunc(lent.UpTo, func(h budget.Lease) bool { return h.Account == budget.Team("t") })]
-	s.ping(1, message.Ping{Has: lent.Number})
+	lease := leases.UpTo[slices.IndexFunc(leases.UpTo, func(h budget.Lease) bool { return h.Account == budget.Team("t") })]
+	s.ping(1, message.Ping{Has: leases.Number})
 	for range 20 {
 		spend(1, simQuota/40)
 	}
 	s.step(s.mustOwner(), &SessionClosed{Session: 1})
 	s.run(second)
-	held.Spent = held.UpTo * 3 / 4
-	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry", Life: 5, Held: []budget.Lease{held}}})
+	lease.Spent = lease.UpTo * 3 / 4
+	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "entry", Life: 5, Held: []budget.Lease{lease}}})
 	for range 100 {
 		spend(2, simQuota/100)
 	}
-	if sum := granted + held.Spent; sum > simQuota || sum < simQuota*3/4 {
-		t.Errorf("%d granted and %d spent alone of %d", granted, held.Spent, simQuota)
+	if sum := granted + lease.Spent; sum > simQuota || sum < simQuota*3/4 {
+		t.Errorf("%d granted and %d spent while degraded, of a quota of %d", granted, lease.Spent, simQuota)
 	}
 }
 
-// TestEndpointIsHeardByAnyBox: a heartbeat without news is taken by any box that
-// hears the leader, which is told of it; one with news goes to the leader.
-func TestEndpointIsHeardByAnyBox(t *testing.T) {
+// TestHeartbeatIsAcceptedByAnyBox: a box with contact to the leader accepts an unchanged heartbeat and
+// forwards it to the leader; a changed one must be sent to the leader.
+func TestHeartbeatIsAcceptedByAnyBox(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 1)
 	e := registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 9, Sequence: 1}
-	s.tell(s.mustOwner(), e)
+	s.heartbeat(s.mustOwner(), e)
 	s.run(second)
 	var other *simBox
 	for _, name := range s.order {
@@ -408,26 +406,26 @@
 	}
 	for range 3 * downAfterHeartbeats {
 		e.Sequence++
-		if token := s.tell(other, e); s.answers[token].Status != StatusDone || s.answers[token].HeartbeatAddress == "" {
-			t.Fatalf("a heartbeat without news got %+v", s.answers[token])
+		if callID := s.heartbeat(other, e); s.answers[callID].Status != StatusDone || s.answers[callID].HeartbeatAddress == "" {
+			t.Fatalf("an unchanged heartbeat was answered with %+v", s.answers[callID])
 		}
 		s.run(second / 2)
 	}
 	s.step(s.mustOwner(), &SessionOpened{FormatVersion: level.Newest, Session: 1, Hello: message.Hello{Entry: "entry"}})
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("a")})
 	if got := s.grants(1); len(got) != 1 {
-		t.Errorf("grants %+v: the owner takes an endpoint for down that another box hears", got)
+		t.Errorf("grants %+v, want one to an endpoint whose heartbeats another box accepts", got)
 	}
 	e.Sequence++
 	e.Leaving = true
-	if token := s.tell(other, e); s.answers[token].Status != StatusNotLeader {
-		t.Errorf("news got %+v at a box that does not lead", s.answers[token])
+	if callID := s.heartbeat(other, e); s.answers[callID].Status != StatusNotLeader {
+		t.Errorf("a box that is not the leader answered a changed heartbeat with %+v", s.answers[callID])
 	}
-	// A box that hears no leader takes no heartbeat.
-	s.cut = func(from, to string) bool { return from == other.name || to == other.name }
+	// A box without contact to the leader accepts no heartbeats.
+	s.isCut = func(from, to string) bool { return from == other.name || to == other.name }
 	s.run(2 * second)
 	e.Leaving = false
-	if token := s.tell(other, e); s.answers[token].Status == StatusDone {
-		t.Errorf("a box that is cut off took a heartbeat: %+v", s.answers[token])
+	if callID := s.heartbeat(other, e); s.answers[callID].Status == StatusDone {
+		t.Errorf("a partitioned box accepted a heartbeat: %+v", s.answers[callID])
 	}
 }
--- a/cluster/suspended_test.go
+++ b/cluster/suspended_test.go
@@ -12,17 +12,16 @@
 	"lynxramp.org/internal/uptime"
 )
 
-// TestSuspendedOwnerAnswersNoRead: a control box whose computer wakes after a while still had its lease by a clock
-// that had stood still, and answered a read of the configuration with one that was not the newest any
-// more.
-func TestSuspendedOwnerAnswersNoRead(t *testing.T) {
+// TestLeaseExpiresWhileMachineIsSuspended: the lease must expire while the machine is suspended, which a monotonic
+// clock may not count, or the box would answer a read with an outdated configuration.
+func TestLeaseExpiresWhileMachineIsSuspended(t *testing.T) {
 	const boxes = 3
-	var slept [boxes]atomic.Int64
+	var suspendedTime [boxes]atomic.Int64
 	var clocks []func() event.Duration
 	for i := range boxes {
-		clocks = append(clocks, func() event.Duration { return uptime.Now() + event.Duration(slept[i].Load()) })
+		clocks = append(clocks, func() event.Duration { return uptime.Now() + event.Duration(suspendedTime[i].Load()) })
 	}
-	servers := startServersAt(t, clocks)
+	servers := startServersWithClocks(t, clocks)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	leader := -1
@@ -35,20 +34,22 @@
 		}
 	}
 	if leader < 0 {
-		t.Fatal("nobody leads")
+		t.Fatal("no box leads")
 	}
-	// What its lease rests on when it wakes is what it had heard before.
+	// The lease after the suspension is based on what was received before it.
 	a := servers[leader].ReadDocument(ctx)
 	for ; a.Status != StatusDone && ctx.Err() == nil; a = servers[leader].ReadDocument(ctx) {
 		time.Sleep(tickInterval)
 	}
-	slept[leader].Add(int64(2 * event.Second))
+	suspendedTime[leader].Add(int64(2 * event.Second))
 	if now := servers[leader].clock.Now(); now < a.ValidUntil {
-		t.Fatalf("the lease lasts until %v, it is %v", a.ValidUntil, now)
+		t.Fatalf("the lease is valid until %v, it is only %v", a.ValidUntil, now)
 	}
-	held := make(chan bool, 1)
-	servers[leader].events <- inspect(func(now event.Time, s *State) { held <- s.node.HasLease(now) && s.node.LeaseEnd(now) <= a.ValidUntil })
-	if <-held {
-		t.Error("it holds the lease that it had before it slept")
+	hasLease := make(chan bool, 1)
+	servers[leader].events <- inspect(func(now event.Time, s *State) {
+		hasLease <- s.node.HasLease(now) && s.node.LeaseEnd(now) <= a.ValidUntil
+	})
+	if <-hasLease {
+		t.Error("the box still holds its lease from before the suspension")
 	}
 }
--- a/cluster/upload_property_test.go
+++ b/cluster/upload_property_test.go
@@ -12,34 +12,34 @@
 	"lynxramp.org/event"
 )
 
-// chaos is a group to which configurations are sent while anything happens to it.
-type chaos struct {
+// chaosSim is a group to which configurations are submitted under random faults.
+type chaosSim struct {
 	*sim
-	down    *simBox // at most one box is stopped at a time
-	wiped   bool    // a box lost its disk; only one does
-	cutOff  string  // a box that no message reaches or leaves
-	loss    int     // of 100 messages
-	sent    map[uint64]Document
-	calls   map[CallID]uint64 // versions by call
-	applied map[*State]uint64
+	stopped  *simBox // at most one box is stopped at a time
+	wiped    bool    // a box lost its disk; only one does
+	isolated string  // a box that no message reaches or leaves
+	loss     int     // lost messages, in percent
+	sent     map[uint64]Document
+	calls    map[CallID]uint64 // submitted versions
+	applied  map[*State]uint64
 }
 
-func newChaos(t *rapid.T, tb testing.TB) *chaos {
-	c := &chaos{sim: newSim(tb, 3, 0), sent: make(map[uint64]Document), calls: make(map[CallID]uint64), applied: make(map[*State]uint64)}
+func newChaosSim(t *rapid.T, tb testing.TB) *chaosSim {
+	c := &chaosSim{sim: newSim(tb, 3, 0), sent: make(map[uint64]Document), calls: make(map[CallID]uint64), applied: make(map[*State]uint64)}
 	seed := rapid.Uint64().Draw(t, "seed")
-	c.compactLeast = 1 // a snapshot is due after twice the last one's size
+	c.compactThreshold = 1 // a snapshot is due after twice the last one's size
 	for _, name := range c.order {
 		c.boxes[name].state.compactThreshold = 1
 	}
 	c.random = rand.New(rand.NewPCG(seed, 3))
-	c.cut = func(from, to string) bool {
-		return from == c.cutOff || to == c.cutOff || c.random.IntN(100) < c.loss
+	c.isCut = func(from, to string) bool {
+		return from == c.isolated || to == c.isolated || c.random.IntN(100) < c.loss
 	}
 	return c
 }
 
-// send sends a configuration of some parts, a new one or an earlier one again, to any box.
-func (c *chaos) send() {
+// send submits a configuration to any box, a new one or an earlier one again.
+func (c *chaosSim) send() {
 	version := uint64(len(c.sent))
 	if version == 0 || c.random.IntN(3) == 0 {
 		version++
@@ -49,38 +49,38 @@
 		version -= uint64(c.random.IntN(2)) * uint64(c.random.IntN(int(version)))
 	}
 	b := c.boxes[c.order[c.random.IntN(len(c.order))]]
-	c.token++
-	c.calls[c.token] = version
-	c.step(b, &DocumentSubmitted{CallID: c.token, Document: c.sent[version]})
+	c.lastCall++
+	c.calls[c.lastCall] = version
+	c.step(b, &DocumentSubmitted{CallID: c.lastCall, Document: c.sent[version]})
 }
 
-// happen lets one thing happen.
-func (c *chaos) happen() {
+// randomAction runs a random action or fault, reorders and duplicates messages, and advances time.
+func (c *chaosSim) randomAction() {
 	switch n := c.random.IntN(100); {
 	case n < 10:
 		c.send()
 	case n < 20:
 		c.change()
-	case n < 43 && c.down == nil:
-		c.down = c.boxes[c.order[c.random.IntN(len(c.order))]]
+	case n < 43 && c.stopped == nil:
+		c.stopped = c.boxes[c.order[c.random.IntN(len(c.order))]]
 		if owner := c.owner(); owner != nil && n < 42 {
-			c.down = owner
+			c.stopped = owner
 		}
-		c.stop(c.down.name)
-	case n < 50 && c.down != nil:
-		c.restart(c.down.name)
-		c.down = nil
-	case n < 51 && c.down != nil && !c.wiped:
+		c.stop(c.stopped.name)
+	case n < 50 && c.stopped != nil:
+		c.restart(c.stopped.name)
+		c.stopped = nil
+	case n < 51 && c.stopped != nil && !c.wiped:
 		c.wiped = true
-		c.addEmpty(c.down.name)
-		c.down = nil
+		c.addEmpty(c.stopped.name)
+		c.stopped = nil
 	case n < 53:
-		c.cutOff = c.order[c.random.IntN(len(c.order))]
+		c.isolated = c.order[c.random.IntN(len(c.order))]
 	case n < 60:
-		c.cutOff = ""
+		c.isolated = ""
 	case n < 62:
 		b := c.boxes[c.order[c.random.IntN(len(c.order))]]
-		b.stalled = true
+		b.isDiskStalled = true
 	case n < 70:
 		c.endStalls()
 	}
@@ -92,18 +92,18 @@
 	c.check()
 }
 
-// change lets some endpoints change, so that there are snapshots.
-func (c *chaos) change() {
+// change changes some endpoints, so that the log is compacted.
+func (c *chaosSim) change() {
 	owner := c.owner()
 	for i := 0; owner != nil && i < 4; i++ {
-		e := manyEndpoint(i, uint64(c.token)+1)
-		e.Slots = 1 + int(c.token)
-		c.tell(owner, e)
+		e := manyEndpoint(i, uint64(c.lastCall)+1)
+		e.Slots = 1 + int(c.lastCall)
+		c.heartbeat(owner, e)
 	}
 }
 
-// partly returns how many boxes have a part of a configuration.
-func (c *chaos) partly() int {
+// partialUploads returns how many boxes have an incomplete upload.
+func (c *chaosSim) partialUploads() int {
 	n := 0
 	for _, name := range c.order {
 		if state := c.boxes[name].state; state != nil && state.machine.upload.data != nil {
@@ -113,18 +113,18 @@
 	return n
 }
 
-func (c *chaos) endStalls() {
+func (c *chaosSim) endStalls() {
 	for _, name := range c.order {
 		b := c.boxes[name]
-		b.stalled = false
+		b.isDiskStalled = false
 		if b.state != nil {
 			c.saveAll(b)
 		}
 	}
 }
 
-// check fails the test if a box has a configuration that nobody sent, or goes back.
-func (c *chaos) check() {
+// check fails the test if a box has a configuration that was not submitted, or an older one than before.
+func (c *chaosSim) check() {
 	for _, name := range c.order {
 		state := c.boxes[name].state
 		if state == nil {
@@ -136,39 +136,39 @@
 		}
 		c.applied[state] = d.Version
 		if want := c.sent[d.Version]; d.Version > 0 && !bytes.Equal(d.Data, want.Data) {
-			c.t.Fatalf("%s has %d bytes in version %d, %d were sent", name, len(d.Data), d.Version, len(want.Data))
+			c.t.Fatalf("%s has %d bytes in version %d, %d were submitted", name, len(d.Data), d.Version, len(want.Data))
 		}
 	}
 }
 
-// acknowledged returns the highest version of which a call was acknowledged.
-func (c *chaos) acknowledged() uint64 {
+// acknowledged returns the highest acknowledged version.
+func (c *chaosSim) acknowledged() uint64 {
 	highest := uint64(0)
-	for token, version := range c.calls {
-		if c.answers[token].Status == StatusDone {
+	for callID, version := range c.calls {
+		if c.answers[callID].Status == StatusDone {
 			highest = max(highest, version)
 		}
 	}
 	return highest
 }
 
-// TestConfigurationsArriveWhole sends configurations of one and more parts while messages are lost,
-// doubled and reordered, boxes end and come back, one loses its disk, disks stall and snapshots are
-// taken. No box has ever anything but what was sent, what was acknowledged is never lost, and
-// the last one sent is in force everywhere once all is well.
-func TestConfigurationsArriveWhole(t *testing.T) {
+// TestConfigurationUploadsUnderFaults submits configurations of one or more parts while messages are lost,
+// duplicated and reordered, boxes stop and restart, one loses its disk, disks stall and snapshots are
+// taken. No box may have a configuration that was not submitted, acknowledged ones must not be lost, and
+// after the faults the last one must be in force on all boxes.
+func TestConfigurationUploadsUnderFaults(t *testing.T) {
 	snapshots, documents, partly := 0, 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
-		c := newChaos(rt, t)
+		c := newChaosSim(rt, t)
 		c.run(2 * second)
 		c.loss = rapid.SampledFrom([]int{0, 5, 20}).Draw(rt, "loss")
 		for range rapid.IntRange(50, 200).Draw(rt, "steps") {
-			c.happen()
-			partly += c.partly()
+			c.randomAction()
+			partly += c.partialUploads()
 		}
-		c.loss, c.cutOff = 0, ""
-		if c.down != nil {
-			c.restart(c.down.name)
+		c.loss, c.isolated = 0, ""
+		if c.stopped != nil {
+			c.restart(c.stopped.name)
 		}
 		c.endStalls()
 		c.run(6 * second)
@@ -187,14 +187,14 @@
 				rt.Fatalf("%s has version %d, want %d", name, got, last)
 			}
 			if state.machine.upload.data != nil {
-				rt.Fatalf("%s keeps a part of version %d", name, state.machine.upload.key.Version)
+				rt.Fatalf("%s keeps an incomplete upload of version %d", name, state.machine.upload.key.Version)
 			}
 			snapshots += int(min(1, state.snapshotIndex/2))
 			documents += len(c.sent)
 		}
 	})
-	t.Logf("%d boxes took a snapshot, they were sent %d configurations and had a part of one %d times", snapshots, documents, partly)
+	t.Logf("%d snapshots, %d configurations submitted, %d times an incomplete upload", snapshots, documents, partly)
 	if snapshots == 0 || partly == 0 {
-		t.Errorf("%d boxes took a snapshot, and had a part of a configuration %d times", snapshots, partly)
+		t.Errorf("%d snapshots and %d times an incomplete upload, want some of both", snapshots, partly)
 	}
 }
--- a/cluster/upload_test.go
+++ b/cluster/upload_test.go
@@ -11,8 +11,8 @@
 	"lynxramp.org/registry"
 )
 
-// TestResentConfigurationIsLoggedOnce: an operator sends again each second what is not
-// acknowledged. Each call put the whole configuration into the log once more, 3 MB a second.
+// TestResentConfigurationIsLoggedOnce: a configuration that is submitted again before it is acknowledged
+// must not be appended to the log again.
 func TestResentConfigurationIsLoggedOnce(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
@@ -24,7 +24,7 @@
 		s.step(owner, &DocumentSubmitted{CallID: 100 + i, Document: d})
 	}
 	if got, most := owner.state.Node().LogBytes()-before, 11*len(d.Data)/10; got > most {
-		t.Errorf("%d calls took %d bytes of the log, want %d at the most", calls, got, most)
+		t.Errorf("%d calls took %d bytes of the log, want at most %d", calls, got, most)
 	}
 	s.run(second)
 	for i := range CallID(calls) {
@@ -35,7 +35,7 @@
 	s.wantDocument(owner.name, d)
 }
 
-// wantDocument checks what a box has, byte for byte.
+// wantDocument checks the configuration of a box byte for byte.
 func (s *sim) wantDocument(name string, want Document) {
 	s.t.Helper()
 	got := s.boxes[name].state.Document()
@@ -44,10 +44,9 @@
 	}
 }
 
-// TestNewestConfigurationFollowsTheOneUnderWay: of those that come while one is being replicated
-// only the newest goes into the log, and answers the calls of all. A call whose caller is gone
-// holds nothing up.
-func TestNewestConfigurationFollowsTheOneUnderWay(t *testing.T) {
+// TestOnlyNewestPendingConfigurationIsLogged: of the configurations that arrive while one is being
+// replicated only the newest is logged, and it answers all calls. A cancelled call delays nothing.
+func TestOnlyNewestPendingConfigurationIsLogged(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
 	owner := s.mustOwner()
@@ -57,33 +56,33 @@
 	}
 	s.step(owner, &CallCancelled{CallID: 101})
 	if got, most := owner.state.Node().LogBytes(), 11<<20/10; got > most {
-		t.Errorf("the log took %d bytes, want %d at the most", got, most)
+		t.Errorf("the log took %d bytes, want at most %d", got, most)
 	}
 	s.run(3 * second)
 	for i, v := range versions {
 		a, answered := s.answers[100+CallID(i)]
-		if gone := v == 5; gone == answered || (answered && a.Status != StatusDone) {
+		if isCancelled := v == 5; isCancelled == answered || (answered && a.Status != StatusDone) {
 			t.Errorf("the call of version %d was answered with %+v, %v", v, a, answered)
 		}
 	}
 	s.wantDocument(owner.name, noiseDocument(9, 1<<20))
 }
 
-// TestCallsEndWithTheirLeader: the calls that wait on a leader are told when it leads no more.
-func TestCallsEndWithTheirLeader(t *testing.T) {
+// TestCallsEndWhenLeadershipIsLost: pending calls must be answered when their box is no longer the leader.
+func TestCallsEndWhenLeadershipIsLost(t *testing.T) {
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
 	old := s.mustOwner()
-	s.cut = func(from, to string) bool { return from == old.name || to == old.name }
+	s.isCut = func(from, to string) bool { return from == old.name || to == old.name }
 	s.step(old, &DocumentSubmitted{CallID: 100, Document: noiseDocument(1, 1<<20)})
 	s.step(old, &DocumentSubmitted{CallID: 101, Document: noiseDocument(2, 1<<20)})
 	s.run(3 * second)
-	for token := CallID(100); token <= 101; token++ {
-		if a := s.answers[token]; a.Status != StatusUnknown {
-			t.Errorf("call %d was answered with %+v", token, a)
+	for callID := CallID(100); callID <= 101; callID++ {
+		if a := s.answers[callID]; a.Status != StatusUnknown {
+			t.Errorf("call %d was answered with %+v", callID, a)
 		}
 	}
-	s.cut = func(string, string) bool { return false }
+	s.isCut = func(string, string) bool { return false }
 	next := s.mustOwner()
 	s.step(next, &DocumentSubmitted{CallID: 102, Document: noiseDocument(3, 1<<20)})
 	s.run(2 * second)
@@ -92,8 +91,8 @@
 	}
 }
 
-// parts returns the commands of a document.
-func parts(d Document) [][]byte {
+// encodeParts returns the commands of a document.
+func encodeParts(d Document) [][]byte {
 	d.pack()
 	var list [][]byte
 	for i := range d.packed.parts {
@@ -102,7 +101,7 @@
 	return list
 }
 
-// apply carries out commands, which must be readable.
+// apply applies commands, which must not fail.
 func apply(t *testing.T, m *stateMachine, commands ...[]byte) {
 	t.Helper()
 	for i, c := range commands {
@@ -118,31 +117,31 @@
 		t.Errorf("version %d of %d bytes is in force, want %d of %d", m.document.Version, len(m.document.Data), want.Version, len(want.Data))
 	}
 	if m.upload.data != nil {
-		t.Errorf("a part of version %d is kept", m.upload.key.Version)
+		t.Errorf("an incomplete upload of version %d is kept", m.upload.key.Version)
 	}
 }
 
-// TestDocumentsOfAllSizes are read back as they were sent.
+// TestDocumentsOfAllSizes: documents of one and more parts, compressible or not, are restored unchanged.
 func TestDocumentsOfAllSizes(t *testing.T) {
 	var m stateMachine
 	for i, size := range []int{0, 1, maxPartBytes - 1, maxPartBytes, maxPartBytes + 1, 3 * maxPartBytes, 1 << 20} {
 		d := noiseDocument(uint64(i+1), size)
-		apply(t, &m, parts(d)...)
+		apply(t, &m, encodeParts(d)...)
 		wantInForce(t, &m, d)
 		d = Document{Version: d.Version, Data: bytes.Repeat([]byte("{}\n"), size/3)}
 		var other stateMachine
-		apply(t, &other, parts(d)...)
+		apply(t, &other, encodeParts(d)...)
 		wantInForce(t, &other, d)
 	}
 }
 
-// TestPartsOfOtherDocuments: parts that are given up, that come twice, out of turn or too late
-// change nothing of a document that comes whole.
-func TestPartsOfOtherDocuments(t *testing.T) {
+// TestPartsOfOtherDocumentsAreIgnored: abandoned, duplicate, reordered and outdated parts must not change
+// the document that is completed.
+func TestPartsOfOtherDocumentsAreIgnored(t *testing.T) {
 	a, b := noiseDocument(3, 4*maxPartBytes), noiseDocument(4, 4*maxPartBytes)
 	sameVersion := noiseDocument(4, 4*maxPartBytes)
 	sameVersion.Data[0]++
-	pa, pb, ps := parts(a), parts(b), parts(sameVersion)
+	pa, pb, ps := encodeParts(a), encodeParts(b), encodeParts(sameVersion)
 	var m stateMachine
 	apply(t, &m, pa[0], pa[1], ps[0], ps[1], pb[2], pb[0], pb[0], pb[2], pb[1], ps[1], pb[1], pb[2], pa[2])
 	if m.document.Version != 0 || m.upload.key.Sum != parseKey(pb[0][1:]).Sum || len(m.upload.parts) != 3 {
@@ -155,22 +154,22 @@
 	wantInForce(t, &m, b)
 }
 
-// TestDamagedPartIsNotApplied: what its sum does not confirm does not come in force.
+// TestDamagedPartIsNotApplied: a document that does not match its checksum or size must not take effect.
 func TestDamagedPartIsNotApplied(t *testing.T) {
 	var m stateMachine
-	list := parts(noiseDocument(1, 2*maxPartBytes))
+	list := encodeParts(noiseDocument(1, 2*maxPartBytes))
 	for name, bad := range map[string][]byte{
-		"short":     list[1][:partHeader],
-		"cut":       list[1][:len(list[1])-5],
-		"exchanged": append(bytes.Clone(list[1][:1+partHeader]), list[0][1+partHeader:]...),
-		"too long":  append(bytes.Clone(list[1][:1+partHeader]), compress(make([]byte, maxPartBytes+1))...),
+		"no content": list[1][:partHeader],
+		"truncated":  list[1][:len(list[1])-5],
+		"other part": append(bytes.Clone(list[1][:1+partHeader]), list[0][1+partHeader:]...),
+		"too long":   append(bytes.Clone(list[1][:1+partHeader]), compress(make([]byte, maxPartBytes+1))...),
 	} {
 		apply(t, &m, list[0])
 		if _, err := m.apply(9, bad); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 		if m.document.Version != 0 {
-			t.Errorf("%s: came in force", name)
+			t.Errorf("%s: the document took effect", name)
 		}
 		m = stateMachine{}
 	}
@@ -178,38 +177,38 @@
 	huge.pack()
 	huge.packed.key.Size = maxDocumentBytes + 1
 	if _, err := m.apply(9, huge.packed.encodePart(0)); err == nil {
-		t.Error("a document of more than the bound was begun")
+		t.Error("a document larger than the limit was accepted")
 	}
 }
 
-// TestSnapshotHasPartsUnderWay: a machine that was restored goes on with a document of which it
-// had a part, and takes the very bytes that another one takes.
-func TestSnapshotHasPartsUnderWay(t *testing.T) {
+// TestSnapshotKeepsIncompleteUpload: a restored state machine must continue an incomplete upload, and have
+// the same snapshot as the original.
+func TestSnapshotKeepsIncompleteUpload(t *testing.T) {
 	first, second := noiseDocument(1, maxPartBytes+7), noiseDocument(2, 3*maxPartBytes)
-	list := parts(second)
-	var m, again stateMachine
-	apply(t, &m, parts(first)...)
+	list := encodeParts(second)
+	var m, restored stateMachine
+	apply(t, &m, encodeParts(first)...)
 	apply(t, &m, list[0], list[1], encodeEndpoint(registry.Endpoint{ID: "a", Service: "s", Address: "10.0.0.1:80", Sequence: 2}))
-	if err := again.restore(m.snapshot(), level.Newest); err != nil {
+	if err := restored.restore(m.snapshot(), level.Newest); err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(m.snapshot(), again.snapshot()) {
-		t.Error("equal machines have unequal snapshots")
+	if !bytes.Equal(m.snapshot(), restored.snapshot()) {
+		t.Error("the restored state machine has another snapshot than the original")
 	}
-	for _, one := range []*stateMachine{&m, &again} {
+	for _, one := range []*stateMachine{&m, &restored} {
 		apply(t, one, list[2])
 		wantInForce(t, one, second)
 	}
 	if got, most := len(m.snapshot()), len(second.Data)*11/10; got > most {
-		t.Errorf("the snapshot has %d bytes, want %d at the most", got, most)
+		t.Errorf("the snapshot has %d bytes, want at most %d", got, most)
 	}
 }
 
-// FuzzRestore reads anything as a snapshot.
+// FuzzRestore: arbitrary bytes are rejected, or restored to a state whose snapshot restores to the same.
 func FuzzRestore(f *testing.F) {
 	var m stateMachine
-	list := parts(noiseDocument(2, 2*maxPartBytes))
-	for _, c := range append(parts(noiseDocument(1, 9)), list[0]) {
+	list := encodeParts(noiseDocument(2, 2*maxPartBytes))
+	for _, c := range append(encodeParts(noiseDocument(1, 9)), list[0]) {
 		if _, err := m.apply(1, c); err != nil {
 			f.Fatal(err)
 		}
@@ -226,7 +225,7 @@
 			return
 		}
 		if err := two.restore(one.snapshot(), level.Newest); err != nil || !bytes.Equal(one.snapshot(), two.snapshot()) {
-			t.Errorf("a snapshot of what was read is not read: %v", err)
+			t.Errorf("the snapshot of a restored state is not restored to the same: %v", err)
 		}
 	})
 }
