--- a/fleet/descriptors_test.go
+++ b/fleet/descriptors_test.go
@@ -15,27 +15,27 @@
 	"time"
 )
 
-// fewDescriptors is how many the server of these tests may have, resting as many callers
-// more as come to it.
 const (
-	fewDescriptors  = 700
-	restingCallers  = 800
-	fewVariable     = "LYNXRAMP_TEST_FEW_DESCRIPTORS"
-	takesWithin     = time.Second
-	callersThatCome = 7
+	// maxDescriptors is the server's limit of file descriptors; more callers than that
+	// keep idle connections to it.
+	maxDescriptors = 700
+	idleCallers    = 800
+	serverVariable = "LYNXRAMP_TEST_FEW_DESCRIPTORS"
+	connectTimeout = time.Second
+	newCallers     = 7
 )
 
-// TestServerOfFewDescriptors is no test by itself: it is the process that the next one
-// starts, whose limit must not bind others.
+// TestServerOfFewDescriptors is not a test of its own: TestIdleConnectionsDontBlockNewOnes
+// runs it in a child process, as the descriptor limit holds for a whole process.
 func TestServerOfFewDescriptors(t *testing.T) {
-	if os.Getenv(fewVariable) == "" {
-		t.Skip("it is run by TestReadyEntryTakesNewConnections")
+	if os.Getenv(serverVariable) == "" {
+		t.Skip("run in a child process by TestIdleConnectionsDontBlockNewOnes")
 	}
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: fewDescriptors, Max: fewDescriptors}); err != nil {
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: maxDescriptors, Max: maxDescriptors}); err != nil {
 		t.Fatal(err)
 	}
-	quiet := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
-	s := callersServer(quiet, func() time.Duration { return time.Minute }, fewDescriptors)
+	handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
+	s := newCallerServer(handler, func() time.Duration { return time.Minute }, maxDescriptors)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -44,11 +44,11 @@
 	_ = s.Serve(l)
 }
 
-// startFew starts the server in a process of its own and returns its address.
-func startFew(t *testing.T) string {
+// startServer starts the server in a child process and returns its address.
+func startServer(t *testing.T) string {
 	t.Helper()
 	p := exec.Command(os.Args[0], "-test.run", "^TestServerOfFewDescriptors$")
-	p.Env = append(os.Environ(), fewVariable+"=1")
+	p.Env = append(os.Environ(), serverVariable+"=1")
 	out, err := p.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -63,32 +63,31 @@
 	line, err := bufio.NewReader(out).ReadString('\n')
 	address, ok := strings.CutPrefix(strings.TrimSpace(line), "serves at ")
 	if err != nil || !ok {
-		t.Fatalf("the server says %q: %v", line, err)
+		t.Fatalf("the server printed %q: %v", line, err)
 	}
 	return address
 }
 
-// TestReadyEntryTakesNewConnections: callers that keep connections rested on an entry until
-// it had no descriptor left. It said that it is ready, and took no new connection until
-// their time to rest was over.
-func TestReadyEntryTakesNewConnections(t *testing.T) {
-	address := startFew(t)
-	connect := func(within time.Duration) error {
-		c, err := net.DialTimeout("tcp", address, within)
+// TestIdleConnectionsDontBlockNewOnes guards against idle keep-alive connections that use up
+// the file descriptors of an entry, which then reports ready but accepts no connection.
+func TestIdleConnectionsDontBlockNewOnes(t *testing.T) {
+	address := startServer(t)
+	connect := func(timeout time.Duration) error {
+		c, err := net.DialTimeout("tcp", address, timeout)
 		if err != nil {
 			return err
 		}
 		t.Cleanup(func() { _ = c.Close() })
-		_ = c.SetDeadline(time.Now().Add(within))
-		return ask(c)
+		_ = c.SetDeadline(time.Now().Add(timeout))
+		return roundTrip(c)
 	}
-	for i := range restingCallers {
-		if err := connect(takesWithin); err != nil {
-			t.Fatalf("caller %d beside those that rest: %v", i+1, err)
+	for i := range idleCallers {
+		if err := connect(connectTimeout); err != nil {
+			t.Fatalf("caller %d, with idle connections of the others: %v", i+1, err)
 		}
 	}
-	for i := range callersThatCome {
-		if err := connect(takesWithin); err != nil {
+	for i := range newCallers {
+		if err := connect(connectTimeout); err != nil {
 			t.Errorf("new caller %d: %v", i+1, err)
 		}
 	}
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 
-// Package fleet runs a box of a fleet by its settings: an entry (package gateway)
-// or a control box (package cluster). How callers, operators and endpoints speak
-// to it is a Dialect, which the deployment's adapter brings.
+// Package fleet runs one box of a fleet: an entry (package gateway) or a control
+// box (package cluster), as its settings say. The HTTP interface to callers,
+// operators and endpoints is a Dialect, which the deployment's adapter supplies.
 package fleet
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -17,61 +17,61 @@
 	"lynxramp.org/settings"
 )
 
-// Times of a planned stop of an entry.
+// Times of the graceful shutdown of an entry.
 const (
-	// noticeTime is how long callers still come after the entry said that it is
-	// not ready.
-	noticeTime = 2500 * time.Millisecond
-	// stopMargin is how much sooner than it must an entry gives up its streams, and
-	// callsMargin how long it then waits for other requests.
-	stopMargin  = 1000 * time.Millisecond
-	callsMargin = 600 * time.Millisecond
-	stopLook    = 50 * time.Millisecond
+	// shutdownDelay is how long an entry keeps serving after its readiness check
+	// starts to fail, as load balancers still send callers to it.
+	shutdownDelay = 2500 * time.Millisecond
+	// streamMargin is the part of the stop timeout that is reserved for closing
+	// streams; shutdownTimeout bounds the wait for the other requests after it.
+	streamMargin    = 1000 * time.Millisecond
+	shutdownTimeout = 600 * time.Millisecond
+	drainPoll       = 50 * time.Millisecond
 )
 
 func runEntry(ctx context.Context, file string, f settings.Fleet, d Dialect, log *zap.Logger) error {
-	one := random.Number()
-	run, end := context.WithCancel(context.Background())
-	defer end()
+	instance := random.Number()
+	run, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	agent := gateway.NewAgent(gateway.ClientConfig{
 		Entry:   f.ID,
-		Life:    one,
-		Control: controlLinks(f),
-		Limits:  limits(f.Bounds),
+		Life:    instance,
+		Control: controlAddresses(f),
+		Limits:  newLimits(f.Bounds),
 		Fresh:   event.Duration(f.Bounds.Fresh),
 		Decode:  d.Decode,
 		Log:     log,
 	})
 	g := gateway.New(gateway.Config{
-		Agent: agent, Names: d.Names, Word: d.Word, Log: log, Entry: f.ID, DataCentre: f.DataCentre, Life: one,
-		HeldBytes: int64(float64(f.Resources.MemoryMB<<20) * heldPart), Descriptors: f.Resources.Descriptors,
+		Agent: agent, Names: d.Names, Word: d.Word, Log: log, Entry: f.ID, DataCentre: f.DataCentre, Life: instance,
+		HeldBytes: int64(float64(f.Resources.MemoryMB<<20) * heldBytesFraction), Descriptors: f.Resources.Descriptors,
 	})
 	go agent.Run(run)
 	go g.Run(run)
-	ready, err := serve(f.Listen.Readiness, newServer(withMetrics(readiness(g, d), d), idleTimeout))
+	ready, err := serve(f.Listen.Readiness, newServer(withMetrics(readinessHandler(g, d), d), idleTimeout))
 	if err != nil {
 		return err
 	}
 	defer ready.Close()
-	callers, err := serve(f.Listen.Callers, callersServer(g, g.IdleTimeout, f.Resources.Descriptors))
+	callers, err := serve(f.Listen.Callers, newCallerServer(g, g.IdleTimeout, f.Resources.Descriptors))
 	if err != nil {
 		return err
 	}
-	go watch(run, file, log, func(f settings.Fleet) { agent.SetControl(controlLinks(f)) })
+	go watch(run, file, log, func(f settings.Fleet) { agent.SetControl(controlAddresses(f)) })
 	<-ctx.Done()
-	return stopEntry(g, callers, time.Duration(f.Bounds.Stop), log)
+	return drainEntry(g, callers, time.Duration(f.Bounds.Stop), log)
 }
 
-// callersServer returns the server of callers, who may rest for as long as idle says, on as
-// many connections as a process with so many descriptors may have for them; 0 for any number.
-func callersServer(h http.Handler, idle func() time.Duration, descriptors int) *http.Server {
-	server := newServer(h, callersIdle)
+// newCallerServer returns the HTTP server for callers. idle returns the current idle timeout of
+// connections. Their number is bounded by the file descriptor limit; 0 means no bound.
+func newCallerServer(h http.Handler, idle func() time.Duration, descriptors int) *http.Server {
+	server := newServer(h, maxCallerIdle)
 	server.ConnState = newIdleCloser(idle, gateway.MayConnect(descriptors)).observe
 	return server
 }
 
-// controlLinks returns the link addresses of the seeds.
-func controlLinks(f settings.Fleet) []string {
+// controlAddresses returns the link addresses of the seed control boxes.
+func controlAddresses(f settings.Fleet) []string {
 	var list []string
 	for _, seed := range f.Seeds {
 		list = append(list, cluster.LinkAddress(seed, f.Listen.Link))
@@ -79,7 +79,7 @@
 	return list
 }
 
-func readiness(g *gateway.Gateway, d Dialect) http.Handler {
+func readinessHandler(g *gateway.Gateway, d Dialect) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+d.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !g.Ready() {
@@ -89,26 +89,26 @@
 	return mux
 }
 
-// stopEntry ends an entry without cutting what it holds: it is not ready at once
-// and serves on while callers may still come. Then it takes no more streams, and
-// when those that it holds have ended it takes nothing more and ends.
-func stopEntry(g *gateway.Gateway, callers *http.Server, within time.Duration, log *zap.Logger) error {
+// drainEntry shuts an entry down gracefully. The readiness check fails at once, while
+// requests are still accepted. Then new streams are refused, and when the open ones
+// have ended, or shortly before the timeout, the server shuts down.
+func drainEntry(g *gateway.Gateway, callers *http.Server, timeout time.Duration, log *zap.Logger) error {
 	began := time.Now()
 	all, streams := g.Held()
 	log.Info("stops", zap.Int("held", all), zap.Int("streams", streams))
 	g.Stop()
-	time.Sleep(min(noticeTime, within/3))
+	time.Sleep(min(shutdownDelay, timeout/3))
 	g.RefuseStreams()
-	for time.Since(began) < within-stopMargin {
+	for time.Since(began) < timeout-streamMargin {
 		if _, streams := g.Held(); streams == 0 {
 			break
 		}
-		time.Sleep(stopLook)
+		time.Sleep(drainPoll)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callsMargin)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	err := callers.Shutdown(ctx)
 	all, streams = g.Held()
-	log.Info("takes no more requests", zap.Int("held", all), zap.Int("streams", streams), zap.Duration("after", time.Since(began)), logx.Err(err))
+	log.Info("callers' server shut down", zap.Int("held", all), zap.Int("streams", streams), zap.Duration("after", time.Since(began)), logx.Err(err))
 	return nil
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -28,40 +28,44 @@
 	"lynxramp.org/settings"
 )
 
-// Times and bounds of a box.
+// Timing and size limits of a box.
 const (
-	reloadEvery = 2 * time.Second
-	// deadAfter is how long a control box is silent before another takes its vote.
-	deadAfter = 1800 * event.Millisecond
-	// memoryPart is how much of the memory the runtime may use before it collects
-	// harder.
-	memoryPart        = 0.75
-	readHeaderTimeout = 10 * time.Second
-	// idleTimeout is how long a connection to an operators' or readiness address may
-	// rest; callersIdle is the most for callers, whose configuration may say less.
+	reloadInterval = 2 * time.Second
+	// replaceVoterAfter is how long a voter may be unreachable before another control box
+	// replaces it.
+	replaceVoterAfter = 1800 * event.Millisecond
+	// memoryLimitFraction is the part of the box's memory that is set as the Go runtime's
+	// soft memory limit.
+	memoryLimitFraction = 0.75
+	readHeaderTimeout   = 10 * time.Second
+	// idleTimeout is the idle timeout of connections to the operators' and readiness
+	// addresses. maxCallerIdle is the upper bound for callers' connections; the
+	// configuration may set a shorter one.
 	idleTimeout    = 15 * time.Second
-	callersIdle    = 10 * time.Minute
+	maxCallerIdle  = 10 * time.Minute
 	maxHeaderBytes = 64 << 10
-	// heldPart is how much of an entry's memory request bodies may take.
-	heldPart = 0.2
+	// heldBytesFraction is the part of an entry's memory that request bodies may take.
+	heldBytesFraction = 0.2
 )
 
-// Dialect is how a deployment speaks to the boxes of a fleet.
+// Dialect is the HTTP interface of a deployment: header names, paths and the
+// formats of its configuration and responses.
 type Dialect struct {
 	Names gateway.Names
-	// Decode reads a configuration; its error has all findings.
+	// Decode parses a configuration; its error lists all problems.
 	Decode func([]byte) (*routing.Table, error)
-	// Word reads what an endpoint asks for in an answer; its error names what can't be read.
+	// ParseFeedback parses the feedback of an endpoint in response headers; its error names the
+	// malformed headers.
 	Word func(status int, h http.Header) (backpressure.Feedback, error)
-	// Operators serves operators and endpoints by a control box.
+	// OperatorHandler returns a control box's handler for operators and endpoints.
 	Operators func(*cluster.Server) http.Handler
-	// ReadyPath is where an entry is asked whether it is ready.
+	// ReadyPath is the path of an entry's readiness check.
 	ReadyPath string
-	// MetricsPath is where figures are told.
+	// MetricsPath is the path of the metrics in Prometheus format.
 	MetricsPath string
 }
 
-// Run runs a box by its settings file until it is told to stop.
+// Run runs a box with the given settings file until SIGTERM or SIGINT.
 func Run(file string, d Dialect) error {
 	f, err := settings.LoadFleet(file)
 	if err != nil {
@@ -77,24 +81,24 @@
 	limitMemory(f.Resources)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	log.Info("starts", zap.String("role", string(f.Role)), zap.Strings("seeds", f.Seeds), zap.Bool("found", f.Found),
+	log.Info("box starting", zap.String("role", string(f.Role)), zap.Strings("seeds", f.Seeds), zap.Bool("found", f.Found),
 		zap.Bool("links_without_keys", f.Unprotected))
 	if f.Role == settings.RoleControl {
 		err = runControl(ctx, file, f, d, log)
 	} else {
 		err = runEntry(ctx, file, f, d, log)
 	}
-	log.Info("ends", logx.Err(err), zap.Uint64("log_lines_left_out", out.Dropped()))
+	log.Info("box stopped", logx.Err(err), zap.Uint64("log_lines_left_out", out.Dropped()))
 	return err
 }
 
 func limitMemory(r settings.FleetResources) {
 	if r.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(r.MemoryMB<<20) * memoryPart))
+		debug.SetMemoryLimit(int64(float64(r.MemoryMB<<20) * memoryLimitFraction))
 	}
 }
 
-func limits(b settings.FleetBounds) admission.Limits {
+func newLimits(b settings.FleetBounds) admission.Limits {
 	return admission.Limits{
 		QuotaWindow: event.Duration(b.QuotaWindow), QuotaOvershoot: b.QuotaOvershoot, QuotaSlack: b.QuotaSlack,
 		RetryWindow: event.Duration(b.RetryWindow),
@@ -105,21 +109,21 @@
 	}
 }
 
-// watch calls reload with the settings when they change, by a signal or without
-// one, until ctx ends. Settings that are not sound are left out of force.
+// watch calls reload with the new settings whenever the file changes, until ctx ends.
+// It polls the file and checks it on SIGHUP. Invalid settings are logged and ignored.
 func watch(ctx context.Context, file string, log *zap.Logger, reload func(settings.Fleet)) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	ticker := time.NewTicker(reloadEvery)
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
-	before, _ := os.ReadFile(file) // it was read a moment ago
+	before, _ := os.ReadFile(file) // LoadFleet has just read it
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangup:
-			log.Info("told to reload")
+			log.Info("received SIGHUP; checking settings for changes")
 		case <-ticker.C:
 		}
 		now, err := os.ReadFile(file)
@@ -129,7 +133,7 @@
 		before = now
 		f, err := settings.LoadFleet(file)
 		if err != nil {
-			log.Error("settings not reloaded", logx.Err(err))
+			log.Error("new settings are invalid; keeping the current ones", logx.Err(err))
 			continue
 		}
 		log.Info("settings reloaded", zap.Strings("seeds", f.Seeds))
@@ -146,8 +150,8 @@
 		Bootstrap:         f.Found,
 		DataDir:           f.Data,
 		Settings: cluster.Settings{
-			Limits:            limits(f.Bounds),
-			Members:           consensus.MembershipLimits{MaxVoters: 2*f.Bounds.Tolerated + 1, ReplaceAfter: deadAfter},
+			Limits:            newLimits(f.Bounds),
+			Members:           consensus.MembershipLimits{MaxVoters: 2*f.Bounds.Tolerated + 1, ReplaceAfter: replaceVoterAfter},
 			HeartbeatInterval: event.Duration(f.Bounds.Beat),
 			ConfigValidity:    event.Duration(f.Bounds.Fresh),
 			Decode:            d.Decode,
@@ -167,7 +171,7 @@
 	return server.Run(ctx)
 }
 
-// withMetrics adds the figures' path to a handler.
+// withMetrics adds the metrics path to a handler.
 func withMetrics(h http.Handler, d Dialect) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", h)
@@ -190,6 +194,6 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
-	go func() { _ = s.Serve(l) }() // it ends when it is closed
+	go func() { _ = s.Serve(l) }() // returns when the server is closed
 	return s, nil
 }
--- a/fleet/idle.go
+++ b/fleet/idle.go
@@ -10,71 +10,70 @@
 	"time"
 )
 
-// idleCloser closes callers' connections that rest: for longer than the configuration in
-// force allows, or the longest resting of more than the process may have, so that new
-// callers are always taken. A request that crosses the close has not been read.
+// idleCloser closes idle connections of callers: those idle for longer than the current
+// configuration allows and, above the connection limit, the longest idle ones, so that new
+// callers can always connect. A request that races with the close has not been read.
 type idleCloser struct {
-	allowed func() time.Duration // 0 is without a limit
-	most    int                  // connections; 0 is without a limit
+	timeout  func() time.Duration // idle timeout; 0 for none
+	maxConns int                  // 0 for no limit
 
-	mu    sync.Mutex
-	open  map[net.Conn]*list.Element // of idle; nil while it is at work
-	idle  list.List                  // of *resting, the longest first
-	gives map[net.Conn]bool          // closed here, and not yet known to be
+	mu      sync.Mutex
+	open    map[net.Conn]*list.Element // element of idle; nil while a request is in flight
+	idle    list.List                  // of *idleConn, longest idle first
+	closing map[net.Conn]bool          // closed here; StateClosed not yet reported
 }
 
-// resting is a connection that rests.
-type resting struct {
+type idleConn struct {
 	conn  net.Conn
-	timer *time.Timer // nil without a limit
+	timer *time.Timer // nil without an idle timeout
 }
 
-// newIdleCloser returns one that keeps at most so many connections, 0 for any number, but
-// those at work.
-func newIdleCloser(allowed func() time.Duration, most int) *idleCloser {
-	return &idleCloser{allowed: allowed, most: most, open: make(map[net.Conn]*list.Element), gives: make(map[net.Conn]bool)}
+// newIdleCloser returns an idleCloser that keeps at most maxConns connections open, 0 for
+// no limit. Connections with a request in flight are never closed.
+func newIdleCloser(timeout func() time.Duration, maxConns int) *idleCloser {
+	return &idleCloser{timeout: timeout, maxConns: maxConns, open: make(map[net.Conn]*list.Element), closing: make(map[net.Conn]bool)}
 }
 
-// observe is a server's ConnState.
+// observe is the ConnState hook of an http.Server.
 func (i *idleCloser) observe(c net.Conn, state http.ConnState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.wake(c)
+	i.clearIdle(c)
 	switch state {
 	case http.StateClosed, http.StateHijacked:
 		delete(i.open, c)
-		delete(i.gives, c)
+		delete(i.closing, c)
 		return
 	case http.StateIdle:
-		i.rest(c)
+		i.setIdle(c)
 	default:
 		i.open[c] = nil
 	}
-	for i.most > 0 && len(i.open)-len(i.gives) > i.most && i.idle.Len() > 0 {
-		longest := i.idle.Front().Value.(*resting).conn
-		i.wake(longest)
+	for i.maxConns > 0 && len(i.open)-len(i.closing) > i.maxConns && i.idle.Len() > 0 {
+		longest := i.idle.Front().Value.(*idleConn).conn
+		i.clearIdle(longest)
 		i.open[longest] = nil
-		i.gives[longest] = true
-		_ = longest.Close() // its caller comes again on another
+		i.closing[longest] = true
+		_ = longest.Close() // its caller reconnects for the next request
 	}
 }
 
-// rest takes note that a connection rests from now on.
-func (i *idleCloser) rest(c net.Conn) {
-	one := &resting{conn: c}
-	if most := i.allowed(); most > 0 {
-		one.timer = time.AfterFunc(most, func() { _ = c.Close() })
+// setIdle records that a connection has become idle and starts its timeout.
+func (i *idleCloser) setIdle(c net.Conn) {
+	idle := &idleConn{conn: c}
+	if timeout := i.timeout(); timeout > 0 {
+		idle.timer = time.AfterFunc(timeout, func() { _ = c.Close() })
 	}
-	i.open[c] = i.idle.PushBack(one)
+	i.open[c] = i.idle.PushBack(idle)
 }
 
-// wake takes note that a connection doesn't rest any more.
-func (i *idleCloser) wake(c net.Conn) {
+// clearIdle records that a connection is no longer idle and stops its timeout.
+func (i *idleCloser) clearIdle(c net.Conn) {
 	e := i.open[c]
 	if e == nil {
 		return
 	}
-	if one := i.idle.Remove(e).(*resting); one.timer != nil {
-		one.timer.Stop()
+	if idle := i.idle.Remove(e).(*idleConn); idle.timer != nil {
+		idle.timer.Stop()
 	}
 }
