--- a/box/box.go
+++ b/box/box.go
@@ -22,16 +22,16 @@
 	"lynxramp.org/settings"
 )
 
-// Keys are the secrets of a box. An empty one lets every call through and is
-// for package dev alone.
+// Keys are the shared secrets of a box. An empty key disables authentication;
+// only package dev uses that.
 type Keys struct {
-	// Boxes is shared by the system's processes.
+	// Boxes authenticates calls between the system's processes.
 	Boxes string
-	// Operators is needed for operators' commands.
+	// Operators authenticates operators' calls.
 	Operators string
 }
 
-// ReadKeys reads the keys that a box's settings name.
+// ReadKeys reads the key files that a box's settings name.
 func ReadKeys(s settings.Box) (Keys, error) {
 	var k Keys
 	var err error
@@ -44,21 +44,21 @@
 	return k, err
 }
 
-// life tells this process from earlier ones of its box: the time of its start,
-// in nanoseconds.
-type life uint64
+// instance distinguishes this process from earlier ones of its box: its start
+// time, in nanoseconds.
+type instance uint64
 
-// Box is a process with the roles of its settings.
+// Box is a process with the roles that its settings list.
 type Box struct {
 	settings settings.Box
 	log      *zap.Logger
 	entry    *entry.Entry
 	callers  *server
-	control  *controlPart
+	control  *controlRole
 }
 
-// New puts a box together and opens its data folder and addresses. Nothing is
-// served before Run. c is the catalog that a new control group begins with.
+// New creates a box and opens its data directory and listeners. No request is
+// served before Run. c is the initial catalog of a new control group.
 func New(s settings.Box, c catalog.Catalog, keys Keys, log *zap.Logger) (*Box, error) {
 	container := dig.New()
 	providers := []any{
@@ -66,7 +66,7 @@
 		func() catalog.Catalog { return c },
 		func() Keys { return keys },
 		func() *zap.Logger { return log.With(zap.String("box", string(s.ID))) },
-		func() life { return life(time.Now().UnixNano()) },
+		func() instance { return instance(time.Now().UnixNano()) },
 		event.NewClock,
 		newBoxClient,
 		newControl,
@@ -75,11 +75,11 @@
 	}
 	for _, p := range providers {
 		if err := container.Provide(p); err != nil {
-			return nil, errors.Wrap(err, "wiring")
+			return nil, errors.Wrap(err, "dependency injection")
 		}
 	}
 	var b *Box
-	err := container.Invoke(func(made *Box) { b = made })
+	err := container.Invoke(func(built *Box) { b = built })
 	return b, dig.RootCause(err)
 }
 
@@ -93,7 +93,7 @@
 	})}
 }
 
-func newEntry(s settings.Box, keys Keys, l life, client *http.Client, log *zap.Logger) *entry.Entry {
+func newEntry(s settings.Box, keys Keys, i instance, client *http.Client, log *zap.Logger) *entry.Entry {
 	var schedulers []entry.Scheduler
 	for _, p := range s.Control {
 		schedulers = append(schedulers, entry.Scheduler{
@@ -103,7 +103,7 @@
 	}
 	return entry.New(entry.Config{
 		Box:         s.ID,
-		Life:        uint64(l),
+		Life:        uint64(i),
 		Key:         keys.Boxes,
 		MaxBody:     s.Limits.BodyBytes,
 		BodyTime:    time.Duration(s.Limits.BodyTime),
@@ -112,7 +112,7 @@
 	}, schedulers, log)
 }
 
-func newBox(s settings.Box, e *entry.Entry, c *controlPart, log *zap.Logger) (*Box, error) {
+func newBox(s settings.Box, e *entry.Entry, c *controlRole, log *zap.Logger) (*Box, error) {
 	b := &Box{settings: s, log: log, entry: e, control: c}
 	if !s.Has(settings.RoleEntry) {
 		return b, nil
@@ -122,8 +122,8 @@
 	return b, err
 }
 
-// Run serves until ctx ends, then drains: new requests go elsewhere, those in
-// flight are finished, another box takes the lead.
+// Run serves until ctx ends, then drains: new requests are refused, those in
+// flight finish, and leadership is transferred to another box.
 func (b *Box) Run(ctx context.Context) error {
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -150,7 +150,8 @@
 	return err
 }
 
-// drain stops the callers' side first: its requests need the other side.
+// drain stops the entry role before the control role, which its requests in
+// flight still need.
 func (b *Box) drain() error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(b.settings.Drain.Bound))
 	defer cancel()
@@ -162,7 +163,7 @@
 		err = b.callers.drain(ctx)
 	}
 	if b.control != nil {
-		b.control.handOver(ctx)
+		b.control.transferLeadership(ctx)
 	}
 	return err
 }
--- a/box/control.go
+++ b/box/control.go
@@ -25,25 +25,25 @@
 	"lynxramp.org/store"
 )
 
-// Times of a control box's stop.
+// Timeout and poll interval of the leadership transfer at shutdown.
 const (
-	handoverBound = 3 * time.Second
-	handoverPoll  = 10 * time.Millisecond
+	transferTimeout = 3 * time.Second
+	transferPoll    = 10 * time.Millisecond
 )
 
-// Times of the platform's list.
+// Poll interval and request timeout of the platform's list of machines.
 const (
-	platformEvery   = time.Second
-	platformTimeout = 2 * time.Second
+	platformInterval = time.Second
+	platformTimeout  = 2 * time.Second
 )
 
-// controlPart is what a box does in the control role.
-type controlPart struct {
+// controlRole is the control role of a box.
+type controlRole struct {
 	catalog  catalog.Catalog
 	log      *zap.Logger
 	keys     Keys
 	clock    event.Clock
-	platform string // URL of the platform's list; empty if there is none
+	platform string // URL of the platform's list; empty if it has none
 	disk     *store.Store
 	restored consensus.PersistentState
 	peers    *control.Peers
@@ -52,9 +52,9 @@
 	loop     atomic.Pointer[control.Loop]
 }
 
-// newControl opens the data folder and the address of a control box; nil if the
-// box is none.
-func newControl(s settings.Box, c catalog.Catalog, keys Keys, client *http.Client, clock event.Clock, log *zap.Logger) (*controlPart, error) {
+// newControl opens the data directory and the listener of a control box; it
+// returns nil for a box without the control role.
+func newControl(s settings.Box, c catalog.Catalog, keys Keys, client *http.Client, clock event.Clock, log *zap.Logger) (*controlRole, error) {
 	if !s.Has(settings.RoleControl) {
 		return nil, nil
 	}
@@ -66,23 +66,23 @@
 	for _, p := range s.Control {
 		addresses[p.ID] = p.Address
 	}
-	part := &controlPart{
+	role := &controlRole{
 		catalog: c, log: log, keys: keys, clock: clock, platform: s.Platform, disk: disk, restored: restored,
 		peers: control.NewPeers(identity, addresses, client, log),
 	}
-	part.setHandler(nil)
-	part.server, err = listen(s.Listen.Boxes, http.HandlerFunc(part.serve), log)
-	return part, err
+	role.setHandler(nil)
+	role.server, err = listen(s.Listen.Boxes, http.HandlerFunc(role.serve), log)
+	return role, err
 }
 
-// serve answers by the handler of the moment.
-func (p *controlPart) serve(w http.ResponseWriter, r *http.Request) {
+// serve forwards a request to the current handler.
+func (p *controlRole) serve(w http.ResponseWriter, r *http.Request) {
 	(*p.handler.Load()).ServeHTTP(w, r)
 }
 
-// setHandler serves what can be served: service is nil until the box belongs to
-// a group.
-func (p *controlPart) setHandler(service *control.Service) {
+// setHandler replaces the current handler. service is nil until the box has
+// joined a control group; until then its calls are not served.
+func (p *controlRole) setHandler(service *control.Service) {
 	mux := http.NewServeMux()
 	mux.Handle(rpc.ControlPathPrefix, rpc.RequireKey(p.keys.Boxes, rpc.NewControlServer(p.peers)))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -95,23 +95,23 @@
 	p.handler.Store(&h)
 }
 
-// run works in the control role until ctx ends.
-func (p *controlPart) run(ctx context.Context) error {
+// run runs the control role until ctx ends.
+func (p *controlRole) run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(p.server.serve)
 	group.Go(func() error {
 		<-ctx.Done()
 		return p.server.http.Close()
 	})
-	group.Go(func() error { return p.belongAndRun(ctx) })
+	group.Go(func() error { return p.bootstrapAndRun(ctx) })
 	err := group.Wait()
-	if other := p.disk.Close(); err == nil {
-		err = other
+	if closeErr := p.disk.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
 
-func (p *controlPart) belongAndRun(ctx context.Context) error {
+func (p *controlRole) bootstrapAndRun(ctx context.Context) error {
 	restored, err := p.peers.Belong(ctx, p.disk, p.restored)
 	if ctx.Err() != nil {
 		return nil
@@ -120,70 +120,71 @@
 		return err
 	}
 	self := p.peers.Self()
-	state, err := control.NewState(p.clock.Now(), self.ID, restored, p.catalog, rand64())
+	state, err := control.NewState(p.clock.Now(), self.ID, restored, p.catalog, randomSeed())
 	if err != nil {
 		return err
 	}
-	keeper := store.NewWriter(p.disk, p.peers)
-	boxes := control.NewOutboxes(keeper)
-	loop := control.NewLoop(state, p.clock, boxes)
-	p.peers.Start(loop, boxes)
+	writer := store.NewWriter(p.disk, p.peers)
+	outboxes := control.NewOutboxes(writer)
+	loop := control.NewLoop(state, p.clock, outboxes)
+	p.peers.Start(loop, outboxes)
 	p.loop.Store(loop)
-	p.setHandler(control.NewService(loop, boxes))
+	p.setHandler(control.NewService(loop, outboxes))
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { loop.Run(ctx); return nil })
 	group.Go(func() error { p.peers.Run(ctx); return nil })
 	group.Go(func() error { p.peers.StayMember(ctx, loop); return nil })
 	group.Go(func() error { p.watchPlatform(ctx, loop); return nil })
-	group.Go(func() error { return keeper.Run(ctx) })
+	group.Go(func() error { return writer.Run(ctx) })
 	return group.Wait()
 }
 
-// watchPlatform tells loop of the platform's list until ctx ends. A list that
-// cannot be read changes nothing.
-func (p *controlPart) watchPlatform(ctx context.Context, loop *control.Loop) {
+// watchPlatform polls the platform's list and posts it to loop until ctx ends.
+// After a failed poll the last list stays in effect.
+func (p *controlRole) watchPlatform(ctx context.Context, loop *control.Loop) {
 	if p.platform == "" {
 		return
 	}
 	client := &http.Client{Timeout: platformTimeout}
-	ticker := time.NewTicker(platformEvery)
+	ticker := time.NewTicker(platformInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		leaving, err := member.Fetch(ctx, client, p.platform)
+		draining, err := member.Fetch(ctx, client, p.platform)
 		if err == nil {
-			_, err = loop.Post(ctx, &event.DrainListUpdated{Draining: leaving})
+			_, err = loop.Post(ctx, &event.DrainListUpdated{Draining: draining})
 		}
 		if err != nil {
-			p.log.Warn("platform list not read", logx.Err(err))
+			p.log.Warn("reading the platform list failed; keeping the last one", logx.Err(err))
 		}
 		wait.Next(ctx, ticker)
 	}
 }
 
-// handOver lets another box lead before this one stops.
-func (p *controlPart) handOver(ctx context.Context) {
+// transferLeadership transfers leadership to another voter if this box leads, and
+// waits for it for at most transferTimeout.
+func (p *controlRole) transferLeadership(ctx context.Context) {
 	loop := p.loop.Load()
 	if loop == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, handoverBound)
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		leads, alone := false, false
+		leads, soleVoter := false, false
 		err := loop.Inspect(ctx, func(_ event.Time, s *control.State) {
 			leads = s.Node().Leader() == s.Node().ID()
-			alone = len(s.Node().Members().Voters) < 2
+			soleVoter = len(s.Node().Members().Voters) < 2
 		})
-		if err != nil || !leads || alone {
+		if err != nil || !leads || soleVoter {
 			break
 		}
 		if _, err := loop.Post(ctx, &control.StopAsked{}); err != nil {
 			break
 		}
-		wait.For(ctx, handoverPoll)
+		wait.For(ctx, transferPoll)
 	}
-	p.log.Info("leadership handed over", logx.Err(ctx.Err()))
+	p.log.Info("leadership transfer finished", logx.Err(ctx.Err()))
 }
 
-// rand64 returns a seed.
-func rand64() uint64 { return uint64(time.Now().UnixNano()) }
+// randomSeed returns a seed from the current time.
+func randomSeed() uint64 { return uint64(time.Now().UnixNano()) }
--- a/box/daemon.go
+++ b/box/daemon.go
@@ -15,15 +15,15 @@
 	"lynxramp.org/settings"
 )
 
-// daemonFlags are what the daemons take on their command lines.
+// daemonFlags is the command line of a daemon.
 type daemonFlags struct {
 	Settings string `arg:"" type:"existingfile" help:"The settings file (YAML)."`
 }
 
-// Daemon is the main function of a daemon: it reads the command line and calls
-// run with the settings file until a signal says to stop. An error ends the
-// process with status 1.
-func Daemon(name, description string, run func(ctx context.Context, file string) error) {
+// RunDaemon is the main function of a daemon: it parses the command line and
+// calls run with the settings file. SIGTERM and SIGINT cancel ctx. If run fails,
+// the process exits with status 1.
+func RunDaemon(name, description string, run func(ctx context.Context, file string) error) {
 	var f daemonFlags
 	kong.Parse(&f, kong.Name(name), kong.Description(description))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -34,7 +34,7 @@
 	}
 }
 
-// RunFile runs a box by its settings file.
+// RunFile runs a box with the given settings file until ctx ends.
 func RunFile(ctx context.Context, file string) error {
 	s, c, err := settings.LoadBox(file)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return b.Run(ctx)
 }
 
-// RunSlotFile runs a slot by its settings file.
+// RunSlotFile runs a slot with the given settings file until ctx ends.
 func RunSlotFile(ctx context.Context, file string) error {
 	s, err := settings.LoadSlot(file)
 	if err != nil {
@@ -69,9 +69,9 @@
 	if err != nil {
 		return err
 	}
-	made, err := NewSlot(s, key, log)
+	slot, err := NewSlot(s, key, log)
 	if err != nil {
 		return err
 	}
-	return made.Run(ctx)
+	return slot.Run(ctx)
 }
--- a/box/doc.go
+++ b/box/doc.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 
-// Package box puts the parts of one process together: a box with the roles of
-// its settings, or a slot. The daemons are thin callers of it, and so is anyone
-// who runs lynxramp inside a program of their own.
+// Package box assembles and runs one process from its settings: a box with the
+// entry role, the control role or both, or a slot. The daemons are thin wrappers
+// around it. Other Go programs can use it to embed lynxramp.
 package box
--- a/box/server.go
+++ b/box/server.go
@@ -12,20 +12,20 @@
 	"go.uber.org/zap"
 )
 
-// Timeouts of the servers.
+// Timeouts and header limit of the HTTP servers.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
 )
 
-// server is a listening HTTP server.
+// server is an HTTP server with its open listener.
 type server struct {
 	http     *http.Server
 	listener net.Listener
 }
 
-// listen opens an address. Nothing is served before serve.
+// listen opens a listener. No request is served before serve.
 func listen(address string, h http.Handler, log *zap.Logger) (*server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 	errorLog, err := zap.NewStdLogAt(log, zap.DebugLevel)
 	if err != nil {
-		return nil, errors.Wrap(err, "log of the server")
+		return nil, errors.Wrap(err, "error log of the HTTP server")
 	}
 	return &server{listener: l, http: &http.Server{
 		Handler:           h,
@@ -44,7 +44,7 @@
 	}}, nil
 }
 
-// serve answers calls until the server is stopped.
+// serve accepts and serves requests until the server is shut down.
 func (s *server) serve() error {
 	if err := s.http.Serve(s.listener); err != http.ErrServerClosed {
 		return errors.Wrap(err, "serve")
@@ -52,12 +52,12 @@
 	return nil
 }
 
-// drain takes no new connections and waits for the calls in flight until ctx
-// ends; then it cuts them.
+// drain stops accepting connections and waits for the requests in flight. When
+// ctx ends it closes the remaining connections.
 func (s *server) drain(ctx context.Context) error {
 	err := s.http.Shutdown(ctx)
 	if err != nil {
-		_ = s.http.Close() // the first error says it
+		_ = s.http.Close() // the error of Shutdown is returned
 	}
 	return errors.Wrap(err, "drain")
 }
--- a/box/slot.go
+++ b/box/slot.go
@@ -17,7 +17,7 @@
 	"lynxramp.org/slot"
 )
 
-// Slot is the process beside one endpoint.
+// Slot is the sidecar process of one endpoint.
 type Slot struct {
 	settings   settings.Slot
 	log        *zap.Logger
@@ -26,11 +26,10 @@
 	server     *server
 }
 
-// NewSlot puts a slot together and opens its address. Nothing is served before
-// Run.
+// NewSlot creates a slot and opens its listener. No request is served before Run.
 func NewSlot(s settings.Slot, key string, log *zap.Logger) (*Slot, error) {
 	log = log.With(zap.String("slot", string(s.Endpoint)))
-	guard := slot.New(slot.Config{
+	core := slot.New(slot.Config{
 		Endpoint:    s.Endpoint,
 		Pool:        s.Pool,
 		EndpointURL: "http://" + s.EndpointAddress,
@@ -38,23 +37,23 @@
 		Model:       s.Kind == catalog.KindModel,
 		MaxBody:     s.BodyBytes,
 	}, event.Incarnation(time.Now().UnixNano()), log)
-	l, err := listen(s.Listen, guard.Handler(key), log)
+	l, err := listen(s.Listen, core.Handler(key), log)
 	if err != nil {
 		return nil, err
 	}
-	made := &Slot{settings: s, log: log, slot: guard, server: l}
+	created := &Slot{settings: s, log: log, slot: core, server: l}
 	client := newBoxClient(Keys{Boxes: key})
 	for _, p := range s.Control {
-		made.schedulers = append(made.schedulers, slot.Scheduler{
+		created.schedulers = append(created.schedulers, slot.Scheduler{
 			Address: p.Address,
 			Client:  rpc.NewSchedulerProtobufClient("http://"+p.Address, client),
 		})
 	}
-	return made, nil
+	return created, nil
 }
 
-// Run serves until ctx ends, then drains: new work is denied, what runs is
-// finished and fetched.
+// Run serves until ctx ends, then drains: new requests are denied, and those in
+// flight finish and their results are fetched.
 func (s *Slot) Run(ctx context.Context) error {
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -69,15 +68,15 @@
 		return group.Wait()
 	}
 	s.log.Info("draining", zap.Int("held", s.slot.Held()))
-	bound, cancel := context.WithTimeout(context.Background(), time.Duration(s.settings.Drain.Bound))
+	drainCtx, cancel := context.WithTimeout(context.Background(), time.Duration(s.settings.Drain.Bound))
 	defer cancel()
-	err := s.slot.Drain(bound)
-	if other := s.server.drain(bound); err == nil {
-		err = other
+	err := s.slot.Drain(drainCtx)
+	if closeErr := s.server.drain(drainCtx); err == nil {
+		err = closeErr
 	}
 	stop()
-	if other := group.Wait(); err == nil {
-		err = other
+	if waitErr := group.Wait(); err == nil {
+		err = waitErr
 	}
 	s.log.Info("stopped", logx.Err(err))
 	return err
--- a/cmd/lynxrampd/main.go
+++ b/cmd/lynxrampd/main.go
@@ -7,5 +7,5 @@
 import "lynxramp.org/box"
 
 func main() {
-	box.Daemon("lynxrampd", "Runs a box of lynxramp until it is told to stop (SIGTERM), then drains.", box.RunFile)
+	box.RunDaemon("lynxrampd", "Runs a box of lynxramp until it is told to stop (SIGTERM), then drains.", box.RunFile)
 }
--- a/cmd/lynxslotd/main.go
+++ b/cmd/lynxslotd/main.go
@@ -6,5 +6,5 @@
 import "lynxramp.org/box"
 
 func main() {
-	box.Daemon("lynxslotd", "Guards one endpoint until it is told to stop (SIGTERM), then drains.", box.RunSlotFile)
+	box.RunDaemon("lynxslotd", "Guards one endpoint until it is told to stop (SIGTERM), then drains.", box.RunSlotFile)
 }
--- a/fleet/idle.go
+++ b/fleet/idle.go
@@ -60,11 +60,11 @@
 
 // setIdle records that a connection has become idle and starts its timeout.
 func (i *idleCloser) setIdle(c net.Conn) {
-	idle := &idleConn{conn: c}
-	if timeout := i.timeout(); timeout > 0 {
-		idle.timer = time.AfterFunc(timeout, func() { _ = c.Close() })
+	ic := &idleConn{conn: c}
+	if d := i.timeout(); d > 0 {
+		ic.timer = time.AfterFunc(d, func() { _ = c.Close() })
 	}
-	i.open[c] = i.idle.PushBack(idle)
+	i.open[c] = i.idle.PushBack(ic)
 }
 
 // clearIdle records that a connection is no longer idle and stops its timeout.
@@ -73,7 +73,7 @@
 	if e == nil {
 		return
 	}
-	if idle := i.idle.Remove(e).(*idleConn); idle.timer != nil {
-		idle.timer.Stop()
+	if ic := i.idle.Remove(e).(*idleConn); ic.timer != nil {
+		ic.timer.Stop()
 	}
 }
