--- a/internal/cputime/cputime.go
+++ b/internal/cputime/cputime.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 
-// Package cputime measures the processor time of code: on a machine that others use, the time
-// that passes tells of them.
+// Package cputime measures the CPU time of code. On a shared machine the elapsed time also
+// depends on other processes.
 package cputime
 
 import (
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// Of returns the processor time that a function took. It must not leave its work to other
-// goroutines; what the collector does beside it does not count.
+// Of returns the CPU time that a function took on its own thread. The work of other goroutines
+// and of the garbage collector is not counted.
 func Of(do func()) time.Duration {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	began := thread()
+	began := threadTime()
 	do()
-	return thread() - began
+	return threadTime() - began
 }
 
-// thread returns the processor time of the thread that calls it.
-func thread() time.Duration {
+// threadTime returns the CPU time of the calling thread.
+func threadTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_THREAD, &u); err != nil {
-		panic(err) // the kernel knows no other reason than a wrong argument
+		panic(err) // getrusage fails only for invalid arguments
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
--- a/internal/cputime/cputime_test.go
+++ b/internal/cputime/cputime_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// TestOf: work counts, waiting does not.
+// TestOf guards against counting the time that a function sleeps.
 func TestOf(t *testing.T) {
 	if d := Of(func() { time.Sleep(50 * time.Millisecond) }); d > 20*time.Millisecond {
-		t.Errorf("%v of processor time for waiting", d)
+		t.Errorf("%v of CPU time for a sleep", d)
 	}
 	sum := 0
 	spin := func() {
@@ -19,6 +19,6 @@
 		}
 	}
 	if d := Of(spin); d < 10*time.Millisecond {
-		t.Errorf("%v of processor time for 200 million steps, %d", d, sum)
+		t.Errorf("%v of CPU time for 200 million steps, %d", d, sum)
 	}
 }
--- a/internal/logx/async.go
+++ b/internal/logx/async.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// Bounds of what waits for a slow reader.
 const (
-	asyncLines = 2048
-	// gatherBytes is how much is written at once.
-	gatherBytes = 32 << 10
-	// gatherEvery is how long lines are gathered before they are written.
-	gatherEvery = 200 * time.Millisecond
+	// queueLines is the number of lines that are queued for a slow writer.
+	queueLines = 2048
+	// batchBytes is the size at which a batch is written.
+	batchBytes = 32 << 10
+	// batchInterval is how long a batch collects lines before it is written, and how
+	// long Close waits.
+	batchInterval = 200 * time.Millisecond
 )
 
-// Async is a writer that never waits: lines that the reader beneath does not take
-// in time are left out and counted.
+// Async is a writer that never blocks: when the underlying writer is too slow and
+// the queue is full, lines are dropped and counted.
 type Async struct {
 	lines   chan []byte
 	closing chan struct{}
@@ -26,41 +27,42 @@
 	dropped atomic.Uint64
 }
 
-// NewAsync returns a writer to w, whose lines a goroutine passes on until Close.
+// NewAsync returns an Async whose goroutine writes to w until Close.
 func NewAsync(w io.Writer) *Async {
-	a := &Async{lines: make(chan []byte, asyncLines), closing: make(chan struct{}), done: make(chan struct{})}
+	a := &Async{lines: make(chan []byte, queueLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go a.run(w)
 	return a
 }
 
 // Write implements io.Writer for one line.
 func (a *Async) Write(line []byte) (int, error) {
-	copied := append([]byte(nil), line...)
+	owned := append([]byte(nil), line...) // the caller reuses line
 	select {
-	case a.lines <- copied:
+	case a.lines <- owned:
 	default:
 		a.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Sync does nothing: who must see the last lines calls Close.
+// Sync does nothing; Close flushes the queue.
 func (a *Async) Sync() error { return nil }
 
-// Dropped returns how many lines were left out.
+// Dropped returns how many lines were dropped; a failed write of a batch counts
+// as one.
 func (a *Async) Dropped() uint64 { return a.dropped.Load() }
 
-// Close passes on what waits, for a short time. What is written after it is left out. It
-// must be called once.
+// Close flushes the queue, but waits for a short time only. Lines written after it are
+// dropped. It must be called exactly once.
 func (a *Async) Close() {
 	close(a.closing)
 	select {
 	case <-a.done:
-	case <-time.After(gatherEvery):
+	case <-time.After(batchInterval):
 	}
 }
 
-// run writes the lines, gathered, until Close and what waits then.
+// run writes lines in batches until Close, and then the rest of the queue.
 func (a *Async) run(w io.Writer) {
 	defer close(a.done)
 	var buffer []byte
@@ -69,7 +71,7 @@
 		select {
 		case line := <-a.lines:
 			buffer = append(buffer, line...)
-			open = a.gather(&buffer)
+			open = a.collect(&buffer)
 		case <-a.closing:
 			open = false
 		}
@@ -85,12 +87,12 @@
 	}
 }
 
-// gather adds lines to the buffer until it is full or a time is over. It reports false
-// when there will be no more.
-func (a *Async) gather(buffer *[]byte) bool {
-	timer := time.NewTimer(gatherEvery)
+// collect appends lines to the buffer until the batch is full or its time is over. It
+// reports false after Close.
+func (a *Async) collect(buffer *[]byte) bool {
+	timer := time.NewTimer(batchInterval)
 	defer timer.Stop()
-	for len(*buffer) < gatherBytes {
+	for len(*buffer) < batchBytes {
 		select {
 		case line := <-a.lines:
 			*buffer = append(*buffer, line...)
@@ -103,7 +105,7 @@
 	return true
 }
 
-// drain adds the lines that wait.
+// drain appends all queued lines to the buffer.
 func (a *Async) drain(buffer *[]byte) {
 	for {
 		select {
--- a/internal/logx/async_test.go
+++ b/internal/logx/async_test.go
@@ -9,20 +9,21 @@
 	"time"
 )
 
-// stoppedReader takes nothing until it is let go.
-type stoppedReader struct{ letGo chan struct{} }
+// blockedWriter blocks every Write until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s *stoppedReader) Write(p []byte) (int, error) {
-	<-s.letGo
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.release
 	return len(p), nil
 }
 
-func TestWritingNeverWaits(t *testing.T) {
-	reader := &stoppedReader{letGo: make(chan struct{})}
-	a := NewAsync(reader)
+// TestWriteNeverBlocks guards against a logging caller that blocks on a stalled output.
+func TestWriteNeverBlocks(t *testing.T) {
+	writer := &blockedWriter{release: make(chan struct{})}
+	a := NewAsync(writer)
 	done := make(chan struct{})
 	go func() {
-		for range 20 * asyncLines {
+		for range 20 * queueLines {
 			_, _ = a.Write(bytes.Repeat([]byte("x"), 200))
 		}
 		close(done)
@@ -30,16 +31,17 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("writing waits for a reader that has stopped")
+		t.Fatal("Write blocks while the underlying writer is stalled")
 	}
 	if a.Dropped() == 0 {
-		t.Error("lines were left out and not counted")
+		t.Error("dropped lines were not counted")
 	}
-	close(reader.letGo)
+	close(writer.release)
 	a.Close()
 }
 
-func TestLinesComeWhole(t *testing.T) {
+// TestLinesAreWrittenWhole guards against lost, split or reordered lines.
+func TestLinesAreWrittenWhole(t *testing.T) {
 	var out bytes.Buffer
 	a := NewAsync(&out)
 	want := ""
@@ -55,20 +57,20 @@
 	}
 }
 
-// TestWritingAfterCloseIsLeftOut: goroutines that still run when the process ends may
-// write; they panicked.
-func TestWritingAfterCloseIsLeftOut(t *testing.T) {
+// TestWriteAfterCloseIsDropped guards against a panic when a goroutine still logs at the
+// end of the process.
+func TestWriteAfterCloseIsDropped(t *testing.T) {
 	var out bytes.Buffer
 	a := NewAsync(&out)
 	_, _ = a.Write([]byte("before\n"))
 	a.Close()
-	for range 2 * asyncLines {
+	for range 2 * queueLines {
 		_, _ = a.Write([]byte("after\n"))
 	}
 	if got := out.String(); got != "before\n" {
 		t.Errorf("got %q", got)
 	}
 	if a.Dropped() == 0 {
-		t.Error("lines were left out and not counted")
+		t.Error("dropped lines were not counted")
 	}
 }
--- a/internal/logx/budget.go
+++ b/internal/logx/budget.go
@@ -7,44 +7,45 @@
 	"time"
 )
 
-// Budget bounds how many lines of a kind are written. It is safe for concurrent
-// use.
+// RateLimiter is a token bucket that bounds the log lines of one kind. It is safe
+// for concurrent use.
 type Budget struct {
-	mu      sync.Mutex
-	rate    float64 // lines a second
-	most    float64
-	lines   float64
-	filled  time.Time
-	leftOut uint64
+	mu       sync.Mutex
+	rate     float64 // lines per second
+	burst    float64
+	tokens   float64
+	refilled time.Time
+	dropped  uint64
 }
 
-// NewBudget returns a budget of so many lines a second, and as many at once.
+// NewRateLimiter returns a limiter of rate lines per second with a burst of one
+// second's lines.
 func NewBudget(rate float64) *Budget {
-	return &Budget{rate: rate, most: rate, lines: rate}
+	return &Budget{rate: rate, burst: rate, tokens: rate}
 }
 
-// Allow reports whether so many lines may be written now; if not, they are counted
-// as left out.
+// Allow reports whether all of the given lines may be written now; if not, they
+// are counted as dropped.
 func (b *Budget) Allow(now time.Time, lines int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.filled.IsZero() {
-		b.lines = min(b.most, b.lines+b.rate*now.Sub(b.filled).Seconds())
+	if !b.refilled.IsZero() {
+		b.tokens = min(b.burst, b.tokens+b.rate*now.Sub(b.refilled).Seconds())
 	}
-	b.filled = now
-	if b.lines < float64(lines) {
-		b.leftOut += uint64(lines)
+	b.refilled = now
+	if b.tokens < float64(lines) {
+		b.dropped += uint64(lines)
 		return false
 	}
-	b.lines -= float64(lines)
+	b.tokens -= float64(lines)
 	return true
 }
 
-// TakeLeftOut returns how many lines were left out since it was last called.
+// TakeDropped returns how many lines were dropped since the last call.
 func (b *Budget) TakeLeftOut() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n := b.leftOut
-	b.leftOut = 0
+	n := b.dropped
+	b.dropped = 0
 	return n
 }
--- a/internal/logx/logx.go
+++ b/internal/logx/logx.go
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
 
-// Package logx has fields for the log.
+// Package logx creates loggers and has helpers for log fields.
 package logx
 
 import "go.uber.org/zap"
 
-// Err returns an error as a field of one line; without an error the field is
-// left out. zap.Error would add the stack that errors carry.
+// Err returns an error as a field "error" of one line, and no field for nil.
+// zap.Error would add the stack trace that errors carry.
 func Err(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
@@ -14,7 +14,7 @@
 	return zap.String("error", err.Error())
 }
 
-// Cause returns what an error rests on as a field of one line.
+// Cause returns an error as a field "cause" of one line, and no field for nil.
 func Cause(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
--- a/internal/logx/new.go
+++ b/internal/logx/new.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// New returns a logger of JSON lines to w.
+// New returns a logger that writes JSON lines of at least the given level to w.
 func New(w io.Writer, level string) (*zap.Logger, error) {
 	l, err := zapcore.ParseLevel(level)
 	if err != nil {
--- a/internal/progress/reader.go
+++ b/internal/progress/reader.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 
-// Package progress reads bodies as long as their bytes come: a sender that has stalled is
-// given up, one that is slow is not.
+// Package progress reads request bodies with an idle timeout: a stalled sender times out, a
+// slow one does not.
 package progress
 
 import (
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// Reader reads a request's body. Each Read fails that brings no byte within Silence, or
-// after Until. It owns no memory.
+// Reader reads a request body. A Read fails if no byte arrives within IdleTimeout, or after
+// Deadline. It has no buffer of its own.
 type Reader struct {
 	Body    io.Reader
 	Control *http.ResponseController
 	Silence time.Duration
-	Until   time.Time // of the whole; zero is without a bound
+	Until   time.Time // of the whole body; zero for none
 }
 
 // Read implements io.Reader.
 func (r *Reader) Read(p []byte) (int, error) {
-	until := time.Now().Add(r.Silence)
-	if !r.Until.IsZero() && r.Until.Before(until) {
-		until = r.Until
+	deadline := time.Now().Add(r.Silence)
+	if !r.Until.IsZero() && r.Until.Before(deadline) {
+		deadline = r.Until
 	}
-	// A connection that can't have a deadline is bounded by its sender's.
-	_ = r.Control.SetReadDeadline(until)
+	// A connection without support for deadlines is bounded only by its sender.
+	_ = r.Control.SetReadDeadline(deadline)
 	return r.Body.Read(p)
 }
 
-// End lets the connection rest without a deadline.
+// ClearDeadline removes the read deadline, so that the connection can be reused.
 func (r *Reader) End() { _ = r.Control.SetReadDeadline(time.Time{}) }
--- a/internal/progress/reader_test.go
+++ b/internal/progress/reader_test.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// TestReaderWaitsForBytes: a body whose bytes come slowly is read whole, one that stalls is
-// given up after the silence, and one that is slow when its time is over.
-func TestReaderWaitsForBytes(t *testing.T) {
-	const silence, gap, pieces = 400 * time.Millisecond, 40 * time.Millisecond, 25
+// TestReaderTimesOutOnStall: a slow body is read whole, a stalled one wantErr after the idle
+// timeout, and a slow one wantErr after its deadline.
+func TestReaderTimesOutOnStall(t *testing.T) {
+	const idleTimeout, gap, pieces = 400 * time.Millisecond, 40 * time.Millisecond, 25
 	for name, c := range map[string]struct {
-		sent  int
-		bound time.Duration
-		fails bool
+		sent    int
+		limit   time.Duration
+		wantErr bool
 	}{
-		"slow":       {sent: pieces},
-		"stalled":    {sent: 3, fails: true},
-		"over":       {sent: pieces, bound: 10 * gap, fails: true},
-		"in time":    {sent: pieces, bound: time.Minute},
-		"not a byte": {fails: true},
+		"slow":     {sent: pieces},
+		"stalled":  {sent: 3, wantErr: true},
+		"too late": {sent: pieces, limit: 10 * gap, wantErr: true},
+		"in time":  {sent: pieces, limit: time.Minute},
+		"no byte":  {wantErr: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -35,9 +35,9 @@
 			}
 			got := make(chan result, 1)
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				reader := Reader{Body: r.Body, Control: http.NewResponseController(w), Silence: silence}
-				if c.bound > 0 {
-					reader.Until = time.Now().Add(c.bound)
+				reader := Reader{Body: r.Body, Control: http.NewResponseController(w), Silence: idleTimeout}
+				if c.limit > 0 {
+					reader.Until = time.Now().Add(c.limit)
 				}
 				data, err := io.ReadAll(&reader)
 				reader.End()
@@ -52,10 +52,10 @@
 			_, _ = fmt.Fprintf(conn, "PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", pieces)
 			for range c.sent {
 				time.Sleep(gap)
-				_, _ = conn.Write([]byte("x")) // it fails once the server has given up
+				_, _ = conn.Write([]byte("x")) // wantErr once the server has closed the connection
 			}
-			if r := <-got; (r.err != nil) != c.fails || (!c.fails && r.n != pieces) {
-				t.Errorf("%d bytes, %v", r.n, r.err)
+			if r := <-got; (r.err != nil) != c.wantErr || (!c.wantErr && r.n != pieces) {
+				t.Errorf("read %d bytes, %v", r.n, r.err)
 			}
 		})
 	}
--- a/internal/random/random.go
+++ b/internal/random/random.go
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 
-// Package random draws the numbers that tell lives of processes and of disks apart.
+// Package random generates the numbers that identify instances of processes and of
+// data directories.
 package random
 
 import (
@@ -8,8 +9,8 @@
 	"encoding/binary"
 )
 
-// Number returns a number that is not 0 and, by all that is likely, no other process
-// ever draws.
+// Uint64 returns a nonzero random number from crypto/rand; a collision is negligibly
+// unlikely.
 func Number() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
--- a/internal/uptime/uptime.go
+++ b/internal/uptime/uptime.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 
-// Package uptime has a clock that goes on while the computer is suspended. The steady clock of package
-// time stands still then: a lease, the age of a configuration or a deadline would each be too young by
-// that time when the computer wakes, with nothing that says so. The time of day goes on, but may be set.
+// Package uptime has a monotonic clock that also counts the time in which the computer is suspended.
+// The monotonic clock of package time stops then, so that after a resume leases, ages and deadlines
+// would be extended by the length of the suspension. The wall clock goes on, but may be set.
 package uptime
 
 import (
@@ -11,11 +11,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns how long ago the computer was started, suspensions included. It never goes back.
+// Now returns the time since the computer was booted, suspensions included. It never decreases.
 func Now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // Linux has had it since 2.6.39
+		panic(err) // CLOCK_BOOTTIME exists since Linux 2.6.39
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 
-// Package wait has waits that a context ends.
+// Package wait has waits that return early when a context ends.
 package wait
 
 import (
@@ -18,7 +18,7 @@
 	}
 }
 
-// Next waits for the ticker or until ctx ends.
+// Next waits for the next tick or until ctx ends.
 func Next(ctx context.Context, t *time.Ticker) {
 	select {
 	case <-t.C:
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,42 +1,43 @@
 // SPDX-License-Identifier: MIT
 
-// Package meter measures an endpoint's speed by the tokens that come from it:
-// what it does, not what its nameplate says.
+// Package meter measures an endpoint's speed from the tokens it streams, as opposed
+// to its configured speed.
 package meter
 
 import "lynxramp.org/event"
 
-// gapWeight is the weight of a new gap in the running mean.
-const gapWeight = 0.05
+// ewmaWeight is the weight of a new sample in the moving average.
+const ewmaWeight = 0.05
 
-// Stale is how long a measurement counts after the last token. Then nothing is
-// known, and the endpoint is tried again by its nameplate.
-const Stale = 8 * event.Second
+// MaxAge is how long a measurement is valid after the last token. After that the
+// endpoint's configured speed counts again.
+const MaxAge = 8 * event.Second
 
-// Meter keeps a running mean of the time between an endpoint's tokens, over all
-// its streams. The zero value knows nothing. It is not safe for concurrent use.
+// Meter keeps an exponentially weighted moving average of the time between an
+// endpoint's tokens, over all its streams. The zero value has no measurement. It is
+// not safe for concurrent use.
 type Meter struct {
 	gap  float64 // nanoseconds
 	last event.Time
 }
 
-// Add takes note that tokens came a span after the one before in their stream.
+// Observe records that tokens arrived a span after the previous one of their stream.
 func (m *Meter) Add(now event.Time, tokens int, span event.Duration) {
 	if tokens < 1 || span <= 0 {
 		return
 	}
 	sample := float64(span) / float64(tokens)
-	if m.gap == 0 || now.Sub(m.last) > Stale {
+	if m.gap == 0 || now.Sub(m.last) > MaxAge {
 		m.gap = sample
 	} else {
-		m.gap += gapWeight * (sample - m.gap)
+		m.gap += ewmaWeight * (sample - m.gap)
 	}
 	m.last = now
 }
 
-// Gap returns the mean time between tokens; 0 if it is not known.
+// TokenGap returns the average time between tokens; 0 if there is no valid measurement.
 func (m *Meter) Gap(now event.Time) event.Duration {
-	if m.gap == 0 || now.Sub(m.last) > Stale {
+	if m.gap == 0 || now.Sub(m.last) > MaxAge {
 		return 0
 	}
 	return event.Duration(m.gap)
