--- a/bench/client.go
+++ b/bench/client.go
@@ -15,42 +15,42 @@
 	"lynxramp.org/engine"
 )
 
-// Target is where requests are sent.
+// Target is the destination of requests.
 type Target struct {
 	URL   string // http://IP:port
-	Key   string // of a team; empty for an engine
+	Key   string // key of a team; empty for an engine
 	Model string
 }
 
-// client has room for many connections to one address.
-func client() *http.Client {
+// newClient returns a client that keeps many idle connections to one host.
+func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}}
 }
 
-// post sends a completions call.
-func post(ctx context.Context, c *http.Client, to Target, q engine.CompletionRequest) (*http.Response, error) {
-	q.Model = to.Model
+// post sends a completion request.
+func post(ctx context.Context, c *http.Client, target Target, q engine.CompletionRequest) (*http.Response, error) {
+	q.Model = target.Model
 	body, err := json.Marshal(q)
 	if err != nil {
 		return nil, errors.Wrap(err, "request")
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, to.URL+"/v1/completions", bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, target.URL+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, "request")
 	}
-	if to.Key != "" {
-		r.Header.Set("Authorization", "Bearer "+to.Key)
+	if target.Key != "" {
+		r.Header.Set("Authorization", "Bearer "+target.Key)
 	}
 	response, err := c.Do(r)
 	return response, errors.Wrap(err, "call")
 }
 
 // stream makes a streamed call and returns the time to its first byte and the
-// times between its parts.
-func stream(ctx context.Context, c *http.Client, to Target, q engine.CompletionRequest) (first time.Duration, gaps []time.Duration, err error) {
+// times between its chunks.
+func stream(ctx context.Context, c *http.Client, target Target, q engine.CompletionRequest) (first time.Duration, gaps []time.Duration, err error) {
 	q.Stream = true
 	began := time.Now()
-	response, err := post(ctx, c, to, q)
+	response, err := post(ctx, c, target, q)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/bench/doc.go
+++ b/bench/doc.go
@@ -1,10 +1,8 @@
 // SPDX-License-Identifier: MIT
 
-// Package bench is the load and experiment tool. It measures a running
-// deployment from outside, as its callers see it: what the path through lynxramp
-// adds to calling an engine directly, how many requests a second one entry
-// carries and at what processor time, and what a waiting request costs in
-// memory.
+// Package bench measures a running deployment from the outside: the latency that
+// lynxramp adds to a direct call of an engine, the throughput and the CPU time per
+// request of one entry, and the memory per open request.
 //
-// All times come from one run in which the compared ways alternate.
+// Compared targets are called alternately in one run.
 package bench
--- a/bench/path.go
+++ b/bench/path.go
@@ -16,103 +16,105 @@
 	"lynxramp.org/engine"
 )
 
-// The histograms' range and precision.
+// Range and precision (significant digits) of the histograms.
 const (
-	lowestTime  = int64(time.Microsecond)
-	highestTime = int64(time.Minute)
-	digits      = 3
+	minTime = int64(time.Microsecond)
+	maxTime = int64(time.Minute)
+	digits  = 3
 )
 
-// times is a histogram of times.
-type times struct{ h *hdrhistogram.Histogram }
+// histogram is a histogram of durations.
+type histogram struct{ h *hdrhistogram.Histogram }
 
-func newTimes() times { return times{h: hdrhistogram.New(lowestTime, highestTime, digits)} }
+func newHistogram() histogram { return histogram{h: hdrhistogram.New(minTime, maxTime, digits)} }
 
-// add counts d; what lies outside the range counts as its end.
-func (t times) add(d time.Duration) {
-	_ = t.h.RecordValue(min(max(int64(d), lowestTime), highestTime)) // never outside
+// add records d, clamped to the histogram's range.
+func (t histogram) add(d time.Duration) {
+	_ = t.h.RecordValue(min(max(int64(d), minTime), maxTime)) // the value is within the range
 }
 
-func (t times) at(percent float64) time.Duration {
+func (t histogram) at(percent float64) time.Duration {
 	return time.Duration(t.h.ValueAtQuantile(percent))
 }
 
-// Path compares streamed calls through lynxramp with direct ones, in turn.
-type Path struct {
+// Overhead measures the latency that lynxramp adds to streamed calls. Direct calls and
+// calls through lynxramp alternate.
+type Overhead struct {
 	Direct  Target
 	Through Target
-	Calls   int // of each kind
-	Tokens  int // of each answer
+	Calls   int // per target
+	Tokens  int // per response
 }
 
 // Run measures and writes a table to out.
-func (p Path) Run(ctx context.Context, out io.Writer) error {
-	ways := [...]struct {
+func (o Overhead) Run(ctx context.Context, out io.Writer) error {
+	targets := [...]struct {
 		name        string
-		to          Target
-		first, gaps times
+		target      Target
+		first, gaps histogram
 	}{
-		{"direct", p.Direct, newTimes(), newTimes()},
-		{"through", p.Through, newTimes(), newTimes()},
+		{"direct", o.Direct, newHistogram(), newHistogram()},
+		{"through", o.Through, newHistogram(), newHistogram()},
 	}
-	c := client()
-	for i := range p.Calls {
-		q := engine.CompletionRequest{Prompt: fmt.Sprintf("call %d", i), MaxTokens: p.Tokens}
-		for _, w := range ways {
-			first, gaps, err := stream(ctx, c, w.to, q)
+	c := newClient()
+	for i := range o.Calls {
+		q := engine.CompletionRequest{Prompt: fmt.Sprintf("call %d", i), MaxTokens: o.Tokens}
+		for _, t := range targets {
+			first, gaps, err := stream(ctx, c, t.target, q)
 			if err != nil {
-				return errors.Wrap(err, w.name)
+				return errors.Wrap(err, t.name)
 			}
-			w.first.add(first)
+			t.first.add(first)
 			for _, g := range gaps {
-				w.gaps.add(g)
+				t.gaps.add(g)
 			}
 		}
 	}
-	fmt.Fprintf(out, "%-10s %14s %14s %14s %14s\n", "way", "first p50", "first p99", "gap p50", "gap p99")
-	for _, w := range ways {
-		fmt.Fprintf(out, "%-10s %14v %14v %14v %14v\n", w.name, w.first.at(50), w.first.at(99), w.gaps.at(50), w.gaps.at(99))
+	fmt.Fprintf(out, "%-10s %14s %14s %14s %14s\n", "target", "first p50", "first p99", "gap p50", "gap p99")
+	for _, t := range targets {
+		fmt.Fprintf(out, "%-10s %14v %14v %14v %14v\n", t.name, t.first.at(50), t.first.at(99), t.gaps.at(50), t.gaps.at(99))
 	}
-	d, t := ways[0], ways[1]
+	d, t := targets[0], targets[1]
 	fmt.Fprintf(out, "%-10s %14v %14v %14v %14v\n", "added",
 		t.first.at(50)-d.first.at(50), t.first.at(99)-d.first.at(99),
 		t.gaps.at(50)-d.gaps.at(50), t.gaps.at(99)-d.gaps.at(99))
 	return nil
 }
 
-// Rate loads a target with a fixed number of callers that ask again at once.
-type Rate struct {
-	To      Target
-	Callers int
-	Tokens  int // of each answer
-	For     time.Duration
-	PID     int // of the process whose use is measured; 0 for none
+// Throughput loads a target with a fixed number of closed-loop callers, each of which
+// sends its next request as soon as the previous one ends.
+type Throughput struct {
+	Target   Target
+	Callers  int
+	Tokens   int // per response
+	Duration time.Duration
+	PID      int // process whose CPU time and memory are measured; 0 for none
 }
 
 // Run measures and writes a line to out.
-func (r Rate) Run(ctx context.Context, out io.Writer) error {
-	before, err := usage(r.PID)
+func (t Throughput) Run(ctx context.Context, out io.Writer) error {
+	before, err := usage(t.PID)
 	if err != nil {
 		return err
 	}
-	c := client()
+	c := newClient()
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, r.For)
+	ctx, cancel := context.WithTimeout(ctx, t.Duration)
 	defer cancel()
 	var done, failed atomic.Int64
 	var mu sync.Mutex
-	all := newTimes()
+	latencies := newHistogram()
 	var wait sync.WaitGroup
-	for i := range r.Callers {
+	for i := range t.Callers {
 		wait.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				q := engine.CompletionRequest{Prompt: fmt.Sprintf("caller %d call %d", i, n), MaxTokens: r.Tokens}
-				first, _, err := stream(ctx, c, r.To, q)
+				q := engine.CompletionRequest{Prompt: fmt.Sprintf("caller %d call %d", i, n), MaxTokens: t.Tokens}
+				first, _, err := stream(ctx, c, t.Target, q)
 				switch {
 				case err == nil:
 					done.Add(1)
 					mu.Lock()
-					all.add(first)
+					latencies.add(first)
 					mu.Unlock()
 				case ctx.Err() == nil:
 					failed.Add(1)
@@ -122,59 +124,59 @@
 	}
 	wait.Wait()
 	took := time.Since(began)
-	after, err := usage(r.PID)
+	after, err := usage(t.PID)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "callers %d: %.0f requests/s, p50 %v, p99 %v, failed %d", r.Callers, float64(done.Load())/took.Seconds(), all.at(50), all.at(99), failed.Load())
-	if r.PID != 0 && done.Load() > 0 {
+	fmt.Fprintf(out, "callers %d: %.0f requests/s, p50 %v, p99 %v, failed %d", t.Callers, float64(done.Load())/took.Seconds(), latencies.at(50), latencies.at(99), failed.Load())
+	if t.PID != 0 && done.Load() > 0 {
 		cpu := after.cpu - before.cpu
-		fmt.Fprintf(out, ", %v processor time a request, resident %d KiB", cpu/time.Duration(done.Load()), after.resident>>10)
+		fmt.Fprintf(out, ", %v CPU time per request, resident %d KiB", cpu/time.Duration(done.Load()), after.resident>>10)
 	}
 	fmt.Fprintln(out)
 	return nil
 }
 
-// Waiting holds many calls open at once and tells what each costs a process.
-type Waiting struct {
-	To     Target
-	Calls  int
-	Tokens int
+// CallMemory measures the memory that an open call costs a process.
+type CallMemory struct {
+	Target Target
+	Calls  int // concurrent
+	Tokens int // per response
 	PID    int
-	// Settle is how long the calls stand before the process is measured.
+	// Settle is how long the calls are open before the process is measured.
 	Settle time.Duration
 }
 
 // Run measures and writes a line to out.
-func (w Waiting) Run(ctx context.Context, out io.Writer) error {
-	before, err := usage(w.PID)
+func (m CallMemory) Run(ctx context.Context, out io.Writer) error {
+	before, err := usage(m.PID)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	c := client()
+	c := newClient()
 	var wait sync.WaitGroup
-	var refused atomic.Int64
-	for i := range w.Calls {
+	var endedEarly atomic.Int64
+	for i := range m.Calls {
 		wait.Go(func() {
-			q := engine.CompletionRequest{Prompt: fmt.Sprintf("call %d", i), MaxTokens: w.Tokens}
-			if _, _, err := stream(ctx, c, w.To, q); err != nil && ctx.Err() == nil {
-				refused.Add(1)
+			q := engine.CompletionRequest{Prompt: fmt.Sprintf("call %d", i), MaxTokens: m.Tokens}
+			if _, _, err := stream(ctx, c, m.Target, q); err != nil && ctx.Err() == nil {
+				endedEarly.Add(1)
 			}
 		})
 		if i%100 == 99 {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	time.Sleep(w.Settle)
-	after, err := usage(w.PID)
+	time.Sleep(m.Settle)
+	after, err := usage(m.PID)
 	cancel()
 	wait.Wait()
 	if err != nil {
 		return err
 	}
-	grown := after.resident - before.resident
-	fmt.Fprintf(out, "%d calls: resident %d KiB before, %d KiB with them, %.1f KiB a call, ended early %d\n",
-		w.Calls, before.resident>>10, after.resident>>10, float64(grown)/1024/float64(w.Calls), refused.Load())
+	growth := after.resident - before.resident
+	fmt.Fprintf(out, "%d calls: resident %d KiB before, %d KiB with them, %.1f KiB per call, ended early %d\n",
+		m.Calls, before.resident>>10, after.resident>>10, float64(growth)/1024/float64(m.Calls), endedEarly.Load())
 	return nil
 }
--- a/box/slot.go
+++ b/box/slot.go
@@ -71,12 +71,12 @@
 	drainCtx, cancel := context.WithTimeout(context.Background(), time.Duration(s.settings.Drain.Bound))
 	defer cancel()
 	err := s.slot.Drain(drainCtx)
-	if closeErr := s.server.drain(drainCtx); err == nil {
-		err = closeErr
+	if stepErr := s.server.drain(drainCtx); err == nil {
+		err = stepErr
 	}
 	stop()
-	if waitErr := group.Wait(); err == nil {
-		err = waitErr
+	if stepErr := group.Wait(); err == nil {
+		err = stepErr
 	}
 	s.log.Info("stopped", logx.Err(err))
 	return err
--- a/cmd/lynxramp/do.go
+++ b/cmd/lynxramp/do.go
@@ -22,7 +22,7 @@
 type doCommand struct {
 	remote
 	JSON bool     `help:"Print results as JSON lines."`
-	Line []string `arg:"" optional:"" help:"A question or command; without one, lines are read from standard input."`
+	Line []string `arg:"" optional:"" help:"A query or command; without one, lines are read from standard input."`
 }
 
 // Help implements kong.HelpProvider.
@@ -35,10 +35,9 @@
   lynxramp do ... drain endpoint chef-01
   lynxramp do ... set tier gold rank 5 at 12
 
-Exit status: 0 done, 1 refused, mistaken or not known.`
+Exit status: 0 for success; 1 if the line was refused or invalid, or its result is unknown.`
 }
 
-// Run implements the command.
 func (c *doCommand) Run(ctx context.Context) error {
 	if len(c.Line) > 0 {
 		return c.do(ctx, strings.Join(c.Line, " "))
@@ -61,9 +60,9 @@
 
 func (c *doCommand) do(ctx context.Context, line string) error {
 	s, err := lang.Parse(line)
-	var mistake *lang.SyntaxError
-	if errors.As(err, &mistake) {
-		return errors.Errorf("%s\n%s^ %s", line, strings.Repeat(" ", max(0, mistake.Column-1)), mistake.Message)
+	var syntax *lang.SyntaxError
+	if errors.As(err, &syntax) {
+		return errors.Errorf("%s\n%s^ %s", line, strings.Repeat(" ", max(0, syntax.Column-1)), syntax.Message)
 	}
 	if err != nil {
 		return err
@@ -76,14 +75,14 @@
 
 func (c *doCommand) query(ctx context.Context, q *lang.Query) error {
 	var rows []lang.Row
-	err := c.each(ctx, func(ctx context.Context, o rpc.Operator) (bool, error) {
+	err := c.callLeader(ctx, func(ctx context.Context, o rpc.Operator) (bool, error) {
 		r, err := o.Count(ctx, &rpc.CountRequest{What: q.What})
 		if err != nil || !r.Leads {
 			return false, err
 		}
-		for _, one := range r.Rows {
+		for _, row := range r.Rows {
 			rows = append(rows, lang.Row{
-				Team: one.Team, Tier: one.Tier, Pool: one.Pool, Endpoint: one.Endpoint, Reason: one.Reason, Count: int(one.Count),
+				Team: row.Team, Tier: row.Tier, Pool: row.Pool, Endpoint: row.Endpoint, Reason: row.Reason, Count: int(row.Count),
 			})
 		}
 		return true, nil
@@ -116,27 +115,27 @@
 }
 
 func (c *doCommand) command(ctx context.Context, command *lang.Command) error {
-	var present *rpc.ShowResponse
-	err := c.each(ctx, func(ctx context.Context, o rpc.Operator) (bool, error) {
+	var status *rpc.ShowResponse
+	err := c.callLeader(ctx, func(ctx context.Context, o rpc.Operator) (bool, error) {
 		r, err := o.Show(ctx, &rpc.ShowRequest{})
 		if err != nil {
 			return false, err
 		}
-		present = r
+		status = r
 		return r.Leads, nil
 	})
 	if err != nil {
 		return err
 	}
-	var k catalog.Catalog
-	if err := json.Unmarshal(present.Catalog, &k); err != nil {
+	var current catalog.Catalog
+	if err := json.Unmarshal(status.Catalog, &current); err != nil {
 		return errors.Wrap(err, "catalog")
 	}
-	changes, err := command.Changes(k)
+	changes, err := command.Changes(current)
 	if err != nil {
 		return err
 	}
-	expect := present.Version
+	expect := status.Version
 	if command.At != nil {
 		expect = *command.At
 	}
--- a/cmd/lynxramp/explain.go
+++ b/cmd/lynxramp/explain.go
@@ -11,24 +11,23 @@
 )
 
 type explainCommand struct {
-	ID    string   `arg:"" help:"The caller's id of the request, or ours."`
+	ID    string   `arg:"" help:"Id of the request: the caller's or the one that lynxramp assigned."`
 	Files []string `arg:"" type:"existingfile" help:"Log files of all processes."`
 }
 
-// Run implements the command.
 func (c *explainCommand) Run() error {
 	var lines []explain.Line
 	for _, name := range c.Files {
 		file, err := os.Open(name)
 		if err != nil {
-			return errors.Wrap(err, "log")
+			return errors.Wrap(err, "log file")
 		}
-		more, err := explain.Read(file)
+		read, err := explain.Read(file)
 		_ = file.Close() // it was only read
 		if err != nil {
 			return err
 		}
-		lines = append(lines, more...)
+		lines = append(lines, read...)
 	}
 	return explain.Explain(os.Stdout, c.ID, lines)
 }
--- a/cmd/lynxramp/levels.go
+++ b/cmd/lynxramp/levels.go
@@ -19,83 +19,83 @@
 	"github.com/pkg/errors"
 )
 
-// figuresTime bounds how long a box may take to tell its figures.
-const figuresTime = 3 * time.Second
+// metricsTimeout bounds the request of one box's metrics.
+const metricsTimeout = 3 * time.Second
 
 type levelsCommand struct {
-	Boxes []string `arg:"" help:"Operators' addresses of control boxes (IP:port); the owner among them knows of all."`
-	Path  string   `default:"/metrics" help:"Where boxes tell their figures."`
+	Boxes []string `arg:"" help:"Operators' addresses of control boxes (IP:port); the owner reports the levels of all boxes."`
+	Path  string   `default:"/metrics" help:"Path of the boxes' metrics."`
 }
 
-// Run implements the command.
 func (c *levelsCommand) Run(ctx context.Context) error {
-	found := newLevelReport()
+	report := newLevelReport()
 	for _, address := range c.Boxes {
-		if err := found.ask(ctx, "http://"+address+c.Path); err != nil {
+		if err := report.fetch(ctx, "http://"+address+c.Path); err != nil {
 			fmt.Fprintf(os.Stderr, "%s: %v\n", address, err)
 		}
 	}
-	if len(found.boxes) == 0 {
-		return errors.New("no box told its level")
+	if len(report.boxes) == 0 {
+		return errors.New("no box reported its level")
 	}
-	return found.print(os.Stdout)
+	return report.print(os.Stdout)
 }
 
-// boxLevel is a line of the report.
+// boxLevel is the build and format level of one box.
 type boxLevel struct{ box, role, build, level string }
 
-// levelReport is what boxes say of their builds and levels.
+// levelReport collects the builds and format levels from the metrics of control boxes.
 type levelReport struct {
-	group string
-	held  []string
-	boxes map[string]boxLevel
+	group    string   // level in force; empty if unknown
+	blockers []string // members that block the next level
+	boxes    map[string]boxLevel
 }
 
 func newLevelReport() *levelReport { return &levelReport{boxes: make(map[string]boxLevel)} }
 
 var (
-	groupLevel = regexp.MustCompile(`^lynxramp_control_level (\d+)$`)
-	heldLevel  = regexp.MustCompile(`^lynxramp_control_level_held\{by="(.+)"\} 1$`)
-	oneLevel   = regexp.MustCompile(`^lynxramp_control_box_level\{box="([^"]*)",role="([^"]*)",build="([^"]*)"\} (\d+)$`)
+	groupLevelRE = regexp.MustCompile(`^lynxramp_control_level (\d+)$`)
+	blockerRE    = regexp.MustCompile(`^lynxramp_control_level_held\{by="(.+)"\} 1$`)
+	boxLevelRE   = regexp.MustCompile(`^lynxramp_control_box_level\{box="([^"]*)",role="([^"]*)",build="([^"]*)"\} (\d+)$`)
 )
 
-func (r *levelReport) ask(ctx context.Context, url string) error {
-	ctx, cancel := context.WithTimeout(ctx, figuresTime)
+// fetch requests the metrics of a box and adds them to the report.
+func (r *levelReport) fetch(ctx context.Context, url string) error {
+	ctx, cancel := context.WithTimeout(ctx, metricsTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return errors.Wrap(err, "address")
+		return errors.Wrap(err, "metrics URL")
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "figures")
+		return errors.Wrap(err, "metrics request")
 	}
-	defer answer.Body.Close()
-	return r.read(answer.Body)
+	defer response.Body.Close()
+	return r.read(response.Body)
 }
 
-// read takes in what a box tells. The highest level of the group counts: a box that was away knows
-// less.
+// read adds the metrics of a box to the report. The highest group level wins, as a box that was
+// disconnected may report an older one.
 func (r *levelReport) read(in io.Reader) error {
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
 		line := lines.Text()
-		if m := groupLevel.FindStringSubmatch(line); m != nil {
+		if m := groupLevelRE.FindStringSubmatch(line); m != nil {
 			r.group = max(r.group, m[1])
 		}
-		if m := heldLevel.FindStringSubmatch(line); m != nil {
-			r.held = append(r.held, m[1])
+		if m := blockerRE.FindStringSubmatch(line); m != nil {
+			r.blockers = append(r.blockers, m[1])
 		}
-		if m := oneLevel.FindStringSubmatch(line); m != nil {
+		if m := boxLevelRE.FindStringSubmatch(line); m != nil {
 			r.boxes[m[1]] = boxLevel{box: m[1], role: m[2], build: cmp.Or(m[3], "before levels"), level: m[4]}
 		}
 	}
-	return errors.Wrap(lines.Err(), "figures")
+	return errors.Wrap(lines.Err(), "metrics")
 }
 
 func (r *levelReport) print(out io.Writer) error {
 	fmt.Fprintf(out, "the group's level: %s\n", cmp.Or(r.group, "unknown"))
-	for _, by := range r.held {
+	for _, by := range r.blockers {
 		fmt.Fprintf(out, "held back by %s\n", by)
 	}
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
--- a/cmd/lynxramp/levels_test.go
+++ b/cmd/lynxramp/levels_test.go
@@ -9,8 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestLevelsAreShown: an operator sees each box's build and level, and who holds the next one back.
-func TestLevelsAreShown(t *testing.T) {
+// TestLevelReport guards against metrics that are missing in the report: the group's level, its
+// blockers, and each box's build and level.
+func TestLevelReport(t *testing.T) {
 	r := newLevelReport()
 	if err := r.read(strings.NewReader(`lynxramp_control_level 4
 lynxramp_control_level_held{by="member b@01 of build "} 1
--- a/cmd/lynxramp/operate.go
+++ b/cmd/lynxramp/operate.go
@@ -23,46 +23,46 @@
 	"lynxramp.org/store"
 )
 
-// commandTimeout bounds one try of a command.
+// commandTimeout bounds one attempt of a command at one control box.
 const commandTimeout = 5 * time.Second
 
-// remote has the flags that say where the control boxes are.
+// remote has the flags for calling the control boxes.
 type remote struct {
-	Control []string `required:"" help:"Addresses of the control boxes (IP:port), with commas."`
-	KeyFile string   `required:"" type:"existingfile" help:"File of the operators' key."`
+	Control []string `required:"" help:"Addresses of the control boxes (IP:port), separated by commas."`
+	KeyFile string   `required:"" type:"existingfile" help:"File with the operators' key."`
 }
 
-// each calls the control boxes in turn until one that leads has answered.
-func (r remote) each(ctx context.Context, ask func(ctx context.Context, o rpc.Operator) (leads bool, err error)) error {
+// callLeader calls the control boxes in turn until the leader has answered. It
+// returns the last error if none has.
+func (r remote) callLeader(ctx context.Context, call func(ctx context.Context, o rpc.Operator) (leads bool, err error)) error {
 	key, err := settings.ReadKey(r.KeyFile)
 	if err != nil {
 		return err
 	}
 	client := &http.Client{Transport: rpc.WithKey(key, http.DefaultTransport)}
-	var last error
+	var lastErr error
 	for _, address := range r.Control {
 		ctx, cancel := context.WithTimeout(ctx, commandTimeout)
-		leads, err := ask(ctx, rpc.NewOperatorProtobufClient("http://"+address, client))
+		leads, err := call(ctx, rpc.NewOperatorProtobufClient("http://"+address, client))
 		cancel()
 		if err == nil && leads {
 			return nil
 		}
-		last = errors.Wrap(err, address)
+		lastErr = errors.Wrap(err, address)
 	}
-	if last != nil {
-		return last
+	if lastErr != nil {
+		return lastErr
 	}
-	return errors.New("no control box leads now")
+	return errors.New("no control box is the leader")
 }
 
 type showCommand struct {
 	remote
-	Catalog bool `help:"Print the catalog as JSON instead, as 'apply' takes it."`
+	Catalog bool `help:"Print the catalog as JSON instead, in the form that 'apply' takes."`
 }
 
-// Run implements the command.
 func (c *showCommand) Run(ctx context.Context) error {
-	return c.each(ctx, func(ctx context.Context, o rpc.Operator) (bool, error) {
+	return c.callLeader(ctx, func(ctx context.Context, o rpc.Operator) (bool, error) {
 		r, err := o.Show(ctx, &rpc.ShowRequest{})
 		if err != nil || !r.Leads {
 			return false, err
@@ -94,12 +94,11 @@
 
 type applyCommand struct {
 	remote
-	File   string `arg:"" type:"existingfile" help:"JSON list of changes, like [{\"tier\":{\"name\":\"gold\",\"rank\":3}}]."`
-	Expect uint64 `required:"" help:"Version of the catalog that the changes are meant for."`
-	ID     string `help:"Id of the command; give the one that was printed to send it again."`
+	File   string `arg:"" type:"existingfile" help:"File with a JSON list of changes, like [{\"tier\":{\"name\":\"gold\",\"rank\":3}}]."`
+	Expect uint64 `required:"" help:"Catalog version that the changes are based on."`
+	ID     string `help:"Id of the command; to retry a command, give the id that was printed."`
 }
 
-// Run implements the command.
 func (c *applyCommand) Run(ctx context.Context) error {
 	data, err := os.ReadFile(c.File)
 	if err != nil {
@@ -115,7 +114,8 @@
 	return c.apply(ctx, c.ID, c.Expect, changes)
 }
 
-// apply sends a command and tells what became of it.
+// apply sends a command to the leader and prints the result. After an error the
+// command may or may not have been accepted; a retry with the same id is safe.
 func (r remote) apply(ctx context.Context, id string, expect uint64, changes []catalog.Change) error {
 	data, err := json.Marshal(changes)
 	if err != nil {
@@ -123,13 +123,13 @@
 	}
 	request := &rpc.ApplyRequest{Id: id, Operator: operatorName(), Expect: expect, Changes: data}
 	var result *rpc.ApplyResponse
-	err = r.each(ctx, func(ctx context.Context, o rpc.Operator) (bool, error) {
-		answer, err := o.Apply(ctx, request)
+	err = r.callLeader(ctx, func(ctx context.Context, o rpc.Operator) (bool, error) {
+		response, err := o.Apply(ctx, request)
 		if err != nil {
 			return false, err
 		}
-		result = answer
-		return answer.Leads, nil
+		result = response
+		return response.Leads, nil
 	})
 	switch {
 	case err != nil:
@@ -143,7 +143,8 @@
 	return nil
 }
 
-// operatorName returns who commands, for those who race with him.
+// operatorName returns the user's name, which is reported to operators whose
+// commands conflict.
 func operatorName() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -152,11 +153,10 @@
 }
 
 type recoverCommand struct {
-	Settings string `arg:"" type:"existingfile" help:"Settings file of the box whose disk is left."`
-	Yes      bool   `required:"" help:"Confirm that most disks of the group are lost for good, and that no box of it runs."`
+	Settings string `arg:"" type:"existingfile" help:"Settings file of the box whose disk survived."`
+	Yes      bool   `required:"" help:"Confirm that most disks of the group are lost for good, and that none of its boxes is running."`
 }
 
-// Run implements the command.
 func (c *recoverCommand) Run() error {
 	s, _, err := settings.LoadBox(c.Settings)
 	if err != nil {
@@ -171,5 +171,5 @@
 			return nil
 		}
 	}
-	return errors.New("the box is no control box")
+	return errors.Errorf("box %s does not have the control role", s.ID)
 }
--- a/cmd/lynxramp/replay.go
+++ b/cmd/lynxramp/replay.go
@@ -17,10 +17,9 @@
 	Deployment string `arg:"" help:"casablanca or tbilisi."`
 	Scenario   string `arg:"" help:"steady, burst, slowdown, leaving, new-owner or mix."`
 	File       string `arg:"" help:"File to write (.jsonl or .jsonl.gz)."`
-	Seed       uint64 `default:"1" help:"Seed; the same gives the same trace."`
+	Seed       uint64 `default:"1" help:"Random seed; the same seed gives the same trace."`
 }
 
-// Run implements the command.
 func (c *traceCommand) Run() error {
 	t, err := trace.Make(c.Deployment, c.Scenario, c.Seed)
 	if err != nil {
@@ -31,14 +30,13 @@
 
 type replayCommand struct {
 	Files []string `arg:"" help:"Trace files."`
-	All   bool     `help:"Compare with the baselines."`
+	All   bool     `help:"Also run the baseline policies."`
 }
 
-// Run implements the command.
 func (c *replayCommand) Run() error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "trace\tpolicy\tgoodput\tby tier, highest first\trefused\tlate\tprefilled\twasted\tshare")
-	missed := 0
+	violations := 0
 	for _, file := range c.Files {
 		t, err := trace.Load(file)
 		if err != nil {
@@ -50,11 +48,11 @@
 			}
 			r := replay.Run(t, p.New)
 			r.Policy = p.Name
-			row(table, r)
+			writeRow(table, r)
 			if i == 0 {
-				for _, m := range r.Misses(t.Header.Outcomes) {
-					missed++
-					fmt.Fprintf(table, "%s\tMISSED\t%s\n", r.Trace, m)
+				for _, violation := range r.Misses(t.Header.Outcomes) {
+					violations++
+					fmt.Fprintf(table, "%s\tMISSED\t%s\n", r.Trace, violation)
 				}
 			}
 		}
@@ -62,19 +60,19 @@
 	if err := table.Flush(); err != nil {
 		return errors.Wrap(err, "table")
 	}
-	if missed > 0 {
-		return errors.Errorf("%d stated outcomes were missed", missed)
+	if violations > 0 {
+		return errors.Errorf("%d objectives of the traces were missed", violations)
 	}
 	return nil
 }
 
-func row(w *tabwriter.Writer, r replay.Result) {
+func writeRow(w *tabwriter.Writer, r replay.Result) {
 	tiers := ""
-	refused, late := 0, 0
+	refused, timedOut := 0, 0
 	for _, n := range r.SortedRanks() {
 		tiers += fmt.Sprintf("%.3f ", r.Ranks[n].Goodput())
 		refused += r.Ranks[n].Refused
-		late += r.Ranks[n].Late
+		timedOut += r.Ranks[n].Late
 	}
-	fmt.Fprintf(w, "%s\t%s\t%.3f\t%s\t%d\t%d\t%d\t%d\t%.3f\n", r.Trace, r.Policy, r.Goodput(), tiers, refused, late, r.Prefilled, r.Wasted(), r.WastedShare())
+	fmt.Fprintf(w, "%s\t%s\t%.3f\t%s\t%d\t%d\t%d\t%d\t%.3f\n", r.Trace, r.Policy, r.Goodput(), tiers, refused, timedOut, r.Prefilled, r.Wasted(), r.WastedShare())
 }
--- a/cmd/lynxrampfleet/main.go
+++ b/cmd/lynxrampfleet/main.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 
 // Command lynxrampfleet is the daemon of a box of a fleet on the users' platform:
-// an entry or a control box, as its settings say.
+// an entry or a control box, depending on its settings.
 package main
 
 import (
--- a/cmd/lynxslotd/main.go
+++ b/cmd/lynxslotd/main.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
 
-// Command lynxslotd is the daemon beside one endpoint.
+// Command lynxslotd is the sidecar daemon of one endpoint.
 package main
 
 import "lynxramp.org/box"
 
 func main() {
-	box.RunDaemon("lynxslotd", "Guards one endpoint until it is told to stop (SIGTERM), then drains.", box.RunSlotFile)
+	box.RunDaemon("lynxslotd", "Runs the slot of one endpoint until SIGTERM, then drains.", box.RunSlotFile)
 }
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 
-// Package dev runs a whole small deployment in one process on the loopback
-// address: a box with all roles, two unlike stand-in engines and a stand-in
-// plain service, each with its slot.
+// Package dev runs a small deployment in one process on the loopback address: a
+// box with all roles, two fake engines of different speeds and a fake plain
+// service, each with its slot.
 package dev
 
 import (
@@ -26,11 +26,11 @@
 	"lynxramp.org/settings"
 )
 
-// What the small deployment serves.
+// Names of the model and the plain service of the deployment.
 const (
 	Model   = "lynx-chef"
 	Service = "card-api"
-	// TeamKey is the key of its one team.
+	// TeamKey is the key of the only team.
 	TeamKey = "dev-key"
 )
 
@@ -49,7 +49,7 @@
 	readyPoll  = 20 * time.Millisecond
 )
 
-// endpoint is a stand-in and what the catalog says of it.
+// endpoint is a fake endpoint with its entry in the catalog.
 type endpoint struct {
 	name    event.EndpointID
 	pool    string
@@ -59,8 +59,8 @@
 	run     func(context.Context)
 }
 
-// Run runs the deployment until ctx ends. callers is where it takes requests,
-// as IP:port. When it is ready it prints to out a curl line that works.
+// Run runs the deployment until ctx ends. callers is the address for callers'
+// requests (IP:port). When it is ready, it writes example curl commands to out.
 func Run(ctx context.Context, callers string, out io.Writer, log *zap.Logger) error {
 	endpoints := []endpoint{
 		newEngine("chef-fast", fastSpeed),
@@ -74,7 +74,7 @@
 	control := []settings.Peer{{ID: boxID, Address: boxes}}
 	data, err := os.MkdirTemp("", "lynxramp-dev")
 	if err != nil {
-		return errors.Wrap(err, "data folder")
+		return errors.Wrap(err, "data directory")
 	}
 	defer os.RemoveAll(data)
 	keys := box.Keys{Boxes: rand.Text()}
@@ -138,11 +138,11 @@
 	return c
 }
 
-// startEndpoint runs a stand-in and the slot beside it.
+// startEndpoint starts a fake endpoint and its slot.
 func startEndpoint(ctx context.Context, group *errgroup.Group, e endpoint, control []settings.Peer, key string, log *zap.Logger) error {
 	listener, err := net.Listen("tcp", net.JoinHostPort(loopback, "0"))
 	if err != nil {
-		return errors.Wrap(err, "stand-in")
+		return errors.Wrap(err, "fake endpoint")
 	}
 	slotAddress, err := freeAddress()
 	if err != nil {
@@ -164,7 +164,7 @@
 		return err
 	}
 	server := &http.Server{Handler: e.handler, ReadHeaderTimeout: 10 * time.Second}
-	go func() { _ = server.Serve(listener) }() // ends with the process
+	go func() { _ = server.Serve(listener) }() // runs until the process exits
 	if e.run != nil {
 		go e.run(context.WithoutCancel(ctx))
 	}
@@ -172,7 +172,8 @@
 	return nil
 }
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns an unused loopback address. Another process may take it before
+// the caller listens on it.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(loopback, "0"))
 	if err != nil {
@@ -181,7 +182,7 @@
 	return l.Addr().String(), errors.Wrap(l.Close(), "free address")
 }
 
-// announce waits until a request is served and prints how to make one.
+// announce waits until requests are served and prints example commands.
 func announce(ctx context.Context, callers string, out io.Writer) error {
 	for ctx.Err() == nil {
 		if probe(ctx, callers) {
@@ -194,7 +195,7 @@
 	return nil
 }
 
-// probe reports whether a call to the plain service is answered.
+// probe reports whether a call of the plain service succeeds.
 func probe(ctx context.Context, callers string) bool {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+callers+"/svc/"+Service+"/probe", nil)
 	if err != nil {
--- a/internal/logx/budget.go
+++ b/internal/logx/budget.go
@@ -24,20 +24,20 @@
 	return &Budget{rate: rate, burst: rate, tokens: rate}
 }
 
-// Allow reports whether all of the given lines may be written now; if not, they
-// are counted as dropped.
-func (b *Budget) Allow(now time.Time, lines int) bool {
+// Allow reports whether n lines may be written now; if not, all of them are
+// counted as dropped.
+func (b *Budget) Allow(now time.Time, n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.refilled.IsZero() {
 		b.tokens = min(b.burst, b.tokens+b.rate*now.Sub(b.refilled).Seconds())
 	}
 	b.refilled = now
-	if b.tokens < float64(lines) {
-		b.dropped += uint64(lines)
+	if b.tokens < float64(n) {
+		b.dropped += uint64(n)
 		return false
 	}
-	b.tokens -= float64(lines)
+	b.tokens -= float64(n)
 	return true
 }
 
