--- a/bench/path.go
+++ b/bench/path.go
@@ -29,12 +29,12 @@
 func newHistogram() histogram { return histogram{h: hdrhistogram.New(minTime, maxTime, digits)} }
 
 // add records d, clamped to the histogram's range.
-func (t histogram) add(d time.Duration) {
-	_ = t.h.RecordValue(min(max(int64(d), minTime), maxTime)) // the value is within the range
+func (h histogram) add(d time.Duration) {
+	_ = h.h.RecordValue(min(max(int64(d), minTime), maxTime)) // the value is within the range
 }
 
-func (t histogram) at(percent float64) time.Duration {
-	return time.Duration(t.h.ValueAtQuantile(percent))
+func (h histogram) at(percent float64) time.Duration {
+	return time.Duration(h.h.ValueAtQuantile(percent))
 }
 
 // Overhead measures the latency that lynxramp adds to streamed calls. Direct calls and
@@ -74,10 +74,10 @@
 	for _, t := range targets {
 		fmt.Fprintf(out, "%-10s %14v %14v %14v %14v\n", t.name, t.first.at(50), t.first.at(99), t.gaps.at(50), t.gaps.at(99))
 	}
-	d, t := targets[0], targets[1]
+	direct, through := targets[0], targets[1]
 	fmt.Fprintf(out, "%-10s %14v %14v %14v %14v\n", "added",
-		t.first.at(50)-d.first.at(50), t.first.at(99)-d.first.at(99),
-		t.gaps.at(50)-d.gaps.at(50), t.gaps.at(99)-d.gaps.at(99))
+		through.first.at(50)-direct.first.at(50), through.first.at(99)-direct.first.at(99),
+		through.gaps.at(50)-direct.gaps.at(50), through.gaps.at(99)-direct.gaps.at(99))
 	return nil
 }
 
--- a/cmd/lynxramp/operate.go
+++ b/cmd/lynxramp/operate.go
@@ -171,5 +171,5 @@
 			return nil
 		}
 	}
-	return errors.Errorf("box %s does not have the control role", s.ID)
+	return errors.New("the box does not have the control role")
 }
