--- a/cmd/lynxramp/operate.go
+++ b/cmd/lynxramp/operate.go
@@ -32,8 +32,8 @@
 	KeyFile string   `required:"" type:"existingfile" help:"File with the operators' key."`
 }
 
-// callLeader calls the control boxes in turn until the leader has answered. It
-// returns the last error if none has.
+// callLeader calls the control boxes in turn until the leader has answered. If
+// none is the leader, it returns the error of the last call.
 func (r remote) callLeader(ctx context.Context, call func(ctx context.Context, o rpc.Operator) (leads bool, err error)) error {
 	key, err := settings.ReadKey(r.KeyFile)
 	if err != nil {
--- a/proc/caller_test.go
+++ b/proc/caller_test.go
@@ -17,36 +17,36 @@
 	"lynxramp.org/engine"
 )
 
-// answer is what a caller got.
-type answer struct {
+// result is the response that a caller received, or the error.
+type result struct {
 	status  int
 	header  http.Header
 	body    []byte
-	err     error     // of the connection, when the answer is not whole
-	began   time.Time // of the call; zero without an answer
+	err     error     // the response is missing or incomplete
+	began   time.Time // start of the call; zero without a response
 	took    time.Duration
-	request string // of the call's body
+	request string // body of the request
 }
 
-func (a answer) outcome() string  { return a.header.Get("Lynxramp-Outcome") }
-func (a answer) endpoint() string { return a.header.Get("Lynxramp-Endpoint") }
+func (a result) outcome() string  { return a.header.Get("Lynxramp-Outcome") }
+func (a result) endpoint() string { return a.header.Get("Lynxramp-Endpoint") }
 
-var callers = &http.Client{Timeout: waitBound, Transport: &http.Transport{
+var callers = &http.Client{Timeout: waitTimeout, Transport: &http.Transport{
 	MaxIdleConnsPerHost: 64,
 	DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
 }}
 
-// call sends a request of the gold team, or of the one in the header, and reads
-// the whole answer.
-func (c *cluster) call(box int, method, path, body string, h http.Header) answer {
+// call sends a request to an entry and reads the whole response. The team is
+// gold-team unless h has another key.
+func (c *cluster) call(box int, method, path, body string, h http.Header) result {
 	return send(context.Background(), method, "http://"+c.caller(box)+path, body, h)
 }
 
-func send(ctx context.Context, method, url, body string, h http.Header) answer {
+func send(ctx context.Context, method, url, body string, h http.Header) result {
 	began := time.Now()
 	r, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
-		return answer{err: err}
+		return result{err: err}
 	}
 	r.Header.Set("Authorization", "Bearer gold-team")
 	for name, values := range h {
@@ -54,14 +54,14 @@
 	}
 	response, err := callers.Do(r)
 	if err != nil {
-		return answer{err: err, header: http.Header{}, request: body}
+		return result{err: err, header: http.Header{}, request: body}
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, header: response.Header, body: data, err: err, began: began, took: time.Since(began), request: body}
+	return result{status: response.StatusCode, header: response.Header, body: data, err: err, began: began, took: time.Since(began), request: body}
 }
 
-// header returns headers from pairs.
+// header returns headers from names and values in turn.
 func header(pairs ...string) http.Header {
 	h := http.Header{}
 	for i := 0; i < len(pairs); i += 2 {
@@ -70,30 +70,29 @@
 	return h
 }
 
-// completion returns a body of /v1/completions.
+// completion returns a request body for /v1/completions.
 func completion(prompt string, tokens int, stream bool) string {
 	data, _ := json.Marshal(engine.CompletionRequest{Model: model, Prompt: prompt, MaxTokens: tokens, Stream: stream})
 	return string(data)
 }
 
-// oracle is an engine beside the cluster that tells what an answer must be.
+// oracle is an engine outside the cluster that gives the expected responses.
 type oracle struct{ url string }
 
-// newOracle starts a stand-in engine that is so fast that it does not matter.
+// newOracle starts a fake engine that is fast enough not to slow the test down.
 func (c *cluster) newOracle() oracle {
-	address := fmt.Sprintf("%s.250:%d", c.net, enginePort)
+	address := fmt.Sprintf("%s.250:%d", c.subnet, enginePort)
 	p := c.process("oracle", "lynxramp", "engine", "--listen", address, "--speed", "200", "--batch", "256")
 	p.start()
 	o := oracle{url: "http://" + address}
-	c.wait("oracle answers", func() bool {
+	c.waitFor("oracle answers", func() bool {
 		return send(context.Background(), http.MethodGet, o.url+"/load", "", nil).status == http.StatusOK
 	})
 	return o
 }
 
-// check fails the test unless an answer is, byte for byte, what the engine says
-// when it is asked directly.
-func (o oracle) check(t testing.TB, path string, a answer) {
+// check fails the test unless a response equals that of a direct call of the engine.
+func (o oracle) check(t testing.TB, path string, a result) {
 	t.Helper()
 	want := send(context.Background(), http.MethodPost, o.url+path, a.request, nil)
 	if want.err != nil || want.status != http.StatusOK {
@@ -101,6 +100,6 @@
 		return
 	}
 	if a.err != nil || a.status != http.StatusOK || !bytes.Equal(a.body, want.body) {
-		t.Errorf("answer to %.60q: status %d, outcome %q, %v, %d bytes of %d\n%.300s", a.request, a.status, a.outcome(), a.err, len(a.body), len(want.body), a.body)
+		t.Errorf("response to %.60q: status %d, outcome %q, %v, %d bytes of %d\n%.300s", a.request, a.status, a.outcome(), a.err, len(a.body), len(want.body), a.body)
 	}
 }
--- a/proc/failure_test.go
+++ b/proc/failure_test.go
@@ -19,14 +19,14 @@
 	"lynxramp.org/event"
 )
 
-// load sends streamed calls through boxes until it is told to stop, and keeps
-// the answers.
+// load sends completions through boxes, half of them streamed, until stop is closed,
+// and keeps the results.
 type load struct {
 	c       *cluster
 	stop    chan struct{}
 	wait    sync.WaitGroup
 	mu      sync.Mutex
-	answers []answer
+	results []result
 }
 
 func (c *cluster) startLoad(callers, tokens int, boxes ...int) *load {
@@ -42,7 +42,7 @@
 				prompt := fmt.Sprintf("caller %d asks %d %s", i, n, strings.Repeat("word ", i))
 				a := c.call(boxes[i%len(boxes)], http.MethodPost, "/v1/completions", completion(prompt, tokens, n%2 == 0), nil)
 				l.mu.Lock()
-				l.answers = append(l.answers, a)
+				l.results = append(l.results, a)
 				l.mu.Unlock()
 			}
 		})
@@ -53,137 +53,137 @@
 func (l *load) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.answers)
+	return len(l.results)
 }
 
-// more waits until n more calls were answered.
-func (l *load) more(n int) {
+// waitMore waits until n more calls have ended.
+func (l *load) waitMore(n int) {
 	l.c.t.Helper()
 	from := l.count()
-	l.c.wait(fmt.Sprintf("%d more answers", n), func() bool { return l.count() >= from+n })
+	l.c.waitFor(fmt.Sprintf("%d more responses", n), func() bool { return l.count() >= from+n })
 }
 
-// end stops the load and returns all answers.
-func (l *load) end() []answer {
+// finish stops the load and returns all results.
+func (l *load) finish() []result {
 	close(l.stop)
 	l.wait.Wait()
-	return l.answers
+	return l.results
 }
 
-// TestKilledOwner kills the owner of the pools while requests wait on it. Calls
-// through the other boxes are all answered whole, and nothing runs twice.
+// TestKilledOwner guards against lost, incomplete or repeated requests when the
+// owner is killed while requests wait for its grants.
 func TestKilledOwner(t *testing.T) {
-	c := newCluster(t, shape{boxes: 4, controls: 3, engines: []float64{4, 2}, services: 1})
+	c := newCluster(t, topology{boxes: 4, controls: 3, engines: []float64{4, 2}, services: 1})
 	o := c.newOracle()
-	at := c.waitLeader()
+	leader := c.waitLeader()
 	others := []int{3}
 	for i := range 3 {
-		if i != at {
+		if i != leader {
 			others = append(others, i)
 		}
 	}
 	l := c.startLoad(40, 8, others...)
-	l.more(50)
-	c.boxes[at].kill()
+	l.waitMore(50)
+	c.boxes[leader].kill()
 	began := time.Now()
-	c.waitLeader(at)
+	c.waitLeader(leader)
 	t.Logf("a new owner after %v", time.Since(began))
-	l.more(100)
-	for _, a := range l.end() {
+	l.waitMore(100)
+	for _, a := range l.finish() {
 		o.check(t, "/v1/completions", a)
-		c.checkOnce(a)
+		c.checkAtMostOnce(a)
 	}
 }
 
-// TestFrozenOwner stops the owner in its tracks, past its lease, and lets it go
-// on while another rules.
-func TestFrozenOwner(t *testing.T) {
-	c := newCluster(t, shape{boxes: 4, controls: 3, engines: []float64{4, 2}})
+// TestPausedOwner guards against two owners and lost changes when the owner is
+// paused beyond its lease and resumes after another was elected.
+func TestPausedOwner(t *testing.T) {
+	c := newCluster(t, topology{boxes: 4, controls: 3, engines: []float64{4, 2}})
 	o := c.newOracle()
-	at := c.waitLeader()
+	leader := c.waitLeader()
 	l := c.startLoad(20, 8, 3)
-	l.more(20)
-	c.boxes[at].signal(syscall.SIGSTOP)
+	l.waitMore(20)
+	c.boxes[leader].signal(syscall.SIGSTOP)
 	began := time.Now()
-	next := c.waitLeader(at)
+	next := c.waitLeader(leader)
 	t.Logf("a new owner after %v", time.Since(began))
 	version := c.show(next).Version
 	r := c.apply("while-frozen", version, teamChange(1))
 	if r.Version != version+1 {
-		t.Fatalf("command while the owner is frozen: %v", r)
+		t.Fatalf("command while the owner is paused: %v", r)
 	}
-	l.more(20)
-	c.boxes[at].signal(syscall.SIGCONT)
-	c.wait("the old owner has the new catalog and does not lead", func() bool {
-		s := c.show(at)
+	l.waitMore(20)
+	c.boxes[leader].signal(syscall.SIGCONT)
+	c.waitFor("the old owner has the new catalog and does not lead", func() bool {
+		s := c.show(leader)
 		return s.Version == version+1 && !s.Leads
 	})
-	l.more(20)
-	for _, a := range l.end() {
+	l.waitMore(20)
+	for _, a := range l.finish() {
 		o.check(t, "/v1/completions", a)
-		c.checkOnce(a)
+		c.checkAtMostOnce(a)
 	}
 	if s := c.show(c.waitLeader()); s.Version != version+1 {
 		t.Errorf("the catalog went from version %d to %d", version+1, s.Version)
 	}
 }
 
-// TestCutOffOwner cuts the owner off from the other control boxes, both ways or
-// one, while entries and slots still reach it. Another rules, what is accepted
-// stays, nothing runs twice, and the old owner follows when it is back.
-func TestCutOffOwner(t *testing.T) {
-	c := newCluster(t, shape{boxes: 4, controls: 3, engines: []float64{4, 2}, controlRelays: true})
+// TestPartitionedOwner guards against two owners, lost changes and repeated requests
+// when the owner is partitioned from the other control boxes, in both directions or
+// one, while entries and slots still reach it.
+func TestPartitionedOwner(t *testing.T) {
+	c := newCluster(t, topology{boxes: 4, controls: 3, engines: []float64{4, 2}, controlRelays: true})
 	o := c.newOracle()
 	l := c.startLoad(20, 8, 3)
 	version := c.show(c.waitLeader()).Version
 	for n, way := range []struct{ from, to bool }{{true, true}, {true, false}} {
-		at := c.waitLeader()
-		l.more(20)
-		c.cutOff(at, way.from, way.to)
-		next := c.waitLeader(at)
+		leader := c.waitLeader()
+		l.waitMore(20)
+		c.partition(leader, way.from, way.to)
+		next := c.waitLeader(leader)
 		if r := c.apply(fmt.Sprint("cut-", n), version, teamChange(n)); r.Version != version+1 {
-			t.Fatalf("command while the owner is cut off: %v", r)
+			t.Fatalf("command while the owner is partitioned: %v", r)
 		}
 		version++
-		if s := c.show(at); s.Leads {
-			t.Errorf("the cut-off box says that it rules, as box %d does", next)
+		if s := c.show(leader); s.Leads {
+			t.Errorf("the partitioned box reports that it leads, and so does box %d", next)
 		}
-		l.more(20)
-		c.cutOff(at, false, false)
-		c.wait("the old owner has the new catalog", func() bool { return c.show(at).Version == version })
+		l.waitMore(20)
+		c.partition(leader, false, false)
+		c.waitFor("the old owner has the new catalog", func() bool { return c.show(leader).Version == version })
 	}
-	for _, a := range l.end() {
+	for _, a := range l.finish() {
 		o.check(t, completions, a)
-		c.checkOnce(a)
+		c.checkAtMostOnce(a)
 	}
 }
 
-// waitVoter waits until the leader counts a box that came back as a voter, all
-// its repair done, and the box has a version.
+// waitVoter waits until all three control boxes are voters again, with no learner
+// left, and the returned box has a catalog version.
 func (c *cluster) waitVoter(leader, box int, version uint64) {
 	c.t.Helper()
-	c.wait("the wiped box is a voter again", func() bool {
+	c.waitFor("the wiped box is a voter again", func() bool {
 		s := c.show(leader)
 		return len(s.GetMembers().GetVoters()) == 3 && len(s.Members.Learners) == 0 && c.show(box).Version == version
 	})
 }
 
-// TestWipedDisk loses the disk of one box, lets it come back with the same
-// command line, and loses another right after the repair.
+// TestWipedDisk guards against lost changes when a box returns with an empty disk
+// and another loses its disk as soon as the first is a voter again.
 func TestWipedDisk(t *testing.T) {
-	c := newCluster(t, shape{boxes: 3, controls: 3, engines: []float64{4}})
-	at := c.waitLeader()
-	version := c.show(at).Version
+	c := newCluster(t, topology{boxes: 3, controls: 3, engines: []float64{4}})
+	leader := c.waitLeader()
+	version := c.show(leader).Version
 	for n := range 5 {
 		c.apply(fmt.Sprint("before-", n), version, teamChange(n))
 		version++
 	}
-	lost, second := (at+1)%3, (at+2)%3
+	lost, second := (leader+1)%3, (leader+2)%3
 	c.boxes[lost].kill()
 	c.wipe(lost)
 	c.boxes[lost].start()
-	c.waitVoter(at, lost, version)
-	// The second loss comes at once. What was accepted must be there still.
+	c.waitVoter(leader, lost, version)
+	// The second loss follows at once; accepted changes must survive it.
 	c.boxes[second].kill()
 	c.wipe(second)
 	r := c.apply("after", version, teamChange(9))
@@ -191,18 +191,18 @@
 		t.Errorf("command after a second loss: %v", r)
 	}
 	c.boxes[second].start()
-	c.waitVoter(at, second, version+1)
-	c.boxes[at].kill()
-	if next := c.waitLeader(at); c.show(next).Version != version+1 {
+	c.waitVoter(leader, second, version+1)
+	c.boxes[leader].kill()
+	if next := c.waitLeader(leader); c.show(next).Version != version+1 {
 		t.Errorf("version %d after the loss of the leader, want %d", c.show(next).Version, version+1)
 	}
 }
 
-// TestNoSecondGroup loses the disks of two boxes of three while the third is
-// away. The two must not found a group of their own; with the third back there
-// is still no majority, and nobody leads.
-func TestNoSecondGroup(t *testing.T) {
-	c := newCluster(t, shape{boxes: 3, controls: 3, engines: []float64{4}})
+// TestNoSecondGroupAfterDiskLoss guards against two boxes with empty disks that
+// bootstrap a second group while the third is down. When it is back there is still
+// no quorum and no leader. Then the operators' recovery restores the group.
+func TestNoSecondGroupAfterDiskLoss(t *testing.T) {
+	c := newCluster(t, topology{boxes: 3, controls: 3, engines: []float64{4}})
 	version := c.show(c.waitLeader()).Version
 	for i := range 3 {
 		c.boxes[i].kill()
@@ -211,24 +211,24 @@
 	c.wipe(1)
 	c.boxes[0].start()
 	c.boxes[1].start()
-	c.wait("both say that they wait", func() bool {
+	c.waitFor("both log that they wait for the others", func() bool {
 		return strings.Contains(tail(c.boxes[0].log), "waiting for the other control boxes") &&
 			strings.Contains(tail(c.boxes[1].log), "waiting for the other control boxes")
 	})
 	c.boxes[2].start()
-	c.wait("the third says that it cannot lead", func() bool {
+	c.waitFor("the third logs that it has no quorum", func() bool {
 		return strings.Contains(tail(c.boxes[2].log), "no quorum")
 	})
-	if at := c.leader(); at >= 0 {
-		t.Errorf("box %d leads after a majority of disks was lost", at)
+	if leader := c.leader(); leader >= 0 {
+		t.Errorf("box %d leads after a majority of disks was lost", leader)
 	}
-	// The operators' recovery: the third box goes on alone, the others join it.
+	// Recovery: the third box becomes the only voter, and the others join it.
 	for i := range 3 {
 		c.boxes[i].kill()
 	}
 	c.wipe(0)
 	c.wipe(1)
-	recovery := exec.Command(filepath.Join(binaries, "lynxramp"), "recover", "--yes", filepath.Join(c.dir, "box-2.yaml"))
+	recovery := exec.Command(filepath.Join(binDir, "lynxramp"), "recover", "--yes", filepath.Join(c.dir, "box-2.yaml"))
 	if out, err := recovery.CombinedOutput(); err != nil {
 		t.Fatalf("recover: %v\n%s", err, out)
 	}
@@ -241,9 +241,10 @@
 	}
 }
 
-// TestOperatorsRace lets operators command under one version, and resend.
-func TestOperatorsRace(t *testing.T) {
-	c := newCluster(t, shape{boxes: 3, controls: 3, engines: []float64{4}})
+// TestConcurrentCommands guards against more than one accepted command for one
+// expected version, and against retries with other results.
+func TestConcurrentCommands(t *testing.T) {
+	c := newCluster(t, topology{boxes: 3, controls: 3, engines: []float64{4}})
 	version := c.show(c.waitLeader()).Version
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -262,30 +263,30 @@
 				conflicts[r.Conflict] = true
 			}
 			if !again.Again || again.Version != r.Version || again.Conflict != r.Conflict {
-				t.Errorf("%s sent again: %v, at first %v", id, again, r)
+				t.Errorf("%s: retry returned %v, first call %v", id, again, r)
 			}
 		})
 	}
 	wait.Wait()
 	if len(won) != 1 || len(conflicts) != 1 {
-		t.Fatalf("%d won, conflicts with %v", len(won), conflicts)
+		t.Fatalf("%d commands accepted, conflicts reported with %v", len(won), conflicts)
 	}
 	for id := range conflicts {
 		if !won[id] {
-			t.Errorf("the losers were told that %q won, it was %v", id, won)
+			t.Errorf("the conflict names %q, accepted was %v", id, won)
 		}
 	}
 }
 
-// TestRestartAfterManyChanges restarts a control box and an entry after 500
-// changes went by without them.
+// TestRestartAfterManyChanges guards against a control box and an entry that don't
+// catch up after they missed 500 changes.
 func TestRestartAfterManyChanges(t *testing.T) {
-	c := newCluster(t, shape{boxes: 4, controls: 3, engines: []float64{4}})
-	at := c.waitLeader()
-	away := (at + 1) % 3
+	c := newCluster(t, topology{boxes: 4, controls: 3, engines: []float64{4}})
+	leader := c.waitLeader()
+	away := (leader + 1) % 3
 	c.boxes[away].kill()
 	c.boxes[3].kill()
-	version := c.show(at).Version
+	version := c.show(leader).Version
 	for n := range 500 {
 		if r := c.apply(fmt.Sprint("change-", n), version, teamChange(n%7)); r.Version != version+1 {
 			t.Fatalf("change %d: %v", n, r)
@@ -295,8 +296,8 @@
 	began := time.Now()
 	c.boxes[away].start()
 	c.boxes[3].start()
-	c.wait("the control box has all changes", func() bool { return c.show(away).Version == version })
-	c.wait("the entries have all changes in force", func() bool {
+	c.waitFor("the control box has all changes", func() bool { return c.show(away).Version == version })
+	c.waitFor("the entries have all changes in force", func() bool {
 		boxes := c.show(c.waitLeader()).Boxes
 		for _, b := range boxes {
 			if b.Version != version && b.SilentMs < 2000 {
@@ -305,21 +306,21 @@
 		}
 		return len(boxes) == 4
 	})
-	t.Logf("in force on all boxes %v after the start", time.Since(began))
+	t.Logf("in force on all boxes %v after the restart", time.Since(began))
 	c.waitServing(3)
 }
 
-// TestChangeInForce measures how long a change takes to be in force on all
-// boxes.
-func TestChangeInForce(t *testing.T) {
-	c := newCluster(t, shape{boxes: 5, controls: 3, engines: []float64{4}})
-	at := c.waitLeader()
-	version := c.show(at).Version
+// TestChangeReachesAllBoxes guards against an entry on which an accepted change is
+// never in force; it logs how long the change takes.
+func TestChangeReachesAllBoxes(t *testing.T) {
+	c := newCluster(t, topology{boxes: 5, controls: 3, engines: []float64{4}})
+	leader := c.waitLeader()
+	version := c.show(leader).Version
 	began := time.Now()
 	c.apply("new-team", version, teamChange(1))
 	committed := time.Since(began)
 	for i := range 5 {
-		c.wait("the new team is served", func() bool {
+		c.waitFor("the new team is served", func() bool {
 			a := c.call(i, http.MethodPost, "/v1/completions", completion("x", 1, false), header("Authorization", "Bearer team-1"))
 			return a.status == http.StatusOK
 		})
@@ -327,30 +328,30 @@
 	t.Logf("committed after %v, in force on 5 boxes after %v", committed, time.Since(began))
 }
 
-// TestPlatformList lets the platform's list say that an endpoint's box and the
-// owner's are leaving.
-func TestPlatformList(t *testing.T) {
+// TestPlatformListDrainsBoxes guards against an owner that keeps leading, and an
+// endpoint that gets new requests, when the platform's list marks their boxes as leaving.
+func TestPlatformListDrainsBoxes(t *testing.T) {
 	var mu sync.Mutex
-	leaving := []string{}
+	draining := []string{}
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		list := []map[string]string{{"address": "10.0.0.1", "state": "live"}}
-		for _, a := range leaving {
+		for _, a := range draining {
 			list = append(list, map[string]string{"address": a, "state": "leaving"})
 		}
 		_ = json.NewEncoder(w).Encode(list)
 	}))
 	defer platform.Close()
-	c := newCluster(t, shape{boxes: 3, controls: 3, engines: []float64{4, 4}, platform: platform.URL})
+	c := newCluster(t, topology{boxes: 3, controls: 3, engines: []float64{4, 4}, platform: platform.URL})
 	l := c.startLoad(10, 4, 0, 1, 2)
-	at := c.waitLeader()
-	l.more(20)
+	leader := c.waitLeader()
+	l.waitMore(20)
 	mu.Lock()
-	leaving = append(leaving, event.Host(c.box(at)), event.Host(c.slot(0)))
+	draining = append(draining, event.Host(c.box(leader)), event.Host(c.slot(0)))
 	mu.Unlock()
-	next := c.waitLeader(at)
-	c.wait("the endpoint on the leaving box does not serve", func() bool {
+	next := c.waitLeader(leader)
+	c.waitFor("the endpoint on the draining box does not serve", func() bool {
 		for _, p := range c.show(next).Pools {
 			if p.Name == "chef" {
 				return !p.Endpoints[0].Serves && p.Endpoints[1].Serves
@@ -359,26 +360,27 @@
 		return false
 	})
 	from := l.count()
-	l.more(100)
-	for i, a := range l.end()[from+10:] {
+	l.waitMore(100)
+	for i, a := range l.finish()[from+10:] {
 		if a.status != http.StatusOK || a.endpoint() != "chef-1" {
-			t.Errorf("answer %d: status %d from %q", i, a.status, a.endpoint())
+			t.Errorf("response %d: status %d from %q", i, a.status, a.endpoint())
 		}
 	}
 }
 
-// TestLanguage asks and commands through the operators' tool.
-func TestLanguage(t *testing.T) {
-	c := newCluster(t, shape{boxes: 3, controls: 3, engines: []float64{1}})
+// TestOperatorLanguage guards against wrong results and error messages of queries and
+// commands of "lynxramp do".
+func TestOperatorLanguage(t *testing.T) {
+	c := newCluster(t, topology{boxes: 3, controls: 3, engines: []float64{1}})
 	do := func(line string) string {
 		control := c.box(0) + "," + c.box(1) + "," + c.box(2)
-		tool := exec.Command(filepath.Join(binaries, "lynxramp"), "do", "--control", control,
+		tool := exec.Command(filepath.Join(binDir, "lynxramp"), "do", "--control", control,
 			"--key-file", filepath.Join(c.dir, "operator-key"), line)
 		out, _ := tool.CombinedOutput() // a failure is in what it prints
 		return string(out)
 	}
 	l := c.startLoad(24, 50, 0, 1, 2)
-	c.wait("16 run and 8 wait", func() bool {
+	c.waitFor("16 run and 8 wait", func() bool {
 		return strings.Contains(do("show running by endpoint where tier = gold"), "chef-0    16") &&
 			strings.Contains(do("show waiting by team"), "gold-team  8")
 	})
@@ -393,30 +395,30 @@
 			t.Errorf("%s: %s", step.line, got)
 		}
 	}
-	l.end()
+	l.finish()
 }
 
-// TestLeavingEndpoint checks that an endpoint that an operator sends off gets
-// no new work.
-func TestLeavingEndpoint(t *testing.T) {
-	c := newCluster(t, shape{boxes: 2, controls: 1, engines: []float64{4, 4}})
+// TestDrainingEndpoint guards against new requests on an endpoint that an operator
+// drains.
+func TestDrainingEndpoint(t *testing.T) {
+	c := newCluster(t, topology{boxes: 2, controls: 1, engines: []float64{4, 4}})
 	l := c.startLoad(10, 4, 0, 1)
-	l.more(20)
-	leaving := catalog.EndpointChange{Pool: "chef", Endpoint: catalog.Endpoint{
+	l.waitMore(20)
+	draining := catalog.EndpointChange{Pool: "chef", Endpoint: catalog.Endpoint{
 		Name: "chef-0", Concurrency: 16, Speed: 4, Leaving: true,
 	}}
-	c.apply("drain", c.show(0).Version, catalog.Change{Endpoint: &leaving})
+	c.apply("drain", c.show(0).Version, catalog.Change{Endpoint: &draining})
 	accepted := time.Now()
-	l.more(100)
+	l.waitMore(100)
 	after := 0
-	for _, a := range l.end() {
-		// A call that was under way may still be there, whenever it ends.
+	for _, a := range l.finish() {
+		// Calls in flight when the command is accepted may still run on it.
 		if a.began.Before(accepted) {
 			continue
 		}
 		after++
 		if a.endpoint() != "chef-1" {
-			t.Errorf("a call that began %v after the command was accepted was answered by %q", a.began.Sub(accepted), a.endpoint())
+			t.Errorf("a call that began %v after the command was accepted ran on %q", a.began.Sub(accepted), a.endpoint())
 		}
 	}
 	if after < 50 {
--- a/proc/harness_test.go
+++ b/proc/harness_test.go
@@ -20,7 +20,7 @@
 	"lynxramp.org/event"
 )
 
-// Ports that each process of a cluster uses on its own address.
+// Ports of the processes; each box and each endpoint has an address of its own.
 const (
 	callerPort = 8080
 	boxPort    = 7080
@@ -28,11 +28,11 @@
 	enginePort = 8001
 )
 
-// waitBound is how long a condition may take to come true.
-const waitBound = 30 * time.Second
+// waitTimeout bounds the wait for a condition.
+const waitTimeout = 30 * time.Second
 
-// binaries is the folder of the built commands.
-var binaries string
+// binDir is the directory of the built commands.
+var binDir string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "lynxramp-proc")
@@ -40,7 +40,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	binaries = dir
+	binDir = dir
 	build := exec.Command("go", "build", "-o", dir, "lynxramp.org/cmd/...")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
@@ -51,15 +51,15 @@
 	os.Exit(code)
 }
 
-// process is a started command.
+// process is a command that the test starts and stops.
 type process struct {
-	t      testing.TB
-	name   string
-	args   []string
-	log    string
-	cmd    *exec.Cmd
-	exited chan struct{}
-	ended  bool // by the test
+	t            testing.TB
+	name         string
+	args         []string
+	log          string
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	exitExpected bool // the test has stopped or killed it
 }
 
 func (p *process) start() {
@@ -69,7 +69,7 @@
 		p.t.Fatal(err)
 	}
 	defer f.Close()
-	p.cmd = exec.Command(filepath.Join(binaries, p.name), p.args...)
+	p.cmd = exec.Command(filepath.Join(binDir, p.name), p.args...)
 	p.cmd.Stdout = f
 	p.cmd.Stderr = f
 	if err := p.cmd.Start(); err != nil {
@@ -77,7 +77,7 @@
 	}
 	exited := make(chan struct{})
 	p.exited = exited
-	p.ended = false
+	p.exitExpected = false
 	cmd := p.cmd
 	go func() { _ = cmd.Wait(); close(exited) }()
 }
@@ -91,19 +91,19 @@
 }
 
 func (p *process) kill() {
-	p.ended = true
+	p.exitExpected = true
 	p.signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// stop asks the process to stop as planned and waits until it did.
+// stop sends SIGTERM and waits until the process exits with status 0.
 func (p *process) stop() {
 	p.t.Helper()
-	p.ended = true
+	p.exitExpected = true
 	p.signal(syscall.SIGTERM)
 	p.waitExit()
 	if code := p.cmd.ProcessState.ExitCode(); code != 0 {
-		p.t.Errorf("%s %v ended with %d\n%s", p.name, p.args, code, tail(p.log))
+		p.t.Errorf("%s %v exited with status %d\n%s", p.name, p.args, code, tail(p.log))
 	}
 }
 
@@ -111,8 +111,8 @@
 	p.t.Helper()
 	select {
 	case <-p.exited:
-	case <-time.After(waitBound):
-		p.t.Fatalf("%s %v did not stop\n%s", p.name, p.args, tail(p.log))
+	case <-time.After(waitTimeout):
+		p.t.Fatalf("%s %v did not exit in time\n%s", p.name, p.args, tail(p.log))
 	}
 }
 
@@ -124,44 +124,44 @@
 	return string(data)
 }
 
-// cluster is a deployment in processes of its own.
+// cluster is a deployment whose parts run in separate processes.
 type cluster struct {
-	t       testing.TB
-	dir     string
-	net     string // the first three numbers of its addresses
-	boxes   []*process
-	slots   []*process
-	engines []*process
-	relays  []*relay
-	ways    map[[2]int]*relay // between control boxes
-	started time.Time
-	shape   shape
+	t            testing.TB
+	dir          string
+	subnet       string // first three bytes of its addresses
+	boxes        []*process
+	slots        []*process
+	engines      []*process
+	relays       []*relay
+	controlLinks map[[2]int]*relay // by sending and receiving control box
+	started      time.Time
+	topology     topology
 }
 
-// shape is what a cluster consists of. Boxes up to controls have both roles,
-// the others are entries.
-type shape struct {
+// topology describes the processes of a cluster. The first boxes, as many as
+// controls, have both roles; the others are entries.
+type topology struct {
 	boxes    int
 	controls int
-	engines  []float64 // speeds
+	engines  []float64 // speed of each
 	services int
-	delay    time.Duration // of each plain call
-	// relays puts a relay in front of each slot.
+	delay    time.Duration // of each call of a plain service
+	// relays puts a relay between the entries and each slot.
 	relays bool
-	// controlRelays puts a relay on each way from one control box to another.
+	// controlRelays puts a relay on each link from one control box to another.
 	controlRelays bool
 	// platform is the URL of the platform's list.
 	platform string
-	// catalog changes the catalog before anything starts.
+	// catalog modifies the catalog before the processes start.
 	catalog func(*catalog.Catalog)
 }
 
 var clusters atomic.Int32
 
-// Each team's key and tier.
+// teams maps each team to its tier; a team's key is its name.
 var teams = map[string]string{"gold-team": "gold", "silver-team": "silver", "bronze-team": "bronze"}
 
-// operatorKey is what operators' commands need.
+// operatorKey authenticates operators' commands.
 const operatorKey = "a key of the operators"
 
 const (
@@ -169,18 +169,18 @@
 	service = "card-api"
 )
 
-// newCluster starts a cluster and waits until each entry serves.
-func newCluster(t testing.TB, s shape) *cluster {
+// newCluster starts a cluster and waits until each entry serves requests.
+func newCluster(t testing.TB, s topology) *cluster {
 	t.Helper()
 	c := &cluster{
-		t:       t,
-		started: time.Now(),
-		dir:     t.TempDir(),
-		net:     fmt.Sprintf("127.%d.%d", 1+os.Getpid()%250, clusters.Add(1)),
-		shape:   s,
+		t:        t,
+		started:  time.Now(),
+		dir:      t.TempDir(),
+		subnet:   fmt.Sprintf("127.%d.%d", 1+os.Getpid()%250, clusters.Add(1)),
+		topology: s,
 	}
-	c.write("key", "a key that tests share")
-	c.write("operator-key", operatorKey)
+	c.writeFile("key", "a key that tests share")
+	c.writeFile("operator-key", operatorKey)
 	c.writeCatalog()
 	for i := range s.engines {
 		c.engines = append(c.engines, c.process(fmt.Sprintf("engine-%d", i), "lynxramp", "engine",
@@ -192,26 +192,26 @@
 			"--listen", c.engine(n), "--delay", s.delay.String()))
 	}
 	for i := range c.engines {
-		file := c.writeSlot(i)
+		file := c.writeSlotSettings(i)
 		c.slots = append(c.slots, c.process(fmt.Sprintf("slot-%d", i), "lynxslotd", file))
 	}
 	if s.relays {
 		for i := range c.slots {
-			c.relays = append(c.relays, newRelay(t, c.reach(i), c.slot(i)))
+			c.relays = append(c.relays, newRelay(t, c.slotAddress(i), c.slot(i)))
 		}
 	}
 	if s.controlRelays {
-		c.ways = make(map[[2]int]*relay)
+		c.controlLinks = make(map[[2]int]*relay)
 		for from := range s.controls {
 			for to := range s.controls {
 				if from != to {
-					c.ways[[2]int{from, to}] = newRelay(t, c.way(from, to), c.box(to))
+					c.controlLinks[[2]int{from, to}] = newRelay(t, c.linkAddress(from, to), c.box(to))
 				}
 			}
 		}
 	}
 	for i := range s.boxes {
-		file := c.writeBox(i)
+		file := c.writeBoxSettings(i)
 		c.boxes = append(c.boxes, c.process(fmt.Sprintf("box-%d", i), "lynxrampd", file))
 	}
 	for _, list := range [][]*process{c.engines, c.slots, c.boxes} {
@@ -240,7 +240,7 @@
 	return p
 }
 
-func (c *cluster) write(name, content string) string {
+func (c *cluster) writeFile(name, content string) string {
 	file := filepath.Join(c.dir, name)
 	if err := os.WriteFile(file, []byte(content), 0o600); err != nil {
 		c.t.Fatal(err)
@@ -248,21 +248,23 @@
 	return file
 }
 
-func (c *cluster) caller(box int) string { return fmt.Sprintf("%s.%d:%d", c.net, 10+box, callerPort) }
-func (c *cluster) box(box int) string    { return fmt.Sprintf("%s.%d:%d", c.net, 10+box, boxPort) }
-func (c *cluster) slot(n int) string     { return fmt.Sprintf("%s.%d:%d", c.net, 100+n, slotPort) }
-func (c *cluster) engine(n int) string   { return fmt.Sprintf("%s.%d:%d", c.net, 100+n, enginePort) }
-
-// reach returns where entries reach a slot.
-func (c *cluster) reach(n int) string {
-	if c.shape.relays {
-		return fmt.Sprintf("%s.%d:%d", c.net, 100+n, slotPort+1)
+func (c *cluster) caller(box int) string {
+	return fmt.Sprintf("%s.%d:%d", c.subnet, 10+box, callerPort)
+}
+func (c *cluster) box(box int) string  { return fmt.Sprintf("%s.%d:%d", c.subnet, 10+box, boxPort) }
+func (c *cluster) slot(n int) string   { return fmt.Sprintf("%s.%d:%d", c.subnet, 100+n, slotPort) }
+func (c *cluster) engine(n int) string { return fmt.Sprintf("%s.%d:%d", c.subnet, 100+n, enginePort) }
+
+// slotAddress returns the address at which entries reach a slot.
+func (c *cluster) slotAddress(n int) string {
+	if c.topology.relays {
+		return fmt.Sprintf("%s.%d:%d", c.subnet, 100+n, slotPort+1)
 	}
 	return c.slot(n)
 }
 
 func (c *cluster) endpointName(n int) string {
-	if n < len(c.shape.engines) {
+	if n < len(c.topology.engines) {
 		return fmt.Sprintf("chef-%d", n)
 	}
 	return fmt.Sprintf("card-%d", n)
@@ -280,50 +282,50 @@
 	for name, tier := range teams {
 		file.Teams = append(file.Teams, catalog.Team{Name: name, KeyHashes: []string{catalog.HashKey(name)}, Tier: tier})
 	}
-	for n := range len(c.shape.engines) + c.shape.services {
+	for n := range len(c.topology.engines) + c.topology.services {
 		e := catalog.Endpoint{Name: "", Concurrency: fake.DefaultProfile().MaxBatch, Speed: 1}
 		pool := 1
-		if n < len(c.shape.engines) {
+		if n < len(c.topology.engines) {
 			pool = 0
-			e.Speed = c.shape.engines[n]
+			e.Speed = c.topology.engines[n]
 		}
 		e.Name = event.EndpointID(c.endpointName(n))
 		file.Pools[pool].Endpoints = append(file.Pools[pool].Endpoints, e)
 	}
-	if c.shape.catalog != nil {
-		c.shape.catalog(&file)
+	if c.topology.catalog != nil {
+		c.topology.catalog(&file)
 	}
-	// JSON is YAML.
+	// JSON is valid YAML.
 	data, err := json.Marshal(file)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.write("catalog.yaml", string(data))
+	c.writeFile("catalog.yaml", string(data))
 }
 
-// control returns the control boxes as the process at a box reaches them; -1 is
-// any other process.
-func (c *cluster) control(from int) string {
+// controlPeers returns the settings of the control boxes as the given control box
+// reaches them; -1 stands for any other process.
+func (c *cluster) controlPeers(from int) string {
 	var b strings.Builder
-	for i := range c.shape.controls {
+	for i := range c.topology.controls {
 		address := c.box(i)
-		if c.shape.controlRelays && from >= 0 && from < c.shape.controls && from != i {
-			address = c.way(from, i)
+		if c.topology.controlRelays && from >= 0 && from < c.topology.controls && from != i {
+			address = c.linkAddress(from, i)
 		}
 		fmt.Fprintf(&b, "  - {id: box-%d, address: '%s'}\n", i, address)
 	}
 	return b.String()
 }
 
-// way returns the relay's address on the way from one control box to another.
-func (c *cluster) way(from, to int) string {
-	return fmt.Sprintf("%s.%d:%d", c.net, 10+to, boxPort+1+from)
+// linkAddress returns the address of the relay from one control box to another.
+func (c *cluster) linkAddress(from, to int) string {
+	return fmt.Sprintf("%s.%d:%d", c.subnet, 10+to, boxPort+1+from)
 }
 
-// cutOff cuts the ways from a control box to the others, those to it, or both,
-// or heals them.
-func (c *cluster) cutOff(box int, from, to bool) {
-	for pair, r := range c.ways {
+// partition cuts or restores the links from a control box to the others (from)
+// and the links from the others to it (to).
+func (c *cluster) partition(box int, from, to bool) {
+	for pair, r := range c.controlLinks {
 		if pair[0] == box {
 			r.setDown(from)
 		}
@@ -333,12 +335,12 @@
 	}
 }
 
-func (c *cluster) writeBox(i int) string {
+func (c *cluster) writeBoxSettings(i int) string {
 	roles := "[entry]"
-	if i < c.shape.controls {
+	if i < c.topology.controls {
 		roles = "[entry, control]"
 	}
-	return c.write(fmt.Sprintf("box-%d.yaml", i), fmt.Sprintf(`id: box-%d
+	return c.writeFile(fmt.Sprintf("box-%d.yaml", i), fmt.Sprintf(`id: box-%d
 data_centre: dc-%d
 roles: %s
 listen: {callers: '%s', boxes: '%s'}
@@ -350,15 +352,15 @@
 drain: {notice: 100ms, bound: 30s}
 limits: {body_time: 2s}
 control:
-%s`, i, i%2, roles, c.caller(i), c.box(i), c.shape.platform, i, c.control(i)))
+%s`, i, i%2, roles, c.caller(i), c.box(i), c.topology.platform, i, c.controlPeers(i)))
 }
 
-func (c *cluster) writeSlot(n int) string {
+func (c *cluster) writeSlotSettings(n int) string {
 	kind, pool := "model", "chef"
-	if n >= len(c.shape.engines) {
+	if n >= len(c.topology.engines) {
 		kind, pool = "plain", "card"
 	}
-	return c.write(fmt.Sprintf("slot-%d.yaml", n), fmt.Sprintf(`endpoint: %s
+	return c.writeFile(fmt.Sprintf("slot-%d.yaml", n), fmt.Sprintf(`endpoint: %s
 pool: %s
 kind: %s
 data_centre: dc-0
@@ -368,40 +370,40 @@
 key_file: key
 drain: {bound: 30s}
 control:
-%s`, c.endpointName(n), pool, kind, c.slot(n), c.engine(n), c.reach(n), c.control(-1)))
+%s`, c.endpointName(n), pool, kind, c.slot(n), c.engine(n), c.slotAddress(n), c.controlPeers(-1)))
 }
 
-// waitServing waits until an entry answers a call to each service.
+// waitServing waits until an entry serves a completion.
 func (c *cluster) waitServing(box int) {
 	c.t.Helper()
-	c.wait(fmt.Sprintf("box %d serves", box), func() bool {
+	c.waitFor(fmt.Sprintf("box %d serves", box), func() bool {
 		a := c.call(box, http.MethodPost, "/v1/completions", completion("ready?", 1, false), nil)
 		return a.status == http.StatusOK
 	})
 }
 
-// wait polls a condition until it is true.
-func (c *cluster) wait(what string, condition func() bool) {
+// waitFor polls a condition until it is true.
+func (c *cluster) waitFor(what string, condition func() bool) {
 	c.t.Helper()
-	until := time.Now().Add(waitBound)
+	until := time.Now().Add(waitTimeout)
 	for !condition() {
 		c.failOnExit()
 		if time.Now().After(until) {
-			c.t.Fatalf("not in time: %s", what)
+			c.t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// failOnExit ends the test when a process ended that nobody ended.
+// failOnExit fails the test if a process has exited unexpectedly.
 func (c *cluster) failOnExit() {
 	c.t.Helper()
 	for _, list := range [][]*process{c.engines, c.slots, c.boxes} {
 		for _, p := range list {
 			select {
 			case <-p.exited:
-				if !p.ended {
-					c.t.Fatalf("%s %v ended by itself\n%s", p.name, p.args, tail(p.log))
+				if !p.exitExpected {
+					c.t.Fatalf("%s %v exited unexpectedly\n%s", p.name, p.args, tail(p.log))
 				}
 			default:
 			}
--- a/proc/measure_test.go
+++ b/proc/measure_test.go
@@ -18,17 +18,17 @@
 //	go test ./proc -run '^$' -bench Commit -benchtime 500x
 //	go test ./proc -run '^$' -bench 'Failover|Idle' -benchtime 1x
 
-// idleSpan is how long processes are watched.
-const idleSpan = 10 * time.Second
+// sampleTime is how long processes are measured.
+const sampleTime = 10 * time.Second
 
-// processUse is the processor time of processes and their memory.
-type processUse struct {
+// usage is the CPU time and memory of processes.
+type usage struct {
 	cpu      time.Duration
-	resident int64 // bytes, the largest
+	resident int64 // bytes, of the largest process
 }
 
-func useOf(b *testing.B, list []*process) processUse {
-	var u processUse
+func usageOf(b *testing.B, list []*process) usage {
+	var u usage
 	for _, p := range list {
 		data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 		if err != nil {
@@ -45,7 +45,7 @@
 	return u
 }
 
-// loopbackBytes returns the bytes that went over the loopback interface.
+// loopbackBytes returns the bytes received on the loopback interface.
 func loopbackBytes(b *testing.B) int64 {
 	data, err := os.ReadFile("/proc/net/dev")
 	if err != nil {
@@ -61,51 +61,51 @@
 	return 0
 }
 
-// watch reports what a cluster's processes use, during idleSpan.
-func (c *cluster) watch(b *testing.B, name string) {
+// reportUsage measures the resource usage of a cluster's processes for sampleTime.
+func (c *cluster) reportUsage(b *testing.B, name string) {
 	groups := map[string][]*process{
-		"control": c.boxes[:c.shape.controls],
-		"entry":   c.boxes[c.shape.controls:],
+		"control": c.boxes[:c.topology.controls],
+		"entry":   c.boxes[c.topology.controls:],
 		"slot":    c.slots,
 	}
-	before := make(map[string]processUse)
+	before := make(map[string]usage)
 	for group, list := range groups {
-		before[group] = useOf(b, list)
+		before[group] = usageOf(b, list)
 	}
 	from := loopbackBytes(b)
-	time.Sleep(idleSpan)
+	time.Sleep(sampleTime)
 	to := loopbackBytes(b)
 	all := len(c.boxes) + len(c.slots)
-	b.ReportMetric(float64(to-from)/idleSpan.Seconds()/float64(all), name+"-B/s/process")
+	b.ReportMetric(float64(to-from)/sampleTime.Seconds()/float64(all), name+"-B/s/process")
 	for group, list := range groups {
 		if len(list) == 0 {
 			continue
 		}
-		after := useOf(b, list)
-		percent := 100 * (after.cpu - before[group].cpu).Seconds() / idleSpan.Seconds() / float64(len(list))
+		after := usageOf(b, list)
+		percent := 100 * (after.cpu - before[group].cpu).Seconds() / sampleTime.Seconds() / float64(len(list))
 		b.ReportMetric(percent, name+"-"+group+"-%core")
 		b.ReportMetric(float64(after.resident)/(1<<20), name+"-"+group+"-MiB")
 	}
 }
 
-// BenchmarkIdle measures control's use of network, processor and memory, when
-// idle and at one change a second.
+// BenchmarkIdle measures the network, CPU and memory usage of the control plane,
+// when idle and at one change per second.
 func BenchmarkIdle(b *testing.B) {
-	for _, s := range []shape{
+	for _, s := range []topology{
 		{boxes: 3, controls: 3, engines: []float64{4}},
 		{boxes: 30, controls: 3, engines: []float64{4}},
 		{boxes: 3, controls: 3, engines: slices.Repeat([]float64{4}, 30)},
 	} {
 		b.Run(fmt.Sprintf("boxes=%d,slots=%d", s.boxes, len(s.engines)), func(b *testing.B) {
 			c := newCluster(b, s)
-			at := c.waitLeader()
+			leader := c.waitLeader()
 			time.Sleep(2 * time.Second)
-			c.watch(b, "idle")
+			c.reportUsage(b, "idle")
 			stop := make(chan struct{})
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				version := c.show(at).Version
+				version := c.show(leader).Version
 				for n := 0; ; n++ {
 					select {
 					case <-stop:
@@ -115,18 +115,18 @@
 					version = c.apply(fmt.Sprint("change-", n), version, teamChange(n%50)).Version
 				}
 			}()
-			c.watch(b, "changing")
+			c.reportUsage(b, "changing")
 			close(stop)
 			<-done
 		})
 	}
 }
 
-// BenchmarkCommit measures operators' commands, one after the other.
+// BenchmarkCommit measures the latency of sequential operators' commands.
 func BenchmarkCommit(b *testing.B) {
-	c := newCluster(b, shape{boxes: 3, controls: 3, engines: []float64{4}})
-	at := c.waitLeader()
-	version := c.show(at).Version
+	c := newCluster(b, topology{boxes: 3, controls: 3, engines: []float64{4}})
+	leader := c.waitLeader()
+	version := c.show(leader).Version
 	times := make([]time.Duration, 0, b.N)
 	b.ResetTimer()
 	for n := range b.N {
@@ -140,7 +140,8 @@
 	b.ReportMetric(float64(times[len(times)*99/100].Microseconds()), "p99-µs")
 }
 
-// BenchmarkFailover measures how long there is no owner.
+// BenchmarkFailover measures the time without an owner after the owner is killed,
+// paused or stopped.
 func BenchmarkFailover(b *testing.B) {
 	ways := []struct {
 		name   string
@@ -150,13 +151,13 @@
 		b.Run(way.name, func(b *testing.B) {
 			var times []time.Duration
 			for range 7 {
-				c := newCluster(b, shape{boxes: 3, controls: 3, engines: []float64{4}})
-				at := c.waitLeader()
+				c := newCluster(b, topology{boxes: 3, controls: 3, engines: []float64{4}})
+				leader := c.waitLeader()
 				time.Sleep(time.Duration(len(times)) * 100 * time.Millisecond)
 				began := time.Now()
-				c.boxes[at].ended = true
-				c.boxes[at].signal(way.signal)
-				c.waitLeader(at)
+				c.boxes[leader].exitExpected = true
+				c.boxes[leader].signal(way.signal)
+				c.waitLeader(leader)
 				times = append(times, time.Since(began))
 				for _, list := range [][]*process{c.boxes, c.slots, c.engines} {
 					for _, p := range list {
@@ -171,10 +172,10 @@
 	}
 }
 
-// BenchmarkClaim measures plain calls with and without a key that is claimed in
-// the log, in turn.
+// BenchmarkClaim compares plain calls with and without an idempotency key, which is
+// claimed in the replicated log.
 func BenchmarkClaim(b *testing.B) {
-	c := newCluster(b, shape{boxes: 3, controls: 3, engines: []float64{4}, services: 1})
+	c := newCluster(b, topology{boxes: 3, controls: 3, engines: []float64{4}, services: 1})
 	box := (c.waitLeader() + 1) % 3
 	var without, with []time.Duration
 	for n := range b.N {
--- a/proc/operator_test.go
+++ b/proc/operator_test.go
@@ -19,18 +19,18 @@
 	"lynxramp.org/rpc"
 )
 
-var boxCallers = &http.Client{Transport: rpc.WithKey(operatorKey, &http.Transport{MaxIdleConnsPerHost: 8}), Timeout: 5 * time.Second}
+var operatorClient = &http.Client{Transport: rpc.WithKey(operatorKey, &http.Transport{MaxIdleConnsPerHost: 8}), Timeout: 5 * time.Second}
 
 func (c *cluster) operator(box int) rpc.Operator {
-	return rpc.NewOperatorProtobufClient("http://"+c.box(box), boxCallers)
+	return rpc.NewOperatorProtobufClient("http://"+c.box(box), operatorClient)
 }
 
-// leader returns the control box that owns the pools, -1 if none does. It does
-// not ask the boxes named.
-func (c *cluster) leader(but ...int) int {
-	for i := range c.shape.controls {
+// leader returns the control box that owns the pools, or -1 for none. It skips the
+// given boxes.
+func (c *cluster) leader(except ...int) int {
+	for i := range c.topology.controls {
 		skip := false
-		for _, b := range but {
+		for _, b := range except {
 			skip = skip || b == i
 		}
 		if skip {
@@ -46,12 +46,12 @@
 	return -1
 }
 
-// waitLeader waits until a control box other than the named ones leads.
-func (c *cluster) waitLeader(but ...int) int {
+// waitLeader waits until a control box other than the given ones leads.
+func (c *cluster) waitLeader(except ...int) int {
 	c.t.Helper()
-	at := -1
-	c.wait("a leader", func() bool { at = c.leader(but...); return at >= 0 })
-	return at
+	leader := -1
+	c.waitFor("a leader", func() bool { leader = c.leader(except...); return leader >= 0 })
+	return leader
 }
 
 func (c *cluster) show(box int) *rpc.ShowResponse {
@@ -64,16 +64,16 @@
 	return r
 }
 
-// apply sends a command to the leader until it has an answer.
+// apply sends a command until the leader responds.
 func (c *cluster) apply(id string, expect uint64, changes ...catalog.Change) *rpc.ApplyResponse {
 	data, err := json.Marshal(changes)
 	if err != nil {
 		c.t.Error(err)
 		return nil
 	}
-	until := time.Now().Add(waitBound)
+	until := time.Now().Add(waitTimeout)
 	for time.Now().Before(until) {
-		for i := range c.shape.controls {
+		for i := range c.topology.controls {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			r, err := c.operator(i).Apply(ctx, &rpc.ApplyRequest{Id: id, Operator: "test", Expect: expect, Changes: data})
 			cancel()
@@ -82,11 +82,11 @@
 			}
 		}
 	}
-	c.t.Errorf("command %s had no answer", id)
+	c.t.Errorf("command %s got no response", id)
 	return &rpc.ApplyResponse{}
 }
 
-// team returns a change that sets a team.
+// teamChange returns a change that sets a team.
 func teamChange(n int) catalog.Change {
 	name := fmt.Sprintf("team-%d", n)
 	return catalog.Change{Team: &catalog.Team{Name: name, Tier: "bronze", KeyHashes: []string{catalog.HashKey(name)}}}
@@ -99,8 +99,8 @@
 	}
 }
 
-// starts returns how often a request id was dispatched, over all endpoints.
-func (c *cluster) starts(id string) int {
+// dispatches returns how often a request was dispatched, over all endpoints.
+func (c *cluster) dispatches(id string) int {
 	total := 0
 	for n := range c.engines {
 		a := send(context.Background(), http.MethodGet, "http://"+c.engine(n)+"/starts/"+id, "", nil)
@@ -112,22 +112,22 @@
 	return total
 }
 
-// checkOnce fails the test if an answer's request ran more than once, or ran
-// although the caller was told that it did not.
-func (c *cluster) checkOnce(a answer) {
+// checkAtMostOnce fails the test if a request ran more than once, or ran although
+// its outcome is "not-run".
+func (c *cluster) checkAtMostOnce(a result) {
 	c.t.Helper()
 	id := a.header.Get("Lynxramp-Request-Id")
 	if id == "" {
 		return
 	}
-	n := c.starts(id)
+	n := c.dispatches(id)
 	if n > 1 || (a.outcome() == "not-run" && n > 0) {
 		c.t.Errorf("request %s: outcome %q, dispatched %d times", id, a.outcome(), n)
 	}
 }
 
-// faults switches an engine's faults on or off.
-func (c *cluster) faults(n int, content string) {
+// setFaults sets the faults that an engine injects.
+func (c *cluster) setFaults(n int, content string) {
 	c.t.Helper()
 	a := send(context.Background(), http.MethodPut, "http://"+c.engine(n)+"/faults", content, nil)
 	if a.status != http.StatusNoContent {
@@ -135,13 +135,13 @@
 	}
 }
 
-// relay passes TCP connections on and can cut them.
+// relay forwards TCP connections and can close or refuse them.
 type relay struct {
 	to       string
 	listener net.Listener
 	mu       sync.Mutex
 	open     map[net.Conn]bool
-	down     bool
+	down     bool // refuses new connections
 }
 
 func newRelay(t testing.TB, from, to string) *relay {
@@ -150,7 +150,7 @@
 		t.Fatal(err)
 	}
 	r := &relay{to: to, listener: l, open: make(map[net.Conn]bool)}
-	t.Cleanup(func() { _ = l.Close(); r.cut() })
+	t.Cleanup(func() { _ = l.Close(); r.disconnect() })
 	go r.run()
 	return r
 }
@@ -188,14 +188,14 @@
 	return true
 }
 
-// cut closes all connections of the moment.
-func (r *relay) cut() {
+// disconnect closes the current connections; new ones are still accepted.
+func (r *relay) disconnect() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closeAll()
 }
 
-// setDown cuts the relay until it is set up again.
+// setDown closes the current connections and sets whether new ones are refused.
 func (r *relay) setDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/proc/path_test.go
+++ b/proc/path_test.go
@@ -16,10 +16,10 @@
 	"time"
 )
 
-// TestWholePath sends streamed, whole and plain calls through two entries and
-// three slots and compares every answer byte for byte.
-func TestWholePath(t *testing.T) {
-	c := newCluster(t, shape{boxes: 2, controls: 1, engines: []float64{4, 1}, services: 1})
+// TestEndToEnd guards against altered responses of streamed, unstreamed and plain
+// calls through two entries and three slots.
+func TestEndToEnd(t *testing.T) {
+	c := newCluster(t, topology{boxes: 2, controls: 1, engines: []float64{4, 1}, services: 1})
 	o := c.newOracle()
 	var wait sync.WaitGroup
 	for i := range 60 {
@@ -47,9 +47,10 @@
 	wait.Wait()
 }
 
-// TestLargeAnswer moves an answer that is larger than the slot's window.
-func TestLargeAnswer(t *testing.T) {
-	c := newCluster(t, shape{boxes: 1, controls: 1, engines: []float64{1}, services: 1})
+// TestLargeResponse guards against a truncated response that is larger than the
+// slot's flow control window.
+func TestLargeResponse(t *testing.T) {
+	c := newCluster(t, topology{boxes: 1, controls: 1, engines: []float64{1}, services: 1})
 	body := strings.Repeat("a plate of an excavation ", 150_000)
 	a := c.call(0, http.MethodPost, "/svc/card-api/large", body, nil)
 	if a.err != nil || !bytes.Equal(a.body, []byte("POST /large\n"+body)) {
@@ -57,9 +58,9 @@
 	}
 }
 
-// TestEscapedPath calls a plain service by paths that have to stay as they are.
+// TestEscapedPath guards against paths that reach a plain service in altered form.
 func TestEscapedPath(t *testing.T) {
-	c := newCluster(t, shape{boxes: 1, controls: 1, engines: []float64{4}, services: 1})
+	c := newCluster(t, topology{boxes: 1, controls: 1, engines: []float64{4}, services: 1})
 	for _, path := range []string{"/a%20b", "/a%0Ab%3Fc", "/a%2Fb//c", "/%E1%83%98%E1%83%99%E1%83%9D%E1%83%9C%E1%83%90?q=a%20b&q", "/"} {
 		a := c.call(0, http.MethodGet, "/svc/card-api"+path, "", nil)
 		if want := "GET " + path + "\n"; a.status != http.StatusOK || string(a.body) != want {
@@ -68,31 +69,30 @@
 	}
 }
 
-// TestSlowCaller sends a part of a body and no more. The caller is told so, and
-// nothing is dispatched.
-func TestSlowCaller(t *testing.T) {
-	c := newCluster(t, shape{boxes: 1, controls: 1, engines: []float64{4}})
+// TestStalledRequestBody guards against waiting without end for a body that stalls.
+func TestStalledRequestBody(t *testing.T) {
+	c := newCluster(t, topology{boxes: 1, controls: 1, engines: []float64{4}})
 	caller, err := net.Dial("tcp", c.caller(0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer caller.Close()
-	_ = caller.SetDeadline(time.Now().Add(waitBound))
+	_ = caller.SetDeadline(time.Now().Add(waitTimeout))
 	fmt.Fprintf(caller, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer gold-team\r\nContent-Length: 1000\r\n\r\n{\"model\":")
 	response, err := http.ReadResponse(bufio.NewReader(caller), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	body, _ := io.ReadAll(response.Body) // what came of it is compared
+	body, _ := io.ReadAll(response.Body) // the bytes that were read are checked below
 	if response.StatusCode != http.StatusBadRequest || !bytes.Contains(body, []byte(`"code":"body"`)) {
 		t.Errorf("status %d: %s", response.StatusCode, body)
 	}
 }
 
-// TestBadInput sends what callers may not send. Nothing of it may reach an
-// endpoint.
-func TestBadInput(t *testing.T) {
-	c := newCluster(t, shape{boxes: 1, controls: 1, engines: []float64{4}, services: 1})
+// TestInvalidRequests guards against wrong error responses, and against invalid
+// requests that reach an endpoint.
+func TestInvalidRequests(t *testing.T) {
+	c := newCluster(t, topology{boxes: 1, controls: 1, engines: []float64{4}, services: 1})
 	good := completion("x", 1, false)
 	tests := []struct {
 		name, method, path, body string
@@ -127,7 +127,7 @@
 			for n := range c.engines {
 				starts := send(context.Background(), "GET", "http://"+c.engine(n)+"/starts/"+id, "", nil)
 				if string(starts.body) != "0" {
-					t.Errorf("endpoint %d ran it: %s", n, starts.body)
+					t.Errorf("endpoint %d ran the request: %s", n, starts.body)
 				}
 			}
 		})
--- a/proc/request_test.go
+++ b/proc/request_test.go
@@ -17,161 +17,162 @@
 
 const completions = "/v1/completions"
 
-// TestCutConnections cuts every connection between entries and slots, again and
-// again, while answers stream. Each is still whole and ran once.
-func TestCutConnections(t *testing.T) {
-	c := newCluster(t, shape{boxes: 2, controls: 1, engines: []float64{2, 1}, relays: true})
+// TestDroppedSlotConnections guards against incomplete responses and repeated requests
+// when all connections between entries and slots are closed while responses stream.
+func TestDroppedSlotConnections(t *testing.T) {
+	c := newCluster(t, topology{boxes: 2, controls: 1, engines: []float64{2, 1}, relays: true})
 	o := c.newOracle()
 	l := c.startLoad(20, 40, 0, 1)
 	for range 10 {
-		l.more(4)
+		l.waitMore(4)
 		for _, r := range c.relays {
-			r.cut()
+			r.disconnect()
 		}
 	}
-	for _, a := range l.end() {
+	for _, a := range l.finish() {
 		o.check(t, completions, a)
-		c.checkOnce(a)
+		c.checkAtMostOnce(a)
 	}
 }
 
-// TestEngineCutsAnswers makes an engine drop each answer's connection once, and
-// another answer late and out of order.
-func TestEngineCutsAnswers(t *testing.T) {
-	c := newCluster(t, shape{boxes: 1, controls: 1, engines: []float64{4, 4}})
+// TestEngineDropsResponses guards against incomplete responses and repeated requests
+// when one engine drops the connection of each response once and another responds late
+// and out of order.
+func TestEngineDropsResponses(t *testing.T) {
+	c := newCluster(t, topology{boxes: 1, controls: 1, engines: []float64{4, 4}})
 	o := c.newOracle()
-	c.faults(0, `{"drop_after_bytes": 700}`)
-	c.faults(1, `{"late_ms": 40}`)
+	c.setFaults(0, `{"drop_after_bytes": 700}`)
+	c.setFaults(1, `{"late_ms": 40}`)
 	l := c.startLoad(20, 12, 0)
-	l.more(80)
-	for _, a := range l.end() {
+	l.waitMore(80)
+	for _, a := range l.finish() {
 		o.check(t, completions, a)
-		c.checkOnce(a)
+		c.checkAtMostOnce(a)
 	}
 }
 
-// TestKilledSlot kills a slot with answers under way. The callers of started
-// requests are told "unknown" or see a cut answer, never "not run"; nothing runs
-// twice; what waits is served by the other endpoint.
+// TestKilledSlot guards against the outcome "not-run" for a request that ran, and
+// against repeated requests, when a slot is killed with responses in flight. Queued
+// requests run on the other endpoint.
 func TestKilledSlot(t *testing.T) {
-	c := newCluster(t, shape{boxes: 1, controls: 1, engines: []float64{1, 1}})
+	c := newCluster(t, topology{boxes: 1, controls: 1, engines: []float64{1, 1}})
 	o := c.newOracle()
 	l := c.startLoad(60, 30, 0)
-	l.more(10)
+	l.waitMore(10)
 	c.slots[0].kill()
-	l.more(60)
+	l.waitMore(60)
 	c.slots[0].start()
-	l.more(60)
+	l.waitMore(60)
 	whole := 0
-	for _, a := range l.end() {
-		c.checkOnce(a)
+	for _, a := range l.finish() {
+		c.checkAtMostOnce(a)
 		switch {
 		case a.err == nil && a.status == http.StatusOK:
 			whole++
 			o.check(t, completions, a)
-		case a.err == nil && a.outcome() == "not-run" && c.starts(a.header.Get("Lynxramp-Request-Id")) > 0:
-			t.Errorf("told not-run and ran: %s", a.body)
+		case a.err == nil && a.outcome() == "not-run" && c.dispatches(a.header.Get("Lynxramp-Request-Id")) > 0:
+			t.Errorf("outcome not-run, but the request ran: %s", a.body)
 		}
 	}
-	t.Logf("%d whole answers of %d", whole, len(l.answers))
+	t.Logf("%d of %d responses are complete", whole, len(l.results))
 }
 
-// TestTruthAboutPlainCalls kills the slot of a plain service while calls run
-// there. The service cannot say what became of them: each caller is told
-// "unknown", and each call ran once.
-func TestTruthAboutPlainCalls(t *testing.T) {
-	c := newCluster(t, shape{boxes: 1, controls: 1, engines: []float64{4}, services: 1, delay: 2 * time.Second})
+// TestUnknownOutcomeOfPlainCalls guards against a wrong outcome or a repeated call when
+// the slot of a plain service is killed. The service cannot report the outcome of
+// earlier calls, so each caller gets "unknown", and each call ran once.
+func TestUnknownOutcomeOfPlainCalls(t *testing.T) {
+	c := newCluster(t, topology{boxes: 1, controls: 1, engines: []float64{4}, services: 1, delay: 2 * time.Second})
 	var mu sync.Mutex
-	var answers []answer
+	var results []result
 	var wait sync.WaitGroup
 	for n := range 10 {
 		wait.Go(func() {
 			a := c.call(0, http.MethodPost, "/svc/card-api/slow", fmt.Sprint(n), nil)
 			mu.Lock()
 			defer mu.Unlock()
-			answers = append(answers, a)
+			results = append(results, a)
 		})
 	}
-	c.wait("all calls run at the service", func() bool {
+	c.waitFor("all calls run at the service", func() bool {
 		load := send(context.Background(), http.MethodGet, "http://"+c.engine(1)+"/load", "", nil)
 		return strings.Contains(string(load.body), `"running":10,`)
 	})
 	c.slots[1].kill()
 	c.slots[1].start()
 	wait.Wait()
-	for _, a := range answers {
-		n := c.starts(a.header.Get("Lynxramp-Request-Id"))
+	for _, a := range results {
+		n := c.dispatches(a.header.Get("Lynxramp-Request-Id"))
 		if a.outcome() != "unknown" || a.endpoint() != "card-1" || n != 1 {
 			t.Errorf("status %d, outcome %q at %q, dispatched %d times: %s", a.status, a.outcome(), a.endpoint(), n, a.body)
 		}
 	}
 }
 
-// TestRestartedSlot kills a slot with answers under way and starts it again at
-// once. The engine has the answers still: each request that it was given is
-// answered whole and ran once. "Unknown" is only said of those that the slot died
-// with before it handed them over.
+// TestRestartedSlot guards against lost responses when a slot is killed and restarted
+// at once. The engine still has the responses, so each request that it received
+// completes and ran once. The outcome is "unknown" only for requests that the slot had
+// not sent to the engine.
 func TestRestartedSlot(t *testing.T) {
-	c := newCluster(t, shape{boxes: 1, controls: 1, engines: []float64{1}})
+	c := newCluster(t, topology{boxes: 1, controls: 1, engines: []float64{1}})
 	o := c.newOracle()
 	l := c.startLoad(16, 40, 0)
-	l.more(8)
+	l.waitMore(8)
 	for range 3 {
 		c.slots[0].kill()
 		c.slots[0].start()
-		l.more(20)
+		l.waitMore(20)
 	}
 	whole := 0
-	answers := l.end()
-	for _, a := range answers {
-		c.checkOnce(a)
-		if a.outcome() == "unknown" && c.starts(a.header.Get("Lynxramp-Request-Id")) == 0 {
+	results := l.finish()
+	for _, a := range results {
+		c.checkAtMostOnce(a)
+		if a.outcome() == "unknown" && c.dispatches(a.header.Get("Lynxramp-Request-Id")) == 0 {
 			continue
 		}
 		whole++
 		o.check(t, completions, a)
 	}
-	if whole < len(answers)/2 {
-		t.Errorf("%d of %d answers are whole", whole, len(answers))
+	if whole < len(results)/2 {
+		t.Errorf("%d of %d responses are complete", whole, len(results))
 	}
 }
 
-// TestKilledEngine kills an engine. Requests that could not reach it run on the
-// other one; none runs twice.
+// TestKilledEngine guards against repeated requests and against failures of requests
+// that could run on the other engine when one is killed.
 func TestKilledEngine(t *testing.T) {
-	c := newCluster(t, shape{boxes: 1, controls: 1, engines: []float64{2, 2}})
+	c := newCluster(t, topology{boxes: 1, controls: 1, engines: []float64{2, 2}})
 	l := c.startLoad(30, 10, 0)
-	l.more(20)
+	l.waitMore(20)
 	c.engines[0].kill()
-	l.more(100)
+	l.waitMore(100)
 	failed := 0
-	answers := l.end()
-	for _, a := range answers {
-		c.checkOnce(a)
+	results := l.finish()
+	for _, a := range results {
+		c.checkAtMostOnce(a)
 		if a.status != http.StatusOK || a.err != nil {
 			failed++
 		}
 	}
 	if failed > 30 {
-		t.Errorf("%d of %d calls failed", failed, len(answers))
+		t.Errorf("%d of %d calls failed", failed, len(results))
 	}
 }
 
-// TestNotRepeated sends each call that may not be repeated through both entries
-// at once and again after the owner was killed. It runs once and every caller
-// that gets an answer gets the same one.
-func TestNotRepeated(t *testing.T) {
-	c := newCluster(t, shape{boxes: 4, controls: 3, engines: []float64{4}, services: 2})
-	at := c.waitLeader()
-	other := (at + 1) % 3
+// TestNoRepeatRunsOnce guards against a second run of a call that may not be repeated.
+// It is sent through two entries at once and again after the owner is killed; every
+// successful response is the same.
+func TestNoRepeatRunsOnce(t *testing.T) {
+	c := newCluster(t, topology{boxes: 4, controls: 3, engines: []float64{4}, services: 2})
+	leader := c.waitLeader()
+	other := (leader + 1) % 3
 	var mu sync.Mutex
-	answers := make(map[int][]answer)
+	results := make(map[int][]result)
 	call := func(n, box int) {
 		h := header("Idempotency-Key", fmt.Sprint("tag-", n), "Lynxramp-No-Repeat", "1")
 		a := c.call(box, http.MethodPost, "/svc/card-api/tag", fmt.Sprint("tag dish ", n), h)
 		mu.Lock()
 		defer mu.Unlock()
-		answers[n] = append(answers[n], a)
+		results[n] = append(results[n], a)
 	}
 	var wait sync.WaitGroup
 	round := func(boxes ...int) {
@@ -183,13 +184,13 @@
 	}
 	round(3, other)
 	wait.Wait()
-	c.boxes[at].kill()
+	c.boxes[leader].kill()
 	round(3, other)
 	wait.Wait()
-	for n, list := range answers {
+	for n, list := range results {
 		runs, served := 0, 0
 		for _, a := range list {
-			runs += c.starts(a.header.Get("Lynxramp-Request-Id"))
+			runs += c.dispatches(a.header.Get("Lynxramp-Request-Id"))
 			if a.status == http.StatusOK {
 				served++
 				if want := fmt.Sprint("POST /tag\ntag dish ", n); string(a.body) != want {
@@ -202,14 +203,15 @@
 			}
 		}
 		if runs != 1 || served < 2 {
-			t.Errorf("call %d ran %d times and was answered %d times of %d", n, runs, served, len(list))
+			t.Errorf("call %d ran %d times, and %d of %d calls succeeded", n, runs, served, len(list))
 		}
 	}
 }
 
-// TestKeyReused sends other content under a key that was used.
-func TestKeyReused(t *testing.T) {
-	c := newCluster(t, shape{boxes: 1, controls: 1, engines: []float64{4}, services: 1})
+// TestIdempotencyKeyReused guards against running or replaying a request whose
+// idempotency key was used for another body.
+func TestIdempotencyKeyReused(t *testing.T) {
+	c := newCluster(t, topology{boxes: 1, controls: 1, engines: []float64{4}, services: 1})
 	h := header("Idempotency-Key", "one")
 	c.call(0, http.MethodPost, "/svc/card-api/a", "content", h)
 	a := c.call(0, http.MethodPost, "/svc/card-api/a", "other content", h)
@@ -218,60 +220,60 @@
 	}
 }
 
-// TestPlannedStops stops an entry, the owner, and a slot, one after the other,
-// with requests in flight. Nothing is cut.
-func TestPlannedStops(t *testing.T) {
-	c := newCluster(t, shape{boxes: 5, controls: 3, engines: []float64{2, 2}})
+// TestGracefulShutdown guards against failed requests when an entry, the owner and a
+// slot are stopped one after the other with requests in flight.
+func TestGracefulShutdown(t *testing.T) {
+	c := newCluster(t, topology{boxes: 5, controls: 3, engines: []float64{2, 2}})
 	o := c.newOracle()
-	at := c.waitLeader()
+	leader := c.waitLeader()
 	var entries []int
 	for i := range 4 {
-		if i != at {
+		if i != leader {
 			entries = append(entries, i)
 		}
 	}
 	l := c.startLoad(24, 20, entries...)
-	dying := c.startLoad(8, 20, 4)
-	l.more(24)
-	dying.more(8)
-	close(dying.stop) // its callers finish what they asked; the balancer sends no more
+	stopping := c.startLoad(8, 20, 4)
+	l.waitMore(24)
+	stopping.waitMore(8)
+	close(stopping.stop) // requests in flight finish; no new ones follow, as behind a load balancer
 	c.boxes[4].stop()
-	dying.wait.Wait()
-	l.more(24)
+	stopping.wait.Wait()
+	l.waitMore(24)
 	began := time.Now()
-	c.boxes[at].ended = true
-	c.boxes[at].signal(syscall.SIGTERM)
-	c.waitLeader(at)
-	t.Logf("a new owner %v after the order to stop", time.Since(began))
-	c.boxes[at].waitExit()
-	l.more(24)
+	c.boxes[leader].exitExpected = true
+	c.boxes[leader].signal(syscall.SIGTERM)
+	c.waitLeader(leader)
+	t.Logf("a new owner %v after SIGTERM", time.Since(began))
+	c.boxes[leader].waitExit()
+	l.waitMore(24)
 	c.slots[0].stop()
-	l.more(24)
-	for _, a := range append(l.end(), dying.answers...) {
+	l.waitMore(24)
+	for _, a := range append(l.finish(), stopping.results...) {
 		o.check(t, completions, a)
-		c.checkOnce(a)
+		c.checkAtMostOnce(a)
 	}
 }
 
-// TestKilledEntry kills an entry with requests in flight. Nothing of it stays
-// on the engines for long and the other entry serves on.
+// TestKilledEntry guards against requests of a killed entry that keep the engines
+// busy; the other entry must still serve.
 func TestKilledEntry(t *testing.T) {
-	c := newCluster(t, shape{boxes: 2, controls: 1, engines: []float64{1}})
+	c := newCluster(t, topology{boxes: 2, controls: 1, engines: []float64{1}})
 	o := c.newOracle()
-	doomed := c.startLoad(30, 2000, 1)
-	c.wait("the engine is full", func() bool {
+	killed := c.startLoad(30, 2000, 1)
+	c.waitFor("the engine is full", func() bool {
 		return len(c.show(0).Pools) == 2 && c.show(0).Pools[1].Running >= 16
 	})
 	c.boxes[1].kill()
-	doomed.end()
+	killed.finish()
 	a := c.call(0, http.MethodPost, completions, completion("after the loss", 5, true), nil)
 	o.check(t, completions, a)
 }
 
-// TestHangUp checks that a request whose caller went away leaves queue and
-// engine.
-func TestHangUp(t *testing.T) {
-	c := newCluster(t, shape{boxes: 1, controls: 1, engines: []float64{1}})
+// TestCallerDisconnects guards against requests that stay queued or running after
+// their callers disconnected.
+func TestCallerDisconnects(t *testing.T) {
+	c := newCluster(t, topology{boxes: 1, controls: 1, engines: []float64{1}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
 	for i := range 40 {
@@ -287,20 +289,20 @@
 		}
 		return 0, 0
 	}
-	c.wait("requests run and wait", func() bool { w, r := busy(); return w == 24 && r == 16 })
+	c.waitFor("requests run and wait", func() bool { w, r := busy(); return w == 24 && r == 16 })
 	cancel()
 	wait.Wait()
-	c.wait("nothing runs or waits", func() bool { w, r := busy(); return w == 0 && r == 0 })
+	c.waitFor("nothing runs or waits", func() bool { w, r := busy(); return w == 0 && r == 0 })
 }
 
-// TestShedAtOnce fills a small queue. What is given up is answered at once with
-// when to come back, and no gold request while a bronze one waits.
-func TestShedAtOnce(t *testing.T) {
-	c := newCluster(t, shape{boxes: 2, controls: 1, engines: []float64{1}, catalog: func(k *catalog.Catalog) {
+// TestShedRequestsFailFast guards against shed requests that get no immediate response
+// with Retry-After, and against shedding gold requests while bronze ones wait.
+func TestShedRequestsFailFast(t *testing.T) {
+	c := newCluster(t, topology{boxes: 2, controls: 1, engines: []float64{1}, catalog: func(k *catalog.Catalog) {
 		k.Pools[0].MaxWaiting = 20
 	}})
 	type outcome struct {
-		answer
+		result
 		tier  string
 		began time.Time
 	}
@@ -312,16 +314,16 @@
 		a := c.call(i%2, http.MethodPost, completions, completion(fmt.Sprint(team, i), 30, true), header("Authorization", "Bearer "+team))
 		mu.Lock()
 		defer mu.Unlock()
-		all = append(all, outcome{answer: a, tier: team, began: began})
+		all = append(all, outcome{result: a, tier: team, began: began})
 	}
-	c.wait("the settling time is over", func() bool {
+	c.waitFor("the settling time to pass", func() bool {
 		return c.call(0, http.MethodPost, completions, completion("x", 1, false), nil).status == http.StatusOK &&
 			time.Since(c.started) > 3*time.Second
 	})
 	for i := range 60 {
 		wait.Go(func() { call(i, "bronze-team") })
 	}
-	c.wait("bronze requests were shed", func() bool { mu.Lock(); defer mu.Unlock(); return len(all) >= 20 })
+	c.waitFor("bronze requests were shed", func() bool { mu.Lock(); defer mu.Unlock(); return len(all) >= 20 })
 	for i := range 20 {
 		wait.Go(func() { call(i, "gold-team") })
 	}
@@ -338,16 +340,17 @@
 		default:
 			t.Errorf("%s: status %d, %v: %s", o.tier, o.status, o.err, o.body)
 		}
-		c.checkOnce(o.answer)
+		c.checkAtMostOnce(o.result)
 	}
 	if shed < 20 {
 		t.Errorf("%d requests were shed", shed)
 	}
 }
 
-// TestKeysAreNeeded calls the inner paths without a key.
-func TestKeysAreNeeded(t *testing.T) {
-	c := newCluster(t, shape{boxes: 1, controls: 1, engines: []float64{4}})
+// TestInternalPathsRequireKey guards against internal paths that can be called without
+// a key.
+func TestInternalPathsRequireKey(t *testing.T) {
+	c := newCluster(t, topology{boxes: 1, controls: 1, engines: []float64{4}})
 	for _, url := range []string{
 		"http://" + c.box(0) + "/twirp/lynxramp.Scheduler/Report",
 		"http://" + c.box(0) + "/twirp/lynxramp.Control/Deliver",
