--- a/bench/path.go
+++ b/bench/path.go
@@ -24,17 +24,17 @@
 )
 
 // histogram is a histogram of durations.
-type histogram struct{ h *hdrhistogram.Histogram }
+type histogram struct{ hdr *hdrhistogram.Histogram }
 
-func newHistogram() histogram { return histogram{h: hdrhistogram.New(minTime, maxTime, digits)} }
+func newHistogram() histogram { return histogram{hdr: hdrhistogram.New(minTime, maxTime, digits)} }
 
 // add records d, clamped to the histogram's range.
 func (h histogram) add(d time.Duration) {
-	_ = h.h.RecordValue(min(max(int64(d), minTime), maxTime)) // the value is within the range
+	_ = h.hdr.RecordValue(min(max(int64(d), minTime), maxTime)) // the value is within the range
 }
 
 func (h histogram) at(percent float64) time.Duration {
-	return time.Duration(h.h.ValueAtQuantile(percent))
+	return time.Duration(h.hdr.ValueAtQuantile(percent))
 }
 
 // Overhead measures the latency that lynxramp adds to streamed calls. Direct calls and
@@ -104,9 +104,9 @@
 	var done, failed atomic.Int64
 	var mu sync.Mutex
 	latencies := newHistogram()
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range t.Callers {
-		wait.Go(func() {
+		wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				q := engine.CompletionRequest{Prompt: fmt.Sprintf("caller %d call %d", i, n), MaxTokens: t.Tokens}
 				first, _, err := stream(ctx, c, t.Target, q)
@@ -122,7 +122,7 @@
 			}
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 	took := time.Since(began)
 	after, err := usage(t.PID)
 	if err != nil {
@@ -155,10 +155,10 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	c := newClient()
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	var endedEarly atomic.Int64
 	for i := range m.Calls {
-		wait.Go(func() {
+		wg.Go(func() {
 			q := engine.CompletionRequest{Prompt: fmt.Sprintf("call %d", i), MaxTokens: m.Tokens}
 			if _, _, err := stream(ctx, c, m.Target, q); err != nil && ctx.Err() == nil {
 				endedEarly.Add(1)
@@ -171,7 +171,7 @@
 	time.Sleep(m.Settle)
 	after, err := usage(m.PID)
 	cancel()
-	wait.Wait()
+	wg.Wait()
 	if err != nil {
 		return err
 	}
--- a/cmd/lynxramp/operate.go
+++ b/cmd/lynxramp/operate.go
@@ -32,7 +32,7 @@
 	KeyFile string   `required:"" type:"existingfile" help:"File with the operators' key."`
 }
 
-// callLeader calls the control boxes in turn until the leader has answered. If
+// callLeader calls the control boxes in turn until the leader responds. If
 // none is the leader, it returns the error of the last call.
 func (r remote) callLeader(ctx context.Context, call func(ctx context.Context, o rpc.Operator) (leads bool, err error)) error {
 	key, err := settings.ReadKey(r.KeyFile)
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -22,8 +22,8 @@
 	// shutdownDelay is how long an entry keeps serving after its readiness check
 	// starts to fail, as load balancers still send callers to it.
 	shutdownDelay = 2500 * time.Millisecond
-	// streamMargin is the part of the stop timeout that is reserved for closing
-	// streams; shutdownTimeout bounds the wait for the other requests after it.
+	// streamMargin is how long before the stop timeout an entry stops waiting for open
+	// streams; shutdownTimeout bounds the wait for the other requests after that.
 	streamMargin    = 1000 * time.Millisecond
 	shutdownTimeout = 600 * time.Millisecond
 	drainPoll       = 50 * time.Millisecond
@@ -91,7 +91,7 @@
 
 // drainEntry shuts an entry down gracefully. The readiness check fails at once, while
 // requests are still accepted. Then new streams are refused, and when the open ones
-// have ended, or shortly before the timeout, the server shuts down.
+// have ended, or streamMargin before the timeout, the server shuts down.
 func drainEntry(g *gateway.Gateway, callers *http.Server, timeout time.Duration, log *zap.Logger) error {
 	began := time.Now()
 	all, streams := g.Held()
--- a/internal/progress/reader_test.go
+++ b/internal/progress/reader_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// TestReaderTimesOutOnStall: a slow body is read whole, a stalled one wantErr after the idle
-// timeout, and a slow one wantErr after its deadline.
+// TestReaderTimesOutOnStall: a slow body is read whole, a stalled one fails after the idle
+// timeout, and a slow one fails after its deadline.
 func TestReaderTimesOutOnStall(t *testing.T) {
 	const idleTimeout, gap, pieces = 400 * time.Millisecond, 40 * time.Millisecond, 25
 	for name, c := range map[string]struct {
@@ -52,7 +52,7 @@
 			_, _ = fmt.Fprintf(conn, "PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", pieces)
 			for range c.sent {
 				time.Sleep(gap)
-				_, _ = conn.Write([]byte("x")) // wantErr once the server has closed the connection
+				_, _ = conn.Write([]byte("x")) // fails once the server has closed the connection
 			}
 			if r := <-got; (r.err != nil) != c.wantErr || (!c.wantErr && r.n != pieces) {
 				t.Errorf("read %d bytes, %v", r.n, r.err)
--- a/proc/failure_test.go
+++ b/proc/failure_test.go
@@ -136,10 +136,10 @@
 	o := c.newOracle()
 	l := c.startLoad(20, 8, 3)
 	version := c.show(c.waitLeader()).Version
-	for n, way := range []struct{ from, to bool }{{true, true}, {true, false}} {
+	for n, direction := range []struct{ from, to bool }{{true, true}, {true, false}} {
 		leader := c.waitLeader()
 		l.waitMore(20)
-		c.partition(leader, way.from, way.to)
+		c.partition(leader, direction.from, direction.to)
 		next := c.waitLeader(leader)
 		if r := c.apply(fmt.Sprint("cut-", n), version, teamChange(n)); r.Version != version+1 {
 			t.Fatalf("command while the owner is partitioned: %v", r)
@@ -219,7 +219,7 @@
 	c.waitFor("the third logs that it has no quorum", func() bool {
 		return strings.Contains(tail(c.boxes[2].log), "no quorum")
 	})
-	if leader := c.leader(); leader >= 0 {
+	if leader := c.findLeader(); leader >= 0 {
 		t.Errorf("box %d leads after a majority of disks was lost", leader)
 	}
 	// Recovery: the third box becomes the only voter, and the others join it.
@@ -246,12 +246,12 @@
 func TestConcurrentCommands(t *testing.T) {
 	c := newCluster(t, topology{boxes: 3, controls: 3, engines: []float64{4}})
 	version := c.show(c.waitLeader()).Version
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	var mu sync.Mutex
 	won := make(map[string]bool)
 	conflicts := make(map[string]bool)
 	for n := range 12 {
-		wait.Go(func() {
+		wg.Go(func() {
 			id := fmt.Sprint("race-", n)
 			r := c.apply(id, version, teamChange(n))
 			again := c.apply(id, version, teamChange(n))
@@ -267,7 +267,7 @@
 			}
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 	if len(won) != 1 || len(conflicts) != 1 {
 		t.Fatalf("%d commands accepted, conflicts reported with %v", len(won), conflicts)
 	}
--- a/proc/measure_test.go
+++ b/proc/measure_test.go
@@ -143,12 +143,12 @@
 // BenchmarkFailover measures the time without an owner after the owner is killed,
 // paused or stopped.
 func BenchmarkFailover(b *testing.B) {
-	ways := []struct {
+	cases := []struct {
 		name   string
 		signal syscall.Signal
 	}{{"kill", syscall.SIGKILL}, {"freeze", syscall.SIGSTOP}, {"stop", syscall.SIGTERM}}
-	for _, way := range ways {
-		b.Run(way.name, func(b *testing.B) {
+	for _, tc := range cases {
+		b.Run(tc.name, func(b *testing.B) {
 			var times []time.Duration
 			for range 7 {
 				c := newCluster(b, topology{boxes: 3, controls: 3, engines: []float64{4}})
@@ -156,7 +156,7 @@
 				time.Sleep(time.Duration(len(times)) * 100 * time.Millisecond)
 				began := time.Now()
 				c.boxes[leader].exitExpected = true
-				c.boxes[leader].signal(way.signal)
+				c.boxes[leader].signal(tc.signal)
 				c.waitLeader(leader)
 				times = append(times, time.Since(began))
 				for _, list := range [][]*process{c.boxes, c.slots, c.engines} {
--- a/proc/operator_test.go
+++ b/proc/operator_test.go
@@ -25,9 +25,9 @@
 	return rpc.NewOperatorProtobufClient("http://"+c.box(box), operatorClient)
 }
 
-// leader returns the control box that owns the pools, or -1 for none. It skips the
+// findLeader returns the control box that owns the pools, or -1 for none. It skips the
 // given boxes.
-func (c *cluster) leader(except ...int) int {
+func (c *cluster) findLeader(except ...int) int {
 	for i := range c.topology.controls {
 		skip := false
 		for _, b := range except {
@@ -50,7 +50,7 @@
 func (c *cluster) waitLeader(except ...int) int {
 	c.t.Helper()
 	leader := -1
-	c.waitFor("a leader", func() bool { leader = c.leader(except...); return leader >= 0 })
+	c.waitFor("a leader", func() bool { leader = c.findLeader(except...); return leader >= 0 })
 	return leader
 }
 
--- a/proc/path_test.go
+++ b/proc/path_test.go
@@ -21,9 +21,9 @@
 func TestEndToEnd(t *testing.T) {
 	c := newCluster(t, topology{boxes: 2, controls: 1, engines: []float64{4, 1}, services: 1})
 	o := c.newOracle()
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range 60 {
-		wait.Go(func() {
+		wg.Go(func() {
 			box := i % 2
 			switch i % 3 {
 			case 0, 1:
@@ -44,7 +44,7 @@
 			}
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 }
 
 // TestLargeResponse guards against a truncated response that is larger than the
--- a/proc/request_test.go
+++ b/proc/request_test.go
@@ -63,18 +63,18 @@
 	l.waitMore(60)
 	c.slots[0].start()
 	l.waitMore(60)
-	whole := 0
+	complete := 0
 	for _, a := range l.finish() {
 		c.checkAtMostOnce(a)
 		switch {
 		case a.err == nil && a.status == http.StatusOK:
-			whole++
+			complete++
 			o.check(t, completions, a)
 		case a.err == nil && a.outcome() == "not-run" && c.dispatches(a.header.Get("Lynxramp-Request-Id")) > 0:
 			t.Errorf("outcome not-run, but the request ran: %s", a.body)
 		}
 	}
-	t.Logf("%d of %d responses are complete", whole, len(l.results))
+	t.Logf("%d of %d responses are complete", complete, len(l.results))
 }
 
 // TestUnknownOutcomeOfPlainCalls guards against a wrong outcome or a repeated call when
@@ -84,9 +84,9 @@
 	c := newCluster(t, topology{boxes: 1, controls: 1, engines: []float64{4}, services: 1, delay: 2 * time.Second})
 	var mu sync.Mutex
 	var results []result
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for n := range 10 {
-		wait.Go(func() {
+		wg.Go(func() {
 			a := c.call(0, http.MethodPost, "/svc/card-api/slow", fmt.Sprint(n), nil)
 			mu.Lock()
 			defer mu.Unlock()
@@ -99,7 +99,7 @@
 	})
 	c.slots[1].kill()
 	c.slots[1].start()
-	wait.Wait()
+	wg.Wait()
 	for _, a := range results {
 		n := c.dispatches(a.header.Get("Lynxramp-Request-Id"))
 		if a.outcome() != "unknown" || a.endpoint() != "card-1" || n != 1 {
@@ -122,18 +122,18 @@
 		c.slots[0].start()
 		l.waitMore(20)
 	}
-	whole := 0
+	complete := 0
 	results := l.finish()
 	for _, a := range results {
 		c.checkAtMostOnce(a)
 		if a.outcome() == "unknown" && c.dispatches(a.header.Get("Lynxramp-Request-Id")) == 0 {
 			continue
 		}
-		whole++
+		complete++
 		o.check(t, completions, a)
 	}
-	if whole < len(results)/2 {
-		t.Errorf("%d of %d responses are complete", whole, len(results))
+	if complete < len(results)/2 {
+		t.Errorf("%d of %d responses are complete", complete, len(results))
 	}
 }
 
@@ -174,19 +174,19 @@
 		defer mu.Unlock()
 		results[n] = append(results[n], a)
 	}
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	round := func(boxes ...int) {
 		for n := range 15 {
 			for _, box := range boxes {
-				wait.Go(func() { call(n, box) })
+				wg.Go(func() { call(n, box) })
 			}
 		}
 	}
 	round(3, other)
-	wait.Wait()
+	wg.Wait()
 	c.boxes[leader].kill()
 	round(3, other)
-	wait.Wait()
+	wg.Wait()
 	for n, list := range results {
 		runs, served := 0, 0
 		for _, a := range list {
@@ -275,9 +275,9 @@
 func TestCallerDisconnects(t *testing.T) {
 	c := newCluster(t, topology{boxes: 1, controls: 1, engines: []float64{1}})
 	ctx, cancel := context.WithCancel(context.Background())
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range 40 {
-		wait.Go(func() {
+		wg.Go(func() {
 			send(ctx, http.MethodPost, "http://"+c.caller(0)+completions, completion(fmt.Sprint(i), 5000, true), header("Lynxramp-Deadline-Ms", "600000"))
 		})
 	}
@@ -291,7 +291,7 @@
 	}
 	c.waitFor("requests run and wait", func() bool { w, r := busy(); return w == 24 && r == 16 })
 	cancel()
-	wait.Wait()
+	wg.Wait()
 	c.waitFor("nothing runs or waits", func() bool { w, r := busy(); return w == 0 && r == 0 })
 }
 
@@ -308,7 +308,7 @@
 	}
 	var mu sync.Mutex
 	var all []outcome
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	call := func(i int, team string) {
 		began := time.Now()
 		a := c.call(i%2, http.MethodPost, completions, completion(fmt.Sprint(team, i), 30, true), header("Authorization", "Bearer "+team))
@@ -321,13 +321,13 @@
 			time.Since(c.started) > 3*time.Second
 	})
 	for i := range 60 {
-		wait.Go(func() { call(i, "bronze-team") })
+		wg.Go(func() { call(i, "bronze-team") })
 	}
 	c.waitFor("bronze requests were shed", func() bool { mu.Lock(); defer mu.Unlock(); return len(all) >= 20 })
 	for i := range 20 {
-		wait.Go(func() { call(i, "gold-team") })
+		wg.Go(func() { call(i, "gold-team") })
 	}
-	wait.Wait()
+	wg.Wait()
 	shed := 0
 	for _, o := range all {
 		switch {
