--- a/proc/request_test.go
+++ b/proc/request_test.go
@@ -295,9 +295,9 @@
 	c.waitFor("nothing runs or waits", func() bool { w, r := busy(); return w == 0 && r == 0 })
 }
 
-// TestShedRequestsFailFast guards against shed requests that get no immediate response
-// with Retry-After, and against shedding gold requests while bronze ones wait.
-func TestShedRequestsFailFast(t *testing.T) {
+// TestShedRequestsGetRetryAfter guards against shed requests without Retry-After, and
+// against shedding gold requests while bronze ones wait.
+func TestShedRequestsGetRetryAfter(t *testing.T) {
 	c := newCluster(t, topology{boxes: 2, controls: 1, engines: []float64{1}, catalog: func(k *catalog.Catalog) {
 		k.Pools[0].MaxWaiting = 20
 	}})
