--- a/cmd/lynxramp/bench.go
+++ b/cmd/lynxramp/bench.go
@@ -11,16 +11,16 @@
 )
 
 type benchCommand struct {
-	Path    benchPath    `cmd:"" help:"Compare the latency of streamed calls through lynxramp with direct ones, alternating in one run."`
-	Rate    benchRate    `cmd:"" help:"Load a target with closed-loop callers and measure the throughput."`
-	Waiting benchWaiting `cmd:"" help:"Hold many calls open and measure the memory that each costs a process."`
+	Path    benchPath    `cmd:"" help:"Compare streamed calls through lynxramp with direct ones, in one run."`
+	Rate    benchRate    `cmd:"" help:"Load a target with callers that ask again at once."`
+	Waiting benchWaiting `cmd:"" help:"Hold many calls open and tell what each costs a process in memory."`
 }
 
 // target has the flags for the destination of requests.
 type target struct {
-	URL   string `default:"http://127.0.0.1:8080" help:"URL of lynxramp for callers."`
+	URL   string `default:"http://127.0.0.1:8080" help:"Where lynxramp takes requests."`
 	Key   string `default:"dev-key" help:"Key of a team."`
-	Model string `default:"lynx-chef" help:"Model of the requests."`
+	Model string `default:"lynx-chef" help:"Model to ask for."`
 }
 
 func (t target) target() bench.Target {
@@ -31,7 +31,7 @@
 	target
 	Direct string `required:"" help:"URL of the engine itself."`
 	Calls  int    `default:"200" help:"Calls of each kind."`
-	Tokens int    `default:"20" help:"Tokens of each response."`
+	Tokens int    `default:"20" help:"Tokens of each answer."`
 }
 
 func (c *benchPath) Run(ctx context.Context) error {
@@ -41,10 +41,10 @@
 
 type benchRate struct {
 	target
-	Callers int           `default:"64" help:"Concurrent callers."`
-	Tokens  int           `default:"1" help:"Tokens of each response."`
-	For     time.Duration `default:"5s" help:"Duration of the load."`
-	PID     int           `help:"Process whose CPU time and memory are measured."`
+	Callers int           `default:"64" help:"Callers at once."`
+	Tokens  int           `default:"1" help:"Tokens of each answer."`
+	For     time.Duration `default:"5s" help:"How long."`
+	PID     int           `help:"Process whose use is measured."`
 }
 
 func (c *benchRate) Run(ctx context.Context) error {
@@ -53,10 +53,10 @@
 
 type benchWaiting struct {
 	target
-	Calls  int           `default:"10000" help:"Concurrent calls."`
-	Tokens int           `default:"100000" help:"Tokens that each call requests."`
+	Calls  int           `default:"10000" help:"Calls at once."`
+	Tokens int           `default:"100000" help:"Tokens that each asks for."`
 	PID    int           `required:"" help:"Process whose memory is measured."`
-	Settle time.Duration `default:"3s" help:"How long the calls are open before the measurement."`
+	Settle time.Duration `default:"3s" help:"How long the calls stand first."`
 }
 
 func (c *benchWaiting) Run(ctx context.Context) error {
--- a/cmd/lynxramp/do.go
+++ b/cmd/lynxramp/do.go
@@ -22,7 +22,7 @@
 type doCommand struct {
 	remote
 	JSON bool     `help:"Print results as JSON lines."`
-	Line []string `arg:"" optional:"" help:"A query or command; without one, lines are read from standard input."`
+	Line []string `arg:"" optional:"" help:"A question or command; without one, lines are read from standard input."`
 }
 
 // Help implements kong.HelpProvider.
--- a/cmd/lynxramp/explain.go
+++ b/cmd/lynxramp/explain.go
@@ -11,7 +11,7 @@
 )
 
 type explainCommand struct {
-	ID    string   `arg:"" help:"Id of the request: the caller's or the one that lynxramp assigned."`
+	ID    string   `arg:"" help:"The caller's id of the request, or ours."`
 	Files []string `arg:"" type:"existingfile" help:"Log files of all processes."`
 }
 
--- a/cmd/lynxramp/levels.go
+++ b/cmd/lynxramp/levels.go
@@ -23,8 +23,8 @@
 const metricsTimeout = 3 * time.Second
 
 type levelsCommand struct {
-	Boxes []string `arg:"" help:"Operators' addresses of control boxes (IP:port); the owner reports the levels of all boxes."`
-	Path  string   `default:"/metrics" help:"Path of the boxes' metrics."`
+	Boxes []string `arg:"" help:"Operators' addresses of control boxes (IP:port); the owner among them knows of all."`
+	Path  string   `default:"/metrics" help:"Where boxes tell their figures."`
 }
 
 func (c *levelsCommand) Run(ctx context.Context) error {
--- a/cmd/lynxramp/main.go
+++ b/cmd/lynxramp/main.go
@@ -26,20 +26,20 @@
 )
 
 type commands struct {
-	Check   checkCommand   `cmd:"" help:"Check settings and catalog files; all problems are printed, each with its position."`
-	Dev     devCommand     `cmd:"" help:"Run a small deployment in this process, with fake engines."`
-	Key     keyCommand     `cmd:"" help:"Generate a key for a team, or print the hash of a given one."`
-	Bench   benchCommand   `cmd:"" help:"Measure a running deployment from the outside."`
-	Do      doCommand      `cmd:"" help:"Run a query or command in the operators' language."`
-	Show    showCommand    `cmd:"" help:"Show the owner, the waiting and running requests, and the catalog version of each box."`
+	Check   checkCommand   `cmd:"" help:"Check settings and catalog files; all findings are printed, each with its place."`
+	Dev     devCommand     `cmd:"" help:"Run a whole small deployment in this process, with stand-in engines."`
+	Key     keyCommand     `cmd:"" help:"Make a key for a team, or print the hash of one that is typed in."`
+	Bench   benchCommand   `cmd:"" help:"Measure a running deployment as its callers see it."`
+	Do      doCommand      `cmd:"" help:"Ask or command in the operators' language."`
+	Show    showCommand    `cmd:"" help:"Show who decides, what waits and runs, and which boxes have the catalog in force."`
 	Apply   applyCommand   `cmd:"" help:"Change the catalog."`
 	Recover recoverCommand `cmd:"" help:"Make a box the only voter, after most disks of the control group were lost for good."`
-	Trace   traceCommand   `cmd:"" help:"Generate a trace of a user workload."`
-	Replay  replayCommand  `cmd:"" help:"Replay traces and check their objectives."`
-	Levels  levelsCommand  `cmd:"" help:"Show the build and the format level of each box of a fleet, and what blocks the next level."`
-	Explain explainCommand `cmd:"" help:"Show the log lines of a request and why it ended as it did."`
-	Engine  engineCommand  `cmd:"" help:"Run a fake model engine."`
-	Service serviceCommand `cmd:"" help:"Run a fake plain service."`
+	Trace   traceCommand   `cmd:"" help:"Make a trace of a users workload."`
+	Replay  replayCommand  `cmd:"" help:"Replay traces and compare with their stated outcomes."`
+	Levels  levelsCommand  `cmd:"" help:"Show the build and the level of each box of a fleet, and what holds the next level back."`
+	Explain explainCommand `cmd:"" help:"Walk log files from a request to its cause."`
+	Engine  engineCommand  `cmd:"" help:"Run a stand-in of a model engine."`
+	Service serviceCommand `cmd:"" help:"Run a stand-in of a plain service."`
 }
 
 func main() {
@@ -89,7 +89,7 @@
 }
 
 type keyCommand struct {
-	Key string `arg:"" optional:"" help:"The key to hash; without it a new one is generated."`
+	Key string `arg:"" optional:"" help:"The key to hash; a new one is made without it."`
 }
 
 func (c *keyCommand) Run() error {
@@ -104,8 +104,8 @@
 
 type engineCommand struct {
 	Listen string  `required:"" help:"Address (IP:port)."`
-	Speed  float64 `default:"1" help:"Speed relative to the reference engine."`
-	Batch  int     `default:"16" help:"Concurrent sequences."`
+	Speed  float64 `default:"1" help:"Relative to the reference engine."`
+	Batch  int     `default:"16" help:"Sequences at once."`
 }
 
 func (c *engineCommand) Run(ctx context.Context) error {
--- a/cmd/lynxramp/operate.go
+++ b/cmd/lynxramp/operate.go
@@ -28,8 +28,8 @@
 
 // remote has the flags for calling the control boxes.
 type remote struct {
-	Control []string `required:"" help:"Addresses of the control boxes (IP:port), separated by commas."`
-	KeyFile string   `required:"" type:"existingfile" help:"File with the operators' key."`
+	Control []string `required:"" help:"Addresses of the control boxes (IP:port), with commas."`
+	KeyFile string   `required:"" type:"existingfile" help:"File of the operators' key."`
 }
 
 // callLeader calls the control boxes in turn until the leader responds. If
@@ -58,7 +58,7 @@
 
 type showCommand struct {
 	remote
-	Catalog bool `help:"Print the catalog as JSON instead, in the form that 'apply' takes."`
+	Catalog bool `help:"Print the catalog as JSON instead, as 'apply' takes it."`
 }
 
 func (c *showCommand) Run(ctx context.Context) error {
@@ -94,9 +94,9 @@
 
 type applyCommand struct {
 	remote
-	File   string `arg:"" type:"existingfile" help:"File with a JSON list of changes, like [{\"tier\":{\"name\":\"gold\",\"rank\":3}}]."`
-	Expect uint64 `required:"" help:"Catalog version that the changes are based on."`
-	ID     string `help:"Id of the command; to retry a command, give the id that was printed."`
+	File   string `arg:"" type:"existingfile" help:"JSON list of changes, like [{\"tier\":{\"name\":\"gold\",\"rank\":3}}]."`
+	Expect uint64 `required:"" help:"Version of the catalog that the changes are meant for."`
+	ID     string `help:"Id of the command; give the one that was printed to send it again."`
 }
 
 func (c *applyCommand) Run(ctx context.Context) error {
@@ -153,8 +153,8 @@
 }
 
 type recoverCommand struct {
-	Settings string `arg:"" type:"existingfile" help:"Settings file of the box whose disk survived."`
-	Yes      bool   `required:"" help:"Confirm that most disks of the group are lost for good, and that none of its boxes is running."`
+	Settings string `arg:"" type:"existingfile" help:"Settings file of the box whose disk is left."`
+	Yes      bool   `required:"" help:"Confirm that most disks of the group are lost for good, and that no box of it runs."`
 }
 
 func (c *recoverCommand) Run() error {
--- a/cmd/lynxramp/replay.go
+++ b/cmd/lynxramp/replay.go
@@ -17,7 +17,7 @@
 	Deployment string `arg:"" help:"casablanca or tbilisi."`
 	Scenario   string `arg:"" help:"steady, burst, slowdown, leaving, new-owner or mix."`
 	File       string `arg:"" help:"File to write (.jsonl or .jsonl.gz)."`
-	Seed       uint64 `default:"1" help:"Random seed; the same seed gives the same trace."`
+	Seed       uint64 `default:"1" help:"Seed; the same gives the same trace."`
 }
 
 func (c *traceCommand) Run() error {
@@ -30,7 +30,7 @@
 
 type replayCommand struct {
 	Files []string `arg:"" help:"Trace files."`
-	All   bool     `help:"Also run the baseline policies."`
+	All   bool     `help:"Compare with the baselines."`
 }
 
 func (c *replayCommand) Run() error {
