--- a/cmd/lynxramp/bench.go
+++ b/cmd/lynxramp/bench.go
@@ -16,7 +16,7 @@
 	Waiting benchWaiting `cmd:"" help:"Hold many calls open and tell what each costs a process in memory."`
 }
 
-// target has the flags that say where requests go.
+// target has the flags for the destination of requests.
 type target struct {
 	URL   string `default:"http://127.0.0.1:8080" help:"Where lynxramp takes requests."`
 	Key   string `default:"dev-key" help:"Key of a team."`
@@ -34,10 +34,9 @@
 	Tokens int    `default:"20" help:"Tokens of each answer."`
 }
 
-// Run implements the command.
 func (c *benchPath) Run(ctx context.Context) error {
 	direct := bench.Target{URL: c.Direct, Model: c.Model}
-	return bench.Path{Direct: direct, Through: c.target.target(), Calls: c.Calls, Tokens: c.Tokens}.Run(ctx, os.Stdout)
+	return bench.Overhead{Direct: direct, Through: c.target.target(), Calls: c.Calls, Tokens: c.Tokens}.Run(ctx, os.Stdout)
 }
 
 type benchRate struct {
@@ -48,9 +47,8 @@
 	PID     int           `help:"Process whose use is measured."`
 }
 
-// Run implements the command.
 func (c *benchRate) Run(ctx context.Context) error {
-	return bench.Rate{To: c.target.target(), Callers: c.Callers, Tokens: c.Tokens, For: c.For, PID: c.PID}.Run(ctx, os.Stdout)
+	return bench.Throughput{Target: c.target.target(), Callers: c.Callers, Tokens: c.Tokens, Duration: c.For, PID: c.PID}.Run(ctx, os.Stdout)
 }
 
 type benchWaiting struct {
@@ -61,7 +59,6 @@
 	Settle time.Duration `default:"3s" help:"How long the calls stand first."`
 }
 
-// Run implements the command.
 func (c *benchWaiting) Run(ctx context.Context) error {
-	return bench.Waiting{To: c.target.target(), Calls: c.Calls, Tokens: c.Tokens, PID: c.PID, Settle: c.Settle}.Run(ctx, os.Stdout)
+	return bench.CallMemory{Target: c.target.target(), Calls: c.Calls, Tokens: c.Tokens, PID: c.PID, Settle: c.Settle}.Run(ctx, os.Stdout)
 }
--- a/cmd/lynxramp/main.go
+++ b/cmd/lynxramp/main.go
@@ -58,7 +58,6 @@
 	Files []string `arg:"" help:"Files of any kind: box, slot, fleet or catalog."`
 }
 
-// Run implements the command.
 func (c *checkCommand) Run() error {
 	failed := 0
 	for _, file := range c.Files {
@@ -68,10 +67,10 @@
 			fmt.Println(err)
 			continue
 		}
-		fmt.Printf("%s: sound (%s)\n", file, kind)
+		fmt.Printf("%s: valid (%s)\n", file, kind)
 	}
 	if failed > 0 {
-		return errors.Errorf("%d of %d files are not sound", failed, len(c.Files))
+		return errors.Errorf("%d of %d files are invalid", failed, len(c.Files))
 	}
 	return nil
 }
@@ -81,7 +80,6 @@
 	Log    string `default:"warn" enum:"debug,info,warn,error" help:"Level of the log on standard error."`
 }
 
-// Run implements the command.
 func (c *devCommand) Run(ctx context.Context) error {
 	log, err := logx.New(os.Stderr, c.Log)
 	if err != nil {
@@ -94,7 +92,6 @@
 	Key string `arg:"" optional:"" help:"The key to hash; a new one is made without it."`
 }
 
-// Run implements the command.
 func (c *keyCommand) Run() error {
 	key := c.Key
 	if key == "" {
@@ -111,7 +108,6 @@
 	Batch  int     `default:"16" help:"Sequences at once."`
 }
 
-// Run implements the command.
 func (c *engineCommand) Run(ctx context.Context) error {
 	p := fake.DefaultProfile().Scaled(c.Speed)
 	p.MaxBatch = c.Batch
@@ -125,12 +121,11 @@
 	Delay  time.Duration `help:"How long each call takes."`
 }
 
-// Run implements the command.
 func (c *serviceCommand) Run(ctx context.Context) error {
 	return serve(ctx, c.Listen, (&fake.Service{Delay: c.Delay}).Handler())
 }
 
-// serve answers HTTP calls until ctx ends.
+// serve serves HTTP requests until ctx ends.
 func serve(ctx context.Context, address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
