--- a/box/control.go
+++ b/box/control.go
@@ -58,7 +58,7 @@
 	if !s.Has(settings.RoleControl) {
 		return nil, nil
 	}
-	disk, identity, restored, err := store.Open(s.Data, s.ID, event.Incarnation(random.Number()))
+	disk, identity, restored, err := store.Open(s.Data, s.ID, event.Incarnation(random.Uint64()))
 	if err != nil {
 		return nil, err
 	}
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -30,7 +30,7 @@
 )
 
 func runEntry(ctx context.Context, file string, f settings.Fleet, d Dialect, log *zap.Logger) error {
-	instance := random.Number()
+	instance := random.Uint64()
 	run, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	agent := gateway.NewAgent(gateway.ClientConfig{
@@ -43,7 +43,7 @@
 		Log:              log,
 	})
 	g := gateway.New(gateway.Config{
-		Agent: agent, Headers: d.Names, ParseFeedback: d.Word, Log: log, Entry: f.ID, DataCentre: f.DataCentre, Instance: instance,
+		Agent: agent, Headers: d.Headers, ParseFeedback: d.ParseFeedback, Log: log, Entry: f.ID, DataCentre: f.DataCentre, Instance: instance,
 		MaxHeldBytes: int64(float64(f.Resources.MemoryMB<<20) * heldBytesFraction), Descriptors: f.Resources.Descriptors,
 	})
 	go agent.Run(run)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -51,14 +51,14 @@
 // Dialect is the HTTP interface of a deployment: header names, paths and the
 // formats of its configuration and responses.
 type Dialect struct {
-	Names gateway.HeaderNames
+	Headers gateway.HeaderNames
 	// Decode parses a configuration; its error lists all problems.
 	Decode func([]byte) (*routing.Table, error)
 	// ParseFeedback parses the feedback of an endpoint in response headers; its error names the
 	// malformed headers.
-	Word func(status int, h http.Header) (backpressure.Feedback, error)
+	ParseFeedback func(status int, h http.Header) (backpressure.Feedback, error)
 	// OperatorHandler returns a control box's handler for operators and endpoints.
-	Operators func(*cluster.Server) http.Handler
+	OperatorHandler func(*cluster.Server) http.Handler
 	// ReadyPath is the path of an entry's readiness check.
 	ReadyPath string
 	// MetricsPath is the path of the metrics in Prometheus format.
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	handler := withMetrics(d.Operators(server), d)
+	handler := withMetrics(d.OperatorHandler(server), d)
 	operators, err := serve(f.Listen.Operators, newServer(handler, idleTimeout))
 	if err != nil {
 		return err
--- a/internal/logx/budget.go
+++ b/internal/logx/budget.go
@@ -9,7 +9,7 @@
 
 // RateLimiter is a token bucket that bounds the log lines of one kind. It is safe
 // for concurrent use.
-type Budget struct {
+type RateLimiter struct {
 	mu       sync.Mutex
 	rate     float64 // lines per second
 	burst    float64
@@ -20,13 +20,13 @@
 
 // NewRateLimiter returns a limiter of rate lines per second with a burst of one
 // second's lines.
-func NewBudget(rate float64) *Budget {
-	return &Budget{rate: rate, burst: rate, tokens: rate}
+func NewRateLimiter(rate float64) *RateLimiter {
+	return &RateLimiter{rate: rate, burst: rate, tokens: rate}
 }
 
 // Allow reports whether n lines may be written now; if not, all of them are
 // counted as dropped.
-func (b *Budget) Allow(now time.Time, n int) bool {
+func (b *RateLimiter) Allow(now time.Time, n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.refilled.IsZero() {
@@ -42,7 +42,7 @@
 }
 
 // TakeDropped returns how many lines were dropped since the last call.
-func (b *Budget) TakeLeftOut() uint64 {
+func (b *RateLimiter) TakeDropped() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := b.dropped
--- a/internal/progress/reader.go
+++ b/internal/progress/reader.go
@@ -13,17 +13,17 @@
 // Reader reads a request body. A Read fails if no byte arrives within IdleTimeout, or after
 // Deadline. It has no buffer of its own.
 type Reader struct {
-	Body    io.Reader
-	Control *http.ResponseController
-	Silence time.Duration
-	Until   time.Time // of the whole body; zero for none
+	Body        io.Reader
+	Control     *http.ResponseController
+	IdleTimeout time.Duration
+	Deadline    time.Time // of the whole body; zero for none
 }
 
 // Read implements io.Reader.
 func (r *Reader) Read(p []byte) (int, error) {
-	deadline := time.Now().Add(r.Silence)
-	if !r.Until.IsZero() && r.Until.Before(deadline) {
-		deadline = r.Until
+	deadline := time.Now().Add(r.IdleTimeout)
+	if !r.Deadline.IsZero() && r.Deadline.Before(deadline) {
+		deadline = r.Deadline
 	}
 	// A connection without support for deadlines is bounded only by its sender.
 	_ = r.Control.SetReadDeadline(deadline)
@@ -31,4 +31,4 @@
 }
 
 // ClearDeadline removes the read deadline, so that the connection can be reused.
-func (r *Reader) End() { _ = r.Control.SetReadDeadline(time.Time{}) }
+func (r *Reader) ClearDeadline() { _ = r.Control.SetReadDeadline(time.Time{}) }
--- a/internal/progress/reader_test.go
+++ b/internal/progress/reader_test.go
@@ -35,12 +35,12 @@
 			}
 			got := make(chan result, 1)
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				reader := Reader{Body: r.Body, Control: http.NewResponseController(w), Silence: idleTimeout}
+				reader := Reader{Body: r.Body, Control: http.NewResponseController(w), IdleTimeout: idleTimeout}
 				if c.limit > 0 {
-					reader.Until = time.Now().Add(c.limit)
+					reader.Deadline = time.Now().Add(c.limit)
 				}
 				data, err := io.ReadAll(&reader)
-				reader.End()
+				reader.ClearDeadline()
 				got <- result{len(data), err}
 			}))
 			defer s.Close()
--- a/internal/random/random.go
+++ b/internal/random/random.go
@@ -11,7 +11,7 @@
 
 // Uint64 returns a nonzero random number from crypto/rand; a collision is negligibly
 // unlikely.
-func Number() uint64 {
+func Uint64() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return binary.BigEndian.Uint64(b[:]) | 1
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -22,7 +22,7 @@
 }
 
 // Observe records that tokens arrived a span after the previous one of their stream.
-func (m *Meter) Add(now event.Time, tokens int, span event.Duration) {
+func (m *Meter) Observe(now event.Time, tokens int, span event.Duration) {
 	if tokens < 1 || span <= 0 {
 		return
 	}
@@ -36,7 +36,7 @@
 }
 
 // TokenGap returns the average time between tokens; 0 if there is no valid measurement.
-func (m *Meter) Gap(now event.Time) event.Duration {
+func (m *Meter) TokenGap(now event.Time) event.Duration {
 	if m.gap == 0 || now.Sub(m.last) > MaxAge {
 		return 0
 	}
