--- a/link/bounds_test.go
+++ b/link/bounds_test.go
@@ -17,71 +17,71 @@
 	"github.com/pkg/errors"
 )
 
-// parcel is a message that knows its size.
-type parcel struct{ Data []byte }
+// sizedMessage is a message that implements Sized.
+type sizedMessage struct{ Data []byte }
 
 // Size implements Sized.
-func (p *parcel) Size() int { return len(p.Data) }
+func (p *sizedMessage) Size() int { return len(p.Data) }
 
-// servePipe serves a connection whose peer is the pipe's other end.
-func servePipe[M any](t *testing.T, set func(*Conn[M])) (*Conn[M], net.Conn, chan error) {
+// servePipe serves a connection over a pipe and returns the peer's end of it.
+func servePipe[M any](t *testing.T, configure func(*Conn[M])) (*Conn[M], net.Conn, chan error) {
 	t.Helper()
-	near, far := net.Pipe()
-	c := newConn[M](near)
-	set(c)
+	local, remote := net.Pipe()
+	c := newConn[M](local)
+	configure(c)
 	ended := make(chan error, 1)
 	go func() { ended <- c.Serve(func(*M) {}) }()
 	t.Cleanup(func() {
 		c.Close()
-		_ = far.Close()
+		_ = remote.Close()
 	})
-	return c, far, ended
+	return c, remote, ended
 }
 
-// endsBy waits for a connection's end and compares its reason.
-func endsBy(t *testing.T, ended chan error, want error) {
+// expectEnd waits for a connection's end and compares its reason.
+func expectEnd(t *testing.T, ended chan error, want error) {
 	t.Helper()
 	select {
 	case err := <-ended:
 		if !errors.Is(err, want) {
-			t.Errorf("the connection ended by %q, want %q", err, want)
+			t.Errorf("the connection ended with %q, want %q", err, want)
 		}
-	case <-time.After(silence / 2): // sooner than by silence
-		t.Errorf("the connection does not end by %q", want)
+	case <-time.After(idleTimeout / 2): // before the idle timeout would apply
+		t.Errorf("the connection does not end with %q", want)
 	}
 }
 
-// TestQueueIsBoundedByBytes: 4096 messages might wait for a peer, of 3 MB each: more than
-// the memory of the box. A peer that takes nothing loses the connection by bytes as well.
-func TestQueueIsBoundedByBytes(t *testing.T) {
+// TestSlowPeerExceedsQueueBytes guards against a queue that is bounded only by the number of
+// messages: large messages for a peer that reads nothing would exhaust memory.
+func TestSlowPeerExceedsQueueBytes(t *testing.T) {
 	const size, most = 1 << 20, 16 << 20
-	c, _, ended := servePipe(t, func(c *Conn[parcel]) { c.maxWaiting = most })
+	c, _, ended := servePipe(t, func(c *Conn[sizedMessage]) { c.maxQueued = most })
 	data := make([]byte, size)
 	sent := 0
 	for ; sent < 2*most/size; sent++ {
 		select {
 		case <-c.done:
 		default:
-			c.Send(&parcel{data})
+			c.Send(&sizedMessage{data})
 			continue
 		}
 		break
 	}
-	endsBy(t, ended, ErrBehind)
-	// One may be in the writer's hands, and one is taken when just as much waits as may.
+	expectEnd(t, ended, ErrBehind)
+	// The writer may hold one more, and one more is accepted when the queue is exactly at its bound.
 	if sent < most/size || sent > most/size+3 {
-		t.Errorf("the peer's connection ended with message %d, want about %d", sent, most/size)
+		t.Errorf("the connection ended at message %d, want about %d", sent, most/size)
 	}
 }
 
-// TestLongMessageWaitsAlone: a message of more bytes than may wait still leaves when nothing
-// waits before it.
-func TestLongMessageWaitsAlone(t *testing.T) {
-	c, far, ended := servePipe(t, func(c *Conn[parcel]) { c.maxWaiting = 1000 })
-	c.Send(&parcel{make([]byte, 50_000)})
-	f := new(frame[parcel])
-	if err := gob.NewDecoder(far).Decode(f); err != nil || len(f.Message.Data) != 50_000 {
-		t.Errorf("the message did not come: %v", err)
+// TestMessageLongerThanQueueBound guards against refusing a message that exceeds the queue's
+// bound on its own: it is sent if the queue is empty.
+func TestMessageLongerThanQueueBound(t *testing.T) {
+	c, remote, ended := servePipe(t, func(c *Conn[sizedMessage]) { c.maxQueued = 1000 })
+	c.Send(&sizedMessage{make([]byte, 50_000)})
+	f := new(frame[sizedMessage])
+	if err := gob.NewDecoder(remote).Decode(f); err != nil || len(f.Message.Data) != 50_000 {
+		t.Errorf("the message was not received: %v", err)
 	}
 	select {
 	case err := <-ended:
@@ -90,48 +90,49 @@
 	}
 }
 
-// TestTooLongMessageIsTold: whoever sends a message that can't arrive is told so, whether the
-// message knows its size or not, and whoever is sent one takes no memory for it.
-func TestTooLongMessageIsTold(t *testing.T) {
+// TestTooLongMessageClosesConnection guards against dropping a too long message silently, of
+// known or unknown size, and against allocating memory for an announced length.
+func TestTooLongMessageClosesConnection(t *testing.T) {
 	const most = 10_000
-	t.Run("by its own size", func(t *testing.T) {
-		c, _, ended := servePipe(t, func(c *Conn[parcel]) { c.maxMessage = most })
-		c.Send(&parcel{make([]byte, most+1)})
-		endsBy(t, ended, ErrTooLong)
+	t.Run("size known before encoding", func(t *testing.T) {
+		c, _, ended := servePipe(t, func(c *Conn[sizedMessage]) { c.maxMessage = most })
+		c.Send(&sizedMessage{make([]byte, most+1)})
+		expectEnd(t, ended, ErrTooLong)
 	})
-	t.Run("by the bytes that it makes", func(t *testing.T) {
-		c, far, ended := servePipe(t, func(c *Conn[note]) { c.maxMessage = most })
-		go takeAll(far)
+	t.Run("size known after encoding", func(t *testing.T) {
+		c, remote, ended := servePipe(t, func(c *Conn[note]) { c.maxMessage = most })
+		go discardAll(remote)
 		c.Send(&note{Text: string(make([]byte, most+1))})
-		endsBy(t, ended, ErrTooLong)
+		expectEnd(t, ended, ErrTooLong)
 	})
-	t.Run("by the peer's word", func(t *testing.T) {
+	t.Run("length announced by the peer", func(t *testing.T) {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		_, far, ended := servePipe(t, func(c *Conn[note]) { c.maxMessage = MaxMessage })
-		go takeAll(far)
+		_, remote, ended := servePipe(t, func(c *Conn[note]) { c.maxMessage = MaxMessage })
+		go discardAll(remote)
 		announced := []byte{0xfc, 0x7f, 0xff, 0xff, 0xff} // four bytes: 2 GB
-		if _, err := far.Write(announced); err != nil {
+		if _, err := remote.Write(announced); err != nil {
 			t.Fatal(err)
 		}
-		endsBy(t, ended, ErrTooLong)
+		expectEnd(t, ended, ErrTooLong)
 		runtime.ReadMemStats(&after)
-		if took := after.TotalAlloc - before.TotalAlloc; took > 4<<20 {
-			t.Errorf("a word of the peer made this side take %d bytes", took)
+		if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 4<<20 {
+			t.Errorf("an announced length allocated %d bytes", allocated)
 		}
 	})
-	t.Run("by a length of too many bytes", func(t *testing.T) {
-		_, far, ended := servePipe(t, func(*Conn[note]) {})
-		go takeAll(far)
-		if _, err := far.Write([]byte{0x80}); err != nil {
+	t.Run("length encoded in too many bytes", func(t *testing.T) {
+		_, remote, ended := servePipe(t, func(*Conn[note]) {})
+		go discardAll(remote)
+		if _, err := remote.Write([]byte{0x80}); err != nil {
 			t.Fatal(err)
 		}
-		endsBy(t, ended, ErrTooLong)
+		expectEnd(t, ended, ErrTooLong)
 	})
 }
 
-// TestFramesPassInAnyPieces: the reader follows the format however the bytes come.
-func TestFramesPassInAnyPieces(t *testing.T) {
+// TestFrameReaderWithPartialReads guards against a reader that loses its place when the bytes
+// arrive in small pieces.
+func TestFrameReaderWithPartialReads(t *testing.T) {
 	var wire bytes.Buffer
 	out := newEncoder(&wire, MaxMessage)
 	sizes := []int{0, 1, 100, 127, 128, 129, 255, 256, 70_000, 3, 300_000, 5}
@@ -157,11 +158,11 @@
 	}
 }
 
-// heldBy returns how many bytes of the heap are kept by what make returns.
-func heldBy(make func() any) int64 {
+// heapRetained returns how many bytes of the heap are retained by the result of make.
+func heapRetained(make func() any) int64 {
 	var before, after runtime.MemStats
 	runtime.GC()
-	runtime.GC() // twice: what a pool has is dropped by the second
+	runtime.GC() // twice: a sync.Pool is emptied by the second cycle
 	runtime.ReadMemStats(&before)
 	kept := make()
 	runtime.GC()
@@ -171,26 +172,26 @@
 	return int64(after.HeapAlloc) - int64(before.HeapAlloc)
 }
 
-// TestLongMessagesLeaveNoBuffers: an owner with 100 entries had sent each a document of 3 MB,
-// and gob's encoders kept buffers of over 300 MB until the connections' end.
-func TestLongMessagesLeaveNoBuffers(t *testing.T) {
+// TestEncoderReleasesLargeBuffers guards against encoders that keep a buffer as large as the
+// longest message for as long as the connection lasts.
+func TestEncoderReleasesLargeBuffers(t *testing.T) {
 	const entries, size = 100, 3 << 20
-	long, short := &parcel{make([]byte, size)}, &parcel{make([]byte, 10)}
-	held := heldBy(func() any {
+	long, short := &sizedMessage{make([]byte, size)}, &sizedMessage{make([]byte, 10)}
+	held := heapRetained(func() any {
 		all := make([]*encoder, entries)
 		for i := range all {
 			all[i] = newEncoder(io.Discard, MaxMessage)
-			for _, m := range []*parcel{short, long, short} {
-				if err := all[i].encode(frame[parcel]{m}); err != nil {
+			for _, m := range []*sizedMessage{short, long, short} {
+				if err := all[i].encode(frame[sizedMessage]{m}); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
 		return all
 	})
-	t.Logf("%d encoders keep %d bytes", entries, held)
-	if most := int64(entries * 2 * keptBuffer); held > most {
-		t.Errorf("%d encoders keep %d bytes at rest, want %d at most", entries, held, most)
+	t.Logf("%d encoders retain %d bytes", entries, held)
+	if most := int64(entries * 2 * maxKeptBuffer); held > most {
+		t.Errorf("%d idle encoders retain %d bytes, want %d at most", entries, held, most)
 	}
 	runtime.KeepAlive(long)
 }
--- a/link/conn.go
+++ b/link/conn.go
@@ -17,69 +17,70 @@
 
 // Bounds of a connection.
 const (
-	// queueDepth is how many messages may wait for the writer, and queueBytes how much
-	// may wait before another is taken.
-	queueDepth = 4096
-	queueBytes = MaxMessage
-	// silence is how long no byte may come from a peer, or be taken by it.
-	silence = 2500 * time.Millisecond
-	// keepalive is how long a writer says nothing; then it sends an empty message,
-	// which readers pass over.
-	keepalive   = 800 * time.Millisecond
-	dialTimeout = 400 * time.Millisecond
-	bufferBytes = 8 << 10
-	// userTimeout is TCP_USER_TIMEOUT, in milliseconds: unacknowledged bytes end
-	// the connection after it.
+	// maxQueuedMessages and maxQueuedBytes bound the queue of the writer.
+	maxQueuedMessages = 4096
+	maxQueuedBytes    = MaxMessage
+	// idleTimeout is how long a connection may go without a byte received from the peer,
+	// or without a byte of a pending write accepted by the system.
+	idleTimeout = 2500 * time.Millisecond
+	// keepaliveInterval is how long a writer stays idle before it sends an empty message,
+	// which readers skip.
+	keepaliveInterval = 800 * time.Millisecond
+	dialTimeout       = 400 * time.Millisecond
+	bufferBytes       = 8 << 10
+	// userTimeout is TCP_USER_TIMEOUT in milliseconds: the connection is closed when sent
+	// bytes stay unacknowledged for longer.
 	userTimeout = 2000
-	// tcpUserTimeout is the option's number in Linux.
+	// tcpUserTimeout is the number of the option TCP_USER_TIMEOUT in Linux.
 	tcpUserTimeout = 18
 )
 
-// MaxMessage is the most that one message may have, in bytes: a configuration of the size that
-// operators may send, 32 MB, with what else is in force. It is that of a store's record.
+// MaxMessage is the largest message, in bytes: a configuration of the largest size that
+// operators may send, 32 MB, along with the other state in force. It equals the limit on a
+// record of the store.
 const MaxMessage = 64 << 20
 
-// Probing finds connections that have fallen silent for good, without a reset, while nothing
-// that was sent on them awaits an acknowledgement: a peer that answers no probe for 3 s after
-// a second without a packet ends the connection. The system's own default is minutes, in
-// which a request on such a connection waits for an answer that can't come.
+// KeepAlive detects connections whose peer has become unreachable without a reset while no
+// sent data awaits an acknowledgement: after one second without a packet, a peer that
+// answers no probe for 3 s is disconnected. The system's default takes minutes or hours,
+// during which a request on such a connection waits for an answer that can't come.
 var Probing = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
 
-// ErrClosed says that a connection was closed on this side.
-var ErrClosed = errors.New("the link is closed")
+// ErrClosed is the reason of a connection that this side closed.
+var ErrClosed = errors.New("connection closed")
 
-// ErrBehind says that more waits for the peer than a connection holds.
-var ErrBehind = errors.New("the peer takes too little")
+// ErrSlowPeer is the reason of a connection whose send queue exceeded its bound.
+var ErrBehind = errors.New("send queue full: the peer reads too slowly")
 
-// Sized is a message that knows about how long it is, in bytes, when it is sent. It is asked
-// once a connection, so it must be cheap; parts of fixed size needn't be counted. Others
-// count as a hundred bytes, and only the number of those that wait is bounded.
+// Sized is a message that estimates its encoded length in bytes. Size is called once for
+// each connection that sends the message, so it must be cheap; parts of fixed size needn't
+// be counted. Other messages count as a hundred bytes, so only their number is bounded.
 type Sized interface{ Size() int }
 
-// unsized is what a message counts that isn't Sized, in bytes.
-const unsized = 100
+// defaultMessageSize is the assumed length, in bytes, of a message that isn't Sized.
+const defaultMessageSize = 100
 
 // Conn is a connection that carries messages of type M both ways.
 type Conn[M any] struct {
-	raw     net.Conn
-	flow    flow
-	queue   chan queued[M]
-	waiting atomic.Int64 // bytes in the queue
-	once    sync.Once
-	done    chan struct{}
-	reason  error // of the end, before done is closed
+	raw         net.Conn
+	stream      timeoutConn
+	queue       chan queued[M]
+	queuedBytes atomic.Int64 // bytes in queue
+	once        sync.Once
+	done        chan struct{}
+	reason      error // why the connection ended; set before done is closed
 
-	maxMessage, maxWaiting int64 // bytes
-	forms                  Forms[M]
+	maxMessage, maxQueued int64 // bytes
+	encodings             Forms[M]
 }
 
-// queued is a message that waits for the writer.
+// queued is a message in the send queue.
 type queued[M any] struct {
 	message *M
 	size    int64 // bytes
 }
 
-// frame is what goes over the wire: a message, or nothing.
+// frame is the unit on the wire: a message, or nil for a keep-alive.
 type frame[M any] struct{ Message *M }
 
 // Dial connects to an address (IP:port).
@@ -95,15 +96,15 @@
 func newConn[M any](raw net.Conn) *Conn[M] {
 	SetUserTimeout(raw, userTimeout)
 	return &Conn[M]{
-		raw: raw, flow: flow{raw: raw, patience: silence},
-		queue: make(chan queued[M], queueDepth), done: make(chan struct{}),
-		maxMessage: MaxMessage, maxWaiting: queueBytes,
-		forms: Forms[M]{}.orUsual(),
+		raw: raw, stream: timeoutConn{raw: raw, timeout: idleTimeout},
+		queue: make(chan queued[M], maxQueuedMessages), done: make(chan struct{}),
+		maxMessage: MaxMessage, maxQueued: maxQueuedBytes,
+		encodings: Forms[M]{}.withDefaults(),
 	}
 }
 
-// SetForms says how messages look on the connection. It must be called before Serve.
-func (c *Conn[M]) SetForms(f Forms[M]) { c.forms = f.orUsual() }
+// SetEncodings sets how messages are encoded on the connection. It must be called before Serve.
+func (c *Conn[M]) SetForms(f Forms[M]) { c.encodings = f.withDefaults() }
 
 // SetUserTimeout bounds how long, in milliseconds, sent bytes may stay
 // unacknowledged on a TCP connection. Other connections are left as they are.
@@ -116,7 +117,7 @@
 	if err != nil {
 		return
 	}
-	// A kernel without the option leaves the deadlines of reads and writes.
+	// Without the option, the deadlines of reads and writes still apply.
 	_ = control.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, milliseconds)
 	})
@@ -125,74 +126,75 @@
 // Remote returns the peer's address.
 func (c *Conn[M]) Remote() string { return c.raw.RemoteAddr().String() }
 
-// Received returns how many bytes have come on the connection. Any goroutine may call it,
-// also after the connection's end.
-func (c *Conn[M]) Received() int64 { return c.flow.received.Load() }
+// BytesReceived returns the number of bytes received on the connection. It is safe for
+// concurrent use, also after the connection has ended.
+func (c *Conn[M]) Received() int64 { return c.stream.received.Load() }
 
-// Sent returns how many bytes the system has taken from the connection's writer; the peer
-// need not have them. Any goroutine may call it, also after the connection's end.
-func (c *Conn[M]) Sent() int64 { return c.flow.sent.Load() }
+// BytesSent returns the number of bytes that the system has accepted from the connection's
+// writer; the peer may not have received them. It is safe for concurrent use, also after
+// the connection has ended.
+func (c *Conn[M]) BytesSent() int64 { return c.stream.sent.Load() }
 
-// Send queues a message. It never waits; a peer for which too much waits loses the
-// connection, as does one for which a message is too long: Serve returns ErrBehind or
-// ErrTooLong. The message must not be changed afterwards.
+// Send queues a message. It never blocks: if the queue is full or the message is too long,
+// the connection is closed and Serve returns ErrSlowPeer or ErrTooLong. The message must
+// not be changed afterwards.
 func (c *Conn[M]) Send(m *M) {
 	size := sizeOf(m)
 	if size > c.maxMessage {
-		c.end(errors.Wrapf(ErrTooLong, "%d bytes to send, %d taken", size, c.maxMessage))
+		c.closeWith(errors.Wrapf(ErrTooLong, "message of %d bytes, limit %d", size, c.maxMessage))
 		return
 	}
-	// What waits before it counts, not the message: a long one may leave when little waits.
-	if waits := c.waiting.Add(size) - size; waits > c.maxWaiting {
-		c.end(errors.Wrapf(ErrBehind, "%d bytes wait", waits))
+	// Only the bytes queued before the message count, so that a long one can be sent when few are.
+	if queuedBefore := c.queuedBytes.Add(size) - size; queuedBefore > c.maxQueued {
+		c.closeWith(errors.Wrapf(ErrBehind, "%d bytes queued", queuedBefore))
 		return
 	}
 	select {
 	case <-c.done:
 	case c.queue <- queued[M]{m, size}:
 	default:
-		c.end(errors.Wrapf(ErrBehind, "%d messages wait", queueDepth))
+		c.closeWith(errors.Wrapf(ErrBehind, "%d messages queued", maxQueuedMessages))
 	}
 }
 
-// sizeOf returns about how many bytes a message has.
+// sizeOf returns the approximate length of a message in bytes.
 func sizeOf[M any](m *M) int64 {
 	if s, ok := any(m).(Sized); ok {
 		return int64(s.Size())
 	}
-	return unsized
+	return defaultMessageSize
 }
 
-// Close ends the connection. It may be called more than once.
-func (c *Conn[M]) Close() { c.end(ErrClosed) }
+// Close closes the connection. It may be called more than once.
+func (c *Conn[M]) Close() { c.closeWith(ErrClosed) }
 
-// end ends the connection, once, for a reason.
-func (c *Conn[M]) end(reason error) {
+// closeWith closes the connection and records why; only the first call has an effect.
+func (c *Conn[M]) closeWith(reason error) {
 	c.once.Do(func() {
 		c.reason = reason
 		close(c.done)
-		_ = c.raw.Close() // nothing is left to be done about it
+		_ = c.raw.Close() // the connection is unusable either way
 	})
 }
 
-// Serve writes what is sent and calls receive for each message that comes, on
-// the calling goroutine, until the connection ends. It returns why: the first reason, of
-// this side's writer too.
+// Serve writes queued messages and calls receive for each incoming message, on the
+// calling goroutine, until the connection ends. It returns the first reason, of the
+// reader or the writer.
 func (c *Conn[M]) Serve(receive func(*M)) error {
 	go c.write()
-	c.end(c.read(receive))
+	c.closeWith(c.read(receive))
 	return errors.Wrap(c.reason, "link")
 }
 
-// read calls receive for what comes until the connection ends, and returns why.
+// read calls receive for each incoming message until the connection ends, and returns why.
 func (c *Conn[M]) read(receive func(*M)) error {
-	raw := &frameReader{in: bufio.NewReaderSize(&c.flow, bufferBytes), limit: c.maxMessage}
-	begun, err := raw.beginning()
+	raw := &frameReader{in: bufio.NewReaderSize(&c.stream, bufferBytes), limit: c.maxMessage}
+	preamble, err := raw.readPreamble()
 	if err != nil {
 		return err
 	}
-	in := gob.NewDecoder(&resumed{begun: begun, rest: raw})
-	read := c.forms.Reader(begun)
+	in := gob.NewDecoder(&prefixedReader{prefix: preamble, rest: raw})
+	read := c.encodings.Reader(preamble)
 	for {
 		m, err := read(in)
 		if err != nil {
@@ -204,12 +206,12 @@
 	}
 }
 
-// write sends the queue until the connection ends. Messages that wait together
-// leave together.
+// write sends the queue until the connection ends. Messages that are queued together
+// share a flush.
 func (c *Conn[M]) write() {
-	buffer := bufio.NewWriterSize(&c.flow, bufferBytes)
+	buffer := bufio.NewWriterSize(&c.stream, bufferBytes)
 	out := newEncoder(buffer, c.maxMessage)
-	timer := time.NewTimer(keepalive)
+	timer := time.NewTimer(keepaliveInterval)
 	defer timer.Stop()
 	for {
 		var next queued[M]
@@ -219,14 +221,14 @@
 		case next = <-c.queue:
 		case <-timer.C:
 		}
-		timer.Reset(keepalive)
-		err := out.encode(c.forms.Frame(next.message))
-		c.waiting.Add(-next.size)
+		timer.Reset(keepaliveInterval)
+		err := out.encode(c.encodings.Frame(next.message))
+		c.queuedBytes.Add(-next.size)
 		if err == nil && len(c.queue) == 0 {
 			err = buffer.Flush()
 		}
 		if err != nil {
-			c.end(err)
+			c.closeWith(err)
 			return
 		}
 	}
@@ -247,7 +249,7 @@
 				return
 			}
 			if err != nil {
-				time.Sleep(10 * time.Millisecond) // out of descriptors, for a moment
+				time.Sleep(10 * time.Millisecond) // such as out of file descriptors; back off
 				continue
 			}
 			go serve(newConn[M](raw))
--- a/link/conn_test.go
+++ b/link/conn_test.go
@@ -12,7 +12,7 @@
 
 type note struct{ Text string }
 
-// listen starts a listener whose connections answer each message with another.
+// listen starts a listener whose connections reply to each message.
 func listen(t *testing.T) string {
 	t.Helper()
 	l, err := Listen("127.0.0.1:0", func(c *Conn[note]) {
@@ -25,7 +25,8 @@
 	return l.Addr().String()
 }
 
-func TestMessagesKeepTheirOrder(t *testing.T) {
+// TestMessageOrder guards against reordered or lost messages.
+func TestMessageOrder(t *testing.T) {
 	c, err := Dial[note](listen(t))
 	if err != nil {
 		t.Fatal(err)
@@ -44,11 +45,12 @@
 		}
 	})
 	if got != count {
-		t.Errorf("%d messages came, want %d", got, count)
+		t.Errorf("%d messages received, want %d", got, count)
 	}
 }
 
-func TestQuietLinkStaysUp(t *testing.T) {
+// TestKeepaliveHoldsIdleConnection guards against closing a connection that carries no messages.
+func TestKeepaliveHoldsIdleConnection(t *testing.T) {
 	c, err := Dial[note](listen(t))
 	if err != nil {
 		t.Fatal(err)
@@ -58,13 +60,14 @@
 	go func() { ended <- c.Serve(func(*note) {}) }()
 	select {
 	case err := <-ended:
-		t.Errorf("a link without messages ended: %v", err)
-	case <-time.After(silence + keepalive):
+		t.Errorf("an idle connection ended: %v", err)
+	case <-time.After(idleTimeout + keepaliveInterval):
 	}
 }
 
-// TestSilentPeerIsGivenUp connects to a peer that accepts and says nothing.
-func TestSilentPeerIsGivenUp(t *testing.T) {
+// TestSilentPeerTimesOut guards against waiting without end for a peer that accepts and sends
+// nothing.
+func TestSilentPeerTimesOut(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -76,15 +79,15 @@
 	}
 	began := time.Now()
 	if err := c.Serve(func(*note) {}); err == nil {
-		t.Error("a silent peer's link ended without an error")
+		t.Error("the connection of a silent peer ended without an error")
 	}
-	if took := time.Since(began); took > 2*silence {
-		t.Errorf("it took %v to give a silent peer up", took)
+	if took := time.Since(began); took > 2*idleTimeout {
+		t.Errorf("it took %v to close the connection of a silent peer", took)
 	}
 }
 
-// TestSendNeverWaits sends to a peer that reads nothing.
-func TestSendNeverWaits(t *testing.T) {
+// TestSendDoesNotBlock guards against a Send that blocks on a peer that reads nothing.
+func TestSendDoesNotBlock(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +102,7 @@
 	large := string(make([]byte, 4096))
 	done := make(chan struct{})
 	go func() {
-		for range 4 * queueDepth {
+		for range 4 * maxQueuedMessages {
 			c.Send(&note{Text: large})
 		}
 		close(done)
@@ -107,13 +110,13 @@
 	select {
 	case <-done:
 	case <-time.After(2 * time.Second):
-		t.Error("Send waits for a peer that does not read")
+		t.Error("Send blocks on a peer that does not read")
 	}
-	wait.Wait() // the link was closed: it could not hold so much
+	wait.Wait() // the connection is closed when the queue is full
 }
 
-// probing reads a connection's own keep-alive settings, in seconds and probes.
-func probing(t *testing.T, c net.Conn) (idle, interval, count int) {
+// keepAliveSettings returns a connection's keep-alive options: seconds and number of probes.
+func keepAliveSettings(t *testing.T, c net.Conn) (idle, interval, count int) {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -134,9 +137,9 @@
 	return idle, interval, count
 }
 
-// TestBothSidesProbeASilentConnection: whoever waits on a connection that has fallen silent
-// must find out by itself, the side that dialled as well as the other.
-func TestBothSidesProbeASilentConnection(t *testing.T) {
+// TestKeepAliveSetOnBothSides guards against a side that can't detect an unreachable peer: both
+// the dialling and the accepting side must probe.
+func TestKeepAliveSetOnBothSides(t *testing.T) {
 	accepted := make(chan net.Conn, 1)
 	l, err := Listen("127.0.0.1:0", func(c *Conn[note]) { accepted <- c.raw })
 	if err != nil {
@@ -149,8 +152,8 @@
 	}
 	defer c.Close()
 	for side, one := range map[string]net.Conn{"dialled": c.raw, "accepted": <-accepted} {
-		if idle, interval, count := probing(t, one); idle != 1 || interval != 1 || count != 3 {
-			t.Errorf("%s: after %d s, each %d s, %d times; want 1, 1 and 3", side, idle, interval, count)
+		if idle, interval, count := keepAliveSettings(t, one); idle != 1 || interval != 1 || count != 3 {
+			t.Errorf("%s: idle %d s, interval %d s, %d probes; want 1, 1 and 3", side, idle, interval, count)
 		}
 	}
 }
--- a/link/flow.go
+++ b/link/flow.go
@@ -11,25 +11,25 @@
 	"github.com/pkg/errors"
 )
 
-// writeLooks is how often in the time of patience a write looks whether bytes moved: a peer
-// that has stalled is found at most a look later.
-const writeLooks = 5
+// writeChecks is how many times per timeout a write checks whether bytes moved: a stalled
+// peer is detected at most one check late.
+const writeChecks = 5
 
-// flow is a connection that counts the bytes that moved on it and ends when none do for
-// longer than patience. Its counts may be read by any goroutine.
+// timeoutConn counts the bytes that move on a connection and fails a read or write during
+// which none move for longer than timeout. Its counters are safe for concurrent use.
 //
-// Its deadlines are for the next byte, not for a message: what is large or comes over a slow
-// link takes its time, and a peer that has stalled is found as soon as one that says nothing.
-type flow struct {
+// The deadline is for the next byte, not for a message: a large message on a slow network
+// may take as long as it needs, while a stalled peer is detected as fast as a silent one.
+type timeoutConn struct {
 	raw      net.Conn
-	patience time.Duration
+	timeout  time.Duration
 	received atomic.Int64 // bytes
-	sent     atomic.Int64 // bytes that the system has taken
+	sent     atomic.Int64 // bytes accepted by the system
 }
 
 // Read implements io.Reader.
-func (f *flow) Read(p []byte) (int, error) {
-	if err := f.raw.SetReadDeadline(time.Now().Add(f.patience)); err != nil {
+func (f *timeoutConn) Read(p []byte) (int, error) {
+	if err := f.raw.SetReadDeadline(time.Now().Add(f.timeout)); err != nil {
 		return 0, err
 	}
 	n, err := f.raw.Read(p)
@@ -38,21 +38,21 @@
 }
 
 // Write implements io.Writer.
-func (f *flow) Write(p []byte) (int, error) {
-	done := 0
-	moved := time.Now()
+func (f *timeoutConn) Write(p []byte) (int, error) {
+	written := 0
+	lastProgress := time.Now()
 	for {
-		if err := f.raw.SetWriteDeadline(time.Now().Add(f.patience / writeLooks)); err != nil {
-			return done, err
+		if err := f.raw.SetWriteDeadline(time.Now().Add(f.timeout / writeChecks)); err != nil {
+			return written, err
 		}
-		n, err := f.raw.Write(p[done:])
+		n, err := f.raw.Write(p[written:])
 		f.sent.Add(int64(n))
-		done += n
+		written += n
 		if n > 0 {
-			moved = time.Now()
+			lastProgress = time.Now()
 		}
-		if done == len(p) || !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(moved) >= f.patience {
-			return done, err
+		if written == len(p) || !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(lastProgress) >= f.timeout {
+			return written, err
 		}
 	}
 }
--- a/link/flow_test.go
+++ b/link/flow_test.go
@@ -10,41 +10,41 @@
 	"time"
 )
 
-// TestBytesAreCounted: an entry lost its owner in the middle of a large message, and its
-// log could not say whether anything had come. Both sides count, a part of a message too.
-func TestBytesAreCounted(t *testing.T) {
+// TestByteCounters guards against counters that leave out an unfinished message: they show
+// whether any bytes moved before a connection broke.
+func TestByteCounters(t *testing.T) {
 	const size = 100_000
-	near, far := net.Pipe()
-	c := newConn[note](near)
+	local, remote := net.Pipe()
+	c := newConn[note](local)
 	ended := make(chan error, 1)
 	go func() { ended <- c.Serve(func(*note) {}) }()
 	c.Send(&note{Text: string(make([]byte, size))})
-	got := 0
-	reader := bufio.NewReader(far)
-	for got < size {
+	consumed := 0
+	reader := bufio.NewReader(remote)
+	for consumed < size {
 		n, err := reader.Read(make([]byte, 1000))
 		if err != nil {
 			t.Fatal(err)
 		}
-		got += n
+		consumed += n
 	}
-	// The beginning of a message that never ends: a length, and a part of what it counts.
+	// An unfinished message: a length and a part of its content.
 	part := append([]byte{0xfd, 1, 0, 0}, make([]byte, 5000)...)
-	if _, err := far.Write(part); err != nil {
+	if _, err := remote.Write(part); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(time.Second); c.Received() < int64(len(part)) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	// A write is counted when it has returned: when the rest of the message is read too.
+	// A write is counted when it returns, which needs the rest of the message to be read.
 	go func() { _, _ = io.Copy(io.Discard, reader) }()
-	for end := time.Now().Add(time.Second); c.Sent() < size && time.Now().Before(end); {
+	for end := time.Now().Add(time.Second); c.BytesSent() < size && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	_ = far.Close()
+	_ = remote.Close()
 	<-ended
-	if c.Sent() < size || c.Sent() > size+1000 {
-		t.Errorf("%d bytes are counted as sent, want %d and a little", c.Sent(), size)
+	if c.BytesSent() < size || c.BytesSent() > size+1000 {
+		t.Errorf("%d bytes are counted as sent, want between %d and 1000 more", c.BytesSent(), size)
 	}
 	if c.Received() != int64(len(part)) {
 		t.Errorf("%d bytes are counted as received, want %d", c.Received(), len(part))
--- a/link/forms.go
+++ b/link/forms.go
@@ -7,21 +7,21 @@
 	"io"
 )
 
-// Forms says how messages look on a connection, where a peer may be of another build. The zero
-// value is for peers of the same build.
+// Encodings says how messages are encoded on a connection whose peer may run another build.
+// The zero value is for peers of the same build.
 type Forms[M any] struct {
-	// Frame returns what is encoded for a message: a value with a field Message that is a pointer,
-	// nil where the message is. It is called by the connection's writer.
+	// Frame returns the value to encode for a message: it has a field Message that is a pointer,
+	// nil for a nil message. It is called by the connection's writer.
 	Frame func(*M) any
-	// Reader returns what reads messages, for a peer whose first bytes are begun: all definitions
-	// of types up to its first message, and that.
-	Reader func(begun []byte) Reader[M]
+	// Reader returns a function that reads messages. The preamble is what the peer sent first:
+	// all type definitions up to its first message, and that message or its beginning.
+	Reader func(preamble []byte) Reader[M]
 }
 
-// Reader reads the next message; nil if it is an empty one.
+// Reader reads the next message; nil for a keep-alive.
 type Reader[M any] func(*gob.Decoder) (*M, error)
 
-func (f Forms[M]) orUsual() Forms[M] {
+func (f Forms[M]) withDefaults() Forms[M] {
 	if f.Frame == nil {
 		f.Frame = func(m *M) any { return frame[M]{m} }
 	}
@@ -31,68 +31,69 @@
 	return f
 }
 
-// readFrame reads a message of the peer's that has the type of this build.
+// readFrame reads a message that is encoded as in this build.
 func readFrame[M any](in *gob.Decoder) (*M, error) {
 	f := new(frame[M])
 	err := in.Decode(f)
 	return f.Message, err
 }
 
-// beginningMost bounds what is held of a peer's first bytes: types take some 2 kB, and a first
-// message as much as one may have, which is beyond the bound read as it comes.
-const beginningMost = 64 << 10
+// maxPreamble bounds how much of a peer's first bytes is buffered, in bytes. It leaves ample
+// space for type definitions; the rest of a long first message is streamed.
+const maxPreamble = 64 << 10
 
-// beginning reads all up to the first message, and that or its beginning.
-func (r *frameReader) beginning() ([]byte, error) {
-	var begun []byte
+// readPreamble reads all type definitions and the first message, which is cut off beyond
+// maxPreamble.
+func (r *frameReader) readPreamble() ([]byte, error) {
+	var preamble []byte
 	buffer := make([]byte, bufferBytes)
 	for {
-		start := len(begun)
+		start := len(preamble)
 		for {
 			n, err := r.Read(buffer)
-			begun = append(begun, buffer[:n]...)
+			preamble = append(preamble, buffer[:n]...)
 			if err != nil {
 				return nil, err
 			}
-			if len(begun) > beginningMost {
-				return begun, nil
+			if len(preamble) > maxPreamble {
+				return preamble, nil
 			}
-			if r.head == 0 && r.left == 0 {
+			if r.lengthBytes == 0 && r.remaining == 0 {
 				break
 			}
 		}
-		if _, isType := definition(begun[start:]); !isType {
-			return begun, nil
+		if _, isType := typeDefinition(preamble[start:]); !isType {
+			return preamble, nil
 		}
 	}
 }
 
-// resumed reads what was read before and then the rest. It is an io.ByteReader, so that gob reads no
-// further than a message.
-type resumed struct {
-	begun []byte
-	rest  *frameReader
+// prefixedReader reads prefix and then rest. It is an io.ByteReader, so that gob does not
+// read beyond a message.
+type prefixedReader struct {
+	prefix []byte
+	rest   *frameReader
 }
 
 // Read implements io.Reader.
-func (r *resumed) Read(p []byte) (int, error) {
-	if len(r.begun) == 0 {
-		r.begun = nil
+func (r *prefixedReader) Read(p []byte) (int, error) {
+	if len(r.prefix) == 0 {
+		r.prefix = nil
 		return r.rest.Read(p)
 	}
-	n := copy(p, r.begun)
-	r.begun = r.begun[n:]
+	n := copy(p, r.prefix)
+	r.prefix = r.prefix[n:]
 	return n, nil
 }
 
 // ReadByte implements io.ByteReader.
-func (r *resumed) ReadByte() (byte, error) {
-	if len(r.begun) == 0 {
+func (r *prefixedReader) ReadByte() (byte, error) {
+	if len(r.prefix) == 0 {
 		return r.rest.ReadByte()
 	}
-	b := r.begun[0]
-	r.begun = r.begun[1:]
+	b := r.prefix[0]
+	r.prefix = r.prefix[1:]
 	return b, nil
 }
 
-var _ io.ByteReader = (*resumed)(nil)
+var _ io.ByteReader = (*prefixedReader)(nil)
--- a/link/frames.go
+++ b/link/frames.go
@@ -10,24 +10,25 @@
 	"github.com/pkg/errors"
 )
 
-// ErrTooLong says that a message is longer than the connection carries: sent by this side,
-// or announced by the peer.
-var ErrTooLong = errors.New("a message is too long for the link")
+// ErrTooLong is the reason of a connection on which a message exceeds the limit: one to
+// send, or one announced by the peer.
+var ErrTooLong = errors.New("message too long")
 
-// Of gob's format: a message is a length and so many bytes; a number is one byte below
-// numberInline, else the number of its bytes, negated, and the bytes, the highest first.
+// In gob, a message is its length followed by that many bytes. An unsigned integer below
+// inlineLimit is one byte; otherwise a byte has the negated number of the bytes that follow,
+// most significant first.
 const (
-	numberInline = 0x80
-	maxNumber    = 8 // bytes
+	inlineLimit  = 0x80
+	maxUintBytes = 8
 )
 
-// frameReader passes a series of gob messages on and ends it before one that is longer than
-// limit, so that a peer's word can't make a reader hold more.
+// frameReader passes on a stream of gob messages and fails before one that is longer than
+// limit, so that a length announced by the peer can't exhaust memory.
 type frameReader struct {
-	in    *bufio.Reader
-	limit int64 // bytes
-	left  int64 // of the message
-	head  int   // bytes of the length that are still to come
+	in          *bufio.Reader
+	limit       int64 // bytes
+	remaining   int64 // of the current message
+	lengthBytes int   // bytes of the length not yet read
 }
 
 // Read implements io.Reader.
@@ -35,7 +36,7 @@
 	if len(p) == 0 {
 		return 0, nil
 	}
-	if r.left == 0 || r.head > 0 {
+	if r.remaining == 0 || r.lengthBytes > 0 {
 		b, err := r.ReadByte()
 		if err != nil {
 			return 0, err
@@ -43,78 +44,78 @@
 		p[0] = b
 		return 1, nil
 	}
-	n, err := r.in.Read(p[:min(int64(len(p)), r.left)])
-	r.left -= int64(n)
+	n, err := r.in.Read(p[:min(int64(len(p)), r.remaining)])
+	r.remaining -= int64(n)
 	return n, err
 }
 
-// ReadByte implements io.ByteReader, which keeps gob from buffering once more.
+// ReadByte implements io.ByteReader, which keeps gob from adding a buffer of its own.
 func (r *frameReader) ReadByte() (byte, error) {
 	b, err := r.in.ReadByte()
 	if err != nil {
 		return 0, err
 	}
-	return b, r.take(b)
+	return b, r.advance(b)
 }
 
-// take follows the format by one byte.
-func (r *frameReader) take(b byte) error {
+// advance updates the parser's state by one byte.
+func (r *frameReader) advance(b byte) error {
 	switch {
-	case r.head > 0:
-		r.head--
-		r.left = r.left<<8 | int64(b)
-	case r.left > 0:
-		r.left--
+	case r.lengthBytes > 0:
+		r.lengthBytes--
+		r.remaining = r.remaining<<8 | int64(b)
+	case r.remaining > 0:
+		r.remaining--
 		return nil
-	case b < numberInline:
-		r.left = int64(b)
+	case b < inlineLimit:
+		r.remaining = int64(b)
 	default:
-		r.head = -int(int8(b))
+		r.lengthBytes = -int(int8(b))
 	}
-	if r.head > maxNumber || r.left > r.limit {
-		return errors.Wrapf(ErrTooLong, "%d bytes or more announced, %d taken", r.left, r.limit)
+	if r.lengthBytes > maxUintBytes || r.remaining > r.limit {
+		return errors.Wrapf(ErrTooLong, "peer announced at least %d bytes, limit %d", r.remaining, r.limit)
 	}
 	return nil
 }
 
-// frameWriter takes gob messages, each by one call of Write, and passes on those that are
-// not longer than limit, definitions of types only once.
+// frameWriter receives gob messages, each by one call of Write, and passes on those that are
+// not longer than limit. Definitions of a type are passed on only once.
 type frameWriter struct {
-	out     io.Writer
-	limit   int64           // bytes
-	longest int             // bytes, of one message
-	defined map[uint64]bool // numbers of types
+	out          io.Writer
+	limit        int64           // bytes
+	longest      int             // length in bytes of the longest message
+	definedTypes map[uint64]bool // by gob type id
 }
 
 // Write implements io.Writer.
 func (w *frameWriter) Write(message []byte) (int, error) {
 	if int64(len(message)) > w.limit {
-		return 0, errors.Wrapf(ErrTooLong, "%d bytes to send, %d taken", len(message), w.limit)
+		return 0, errors.Wrapf(ErrTooLong, "message of %d bytes, limit %d", len(message), w.limit)
 	}
 	w.longest = max(w.longest, len(message))
-	if id, ok := definition(message); ok {
-		if w.defined[id] {
+	if id, ok := typeDefinition(message); ok {
+		if w.definedTypes[id] {
 			return len(message), nil
 		}
-		w.defined[id] = true
+		w.definedTypes[id] = true
 	}
 	return w.out.Write(message)
 }
 
-// definition returns the number of the type that a gob message defines; false if the
+// typeDefinition returns the id of the type that a gob message defines; false if the
 // message holds a value.
-func definition(message []byte) (uint64, bool) {
-	_, content := number(message)
-	id, _ := number(content)
+func typeDefinition(message []byte) (uint64, bool) {
+	_, content := decodeUint(message)
+	id, _ := decodeUint(content)
 	return id, id&1 != 0 // the lowest bit is the sign
 }
 
-// number reads a number at the beginning of b and returns what follows it.
-func number(b []byte) (uint64, []byte) {
+// decodeUint reads a gob unsigned integer at the beginning of b and returns the bytes after it.
+func decodeUint(b []byte) (uint64, []byte) {
 	if len(b) == 0 {
 		return 0, nil
 	}
-	if b[0] < numberInline {
+	if b[0] < inlineLimit {
 		return uint64(b[0]), b[1:]
 	}
 	end := min(len(b), 1-int(int8(b[0])))
@@ -125,28 +126,28 @@
 	return n, b[end:]
 }
 
-// encoder writes gob messages. A gob.Encoder keeps its buffer as large as its longest
-// message, a connection's whole life: after a long one it is replaced. Types' numbers are
-// those of the process, so that a reader sees one series of messages.
+// encoder writes gob messages. A gob.Encoder keeps a buffer as large as its longest message
+// for its lifetime, so it is replaced after a long one. gob assigns type ids per process, so
+// the peer still reads a single stream.
 type encoder struct {
 	frames frameWriter
 	gob    *gob.Encoder
 }
 
-// keptBuffer is the longest message, in bytes, whose buffer is kept for the next: what a
-// connection holds at rest.
-const keptBuffer = 64 << 10
+// maxKeptBuffer is the longest message, in bytes, after which the encoder and its buffer are
+// kept.
+const maxKeptBuffer = 64 << 10
 
 func newEncoder(out io.Writer, limit int64) *encoder {
-	e := &encoder{frames: frameWriter{out: out, limit: limit, defined: make(map[uint64]bool)}}
+	e := &encoder{frames: frameWriter{out: out, limit: limit, definedTypes: make(map[uint64]bool)}}
 	e.gob = gob.NewEncoder(&e.frames)
 	return e
 }
 
-// encode writes a value.
+// encode writes v as one message.
 func (e *encoder) encode(v any) error {
 	err := e.gob.Encode(v)
-	if e.frames.longest > keptBuffer {
+	if e.frames.longest > maxKeptBuffer {
 		e.frames.longest = 0
 		e.gob = gob.NewEncoder(&e.frames)
 	}
--- a/link/probing_test.go
+++ b/link/probing_test.go
@@ -15,19 +15,18 @@
 	"unsafe"
 )
 
-// inOwnNetwork is set in the process that has a network of its own.
-const inOwnNetwork = "LYNXRAMP_TEST_OWN_NETWORK"
+// ownNetworkEnv is set in the process that runs in its own network namespace.
+const ownNetworkEnv = "LYNXRAMP_TEST_OWN_NETWORK"
 
-// probed is how long Probing takes to find a silent connection, and a little.
-const probed = 6 * time.Second
+// keepAliveBound is how long KeepAlive may take to detect an unreachable peer, with a margin.
+const keepAliveBound = 6 * time.Second
 
-// TestProbingEndsASilentConnection: no packet comes through any more, either way, and nobody
-// resets the connection. Whoever waits on it without having anything to send finds out by
-// probes alone; the system's own default takes hours.
-func TestProbingEndsASilentConnection(t *testing.T) {
-	if os.Getenv(inOwnNetwork) == "" {
+// TestKeepAliveClosesDeadConnection guards against a read that waits on a peer which became
+// unreachable without a reset: without data to send, only keep-alive probes detect it.
+func TestKeepAliveClosesDeadConnection(t *testing.T) {
+	if os.Getenv(ownNetworkEnv) == "" {
 		t.Parallel()
-		runInOwnNetwork(t)
+		runInOwnNetworkNamespace(t)
 		return
 	}
 	setLoopback(t, true)
@@ -37,33 +36,34 @@
 		t.Fatal(err)
 	}
 	dialer := net.Dialer{KeepAliveConfig: Probing}
-	near, err := dialer.Dial("tcp", l.Addr().String())
+	dialled, err := dialer.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	far := <-accepted
-	if _, err := near.Write([]byte("x")); err != nil {
+	peer := <-accepted
+	if _, err := dialled.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(far, make([]byte, 1)); err != nil {
+	if _, err := io.ReadFull(peer, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
 	setLoopback(t, false)
 	began := time.Now()
-	for side, c := range map[string]net.Conn{"dialled": near, "accepted": far} {
-		_ = c.SetReadDeadline(began.Add(2 * probed))
+	for side, c := range map[string]net.Conn{"dialled": dialled, "accepted": peer} {
+		_ = c.SetReadDeadline(began.Add(2 * keepAliveBound))
 		_, err := c.Read(make([]byte, 1))
-		if took := time.Since(began); err == nil || errors.Is(err, os.ErrDeadlineExceeded) || took > probed {
-			t.Errorf("%s: %v after %v, want an end within %v", side, err, took, probed)
+		if took := time.Since(began); err == nil || errors.Is(err, os.ErrDeadlineExceeded) || took > keepAliveBound {
+			t.Errorf("%s: %v after %v, want an end within %v", side, err, took, keepAliveBound)
 		}
 	}
 }
 
-// runInOwnNetwork runs the calling test again, in a process with a network of its own.
-func runInOwnNetwork(t *testing.T) {
+// runInOwnNetworkNamespace runs the calling test again in a process with its own network
+// namespace.
+func runInOwnNetworkNamespace(t *testing.T) {
 	t.Helper()
 	p := exec.Command(os.Args[0], "-test.run", "^"+t.Name()+"$", "-test.v")
-	p.Env = append(os.Environ(), inOwnNetwork+"=1")
+	p.Env = append(os.Environ(), ownNetworkEnv+"=1")
 	p.SysProcAttr = &syscall.SysProcAttr{
 		Cloneflags:  syscall.CLONE_NEWUSER | syscall.CLONE_NEWNET,
 		UidMappings: []syscall.SysProcIDMap{{ContainerID: 0, HostID: os.Getuid(), Size: 1}},
@@ -71,14 +71,14 @@
 	}
 	out, err := p.CombinedOutput()
 	if errors.Is(err, syscall.EPERM) || errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EINVAL) {
-		t.Skipf("this system gives tests no network of their own: %v", err)
+		t.Skipf("network namespaces are not available: %v", err)
 	}
 	if err != nil {
 		t.Errorf("%v:\n%s", err, out)
 	}
 }
 
-// setLoopback takes the loopback device of this process's network up or down.
+// setLoopback sets the loopback device of this process's network namespace up or down.
 func setLoopback(t *testing.T, up bool) {
 	t.Helper()
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_DGRAM, 0)
--- a/link/slow_test.go
+++ b/link/slow_test.go
@@ -11,19 +11,18 @@
 	"time"
 )
 
-// A link of an entry carries so many bytes a second, and a message may have any size: a
-// time-out for the whole message ended each connection in the middle of a document of
-// 3 MB, the next connection began it anew, and it never arrived. These tests slow the
-// connection down instead of making the message large.
+// These tests guard against a timeout for a whole message: on a slow network a large message
+// would never arrive, as each new connection starts it again. They slow the connection down
+// instead of making the message large.
 
 const (
-	// slowTime is how long a message takes that must arrive: well over silence.
-	slowTime = 4 * time.Second
-	slowStep = 50 * time.Millisecond
-	slowSize = 200_000 // bytes
+	// slowDuration is how long a message takes that must still arrive; well over idleTimeout.
+	slowDuration     = 4 * time.Second
+	slowInterval     = 50 * time.Millisecond
+	slowMessageBytes = 200_000
 )
 
-// encoded returns a message as it goes over the wire.
+// encoded returns the wire form of a message.
 func encoded(t *testing.T, m *note) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -33,8 +32,8 @@
 	return b.Bytes()
 }
 
-// takeAll reads what a connection's writer says, until the end.
-func takeAll(c net.Conn) {
+// discardAll reads and discards until the connection ends.
+func discardAll(c net.Conn) {
 	for b := make([]byte, 4096); ; {
 		if _, err := c.Read(b); err != nil {
 			return
@@ -42,107 +41,109 @@
 	}
 }
 
-// sayAlive sends what a peer without messages sends, until the end.
-func sayAlive(c net.Conn) {
+// sendKeepalives sends keep-alive messages until the connection ends.
+func sendKeepalives(c net.Conn) {
 	for out := gob.NewEncoder(c); out.Encode(frame[note]{}) == nil; {
-		time.Sleep(keepalive)
+		time.Sleep(keepaliveInterval)
 	}
 }
 
+// TestSlowMessageArrives guards against closing a connection on which bytes still arrive.
 func TestSlowMessageArrives(t *testing.T) {
-	near, far := net.Pipe()
-	c := newConn[note](near)
+	local, remote := net.Pipe()
+	c := newConn[note](local)
 	defer c.Close()
-	came := make(chan int, 1)
+	received := make(chan int, 1)
 	ended := make(chan error, 1)
-	go func() { ended <- c.Serve(func(m *note) { came <- len(m.Text) }) }()
-	go takeAll(far)
+	go func() { ended <- c.Serve(func(m *note) { received <- len(m.Text) }) }()
+	go discardAll(remote)
 	go func() {
-		data := encoded(t, &note{Text: string(make([]byte, slowSize))})
-		piece := len(data)/int(slowTime/slowStep) + 1
+		data := encoded(t, &note{Text: string(make([]byte, slowMessageBytes))})
+		piece := len(data)/int(slowDuration/slowInterval) + 1
 		for len(data) > 0 {
-			n, err := far.Write(data[:min(piece, len(data))])
+			n, err := remote.Write(data[:min(piece, len(data))])
 			if err != nil {
 				return
 			}
 			data = data[n:]
-			time.Sleep(slowStep)
+			time.Sleep(slowInterval)
 		}
 	}()
 	select {
-	case n := <-came:
-		if n != slowSize {
-			t.Errorf("%d bytes came, want %d", n, slowSize)
+	case n := <-received:
+		if n != slowMessageBytes {
+			t.Errorf("%d bytes received, want %d", n, slowMessageBytes)
 		}
 	case err := <-ended:
-		t.Errorf("the connection ended while bytes came: %v", err)
-	case <-time.After(3 * slowTime):
+		t.Errorf("the connection ended while bytes arrived: %v", err)
+	case <-time.After(3 * slowDuration):
 		t.Error("the message did not come")
 	}
 }
 
-func TestSlowTakerKeepsTheConnection(t *testing.T) {
-	near, far := net.Pipe()
-	c := newConn[note](near)
+// TestSlowReaderKeepsConnection guards against closing a connection whose peer still reads.
+func TestSlowReaderKeepsConnection(t *testing.T) {
+	local, remote := net.Pipe()
+	c := newConn[note](local)
 	defer c.Close()
 	ended := make(chan error, 1)
 	go func() { ended <- c.Serve(func(*note) {}) }()
-	go sayAlive(far)
-	c.Send(&note{Text: string(make([]byte, slowSize))})
+	go sendKeepalives(remote)
+	c.Send(&note{Text: string(make([]byte, slowMessageBytes))})
 	took := make(chan error, 1)
 	go func() {
 		f := new(frame[note])
-		took <- gob.NewDecoder(bufio.NewReaderSize(&slowReader{c: far}, 16)).Decode(f)
+		took <- gob.NewDecoder(bufio.NewReaderSize(&slowReader{c: remote}, 16)).Decode(f)
 	}()
 	select {
 	case err := <-took:
 		if err != nil {
-			t.Errorf("the message did not come whole: %v", err)
+			t.Errorf("the message did not arrive whole: %v", err)
 		}
 	case err := <-ended:
-		t.Errorf("the connection ended while its peer took bytes: %v", err)
-	case <-time.After(3 * slowTime):
+		t.Errorf("the connection ended while its peer was reading: %v", err)
+	case <-time.After(3 * slowDuration):
 		t.Error("the message did not come")
 	}
 }
 
-// slowReader takes the bytes of a message of slowSize in slowTime.
+// slowReader reads slowMessageBytes in slowDuration.
 type slowReader struct{ c net.Conn }
 
 func (r *slowReader) Read(p []byte) (int, error) {
-	time.Sleep(slowStep)
-	return r.c.Read(p[:min(len(p), slowSize/int(slowTime/slowStep))])
+	time.Sleep(slowInterval)
+	return r.c.Read(p[:min(len(p), slowMessageBytes/int(slowDuration/slowInterval))])
 }
 
-// TestStalledMessageEnds: a message of which nothing more comes, or is taken, ends the
-// connection as soon as a peer that says nothing.
-func TestStalledMessageEnds(t *testing.T) {
-	data := encoded(t, &note{Text: string(make([]byte, slowSize))})
-	for name, stall := range map[string]func(c *Conn[note], far net.Conn){
-		"in the middle of what it sends": func(_ *Conn[note], far net.Conn) {
-			go takeAll(far)
-			_, _ = far.Write(data[:len(data)/2])
+// TestStalledMessageClosesConnection guards against waiting longer for the rest of a message,
+// sent or received, than for a silent peer.
+func TestStalledMessageClosesConnection(t *testing.T) {
+	data := encoded(t, &note{Text: string(make([]byte, slowMessageBytes))})
+	for name, stall := range map[string]func(c *Conn[note], remote net.Conn){
+		"the peer stops sending": func(_ *Conn[note], remote net.Conn) {
+			go discardAll(remote)
+			_, _ = remote.Write(data[:len(data)/2])
 		},
-		"in the middle of what it takes": func(c *Conn[note], far net.Conn) {
-			c.Send(&note{Text: string(make([]byte, slowSize))})
-			go sayAlive(far)
-			_, _ = far.Read(make([]byte, slowSize/2))
+		"the peer stops reading": func(c *Conn[note], remote net.Conn) {
+			c.Send(&note{Text: string(make([]byte, slowMessageBytes))})
+			go sendKeepalives(remote)
+			_, _ = remote.Read(make([]byte, slowMessageBytes/2))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			near, far := net.Pipe()
-			c := newConn[note](near)
+			local, remote := net.Pipe()
+			c := newConn[note](local)
 			ended := make(chan error, 1)
 			began := time.Now()
 			go func() { ended <- c.Serve(func(*note) {}) }()
-			go stall(c, far)
+			go stall(c, remote)
 			select {
 			case <-ended:
-				if took := time.Since(began); took < silence || took > silence+time.Second {
-					t.Errorf("it took %v, want %v and a little", took, silence)
+				if took := time.Since(began); took < idleTimeout || took > idleTimeout+time.Second {
+					t.Errorf("it took %v, want at least %v and at most 1 s more", took, idleTimeout)
 				}
-			case <-time.After(3 * silence):
+			case <-time.After(3 * idleTimeout):
 				t.Error("the connection does not end")
 			}
 		})
