--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -8,10 +8,10 @@
 	"lynxramp.org/event"
 )
 
-// Any stands in a rule for every team or every service.
+// Any matches every team or every service in a rule.
 const Any = "*"
 
-// Catalog is one version of all that operators own.
+// Catalog is one version of the operators' configuration.
 type Catalog struct {
 	Tiers    []Tier    `yaml:"tiers" json:"tiers"`
 	Teams    []Team    `yaml:"teams" json:"teams"`
@@ -20,17 +20,17 @@
 	Rules    []Rule    `yaml:"rules" json:"rules"`
 }
 
-// Tier is a class of requests that pays alike.
+// Tier is a priority class of requests.
 type Tier struct {
 	Name string `yaml:"name" json:"name"`
-	// Rank orders the tiers; the larger pays more. 1 to 100.
+	// Rank orders the tiers, 1 to 100; a higher rank has priority.
 	Rank int `yaml:"rank" json:"rank"`
 }
 
-// Team is a customer of the operators.
+// Team is a tenant.
 type Team struct {
 	Name string `yaml:"name" json:"name"`
-	// KeyHashes has the SHA-256 of each of the team's keys, in hex.
+	// KeyHashes are the SHA-256 hashes of the team's keys, in hex.
 	KeyHashes []string `yaml:"key_hashes" json:"key_hashes"`
 	// Tier is the highest tier that the team has a right to.
 	Tier string `yaml:"tier" json:"tier"`
@@ -39,7 +39,7 @@
 	MaxWaiting int `yaml:"max_waiting" json:"max_waiting"`
 }
 
-// Kind says what a service's endpoints are.
+// Kind is the kind of a service's endpoints.
 type Kind string
 
 // The kinds of services.
@@ -48,45 +48,46 @@
 	KindPlain Kind = "plain"
 )
 
-// Service is what callers ask for.
+// Service is a target of callers' requests.
 type Service struct {
 	Name string `yaml:"name" json:"name"`
 	Kind Kind   `yaml:"kind" json:"kind"`
 	Pool string `yaml:"pool" json:"pool"`
-	// Models has the model names that callers use for a model service.
+	// Models are the model names by which callers address a model service.
 	Models []string `yaml:"models" json:"models"`
-	// Deadline applies where the caller names none.
+	// Deadline applies to requests for which the caller gives none.
 	Deadline Duration `yaml:"deadline" json:"deadline"`
-	// NoRepeat marks every call of the service as one that may not be repeated.
+	// NoRepeat marks the service's requests as not safe to retry.
 	NoRepeat bool `yaml:"no_repeat" json:"no_repeat"`
 }
 
-// Pool is a set of endpoints that serve the same.
+// Pool is a set of endpoints that serve the same requests.
 type Pool struct {
 	Name string `yaml:"name" json:"name"`
 	// MaxWaiting bounds the pool's queue, in requests.
 	MaxWaiting int `yaml:"max_waiting" json:"max_waiting"`
-	// PrefillWeight is what a second of repeated prefill counts beside a second
-	// of a caller's waiting, 0 to 100; 0 stands for 1. A larger one saves prompt
-	// work at the cost of goodput.
+	// PrefillWeight is the cost of a second of repeated prefill relative to a second
+	// of a caller's waiting time, 0 to 100; 0 selects 1. A larger weight saves prompt
+	// computation at the cost of goodput.
 	PrefillWeight float64    `yaml:"prefill_weight" json:"prefill_weight,omitempty"`
 	Endpoints     []Endpoint `yaml:"endpoints" json:"endpoints"`
 }
 
-// Endpoint is one engine or one replica of a plain service.
+// Endpoint is an engine, or a replica of a plain service.
 type Endpoint struct {
 	Name event.EndpointID `yaml:"name" json:"name"`
-	// Concurrency is the number of requests it may have at once.
+	// Concurrency is the maximum number of concurrent requests.
 	Concurrency int `yaml:"concurrency" json:"concurrency"`
-	// Speed is relative to the reference engine; 0 stands for 1.
+	// Speed is relative to the reference engine; 0 selects 1.
 	Speed float64 `yaml:"speed" json:"speed"`
-	// DataCentre is where it stands.
+	// DataCentre is the endpoint's location.
 	DataCentre string `yaml:"data_centre" json:"data_centre"`
-	// Leaving endpoints get no new work.
+	// Draining endpoints get no new requests.
 	Leaving bool `yaml:"leaving" json:"leaving,omitempty"`
 }
 
-// Rule binds a team to a service. The rule that names more of both wins.
+// Rule sets the default tier of a team's requests to a service. The rule that gives
+// more of the two names takes precedence.
 type Rule struct {
 	Team    string `yaml:"team" json:"team"`
 	Service string `yaml:"service" json:"service"`
@@ -94,7 +95,7 @@
 	Tier string `yaml:"tier" json:"tier"`
 }
 
-// Duration is a time.Duration that is written like 1.5s.
+// Duration is a time.Duration in the form of time.ParseDuration, such as 1.5s.
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -107,7 +108,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// SchedulerPool returns the pool as its scheduler needs it.
+// SchedulerPool converts the pool to the scheduler's form.
 func (p Pool) SchedulerPool() event.Pool {
 	q := event.Pool{Name: p.Name, MaxWaiting: p.MaxWaiting, PrefillWeight: p.PrefillWeight}
 	for _, e := range p.Endpoints {
--- a/catalog/change.go
+++ b/catalog/change.go
@@ -9,8 +9,8 @@
 	"lynxramp.org/event"
 )
 
-// Change is one change of a catalog: the one field that is set is put in place
-// of what has its name, or taken out if Delete is set.
+// Change is a change of a catalog: the one field that is set replaces the item of
+// the same name, or is added; with Delete, the item is removed.
 type Change struct {
 	Delete   bool            `json:"delete,omitempty"`
 	Whole    *Catalog        `json:"whole,omitempty"`
@@ -22,26 +22,26 @@
 	Rule     *Rule           `json:"rule,omitempty"`
 }
 
-// EndpointChange is an endpoint and its pool.
+// EndpointChange is an endpoint and the name of its pool.
 type EndpointChange struct {
 	Pool     string   `json:"pool"`
 	Endpoint Endpoint `json:"endpoint"`
 }
 
-// Apply returns c with the changes made, and all that is then wrong with it. c
-// stays as it is.
+// Apply returns a copy of c with the changes applied, and all problems of the
+// result. It does not modify c.
 func Apply(c Catalog, changes []Change) (Catalog, []Problem) {
 	c = c.clone()
 	var problems []Problem
 	for i, change := range changes {
-		if !c.change(change) {
-			problems = append(problems, Problem{Path: at("changes", i), Message: "there is nothing of this name"})
+		if !c.applyChange(change) {
+			problems = append(problems, Problem{Path: itemPath("changes", i), Message: "no item of this name"})
 		}
 	}
 	return c, append(problems, Check(c)...)
 }
 
-// clone returns a copy whose lists can be changed.
+// clone returns a copy whose lists can be modified.
 func (c Catalog) clone() Catalog {
 	c.Tiers = slices.Clone(c.Tiers)
 	c.Teams = slices.Clone(c.Teams)
@@ -51,41 +51,42 @@
 	return c
 }
 
-// change makes one change and reports whether there was anything to change.
-func (c *Catalog) change(h Change) bool {
+// applyChange applies one change; false if its pool or the item to delete does not exist.
+func (c *Catalog) applyChange(change Change) bool {
 	switch {
-	case h.Whole != nil:
-		*c = h.Whole.clone()
+	case change.Whole != nil:
+		*c = change.Whole.clone()
 		return true
-	case h.Tier != nil:
-		return put(&c.Tiers, *h.Tier, h.Delete, func(a, b Tier) bool { return a.Name == b.Name })
-	case h.Team != nil:
-		return put(&c.Teams, *h.Team, h.Delete, func(a, b Team) bool { return a.Name == b.Name })
-	case h.Service != nil:
-		return put(&c.Services, *h.Service, h.Delete, func(a, b Service) bool { return a.Name == b.Name })
-	case h.Pool != nil:
-		return put(&c.Pools, *h.Pool, h.Delete, func(a, b Pool) bool { return a.Name == b.Name })
-	case h.Rule != nil:
-		return put(&c.Rules, *h.Rule, h.Delete, func(a, b Rule) bool { return a.Team == b.Team && a.Service == b.Service })
-	case h.Endpoint != nil:
-		return c.changeEndpoint(*h.Endpoint, h.Delete)
+	case change.Tier != nil:
+		return putOrDelete(&c.Tiers, *change.Tier, change.Delete, func(a, b Tier) bool { return a.Name == b.Name })
+	case change.Team != nil:
+		return putOrDelete(&c.Teams, *change.Team, change.Delete, func(a, b Team) bool { return a.Name == b.Name })
+	case change.Service != nil:
+		return putOrDelete(&c.Services, *change.Service, change.Delete, func(a, b Service) bool { return a.Name == b.Name })
+	case change.Pool != nil:
+		return putOrDelete(&c.Pools, *change.Pool, change.Delete, func(a, b Pool) bool { return a.Name == b.Name })
+	case change.Rule != nil:
+		return putOrDelete(&c.Rules, *change.Rule, change.Delete, func(a, b Rule) bool { return a.Team == b.Team && a.Service == b.Service })
+	case change.Endpoint != nil:
+		return c.applyEndpointChange(*change.Endpoint, change.Delete)
 	}
 	return false
 }
 
-func (c *Catalog) changeEndpoint(h EndpointChange, remove bool) bool {
-	i := slices.IndexFunc(c.Pools, func(p Pool) bool { return p.Name == h.Pool })
+func (c *Catalog) applyEndpointChange(change EndpointChange, remove bool) bool {
+	i := slices.IndexFunc(c.Pools, func(p Pool) bool { return p.Name == change.Pool })
 	if i < 0 {
 		return false
 	}
 	list := slices.Clone(c.Pools[i].Endpoints)
-	ok := put(&list, h.Endpoint, remove, func(a, b Endpoint) bool { return a.Name == b.Name })
+	ok := putOrDelete(&list, change.Endpoint, remove, func(a, b Endpoint) bool { return a.Name == b.Name })
 	c.Pools[i].Endpoints = list
 	return ok
 }
 
-// put sets or deletes the item of a list that is the same thing as v.
-func put[T any](list *[]T, v T, remove bool, same func(a, b T) bool) bool {
+// putOrDelete replaces, appends or deletes the item for which same(item, v) holds. It
+// returns false if there is none to delete.
+func putOrDelete[T any](list *[]T, v T, remove bool, same func(a, b T) bool) bool {
 	i := slices.IndexFunc(*list, func(x T) bool { return same(x, v) })
 	switch {
 	case remove && i < 0:
@@ -112,5 +113,5 @@
 	return Endpoint{}, "", false
 }
 
-// Error returns the problem as one line.
+// Error returns the problem as PATH: MESSAGE.
 func (p Problem) Error() string { return fmt.Sprintf("%s: %s", p.Path, p.Message) }
--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -1,11 +1,10 @@
 // SPDX-License-Identifier: MIT
 
-// Package catalog holds what operators own: tiers, teams, services, pools with
-// their endpoints, and the rules that bind them.
+// Package catalog holds the operators' configuration: tiers, teams, services, pools
+// with their endpoints, and the rules that assign tiers.
 //
-// A Catalog is plain data. Check finds all that is wrong with one and names the
-// place of each fault by its path. An Index answers the questions that traffic
-// asks of a sound Catalog: which team holds a key, which service has a model,
-// and by which rule a team uses a service. It is made once for each version and
-// never changes, so any goroutine may read it.
+// A Catalog is plain data. Check reports all faults of one, each with its path. An
+// Index answers lookups while requests are served: the team of a key, the service
+// of a model, the tier of a team's requests to a service. It is built once for each
+// version of a valid Catalog and immutable, so it is safe for concurrent use.
 package catalog
--- a/catalog/index.go
+++ b/catalog/index.go
@@ -7,7 +7,7 @@
 	"encoding/hex"
 )
 
-// Index answers traffic's questions of one sound Catalog. It is read-only.
+// Index answers lookups in one valid Catalog. It is immutable.
 type Index struct {
 	catalog  Catalog
 	ranks    map[string]int
@@ -17,7 +17,7 @@
 	rules    map[[2]string]*Rule
 }
 
-// NewIndex returns the index of c, which must be sound and not change.
+// NewIndex returns the index of c, which must be valid and must not be modified.
 func NewIndex(c Catalog) *Index {
 	x := &Index{
 		catalog:  c,
@@ -49,19 +49,19 @@
 	return x
 }
 
-// Catalog returns what the index was made of. It must not be changed.
+// Catalog returns the indexed catalog. It must not be modified.
 func (x *Index) Catalog() Catalog { return x.catalog }
 
-// HashKey returns a key as catalogs hold it.
+// HashKey returns the hash of a key in the form of Team.KeyHashes.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// TeamByKey returns the team that holds a key; nil if there is none.
+// TeamByKey returns the team of a key; nil if there is none.
 func (x *Index) TeamByKey(key string) *Team { return x.teams[HashKey(key)] }
 
-// ServiceByModel returns the service that has a model; nil if there is none.
+// ServiceByModel returns the service that offers a model; nil if there is none.
 func (x *Index) ServiceByModel(model string) *Service { return x.models[model] }
 
 // ServiceByName returns a service; nil if there is none.
@@ -73,19 +73,19 @@
 	return Tier{Name: name, Rank: rank}, ok
 }
 
-// TierFor returns the tier of a team's requests to a service where the caller
-// names none. A rule never lifts a team above the tier it has a right to.
+// TierFor returns the default tier of a team's requests to a service. A rule never
+// raises it above the team's own tier.
 func (x *Index) TierFor(t *Team, s *Service) Tier {
-	right := Tier{Name: t.Tier, Rank: x.ranks[t.Tier]}
+	highest := Tier{Name: t.Tier, Rank: x.ranks[t.Tier]}
 	for _, pair := range [...][2]string{{t.Name, s.Name}, {t.Name, Any}, {Any, s.Name}, {Any, Any}} {
 		r, ok := x.rules[pair]
 		if !ok {
 			continue
 		}
-		if rank := x.ranks[r.Tier]; rank <= right.Rank {
+		if rank := x.ranks[r.Tier]; rank <= highest.Rank {
 			return Tier{Name: r.Tier, Rank: rank}
 		}
-		return right
+		return highest
 	}
-	return right
+	return highest
 }
--- a/settings/box.go
+++ b/settings/box.go
@@ -17,14 +17,14 @@
 	"lynxramp.org/event"
 )
 
-// Role is a part that a box plays.
+// Role is a function that a box performs.
 type Role string
 
 // The roles of a box.
 const (
-	// RoleEntry takes callers' requests.
+	// RoleEntry accepts callers' requests.
 	RoleEntry Role = "entry"
-	// RoleControl keeps the control state and may own pools.
+	// RoleControl stores the control state and may own pools.
 	RoleControl Role = "control"
 )
 
@@ -44,9 +44,9 @@
 	// Platform is the URL (http://IP:port/path) of the platform's list of boxes;
 	// empty if there is none.
 	Platform string `yaml:"platform"`
-	// Data is the folder of a control box's state.
+	// DataDir is the directory of a control box's state.
 	Data string `yaml:"data"`
-	// Catalog is the file of the catalog that a new control group begins with.
+	// Catalog is the catalog file with which a new control group is initialised.
 	Catalog string `yaml:"catalog"`
 	Limits  Limits `yaml:"limits"`
 	Drain   Drain  `yaml:"drain"`
@@ -65,7 +65,7 @@
 	Address string      `yaml:"address"`
 }
 
-// Limits bounds what an entry holds; 0 stands for the default.
+// Limits bounds the resources of an entry; 0 selects the default.
 type Limits struct {
 	BodyBytes int64 `yaml:"body_bytes"`
 	HeldBytes int64 `yaml:"held_bytes"`
@@ -74,16 +74,16 @@
 	BodyTime catalog.Duration `yaml:"body_time"`
 }
 
-// Drain says how a planned stop goes.
+// Drain controls a planned shutdown.
 type Drain struct {
-	// Notice is how long a stopping entry still takes requests after /readyz
-	// said no.
+	// ShutdownDelay is how long a stopping entry still accepts requests after /readyz
+	// started to fail.
 	Notice catalog.Duration `yaml:"notice"`
-	// Bound is how long requests in flight may go on.
+	// Timeout is how long requests in flight may take to finish.
 	Bound catalog.Duration `yaml:"bound"`
 }
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
 	// Level is debug, info, warn or error.
 	Level string `yaml:"level"`
@@ -107,21 +107,21 @@
 	Log             Log    `yaml:"log"`
 }
 
-// Defaults of what a file leaves out.
+// Defaults of omitted settings.
 const (
-	DefaultBodyBytes   = 4 << 20
-	DefaultHeldBytes   = 1 << 30
-	DefaultRequests    = 50_000
-	DefaultBodyTime    = 30 * time.Second
-	DefaultDrainNotice = 2 * time.Second
-	DefaultDrainBound  = 5 * time.Minute
-	defaultLevel       = "info"
+	DefaultBodyBytes     = 4 << 20
+	DefaultHeldBytes     = 1 << 30
+	DefaultRequests      = 50_000
+	DefaultBodyTime      = 30 * time.Second
+	DefaultShutdownDelay = 2 * time.Second
+	DefaultDrainBound    = 5 * time.Minute
+	defaultLogLevel      = "info"
 )
 
-// minKeyBytes is the least length of the shared key.
+// minKeyBytes is the minimum length of the shared key.
 const minKeyBytes = 16
 
-// Kind is what a settings file is for.
+// Kind is the kind of a settings file.
 type Kind string
 
 // The kinds of files.
@@ -132,10 +132,10 @@
 	KindFleet   Kind = "fleet"
 )
 
-// LoadBox reads the settings of lynxrampd with the catalog they name.
+// LoadBox reads the settings of lynxrampd and the catalog file they name.
 func LoadBox(file string) (Box, catalog.Catalog, error) {
 	var b Box
-	d, err := read(file, &b)
+	d, err := decodeFile(file, &b)
 	if err != nil {
 		return b, catalog.Catalog{}, err
 	}
@@ -143,42 +143,41 @@
 	var c catalog.Catalog
 	if b.Catalog != "" {
 		var inner Findings
-		c, inner = loadCatalog(beside(file, b.Catalog))
+		c, inner = loadCatalog(resolvePath(file, b.Catalog))
 		d.findings = append(d.findings, inner...)
-		d.checkRoom(b, c)
+		d.checkCapacity(b, c)
 	}
-	b.KeyFile = beside(file, b.KeyFile)
-	b.OperatorKeyFile = beside(file, b.OperatorKeyFile)
-	b.Data = beside(file, b.Data)
+	b.KeyFile = resolvePath(file, b.KeyFile)
+	b.OperatorKeyFile = resolvePath(file, b.OperatorKeyFile)
+	b.Data = resolvePath(file, b.Data)
 	b.setDefaults()
-	return b, c, d.findings.orNil()
+	return b, c, d.findings.asError()
 }
 
 // LoadSlot reads the settings of lynxslotd.
 func LoadSlot(file string) (Slot, error) {
 	var s Slot
-	d, err := read(file, &s)
+	d, err := decodeFile(file, &s)
 	if err != nil {
 		return s, err
 	}
 	d.checkSlot(&s)
-	s.KeyFile = beside(file, s.KeyFile)
+	s.KeyFile = resolvePath(file, s.KeyFile)
 	s.setDefaults()
-	return s, d.findings.orNil()
+	return s, d.findings.asError()
 }
 
 // LoadCatalog reads a catalog file.
 func LoadCatalog(file string) (catalog.Catalog, error) {
 	c, findings := loadCatalog(file)
-	return c, findings.orNil()
+	return c, findings.asError()
 }
 
-// Check reads a file of any kind and returns which it is. What is wrong with it
-// is the error.
+// Check reads a file of any kind and returns its kind. The error has all findings.
 func Check(file string) (Kind, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return "", fileFinding(file, err)
+		return "", fileFindings(file, err)
 	}
 	switch guessKind(string(data)) {
 	case KindCatalog:
@@ -196,7 +195,7 @@
 	}
 }
 
-// guessKind tells the kinds of files by keys that only one of them has.
+// guessKind distinguishes the kinds of files by keys that occur in only one of them.
 func guessKind(data string) Kind {
 	for line := range strings.Lines(data) {
 		switch key, _, _ := strings.Cut(line, ":"); key {
@@ -213,17 +212,17 @@
 	return KindBox
 }
 
-func read(file string, v any) (*decoder, error) {
+func decodeFile(file string, v any) (*decoder, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return nil, fileFinding(file, err)
+		return nil, fileFindings(file, err)
 	}
 	d := &decoder{file: file}
 	d.decode(data, v)
 	return d, nil
 }
 
-func fileFinding(file string, err error) Findings {
+func fileFindings(file string, err error) Findings {
 	return Findings{{File: file, Path: rootPath, Message: err.Error()}}
 }
 
@@ -231,7 +230,7 @@
 	var c catalog.Catalog
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return c, fileFinding(file, err)
+		return c, fileFindings(file, err)
 	}
 	return parseCatalog(file, data)
 }
@@ -246,8 +245,8 @@
 	return c, d.findings
 }
 
-// beside returns a path that is relative to a file's folder.
-func beside(file, path string) string {
+// resolvePath resolves a path relative to the directory of file.
+func resolvePath(file, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
@@ -259,27 +258,27 @@
 	d.require("data_centre", b.DataCentre)
 	d.require("key_file", b.KeyFile)
 	if len(b.Roles) == 0 {
-		d.addAt("roles", "a box needs a role")
+		d.addAt("roles", "no role given")
 	}
 	for i, r := range b.Roles {
 		if r != RoleEntry && r != RoleControl {
-			d.addAt(at("roles", i), "%q is neither %q nor %q", r, RoleEntry, RoleControl)
+			d.addAt(itemPath("roles", i), "%q is neither %q nor %q", r, RoleEntry, RoleControl)
 		}
 	}
 	if b.Has(RoleEntry) {
-		d.address("listen.callers", b.Listen.Callers)
+		d.checkAddress("listen.callers", b.Listen.Callers)
 	}
 	if b.Has(RoleControl) {
 		d.require("catalog", b.Catalog)
 		d.require("data", b.Data)
 		d.require("operator_key_file", b.OperatorKeyFile)
-		d.address("listen.boxes", b.Listen.Boxes)
+		d.checkAddress("listen.boxes", b.Listen.Boxes)
 		if !slices.ContainsFunc(b.Control, func(p Peer) bool { return p.ID == b.ID }) {
-			d.addAt("control", "this box has the control role and is not in the list")
+			d.addAt("control", "this box has the control role but is not in the list")
 		}
 	}
-	d.peers(b.Control)
-	d.url("platform", b.Platform)
+	d.checkPeers(b.Control)
+	d.checkURL("platform", b.Platform)
 	d.checkLimits(b.Limits)
 	d.checkDrain(b.Drain)
 	d.checkLog(b.Log)
@@ -293,12 +292,12 @@
 	if s.Kind != catalog.KindModel && s.Kind != catalog.KindPlain {
 		d.addAt("kind", "%q is neither %q nor %q", s.Kind, catalog.KindModel, catalog.KindPlain)
 	}
-	d.address("listen", s.Listen)
-	d.address("endpoint_address", s.EndpointAddress)
+	d.checkAddress("listen", s.Listen)
+	d.checkAddress("endpoint_address", s.EndpointAddress)
 	if s.Address != "" {
-		d.address("address", s.Address)
+		d.checkAddress("address", s.Address)
 	}
-	d.peers(s.Control)
+	d.checkPeers(s.Control)
 	if s.BodyBytes < 0 {
 		d.addAt("body_bytes", "%d is negative", s.BodyBytes)
 	}
@@ -306,29 +305,29 @@
 	d.checkLog(s.Log)
 }
 
-// checkRoom finds an entry too small for the queues it feeds. A full entry
-// refuses without regard to tiers, so the queues must overflow first.
-func (d *decoder) checkRoom(b Box, c catalog.Catalog) {
-	need := 0
+// checkCapacity reports an entry whose request limit is below the capacity of the pools.
+// A full entry refuses requests regardless of tier, so the queues must fill first.
+func (d *decoder) checkCapacity(b Box, c catalog.Catalog) {
+	capacity := 0
 	for _, p := range c.Pools {
-		need += p.MaxWaiting
+		capacity += p.MaxWaiting
 		for _, e := range p.Endpoints {
-			need += e.Concurrency
+			capacity += e.Concurrency
 		}
 	}
-	if b.Limits.Requests > 0 && b.Limits.Requests < need {
-		d.addAt("limits.requests", "%d is less than the %d that the pools may hold; tiers would not be regarded", b.Limits.Requests, need)
+	if b.Limits.Requests > 0 && b.Limits.Requests < capacity {
+		d.addAt("limits.requests", "%d is less than the capacity of the pools (%d); a full entry would refuse requests regardless of tier", b.Limits.Requests, capacity)
 	}
 }
 
 func (d *decoder) require(path, value string) {
 	if value == "" {
-		d.addAt(path, "this is missing")
+		d.addAt(path, "required value is missing")
 	}
 }
 
-// url checks the URL of a service that is reached by IP number; it may be empty.
-func (d *decoder) url(path, value string) {
+// checkURL checks an http URL whose host is an IP address and port; it may be empty.
+func (d *decoder) checkURL(path, value string) {
 	if value == "" {
 		return
 	}
@@ -341,23 +340,23 @@
 	}
 }
 
-func (d *decoder) address(path, value string) {
+func (d *decoder) checkAddress(path, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		d.addAt(path, "%q is not an address (IP:port)", value)
 	}
 }
 
-func (d *decoder) peers(peers []Peer) {
+func (d *decoder) checkPeers(peers []Peer) {
 	if len(peers) == 0 {
-		d.addAt("control", "there is no control box")
+		d.addAt("control", "no control box given")
 	}
 	seen := make(map[event.BoxID]bool)
 	for i, p := range peers {
-		path := at("control", i)
+		path := itemPath("control", i)
 		d.require(path+".id", string(p.ID))
-		d.address(path+".address", p.Address)
+		d.checkAddress(path+".address", p.Address)
 		if seen[p.ID] {
-			d.addAt(path+".id", "%q is there twice", p.ID)
+			d.addAt(path+".id", "duplicate id %q", p.ID)
 		}
 		seen[p.ID] = true
 	}
@@ -371,7 +370,7 @@
 
 func (d *decoder) checkDrain(r Drain) {
 	if r.Notice < 0 || r.Bound < 0 {
-		d.addAt("drain", "a time is negative")
+		d.addAt("drain", "a duration is negative")
 	}
 }
 
@@ -387,22 +386,22 @@
 	b.Limits.Requests = orDefault(b.Limits.Requests, DefaultRequests)
 	b.Limits.BodyTime = orDefault(b.Limits.BodyTime, catalog.Duration(DefaultBodyTime))
 	b.Drain.setDefaults()
-	b.Log.Level = orDefault(b.Log.Level, defaultLevel)
+	b.Log.Level = orDefault(b.Log.Level, defaultLogLevel)
 }
 
 func (s *Slot) setDefaults() {
 	s.Address = orDefault(s.Address, s.Listen)
 	s.BodyBytes = orDefault(s.BodyBytes, DefaultBodyBytes)
 	s.Drain.setDefaults()
-	s.Log.Level = orDefault(s.Log.Level, defaultLevel)
+	s.Log.Level = orDefault(s.Log.Level, defaultLogLevel)
 }
 
 func (r *Drain) setDefaults() {
-	r.Notice = orDefault(r.Notice, catalog.Duration(DefaultDrainNotice))
+	r.Notice = orDefault(r.Notice, catalog.Duration(DefaultShutdownDelay))
 	r.Bound = orDefault(r.Bound, catalog.Duration(DefaultDrainBound))
 }
 
-// Has reports whether the box plays a role.
+// HasRole reports whether the box has a role.
 func (b Box) Has(r Role) bool { return slices.Contains(b.Roles, r) }
 
 // ReadKey returns the shared key in a file.
@@ -413,7 +412,7 @@
 	}
 	key := strings.TrimSpace(string(data))
 	if len(key) < minKeyBytes {
-		return "", errors.Errorf("key file %s: the key has less than %d bytes", file, minKeyBytes)
+		return "", errors.Errorf("key file %s: the key is shorter than %d bytes", file, minKeyBytes)
 	}
 	return key, nil
 }
--- a/settings/decode.go
+++ b/settings/decode.go
@@ -12,7 +12,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Finding is something wrong at a place of a file.
+// Finding is a fault at a place in a file.
 type Finding struct {
 	File    string
 	Line    int // from 1; 0 for the file as a whole
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Path, f.Message)
 }
 
-// Findings is all that is wrong; as an error it lists them a line each.
+// Findings is a list of faults; as an error it has one per line.
 type Findings []Finding
 
 // Error implements error.
@@ -37,40 +37,40 @@
 	return strings.Join(lines, "\n")
 }
 
-// orNil returns f as an error that is nil when nothing was found.
-func (f Findings) orNil() error {
+// asError returns f as an error, nil if f is empty.
+func (f Findings) asError() error {
 	if len(f) == 0 {
 		return nil
 	}
 	return f
 }
 
-// decoder fills Go values from YAML nodes and goes on after each fault.
+// decoder fills Go values from YAML nodes and continues after each fault.
 type decoder struct {
 	file     string
 	findings Findings
-	lines    map[string]int // line of each path
+	lines    map[string]int // by path
 }
 
-// rootPath names the whole document.
+// rootPath is the path of the whole document.
 const rootPath = "."
 
-// nullTag marks a key without a value; it leaves the zero value.
+// nullTag is the tag of a key without a value, which leaves the zero value.
 const nullTag = "!!null"
 
-// decode fills v, a pointer to a struct, from a document.
+// decode fills v, a pointer to a struct, from a YAML document.
 func (d *decoder) decode(data []byte, v any) {
 	d.lines = make(map[string]int)
 	var document yaml.Node
 	if err := yaml.Unmarshal(data, &document); err != nil {
-		d.add(1, rootPath, "this is not YAML: %v", err)
+		d.add(1, rootPath, "invalid YAML: %v", err)
 		return
 	}
 	if len(document.Content) == 0 {
 		d.add(1, rootPath, "the file is empty")
 		return
 	}
-	d.value(document.Content[0], "", reflect.ValueOf(v).Elem())
+	d.decodeValue(document.Content[0], "", reflect.ValueOf(v).Elem())
 }
 
 func (d *decoder) add(line int, path, format string, args ...any) {
@@ -79,20 +79,20 @@
 	})
 }
 
-// addAt adds a finding at a path, with the line of the nearest part that is in
-// the file.
+// addAt adds a finding at a path, with the line of the nearest enclosing path that
+// is in the file.
 func (d *decoder) addAt(path, format string, args ...any) {
-	near := path
+	nearest := path
 	for {
-		if line, ok := d.lines[near]; ok || near == "" {
+		if line, ok := d.lines[nearest]; ok || nearest == "" {
 			d.add(max(line, 1), path, format, args...)
 			return
 		}
-		near = near[:max(0, strings.LastIndexAny(near, ".["))]
+		nearest = nearest[:max(0, strings.LastIndexAny(nearest, ".["))]
 	}
 }
 
-func (d *decoder) value(n *yaml.Node, path string, v reflect.Value) {
+func (d *decoder) decodeValue(n *yaml.Node, path string, v reflect.Value) {
 	d.lines[path] = n.Line
 	if n.Kind == yaml.AliasNode {
 		n = n.Alias
@@ -101,22 +101,22 @@
 		return
 	}
 	if _, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
-		d.scalar(n, path, v)
+		d.decodeScalar(n, path, v)
 		return
 	}
 	switch v.Kind() {
 	case reflect.Struct:
-		d.structure(n, path, v)
+		d.decodeStruct(n, path, v)
 	case reflect.Slice:
-		d.list(n, path, v)
+		d.decodeList(n, path, v)
 	default:
-		d.scalar(n, path, v)
+		d.decodeScalar(n, path, v)
 	}
 }
 
-func (d *decoder) structure(n *yaml.Node, path string, v reflect.Value) {
+func (d *decoder) decodeStruct(n *yaml.Node, path string, v reflect.Value) {
 	if n.Kind != yaml.MappingNode {
-		d.add(n.Line, orRoot(path), "keys and values are expected here")
+		d.add(n.Line, orRoot(path), "expected a mapping")
 		return
 	}
 	fields := fieldsByKey(v.Type())
@@ -129,9 +129,9 @@
 		case !ok:
 			d.add(key.Line, inner, "unknown key")
 		case seen[key.Value]:
-			d.add(key.Line, inner, "the key is there twice")
+			d.add(key.Line, inner, "duplicate key")
 		default:
-			d.value(n.Content[i+1], inner, v.Field(field))
+			d.decodeValue(n.Content[i+1], inner, v.Field(field))
 		}
 		seen[key.Value] = true
 	}
@@ -147,23 +147,23 @@
 	return fields
 }
 
-func (d *decoder) list(n *yaml.Node, path string, v reflect.Value) {
+func (d *decoder) decodeList(n *yaml.Node, path string, v reflect.Value) {
 	if n.Kind != yaml.SequenceNode {
-		d.add(n.Line, orRoot(path), "a list is expected here")
+		d.add(n.Line, orRoot(path), "expected a list")
 		return
 	}
 	v.Set(reflect.MakeSlice(v.Type(), len(n.Content), len(n.Content)))
 	for i, item := range n.Content {
-		d.value(item, at(path, i), v.Index(i))
+		d.decodeValue(item, itemPath(path, i), v.Index(i))
 	}
 }
 
-// at returns the path of a list's item.
-func at(list string, i int) string { return list + "[" + strconv.Itoa(i) + "]" }
+// itemPath returns the path of a list item.
+func itemPath(list string, i int) string { return list + "[" + strconv.Itoa(i) + "]" }
 
-func (d *decoder) scalar(n *yaml.Node, path string, v reflect.Value) {
+func (d *decoder) decodeScalar(n *yaml.Node, path string, v reflect.Value) {
 	if n.Kind != yaml.ScalarNode {
-		d.add(n.Line, orRoot(path), "a single value is expected here")
+		d.add(n.Line, orRoot(path), "expected a single value")
 		return
 	}
 	if text, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
@@ -173,7 +173,7 @@
 		return
 	}
 	if v.Kind() == reflect.String && n.Tag != "!!str" {
-		d.add(n.Line, path, "%q is not text; write it in quotes", n.Value)
+		d.add(n.Line, path, "%q is not a string; put it in quotes", n.Value)
 		return
 	}
 	if err := n.Decode(v.Addr().Interface()); err != nil {
--- a/settings/fleet.go
+++ b/settings/fleet.go
@@ -9,19 +9,19 @@
 	"lynxramp.org/event"
 )
 
-// Fleet is the settings file of a box of a fleet: an entry or a control box
-// whose deployment is told by operators and endpoints, not by files.
+// Fleet is the settings file of an entry or control box in a fleet, where operators
+// and endpoints supply the deployment's configuration at run time.
 type Fleet struct {
 	ID         event.BoxID `yaml:"id"`
 	Role       Role        `yaml:"role"`
 	DataCentre string      `yaml:"data_centre"`
 	Listen     FleetListen `yaml:"listen"`
-	// Seeds are operators' addresses (IP:port) of control boxes, perhaps old ones.
+	// Seeds are operator addresses (IP:port) of control boxes; some may be outdated.
 	Seeds []string `yaml:"seeds"`
-	// Found says that the seeds found the control group, on empty disks.
+	// Bootstrap makes the seeds form a new control group if their disks are empty.
 	Found bool `yaml:"found"`
-	// Unprotected says that links between boxes carry no key. It must be set: a
-	// fleet without keys is run on purpose or not at all.
+	// Unprotected confirms that connections between boxes are not authenticated. It must
+	// be true, so that a fleet does not run without keys by accident.
 	Unprotected bool           `yaml:"unprotected"`
 	Data        string         `yaml:"data"`
 	Resources   FleetResources `yaml:"resources"`
@@ -35,8 +35,8 @@
 	Readiness string `yaml:"readiness"`
 	Operators string `yaml:"operators"`
 	Link      string `yaml:"link"`
-	// LinkBind is where the box listens for links, if others reach Link by way of
-	// something else; empty for Link itself.
+	// LinkBind is the address to listen on if other boxes reach Link through a
+	// forwarder; empty for Link itself.
 	LinkBind string `yaml:"link_bind"`
 }
 
@@ -46,83 +46,85 @@
 	Descriptors int `yaml:"descriptors"`
 }
 
-// FleetBounds are what the deployment promises.
+// FleetBounds are limits that hold for the whole deployment.
 type FleetBounds struct {
-	// Tolerated is how many control boxes may be lost at once.
+	// ToleratedFailures is how many control boxes may fail at the same time.
 	Tolerated int `yaml:"tolerated"`
-	// Beat is the rhythm in which endpoints tell of themselves.
+	// HeartbeatInterval is how often endpoints send heartbeats.
 	Beat catalog.Duration `yaml:"beat"`
-	// Stop is how long a planned stop may take.
+	// StopTimeout is how long a planned shutdown may take.
 	Stop catalog.Duration `yaml:"stop"`
-	// Fresh is how long an entry may serve without knowing that its configuration
-	// is the newest.
+	// ConfigValidity is how long an entry may serve requests without confirmation that
+	// its configuration is current.
 	Fresh       catalog.Duration `yaml:"fresh"`
 	QuotaWindow catalog.Duration `yaml:"quota_window"`
-	// A quota may be overrun by QuotaOvershoot of it and QuotaSlack on top.
+	// A quota may be exceeded by its fraction QuotaOvershoot plus QuotaSlack.
 	QuotaOvershoot float64          `yaml:"quota_overshoot"`
 	QuotaSlack     float64          `yaml:"quota_slack"`
 	RetryWindow    catalog.Duration `yaml:"retry_window"`
 	RetryRatio     float64          `yaml:"retry_ratio"`
 	RetryMin       int              `yaml:"retry_min"`
-	// Placement is how requests are placed; empty is PlacementForecast.
+	// Placement is the placement policy; empty is PlacementForecast.
 	Placement Placement `yaml:"placement"`
 }
 
-// Placement is how requests are placed.
+// Placement is a policy that chooses the endpoint of a request.
 type Placement string
 
-// The ways to place requests.
+// The placement policies.
 const (
-	// PlacementForecast weighs measured speed, prompts and data centres, and forecasts waits.
+	// PlacementForecast weighs measured speed, cached prompt prefixes and data centres, and
+	// predicts waiting times.
 	PlacementForecast Placement = "forecast"
-	// PlacementLeastOutstanding is the baseline for comparisons.
+	// PlacementLeastOutstanding chooses the endpoint with the fewest requests in flight; a
+	// baseline for comparisons.
 	PlacementLeastOutstanding Placement = "least_outstanding"
 )
 
 // Defaults of a fleet's bounds.
 const (
-	defaultBeat   = time.Second
-	defaultStop   = 8 * time.Second
-	defaultFresh  = 5 * time.Second
-	defaultWindow = 10 * time.Second
+	defaultHeartbeatInterval = time.Second
+	defaultStopTimeout       = 8 * time.Second
+	defaultConfigValidity    = 5 * time.Second
+	defaultRateWindow        = 10 * time.Second
 )
 
-// LoadFleet reads the settings of a box of a fleet.
+// LoadFleet reads the settings of a box in a fleet.
 func LoadFleet(file string) (Fleet, error) {
 	var f Fleet
-	d, err := read(file, &f)
+	d, err := decodeFile(file, &f)
 	if err != nil {
 		return f, err
 	}
 	d.checkFleet(&f)
 	f.setDefaults()
-	return f, d.findings.orNil()
+	return f, d.findings.asError()
 }
 
 func (d *decoder) checkFleet(f *Fleet) {
 	d.require("id", string(f.ID))
 	switch f.Role {
 	case RoleEntry:
-		d.address("listen.callers", f.Listen.Callers)
-		d.address("listen.readiness", f.Listen.Readiness)
+		d.checkAddress("listen.callers", f.Listen.Callers)
+		d.checkAddress("listen.readiness", f.Listen.Readiness)
 	case RoleControl:
-		d.address("listen.operators", f.Listen.Operators)
+		d.checkAddress("listen.operators", f.Listen.Operators)
 		d.require("data", f.Data)
 	default:
 		d.addAt("role", "%q is neither %q nor %q", f.Role, RoleEntry, RoleControl)
 	}
-	d.address("listen.link", f.Listen.Link)
+	d.checkAddress("listen.link", f.Listen.Link)
 	if f.Listen.LinkBind != "" {
-		d.address("listen.link_bind", f.Listen.LinkBind)
+		d.checkAddress("listen.link_bind", f.Listen.LinkBind)
 	}
 	if len(f.Seeds) == 0 {
-		d.addAt("seeds", "there is no seed")
+		d.addAt("seeds", "no seed given")
 	}
 	for i, seed := range f.Seeds {
-		d.address(at("seeds", i), seed)
+		d.checkAddress(itemPath("seeds", i), seed)
 	}
 	if !f.Unprotected {
-		d.addAt("unprotected", "links of a fleet carry no key; say so with true")
+		d.addAt("unprotected", "connections of a fleet are not authenticated; confirm with true")
 	}
 	d.checkFleetBounds(f.Bounds)
 	d.checkLog(f.Log)
@@ -138,10 +140,10 @@
 		d.addAt("bounds.placement", "%q is neither %q nor %q", b.Placement, PlacementForecast, PlacementLeastOutstanding)
 	}
 	if b.RetryRatio < 0 || b.RetryMin < 0 {
-		d.addAt("bounds.retry_ratio", "a retry budget is not negative")
+		d.addAt("bounds.retry_ratio", "a retry budget must not be negative")
 	}
 	if b.QuotaOvershoot < 0 || b.QuotaSlack < 0 {
-		d.addAt("bounds.quota_overshoot", "a quota's overshoot and slack are not negative")
+		d.addAt("bounds.quota_overshoot", "a quota's overshoot and slack must not be negative")
 	}
 	for path, value := range map[string]catalog.Duration{
 		"bounds.beat": b.Beat, "bounds.stop": b.Stop, "bounds.fresh": b.Fresh,
@@ -154,11 +156,11 @@
 }
 
 func (f *Fleet) setDefaults() {
-	f.Log.Level = orDefault(f.Log.Level, defaultLevel)
+	f.Log.Level = orDefault(f.Log.Level, defaultLogLevel)
 	b := &f.Bounds
-	b.Beat = orDefault(b.Beat, catalog.Duration(defaultBeat))
-	b.Stop = orDefault(b.Stop, catalog.Duration(defaultStop))
-	b.Fresh = orDefault(b.Fresh, catalog.Duration(defaultFresh))
-	b.QuotaWindow = orDefault(b.QuotaWindow, catalog.Duration(defaultWindow))
-	b.RetryWindow = orDefault(b.RetryWindow, catalog.Duration(defaultWindow))
+	b.Beat = orDefault(b.Beat, catalog.Duration(defaultHeartbeatInterval))
+	b.Stop = orDefault(b.Stop, catalog.Duration(defaultStopTimeout))
+	b.Fresh = orDefault(b.Fresh, catalog.Duration(defaultConfigValidity))
+	b.QuotaWindow = orDefault(b.QuotaWindow, catalog.Duration(defaultRateWindow))
+	b.RetryWindow = orDefault(b.RetryWindow, catalog.Duration(defaultRateWindow))
 }
--- a/settings/fleet_test.go
+++ b/settings/fleet_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-const soundFleet = `id: "n1"
+const validFleet = `id: "n1"
 role: entry
 listen:
   callers: "127.0.0.1:80"
@@ -31,13 +31,15 @@
 	return file
 }
 
+// TestFleetSettings guards against a valid file that is refused, and against lost values or
+// defaults.
 func TestFleetSettings(t *testing.T) {
-	file := writeFleet(t, soundFleet)
+	file := writeFleet(t, validFleet)
 	f, err := LoadFleet(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if time.Duration(f.Bounds.QuotaWindow) != 8*time.Second || time.Duration(f.Bounds.Fresh) != defaultFresh {
+	if time.Duration(f.Bounds.QuotaWindow) != 8*time.Second || time.Duration(f.Bounds.Fresh) != defaultConfigValidity {
 		t.Errorf("bounds %+v", f.Bounds)
 	}
 	if kind, err := Check(file); kind != KindFleet || err != nil {
@@ -45,7 +47,9 @@
 	}
 }
 
-func TestFleetFindingsNameTheirPlaces(t *testing.T) {
+// TestFleetFindingsHavePaths guards against faults that are accepted or reported at the wrong
+// place.
+func TestFleetFindingsHavePaths(t *testing.T) {
 	for name, c := range map[string]struct{ old, with, want string }{
 		"no seed":       {`["127.0.0.1:83"]`, `[]`, ":7: seeds:"},
 		"unprotected":   {"unprotected: true", "unprotected: false", ":8: unprotected:"},
@@ -59,7 +63,7 @@
 		"not YAML":      {"seeds:", "seeds: [", ":"},
 		"wrong literal": {"unprotected: true", "unprotected: maybe", ":8: unprotected:"},
 	} {
-		_, err := LoadFleet(writeFleet(t, strings.Replace(soundFleet, c.old, c.with, 1)))
+		_, err := LoadFleet(writeFleet(t, strings.Replace(validFleet, c.old, c.with, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want a finding at %s", name, err, c.want)
 		}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -20,8 +20,7 @@
 	return file
 }
 
-// check compares what is found in a file with FINDING lines, each without the
-// folder of the file.
+// check compares the findings in a file with want, a line each, without the file's directory.
 func check(t *testing.T, content string, want []string) {
 	t.Helper()
 	file := write(t, "f.yaml", content)
@@ -58,14 +57,14 @@
 		`f.yaml:10: services[0].deadline: time: invalid duration "soon"`,
 		`f.yaml:2: tiers[0].rank: 0 is not between 1 and 100`,
 		`f.yaml:12: pools[0].endpoints[0].concurrency: 0 is not between 1 and 10000`,
-		`f.yaml:12: pools[0].endpoints[1].name: "e" is there twice`,
+		`f.yaml:12: pools[0].endpoints[1].name: duplicate name "e"`,
 		`f.yaml:7: teams[0].tier: there is no tier "platinum"`,
-		`f.yaml:6: teams[0].key_hashes[0]: this is not a SHA-256 in hex`,
-		`f.yaml:8: teams[1].name: "Blogs" is not a name (small letters, digits, . _ -)`,
+		`f.yaml:6: teams[0].key_hashes[0]: not a SHA-256 hash in hex`,
+		`f.yaml:8: teams[1].name: "Blogs" is not a valid name (lower-case letters, digits, . _ -)`,
 		`f.yaml:10: services[0].pool: there is no pool "nowhere"`,
 		`f.yaml:10: services[0].deadline: 0s is not between 0 and 1h`,
 		`f.yaml:10: services[0].models: a model service needs a model name`,
-		`f.yaml:15: rules[1]: it overlaps rules[0] and neither is more exact`,
+		`f.yaml:15: rules[1]: overlaps rules[0] and neither is more specific`,
 		`f.yaml:16: rules[2].team: there is no team "nobody"`,
 	})
 }
@@ -81,15 +80,15 @@
 control:
   - {id: a, address: "10.0.0.1"}
 `, []string{
-		`f.yaml:2: id: the key is there twice`,
-		`f.yaml:5: key_file: a single value is expected here`,
-		`f.yaml:1: data_centre: this is missing`,
-		`f.yaml:5: key_file: this is missing`,
+		`f.yaml:2: id: duplicate key`,
+		`f.yaml:5: key_file: expected a single value`,
+		`f.yaml:1: data_centre: required value is missing`,
+		`f.yaml:5: key_file: required value is missing`,
 		`f.yaml:3: roles[2]: "cook" is neither "entry" nor "control"`,
 		`f.yaml:4: listen.callers: "localhost:80" is not an address (IP:port)`,
-		`f.yaml:1: catalog: this is missing`,
-		`f.yaml:1: data: this is missing`,
-		`f.yaml:1: operator_key_file: this is missing`,
+		`f.yaml:1: catalog: required value is missing`,
+		`f.yaml:1: data: required value is missing`,
+		`f.yaml:1: operator_key_file: required value is missing`,
 		`f.yaml:4: listen.boxes: "" is not an address (IP:port)`,
 		`f.yaml:9: control[0].address: "10.0.0.1" is not an address (IP:port)`,
 		`f.yaml:6: limits: a limit is negative`,
@@ -99,16 +98,16 @@
 
 func TestSlotFindings(t *testing.T) {
 	check(t, "endpoint: e\npool: p\nkind: cake\nlisten: x\n", []string{
-		`f.yaml:1: data_centre: this is missing`,
-		`f.yaml:1: key_file: this is missing`,
+		`f.yaml:1: data_centre: required value is missing`,
+		`f.yaml:1: key_file: required value is missing`,
 		`f.yaml:3: kind: "cake" is neither "model" nor "plain"`,
 		`f.yaml:4: listen: "x" is not an address (IP:port)`,
 		`f.yaml:1: endpoint_address: "" is not an address (IP:port)`,
-		`f.yaml:1: control: there is no control box`,
+		`f.yaml:1: control: no control box given`,
 	})
 }
 
-// TestExamples checks that the examples are sound.
+// TestExamples guards against example files that don't load.
 func TestExamples(t *testing.T) {
 	files, err := filepath.Glob("../examples/*/*.yaml")
 	if err != nil || len(files) < 6 {
