--- a/explain/doc.go
+++ b/explain/doc.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 
-// Package explain walks log files from a request's id to its cause: the request's
-// life in order, across processes, with the beliefs in force at each step, and a
-// sentence that says why it ended as it did.
+// Package explain traces a request through the log files of several processes: it
+// prints the request's log lines in order, the state of each box at that time, and
+// the cause of the outcome.
 package explain
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -14,24 +14,24 @@
 	"github.com/pkg/errors"
 )
 
-// maxLine bounds a line of a log, in bytes.
+// maxLine is the longest line of a log, in bytes.
 const maxLine = 1 << 20
 
-// Line is one line of a log.
+// Line is a parsed line of a log.
 type Line struct {
 	At      time.Time
 	Box     string
 	Message string
-	Request string // the caller's id of a request; empty for none
-	ID      string // ours
+	Request string // the caller's request id; empty if there is none
+	ID      string // the system's request id
 	Fields  map[string]any
 }
 
-// notFields are keys that a Line has in other places.
-var notFields = []string{"time", "at", "box", "msg", "request", "id", "level", "after"}
+// lineKeys are the keys that are stored in fields of Line or dropped.
+var lineKeys = []string{"time", "at", "box", "msg", "request", "id", "level", "after"}
 
-// Read returns the lines of a log. What stands before a line's first brace, as
-// tools put there, and lines that are no JSON are passed over.
+// Read returns the lines of a log. Text before the first brace of a line, which some
+// tools add, and lines that are not JSON are skipped.
 func Read(r io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
@@ -49,34 +49,35 @@
 	return lines, errors.Wrap(scanner.Err(), "log")
 }
 
+// parse parses a line; false if it is not JSON or has no valid time.
 func parse(text []byte) (Line, bool) {
 	var fields map[string]any
 	if err := json.Unmarshal(text, &fields); err != nil {
 		return Line{}, false
 	}
-	word := func(key string) string {
+	stringField := func(key string) string {
 		s, _ := fields[key].(string)
 		return s
 	}
-	line := Line{Box: word("box"), Message: word("msg"), Request: word("request"), ID: word("id"), Fields: fields}
-	when := word("at")
-	if when == "" {
-		when = word("time")
+	line := Line{Box: stringField("box"), Message: stringField("msg"), Request: stringField("request"), ID: stringField("id"), Fields: fields}
+	timestamp := stringField("at")
+	if timestamp == "" {
+		timestamp = stringField("time")
 	}
-	at, err := time.Parse(time.RFC3339Nano, when)
+	at, err := time.Parse(time.RFC3339Nano, timestamp)
 	if err != nil {
 		return Line{}, false
 	}
 	line.At = at
-	for _, key := range notFields {
+	for _, key := range lineKeys {
 		delete(fields, key)
 	}
 	return line, true
 }
 
-// beliefs are messages that say what a box believes from then on, by what they
-// are about.
-var beliefs = map[string]string{
+// stateMessages maps log messages that report a change of a box's state to the subject
+// of that state.
+var stateMessages = map[string]string{
 	"configuration in force":   "configuration",
 	"owner found":              "owner",
 	"owner lost":               "owner",
@@ -84,43 +85,45 @@
 	"stops":                    "stopping",
 }
 
-// Explain writes the life of a request, by the caller's id or ours, and its cause.
+// Explain writes the log lines of a request, given by the caller's id or the system's,
+// and the cause of its outcome.
 func Explain(w io.Writer, id string, lines []Line) error {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	believed := make(map[string]Line) // by box and subject
-	var life []Line
+	states := make(map[string]Line) // the last state line, by box and subject
+	var history []Line
 	for _, line := range lines {
-		if subject, ok := beliefs[line.Message]; ok {
-			believed[line.Box+" "+subject] = line
+		if subject, ok := stateMessages[line.Message]; ok {
+			states[line.Box+" "+subject] = line
 		}
 		if line.Request != id && line.ID != id {
 			continue
 		}
-		if len(life) == 0 || life[len(life)-1].ID != line.ID {
-			tellBeliefs(w, line, believed)
+		if len(history) == 0 || history[len(history)-1].ID != line.ID {
+			writeState(w, line, states)
 		}
-		life = append(life, line)
-		fmt.Fprintf(w, "%s  %-18s %-16s %s\n", line.At.Format("15:04:05.000"), line.Box, line.Message, fieldsOf(line))
+		history = append(history, line)
+		fmt.Fprintf(w, "%s  %-18s %-16s %s\n", line.At.Format("15:04:05.000"), line.Box, line.Message, formatFields(line))
 	}
-	if len(life) == 0 {
-		return errors.Errorf("no line speaks of %q; a request that did well may have been left out", id)
+	if len(history) == 0 {
+		return errors.Errorf("no log line has the request %q; successful requests may not be logged", id)
 	}
-	fmt.Fprintf(w, "cause: %s\n", Cause(life))
+	fmt.Fprintf(w, "cause: %s\n", Cause(history))
 	return nil
 }
 
-// tellBeliefs writes what a box believed before a line.
-func tellBeliefs(w io.Writer, line Line, believed map[string]Line) {
+// writeState writes the last reported state of a line's box.
+func writeState(w io.Writer, line Line, states map[string]Line) {
 	for _, subject := range []string{"configuration", "owner", "stopping"} {
-		if b, ok := believed[line.Box+" "+subject]; ok {
-			fmt.Fprintf(w, "  %s believes since %s (%.1f s): %s %s\n", b.Box, b.At.Format("15:04:05.000"),
-				line.At.Sub(b.At).Seconds(), b.Message, fieldsOf(b))
+		if b, ok := states[line.Box+" "+subject]; ok {
+			fmt.Fprintf(w, "  %s: state since %s (%.1f s): %s %s\n", b.Box, b.At.Format("15:04:05.000"),
+				line.At.Sub(b.At).Seconds(), b.Message, formatFields(b))
 		}
 	}
 }
 
-func fieldsOf(line Line) string {
+// formatFields returns the fields as key=value, sorted by key.
+func formatFields(line Line) string {
 	keys := make([]string, 0, len(line.Fields))
 	for key := range line.Fields {
 		keys = append(keys, key)
@@ -133,24 +136,24 @@
 	return strings.Join(parts, " ")
 }
 
-// Cause says in a sentence why a request ended as its last lines tell.
-func Cause(life []Line) string {
-	last := life[len(life)-1]
-	failed := lastOf(life, "attempt failed")
-	refused := lastOf(life, "refused")
+// Cause describes why a request ended as its log lines show.
+func Cause(history []Line) string {
+	last := history[len(history)-1]
+	failed := lastWith(history, "attempt failed")
+	refused := lastWith(history, "refused")
 	switch {
 	case last.Message == "cancelled":
-		return "the caller left" + since(failed)
+		return "the caller disconnected" + failedAttempt(failed)
 	case last.Message == "stream cut":
-		return fmt.Sprintf("the stream was cut after event %v: %v%s", last.Fields["last_event"], last.Fields["why"], since(failed)+because(refused))
+		return fmt.Sprintf("the stream was cut after event %v: %v%s", last.Fields["last_event"], last.Fields["why"], failedAttempt(failed)+refusal(refused))
 	case last.Message == "ended" && refused != nil && failed == nil:
-		return "refused before any endpoint had it" + because(refused)
+		return "refused before dispatch to an endpoint" + refusal(refused)
 	case last.Message == "ended" && isSuccess(last):
-		return "served" + since(failed)
+		return "served" + failedAttempt(failed)
 	case last.Message == "ended":
-		return fmt.Sprintf("%v (status %v)%s", last.Fields["why"], last.Fields["status"], since(failed)+because(refused))
+		return fmt.Sprintf("%v (status %v)%s", last.Fields["why"], last.Fields["status"], failedAttempt(failed)+refusal(refused))
 	default:
-		return "its end is not in these files; the last step was " + last.Message + since(failed)
+		return "the logs do not show its end; the last step was " + last.Message + failedAttempt(failed)
 	}
 }
 
@@ -159,25 +162,26 @@
 	return status >= 200 && status < 300
 }
 
-func lastOf(life []Line, message string) *Line {
-	for i := len(life) - 1; i >= 0; i-- {
-		if life[i].Message == message {
-			return &life[i]
+// lastWith returns the last line with a message; nil if there is none.
+func lastWith(history []Line, message string) *Line {
+	for i := len(history) - 1; i >= 0; i-- {
+		if history[i].Message == message {
+			return &history[i]
 		}
 	}
 	return nil
 }
 
-// since tells of an attempt that failed.
-func since(failed *Line) string {
+// failedAttempt describes a failed attempt; empty for nil.
+func failedAttempt(failed *Line) string {
 	if failed == nil {
 		return ""
 	}
 	return fmt.Sprintf("; at endpoint %v: %v (%v)", failed.Fields["endpoint"], failed.Fields["outcome"], failed.Fields["cause"])
 }
 
-// because tells of a refusal and what decided it.
-func because(refused *Line) string {
+// refusal describes a refusal and the limit or queue behind it; empty for nil.
+func refusal(refused *Line) string {
 	if refused == nil {
 		return ""
 	}
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -9,7 +9,7 @@
 
 const testLog = `
   5.1 entry1 {"level":"info","time":"2026-01-01T10:00:01Z","msg":"configuration in force","box":"entry1","version":4}
-no line of ours
+a line that is not JSON
 {"level":"info","time":"2026-01-01T10:00:02Z","msg":"owner found","box":"entry1","address":"10.0.0.1:7600"}
 {"level":"info","time":"2026-01-01T10:00:09Z","msg":"admitted","box":"entry1","request":"r1","id":"e-1","at":"2026-01-01T10:00:05Z","service":"s"}
 {"level":"info","time":"2026-01-01T10:00:09Z","msg":"dispatched","box":"entry1","request":"r1","id":"e-1","at":"2026-01-01T10:00:05.1Z","endpoint":"i-1"}
@@ -19,7 +19,9 @@
 {"level":"info","time":"2026-01-01T10:00:09Z","msg":"ended","box":"entry1","request":"r2","id":"e-2","at":"2026-01-01T10:00:07Z","status":429,"why":"quota"}
 `
 
-func TestExplainNamesTheCause(t *testing.T) {
+// TestExplainPrintsCause guards against an explanation without the cause of the outcome,
+// and against one for a request that is in no line.
+func TestExplainPrintsCause(t *testing.T) {
 	lines, err := Read(strings.NewReader(testLog))
 	if err != nil || len(lines) != 8 {
 		t.Fatalf("%d lines, %v", len(lines), err)
@@ -27,7 +29,7 @@
 	for id, want := range map[string][]string{
 		"r1":  {"owner found", "version=4", "cause: the endpoint's answer was lost (status 502); at endpoint i-1: unknown (connection reset)"},
 		"e-1": {"dispatched"},
-		"r2":  {"cause: refused before any endpoint had it; refused for quota: 90 of 100 spent"},
+		"r2":  {"cause: refused before dispatch to an endpoint; refused for quota: 90 of 100 spent"},
 	} {
 		var out strings.Builder
 		if err := Explain(&out, id, lines); err != nil {
