--- a/replay/baseline.go
+++ b/replay/baseline.go
@@ -7,39 +7,39 @@
 	"lynxramp.org/sched"
 )
 
-// Policies are the ways of deciding that can be compared, by name: ours and the
+// Policies are the policies to compare, by name: the scheduler first, then the
 // baselines.
 var Policies = []struct {
 	Name string
-	New  NewPolicy
+	New  PolicyFactory
 }{
 	{"lynxramp", func(now event.Time, p event.Pool) Policy { return sched.New(now, p, 1) }},
-	{"round-robin", newBaseline((*baseline).nextInTurn)},
+	{"round-robin", newBaseline((*baseline).roundRobin)},
 	{"least-outstanding", newBaseline((*baseline).leastOutstanding)},
-	{"reported-load", newBaseline((*baseline).leastReported)},
-	{"prefix-only", newBaseline((*baseline).mostCached)},
+	{"reported-load", newBaseline((*baseline).leastReportedLoad)},
+	{"prefix-only", newBaseline((*baseline).longestPrefix)},
 }
 
-// baseline hands each request to an endpoint as it comes and queues nothing:
-// the engines queue, by priority.
+// baseline assigns each request to an endpoint on arrival and queues nothing: the
+// engines queue by priority.
 type baseline struct {
-	pool     event.Pool
-	choose   func(*baseline, event.Ticket) int
-	turn     int
-	open     map[event.EndpointID]int // requests that have not ended
-	where    map[event.RequestID]event.EndpointID
-	reported map[event.EndpointID]event.Report
-	cached   map[event.EndpointID]map[uint64]struct{}
+	pool        event.Pool
+	choose      func(*baseline, event.Ticket) int
+	next        int
+	outstanding map[event.EndpointID]int // unfinished requests
+	placements  map[event.RequestID]event.EndpointID
+	reported    map[event.EndpointID]event.Report
+	cached      map[event.EndpointID]map[uint64]struct{}
 }
 
-func newBaseline(choose func(*baseline, event.Ticket) int) NewPolicy {
+func newBaseline(choose func(*baseline, event.Ticket) int) PolicyFactory {
 	return func(_ event.Time, p event.Pool) Policy {
 		return &baseline{
 			pool: p, choose: choose,
-			open:     make(map[event.EndpointID]int),
-			where:    make(map[event.RequestID]event.EndpointID),
-			reported: make(map[event.EndpointID]event.Report),
-			cached:   make(map[event.EndpointID]map[uint64]struct{}),
+			outstanding: make(map[event.EndpointID]int),
+			placements:  make(map[event.RequestID]event.EndpointID),
+			reported:    make(map[event.EndpointID]event.Report),
+			cached:      make(map[event.EndpointID]map[uint64]struct{}),
 		}
 	}
 }
@@ -49,8 +49,8 @@
 	switch e := e.(type) {
 	case *event.Submitted:
 		id := b.pool.Endpoints[b.choose(b, e.Ticket)].ID
-		b.open[id]++
-		b.where[e.Ticket.ID] = id
+		b.outstanding[id]++
+		b.placements[e.Ticket.ID] = id
 		if b.cached[id] == nil {
 			b.cached[id] = make(map[uint64]struct{})
 		}
@@ -59,36 +59,36 @@
 		}
 		out.Grants = append(out.Grants, event.Granted{Entry: e.Entry, ID: e.Ticket.ID, Endpoint: id, Address: string(id)})
 	case *event.Finished:
-		if id, ok := b.where[e.ID]; ok {
-			b.open[id]--
-			delete(b.where, e.ID)
+		if id, ok := b.placements[e.ID]; ok {
+			b.outstanding[id]--
+			delete(b.placements, e.ID)
 		}
 	case *event.SlotReported:
 		b.reported[e.Report.Endpoint] = e.Report
 	}
 }
 
-func (b *baseline) nextInTurn(event.Ticket) int {
+func (b *baseline) roundRobin(event.Ticket) int {
 	for {
-		b.turn = (b.turn + 1) % len(b.pool.Endpoints)
-		if !b.reported[b.pool.Endpoints[b.turn].ID].Draining {
-			return b.turn
+		b.next = (b.next + 1) % len(b.pool.Endpoints)
+		if !b.reported[b.pool.Endpoints[b.next].ID].Draining {
+			return b.next
 		}
 	}
 }
 
-// least returns the endpoint, of those that stay, where a figure is least. Among
-// equals the search begins at another one each time.
-func (b *baseline) least(figure func(event.EndpointID) int) int {
-	b.turn++
+// minBy returns the index of the endpoint with the lowest cost, among those that are
+// not draining. Each search starts at another endpoint, so that ties rotate.
+func (b *baseline) minBy(cost func(event.EndpointID) int) int {
+	b.next++
 	best := -1
 	for i := range b.pool.Endpoints {
-		i = (i + b.turn) % len(b.pool.Endpoints)
+		i = (i + b.next) % len(b.pool.Endpoints)
 		id := b.pool.Endpoints[i].ID
 		if b.reported[id].Draining {
 			continue
 		}
-		if best < 0 || figure(id) < figure(b.pool.Endpoints[best].ID) {
+		if best < 0 || cost(id) < cost(b.pool.Endpoints[best].ID) {
 			best = i
 		}
 	}
@@ -96,18 +96,18 @@
 }
 
 func (b *baseline) leastOutstanding(event.Ticket) int {
-	return b.least(func(id event.EndpointID) int { return b.open[id] })
+	return b.minBy(func(id event.EndpointID) int { return b.outstanding[id] })
 }
 
-func (b *baseline) leastReported(event.Ticket) int {
-	return b.least(func(id event.EndpointID) int { return b.reported[id].QueueLength })
+func (b *baseline) leastReportedLoad(event.Ticket) int {
+	return b.minBy(func(id event.EndpointID) int { return b.reported[id].QueueLength })
 }
 
-// mostCached chooses the longest known prefix, and among equals the least
-// outstanding.
-func (b *baseline) mostCached(t event.Ticket) int {
-	const above = 1 << 20 // any number of outstanding requests
-	return b.least(func(id event.EndpointID) int {
+// longestPrefix chooses the endpoint with the longest cached prefix, and among equals
+// the one with the fewest outstanding requests.
+func (b *baseline) longestPrefix(t event.Ticket) int {
+	const blockWeight = 1 << 20 // exceeds any number of outstanding requests
+	return b.minBy(func(id event.EndpointID) int {
 		n := 0
 		for n < len(t.Prefix) {
 			if _, ok := b.cached[id][t.Prefix[n]]; !ok {
@@ -115,6 +115,6 @@
 			}
 			n++
 		}
-		return b.open[id] - above*n
+		return b.outstanding[id] - blockWeight*n
 	})
 }
--- a/replay/doc.go
+++ b/replay/doc.go
@@ -1,13 +1,11 @@
 // SPDX-License-Identifier: MIT
 
-// Package replay runs a recorded trace in event time against a way of deciding
-// and tells what came of it. The engines are the pure models of engine/fake; the
-// decisions are those of the real scheduler, or of a baseline that many gateways
-// use. Nothing waits and nothing is random: the same trace gives the same result
-// each time.
+// Package replay simulates a recorded trace under a scheduling policy and reports the
+// outcome. The engines are the models of engine/fake; the policy is the real scheduler
+// or one of several common baselines. It is a discrete-event simulation without
+// randomness: the same trace always gives the same result.
 //
-// Modelled beside that are the delay between boxes, slots' reports with what they
-// measure, load reports that lag, callers that hang up at their deadline, slow
-// and leaving endpoints, and a scheduler that is replaced by one that knows
-// nothing.
+// The simulation includes network delay between boxes, slots' reports with measured
+// token gaps, delayed load reports, callers that disconnect at their deadline, slow and
+// draining endpoints, and the replacement of the scheduler by one without state.
 package replay
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -11,8 +11,8 @@
 	"lynxramp.org/trace"
 )
 
-// TestStatedOutcomes replays the recorded traces against what is stated in them.
-func TestStatedOutcomes(t *testing.T) {
+// TestTraceObjectives guards against a scheduler that misses the objectives of a recorded trace.
+func TestTraceObjectives(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.jsonl.gz")
 	if err != nil || len(files) != len(trace.Deployments)*len(trace.Scenarios) {
 		t.Fatalf("%d traces, %v", len(files), err)
@@ -32,22 +32,21 @@
 	}
 }
 
-// TestBaselinesMiss checks that the stated outcomes of a burst are out of every
-// baseline's reach: a check that cannot fail would be none.
-func TestBaselinesMiss(t *testing.T) {
+// TestBaselinesMissBurstObjectives guards against objectives so weak that a baseline meets them.
+func TestBaselinesMissBurstObjectives(t *testing.T) {
 	recorded, err := trace.Load("testdata/casablanca-burst.jsonl.gz")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, p := range Policies[1:] {
 		if r := Run(recorded, p.New); len(r.Misses(recorded.Header.Outcomes)) == 0 {
-			t.Errorf("%s reaches the stated outcomes", p.Name)
+			t.Errorf("%s meets the objectives", p.Name)
 		}
 	}
 }
 
-// TestReplayRepeats checks that a replay gives the same result each time.
-func TestReplayRepeats(t *testing.T) {
+// TestReplayIsDeterministic guards against replays of one trace that differ.
+func TestReplayIsDeterministic(t *testing.T) {
 	recorded, err := trace.Make("tbilisi", "mix", 4)
 	if err != nil {
 		t.Fatal(err)
--- a/replay/result.go
+++ b/replay/result.go
@@ -9,15 +9,15 @@
 	"lynxramp.org/trace"
 )
 
-// RankResult is what came of the requests of one tier.
+// RankResult counts the requests of one tier by outcome.
 type RankResult struct {
 	Offered int
-	InTime  int // answered whole before the caller's deadline
-	Late    int // the caller hung up
+	InTime  int // answered completely before the deadline
+	Late    int // disconnected at the deadline
 	Refused int
 }
 
-// Goodput returns the share of requests answered in time.
+// Goodput returns the fraction of requests answered in time; 1 if there were none.
 func (r RankResult) Goodput() float64 {
 	if r.Offered == 0 {
 		return 1
@@ -25,26 +25,26 @@
 	return float64(r.InTime) / float64(r.Offered)
 }
 
-// Result is what came of a replay.
+// Result is the outcome of a replay.
 type Result struct {
 	Trace  string
 	Policy string
 	Ranks  map[int]*RankResult
-	// Prefilled is all prompt tokens computed, Repeated those of them that had
-	// been computed before, Thrown those of requests cancelled before their end.
-	Prefilled, Repeated, Thrown int
-	// TierViolations counts requests shed while one of a lower tier waited.
+	// PrefillTokens counts all prompt tokens computed, RecomputedTokens those that had been
+	// computed before, DiscardedTokens those of requests cancelled before their end.
+	Prefilled, RecomputedTokens, DiscardedTokens int
+	// TierViolations counts requests shed while one of a lower tier was queued.
 	TierViolations int
 }
 
-func (r *Result) rank(n int) *RankResult {
+func (r *Result) rankResult(n int) *RankResult {
 	if r.Ranks[n] == nil {
 		r.Ranks[n] = &RankResult{}
 	}
 	return r.Ranks[n]
 }
 
-// Goodput returns the share of all requests answered in time.
+// Goodput returns the fraction of all requests answered in time.
 func (r Result) Goodput() float64 {
 	var all RankResult
 	for _, one := range r.Ranks {
@@ -54,15 +54,15 @@
 	return all.Goodput()
 }
 
-// Wasted returns the prompt tokens that were repeated or thrown away.
-func (r Result) Wasted() int { return r.Repeated + r.Thrown }
+// WastedTokens returns the number of prompt tokens recomputed or discarded.
+func (r Result) Wasted() int { return r.RecomputedTokens + r.DiscardedTokens }
 
-// WastedShare returns the share of wasted prompt tokens among all computed.
+// WastedShare returns the fraction of computed prompt tokens that were wasted.
 func (r Result) WastedShare() float64 {
 	return float64(r.Wasted()) / float64(max(1, r.Prefilled))
 }
 
-// SortedRanks returns the tiers, highest first.
+// SortedRanks returns the ranks of the tiers, highest first.
 func (r Result) SortedRanks() []int {
 	ranks := make([]int, 0, len(r.Ranks))
 	for n := range r.Ranks {
@@ -73,19 +73,19 @@
 	return ranks
 }
 
-// Misses returns what falls short of the stated outcomes, a line each.
-func (r Result) Misses(want trace.Outcomes) []string {
-	var misses []string
+// Violations returns the objectives that the result fails to meet, a line each.
+func (r Result) Misses(objectives trace.Objectives) []string {
+	var violations []string
 	for _, n := range r.SortedRanks() {
-		if least, ok := want.Goodput[n]; ok && r.Ranks[n].Goodput() < least {
-			misses = append(misses, fmt.Sprintf("goodput of rank %d is %.3f, at least %.3f is stated", n, r.Ranks[n].Goodput(), least))
+		if minimum, ok := objectives.Goodput[n]; ok && r.Ranks[n].Goodput() < minimum {
+			violations = append(violations, fmt.Sprintf("goodput of rank %d is %.3f, objective is at least %.3f", n, r.Ranks[n].Goodput(), minimum))
 		}
 	}
-	if r.WastedShare() > want.WastedPrefill {
-		misses = append(misses, fmt.Sprintf("wasted prefill is %.3f, at most %.3f is stated", r.WastedShare(), want.WastedPrefill))
+	if r.WastedShare() > objectives.WastedPrefill {
+		violations = append(violations, fmt.Sprintf("wasted prefill is %.3f, objective is at most %.3f", r.WastedShare(), objectives.WastedPrefill))
 	}
 	if r.TierViolations > 0 {
-		misses = append(misses, fmt.Sprintf("%d requests were shed while one of a lower tier waited", r.TierViolations))
+		violations = append(violations, fmt.Sprintf("%d requests were shed while one of a lower tier was queued", r.TierViolations))
 	}
-	return misses
+	return violations
 }
--- a/replay/run.go
+++ b/replay/run.go
@@ -13,84 +13,84 @@
 	"lynxramp.org/trace"
 )
 
-// Times of the modelled system.
+// Parameters of the simulated system.
 const (
-	hop         = event.Millisecond // between boxes, one way
-	reportEvery = 250 * event.Millisecond
-	tickEvery   = 50 * event.Millisecond
-	ownerGap    = event.Second // without a scheduler, when one is replaced
-	entry       = event.BoxID("entry")
-	warmUp      = 3 * event.Second // before the first request
+	networkDelay   = event.Millisecond // one way, between boxes
+	reportInterval = 250 * event.Millisecond
+	tickInterval   = 50 * event.Millisecond
+	ownerGap       = event.Second // time without a scheduler during a replacement
+	entryID        = event.BoxID("entry")
+	warmUp         = 3 * event.Second // before the first request
 )
 
-// Policy is a way of deciding. sched.State is one.
+// Policy is a scheduling policy, such as sched.State.
 type Policy interface {
 	Step(now event.Time, e event.Event, out *event.Effects)
 }
 
-// NewPolicy makes a policy that owns the pool from now on.
-type NewPolicy func(now event.Time, p event.Pool) Policy
+// PolicyFactory returns a policy that owns the pool from now on.
+type PolicyFactory func(now event.Time, p event.Pool) Policy
 
-// request is a trace's request on its way.
+// request is a simulated request of the trace.
 type request struct {
 	trace.Request
-	ticket   event.Ticket
-	blocks   []uint64 // of the prompt
-	arrived  event.Time
-	endpoint *server // where it runs
-	last     event.Time
-	ended    bool
-	ran      bool
+	ticket     event.Ticket
+	blocks     []uint64 // prefix blocks of the prompt
+	arrived    event.Time
+	endpoint   *server // where it was dispatched; nil before
+	lastToken  event.Time
+	finished   bool
+	dispatched bool
 }
 
-// server is an endpoint and its slot.
+// server is an endpoint with its slot.
 type server struct {
 	trace.Endpoint
-	id      event.EndpointID
-	model   *fake.Model
-	meter   meter.Meter
-	running map[event.RequestID]*request
-	leaving bool
-	loads   []pastLoad
-	wakeAt  event.Time
+	id          event.EndpointID
+	model       *fake.Model
+	meter       meter.Meter
+	requests    map[event.RequestID]*request
+	draining    bool
+	loadHistory []loadSample
+	nextChange  event.Time
 }
 
-type pastLoad struct {
-	at      event.Time
-	waiting int
+type loadSample struct {
+	at          event.Time
+	queueLength int
 }
 
-// run is a replay under way.
-type run struct {
-	trace    trace.Trace
-	make     NewPolicy
-	policy   Policy // nil while there is none
-	pool     event.Pool
-	now      event.Time
-	queue    timeline
-	planned  int
-	servers  []*server
-	byID     map[event.EndpointID]*server
-	requests map[event.RequestID]*request
-	open     int // requests that have not ended
-	effects  event.Effects
-	result   Result
-	blocks   map[uint64]struct{} // that were ever computed
+// simulation is the state of a replay.
+type simulation struct {
+	trace          trace.Trace
+	newPolicy      PolicyFactory
+	policy         Policy // nil while the scheduler is replaced
+	pool           event.Pool
+	now            event.Time
+	queue          eventQueue
+	scheduled      int
+	servers        []*server
+	byID           map[event.EndpointID]*server
+	requests       map[event.RequestID]*request
+	unfinished     int // requests without an outcome
+	effects        event.Effects
+	result         Result
+	computedBlocks map[uint64]struct{} // all prefix blocks dispatched so far
 }
 
 // Run replays a trace under a policy.
-func Run(t trace.Trace, make_ NewPolicy) Result {
-	r := &run{
-		trace:    t,
-		make:     make_,
-		byID:     make(map[event.EndpointID]*server),
-		requests: make(map[event.RequestID]*request),
-		blocks:   make(map[uint64]struct{}),
-		result:   Result{Trace: t.Header.Name, Ranks: make(map[int]*RankResult)},
+func Run(t trace.Trace, newPolicy PolicyFactory) Result {
+	r := &simulation{
+		trace:          t,
+		newPolicy:      newPolicy,
+		byID:           make(map[event.EndpointID]*server),
+		requests:       make(map[event.RequestID]*request),
+		computedBlocks: make(map[uint64]struct{}),
+		result:         Result{Trace: t.Header.Name, Ranks: make(map[int]*RankResult)},
 	}
 	r.prepare()
-	for len(r.queue) > 0 && r.open > 0 {
-		next := heap.Pop(&r.queue).(moment)
+	for len(r.queue) > 0 && r.unfinished > 0 {
+		next := heap.Pop(&r.queue).(scheduledEvent)
 		r.now = next.at
 		next.do()
 	}
@@ -98,243 +98,243 @@
 	return r.result
 }
 
-func (r *run) prepare() {
+func (r *simulation) prepare() {
 	h := r.trace.Header
 	r.pool = event.Pool{Name: h.Pool, MaxWaiting: h.MaxWaiting, PrefillWeight: h.PrefillWeight}
 	for _, e := range h.Endpoints {
 		p := fake.DefaultProfile().Scaled(e.Speed)
 		p.MaxBatch = e.Concurrency
 		p.CacheBlocks = e.CacheBlocks
-		s := &server{Endpoint: e, id: event.EndpointID(e.Name), model: fake.NewModel(p), running: make(map[event.RequestID]*request)}
+		s := &server{Endpoint: e, id: event.EndpointID(e.Name), model: fake.NewModel(p), requests: make(map[event.RequestID]*request)}
 		r.servers = append(r.servers, s)
 		r.byID[s.id] = s
 		r.pool.Endpoints = append(r.pool.Endpoints, event.Endpoint{ID: s.id, Concurrency: e.Concurrency, Speed: e.Speed})
 	}
-	r.policy = r.make(0, r.pool)
+	r.policy = r.newPolicy(0, r.pool)
 	for i, s := range r.servers {
-		r.at(event.Time(i)*event.Time(event.Millisecond), func() { r.report(s) })
+		r.schedule(event.Time(i)*event.Time(event.Millisecond), func() { r.report(s) })
 	}
-	r.at(0, r.tick)
+	r.schedule(0, r.tick)
 	for _, q := range r.trace.Requests {
-		r.open++
-		r.at(event.Time(warmUp).Add(event.Duration(q.At)*event.Millisecond), func() { r.arrive(q) })
+		r.unfinished++
+		r.schedule(event.Time(warmUp).Add(event.Duration(q.At)*event.Millisecond), func() { r.arrive(q) })
 	}
 	for _, f := range r.trace.Faults {
-		r.at(event.Time(warmUp).Add(event.Duration(f.At)*event.Millisecond), func() { r.fault(f) })
+		r.schedule(event.Time(warmUp).Add(event.Duration(f.At)*event.Millisecond), func() { r.applyFault(f) })
 	}
 }
 
-// at plans something.
-func (r *run) at(t event.Time, do func()) {
-	r.planned++
-	heap.Push(&r.queue, moment{at: t, number: r.planned, do: do})
+// schedule runs do at a time.
+func (r *simulation) schedule(t event.Time, do func()) {
+	r.scheduled++
+	heap.Push(&r.queue, scheduledEvent{at: t, sequence: r.scheduled, do: do})
 }
 
-// later plans something after a span.
-func (r *run) later(s event.Duration, do func()) { r.at(r.now.Add(s), do) }
+// scheduleAfter runs do after a delay.
+func (r *simulation) scheduleAfter(s event.Duration, do func()) { r.schedule(r.now.Add(s), do) }
 
-// tell hands an event to the policy and carries out what follows.
-func (r *run) tell(e event.Event) {
+// step passes an event to the policy and schedules the resulting grants and refusals.
+func (r *simulation) step(e event.Event) {
 	if r.policy == nil {
 		return
 	}
 	r.effects.Reset()
 	r.policy.Step(r.now, e, &r.effects)
 	for _, g := range slices.Clone(r.effects.Grants) {
-		r.later(hop, func() { r.dispatch(g) })
+		r.scheduleAfter(networkDelay, func() { r.dispatch(g) })
 	}
 	for _, f := range slices.Clone(r.effects.Refusals) {
-		r.later(hop, func() { r.refused(f) })
+		r.scheduleAfter(networkDelay, func() { r.refused(f) })
 	}
 }
 
-func (r *run) tick() {
-	r.tell(&event.EntryHeartbeat{Entry: entry})
-	r.tell(&event.Tick{})
-	r.later(tickEvery, r.tick)
+func (r *simulation) tick() {
+	r.step(&event.EntryHeartbeat{Entry: entryID})
+	r.step(&event.Tick{})
+	r.scheduleAfter(tickInterval, r.tick)
 }
 
-func (r *run) arrive(q trace.Request) {
-	one := &request{Request: q, arrived: r.now, blocks: q.Blocks()}
-	one.ticket = event.Ticket{
+func (r *simulation) arrive(q trace.Request) {
+	simulated := &request{Request: q, arrived: r.now, blocks: q.Blocks()}
+	simulated.ticket = event.Ticket{
 		ID: event.RequestID(q.ID), Team: q.Team, Rank: q.Rank, Pool: r.pool.Name,
-		PromptTokens: q.PromptTokens(), OutputTokens: q.Output, Prefix: engine.Marks(one.blocks),
+		PromptTokens: q.PromptTokens(), OutputTokens: q.Output, Prefix: engine.Marks(simulated.blocks),
 		Deadline: event.Duration(q.Deadline) * event.Millisecond,
 	}
-	r.requests[one.ticket.ID] = one
-	r.result.rank(q.Rank).Offered++
-	r.later(hop, func() { r.tell(&event.Submitted{Entry: entry, Ticket: one.ticket}) })
-	r.later(one.ticket.Deadline, func() { r.hangUp(one) })
+	r.requests[simulated.ticket.ID] = simulated
+	r.result.rankResult(q.Rank).Offered++
+	r.scheduleAfter(networkDelay, func() { r.step(&event.Submitted{Entry: entryID, Ticket: simulated.ticket}) })
+	r.scheduleAfter(simulated.ticket.Deadline, func() { r.disconnect(simulated) })
 }
 
-func (r *run) dispatch(g event.Granted) {
+func (r *simulation) dispatch(g event.Granted) {
 	q := r.requests[g.ID]
 	s := r.byID[g.Endpoint]
-	if q.ended || q.endpoint != nil {
+	if q.finished || q.endpoint != nil {
 		return
 	}
-	if s.leaving {
-		r.later(hop, func() {
-			r.tell(&event.Finished{ID: g.ID, Pool: r.pool.Name, Void: true})
-			r.tell(&event.Submitted{Entry: entry, Ticket: q.ticket})
+	if s.draining {
+		r.scheduleAfter(networkDelay, func() {
+			r.step(&event.Finished{ID: g.ID, Pool: r.pool.Name, Void: true})
+			r.step(&event.Submitted{Entry: entryID, Ticket: q.ticket})
 		})
 		return
 	}
 	q.endpoint = s
-	q.ran = true
-	s.running[g.ID] = q
+	q.dispatched = true
+	s.requests[g.ID] = q
 	s.model.Submit(r.now, fake.Job{
 		ID: q.ID, PromptTokens: q.ticket.PromptTokens, OutputTokens: q.Output, Priority: q.Rank, Prefix: q.blocks,
 	})
 	for _, b := range q.blocks {
-		r.blocks[b] = struct{}{}
+		r.computedBlocks[b] = struct{}{}
 	}
-	r.wake(s)
+	r.scheduleAdvance(s)
 }
 
-// wake plans the model's next change.
-func (r *run) wake(s *server) {
+// scheduleAdvance schedules the next change of the server's model.
+func (r *simulation) scheduleAdvance(s *server) {
 	next, ok := s.model.Next()
-	if !ok || next == s.wakeAt {
+	if !ok || next == s.nextChange {
 		return
 	}
-	s.wakeAt = next
-	r.at(next, func() { r.advance(s) })
+	s.nextChange = next
+	r.schedule(next, func() { r.advance(s) })
 }
 
-func (r *run) advance(s *server) {
+func (r *simulation) advance(s *server) {
 	for _, o := range s.model.Advance(r.now, nil) {
 		q := r.requests[event.RequestID(o.ID)]
-		if q.last != 0 {
-			s.meter.Add(r.now, 1, r.now.Sub(q.last))
+		if q.lastToken != 0 {
+			s.meter.Add(r.now, 1, r.now.Sub(q.lastToken))
 		}
-		q.last = r.now
+		q.lastToken = r.now
 		if o.Done {
-			r.done(s, q)
+			r.complete(s, q)
 		}
 	}
-	r.wake(s)
+	r.scheduleAdvance(s)
 }
 
-func (r *run) done(s *server, q *request) {
-	delete(s.running, q.ticket.ID)
-	if q.ended {
+func (r *simulation) complete(s *server, q *request) {
+	delete(s.requests, q.ticket.ID)
+	if q.finished {
 		return
 	}
 	r.end(q)
-	r.result.rank(q.Rank).InTime++
-	r.later(hop, func() { r.tell(&event.Finished{ID: q.ticket.ID, Pool: r.pool.Name, Tokens: q.Output}) })
+	r.result.rankResult(q.Rank).InTime++
+	r.scheduleAfter(networkDelay, func() { r.step(&event.Finished{ID: q.ticket.ID, Pool: r.pool.Name, Tokens: q.Output}) })
 }
 
-func (r *run) end(q *request) {
-	q.ended = true
-	r.open--
+func (r *simulation) end(q *request) {
+	q.finished = true
+	r.unfinished--
 }
 
-// hangUp is a caller's end of patience.
-func (r *run) hangUp(q *request) {
-	if q.ended {
+// disconnect ends a request whose caller reached its deadline.
+func (r *simulation) disconnect(q *request) {
+	if q.finished {
 		return
 	}
 	r.end(q)
-	r.result.rank(q.Rank).Late++
+	r.result.rankResult(q.Rank).Late++
 	s := q.endpoint
 	if s == nil {
-		r.later(hop, func() { r.tell(&event.Withdrawn{Entry: entry, ID: q.ticket.ID, Pool: r.pool.Name}) })
+		r.scheduleAfter(networkDelay, func() { r.step(&event.Withdrawn{Entry: entryID, ID: q.ticket.ID, Pool: r.pool.Name}) })
 		return
 	}
-	r.later(2*hop, func() {
+	r.scheduleAfter(2*networkDelay, func() {
 		s.model.Cancel(q.ID)
-		delete(s.running, q.ticket.ID)
+		delete(s.requests, q.ticket.ID)
 	})
-	r.later(hop, func() { r.tell(&event.Finished{ID: q.ticket.ID, Pool: r.pool.Name, Failed: true}) })
+	r.scheduleAfter(networkDelay, func() { r.step(&event.Finished{ID: q.ticket.ID, Pool: r.pool.Name, Failed: true}) })
 }
 
-func (r *run) refused(f event.Refused) {
+func (r *simulation) refused(f event.Refused) {
 	q := r.requests[f.ID]
-	if q.ended || q.endpoint != nil {
+	if q.finished || q.endpoint != nil {
 		return
 	}
 	r.end(q)
-	r.result.rank(q.Rank).Refused++
+	r.result.rankResult(q.Rank).Refused++
 	if f.Reason != event.ReasonShed {
 		return
 	}
-	// Promise: nothing of a lower tier is kept.
+	// Invariant: when a request is shed, no request of a lower tier is queued.
 	for _, other := range r.requests {
-		if !other.ended && other.endpoint == nil && other.Rank < q.Rank && r.now.Sub(other.arrived) > 4*hop && r.waits(other) {
+		if !other.finished && other.endpoint == nil && other.Rank < q.Rank && r.now.Sub(other.arrived) > 4*networkDelay && r.isWaiting(other) {
 			r.result.TierViolations++
 			return
 		}
 	}
 }
 
-// waits reports whether the policy keeps a request waiting, for those that can
-// tell.
-func (r *run) waits(q *request) bool {
+// isWaiting reports whether the policy has a request queued; false for policies that
+// don't report it.
+func (r *simulation) isWaiting(q *request) bool {
 	p, ok := r.policy.(interface{ Waits(id event.RequestID) bool })
 	return ok && p.Waits(q.ticket.ID)
 }
 
-func (r *run) report(s *server) {
-	s.loads = append(s.loads, pastLoad{at: r.now, waiting: s.model.Load().Waiting + s.model.Load().Running})
+func (r *simulation) report(s *server) {
+	s.loadHistory = append(s.loadHistory, loadSample{at: r.now, queueLength: s.model.Load().Waiting + s.model.Load().Running})
 	lag := event.Duration(r.trace.Header.LoadLagMillis) * event.Millisecond
-	for len(s.loads) > 1 && r.now.Sub(s.loads[1].at) >= lag {
-		s.loads = s.loads[1:]
+	for len(s.loadHistory) > 1 && r.now.Sub(s.loadHistory[1].at) >= lag {
+		s.loadHistory = s.loadHistory[1:]
 	}
 	rep := event.Report{
-		Endpoint: s.id, Pool: r.pool.Name, Address: string(s.id), Incarnation: 1, Draining: s.leaving,
-		QueueLength: s.loads[0].waiting, LoadAge: r.now.Sub(s.loads[0].at), TokenGap: s.meter.Gap(r.now),
+		Endpoint: s.id, Pool: r.pool.Name, Address: string(s.id), Incarnation: 1, Draining: s.draining,
+		QueueLength: s.loadHistory[0].queueLength, LoadAge: r.now.Sub(s.loadHistory[0].at), TokenGap: s.meter.Gap(r.now),
 	}
-	for id := range s.running {
+	for id := range s.requests {
 		rep.Running = append(rep.Running, id.Dispatch(0))
 	}
 	slices.Sort(rep.Running)
-	r.later(hop, func() { r.tell(&event.SlotReported{Report: rep}) })
-	r.later(reportEvery, func() { r.report(s) })
+	r.scheduleAfter(networkDelay, func() { r.step(&event.SlotReported{Report: rep}) })
+	r.scheduleAfter(reportInterval, func() { r.report(s) })
 }
 
-func (r *run) fault(f trace.Fault) {
+func (r *simulation) applyFault(f trace.Fault) {
 	if f.NewOwner {
 		r.policy = nil
-		r.later(ownerGap, r.replaceOwner)
+		r.scheduleAfter(ownerGap, r.replaceOwner)
 		return
 	}
 	s := r.byID[event.EndpointID(f.Endpoint)]
 	if f.Slowdown > 0 {
 		s.model.SetSlowdown(f.Slowdown)
 	}
-	s.leaving = s.leaving || f.Leaving
+	s.draining = s.draining || f.Leaving
 }
 
-// replaceOwner starts a scheduler that knows nothing; the entry registers again
-// what waits.
-func (r *run) replaceOwner() {
-	r.policy = r.make(r.now, r.pool)
+// replaceOwner starts a scheduler without state; the entry submits the queued requests
+// again.
+func (r *simulation) replaceOwner() {
+	r.policy = r.newPolicy(r.now, r.pool)
 	for _, q := range r.trace.Requests {
-		one := r.requests[event.RequestID(q.ID)]
-		if one == nil || one.ended || one.endpoint != nil {
+		simulated := r.requests[event.RequestID(q.ID)]
+		if simulated == nil || simulated.finished || simulated.endpoint != nil {
 			continue
 		}
-		k := one.ticket
-		k.Waited = r.now.Sub(one.arrived)
+		k := simulated.ticket
+		k.Waited = r.now.Sub(simulated.arrived)
 		k.Deadline -= k.Waited
-		r.tell(&event.Submitted{Entry: entry, Ticket: k})
+		r.step(&event.Submitted{Entry: entryID, Ticket: k})
 	}
 }
 
-// finish adds up what the engines did.
-func (r *run) finish() {
-	useful := len(r.blocks) * engine.BlockTokens
+// finish totals the engines' counters.
+func (r *simulation) finish() {
+	useful := len(r.computedBlocks) * engine.BlockTokens
 	for _, q := range r.requests {
-		if q.ran && q.ended {
+		if q.dispatched && q.finished {
 			useful += q.ticket.PromptTokens - len(q.blocks)*engine.BlockTokens
 		}
 	}
 	for _, s := range r.servers {
 		t := s.model.Totals()
 		r.result.Prefilled += t.Prefilled
-		r.result.Thrown += t.Wasted
+		r.result.DiscardedTokens += t.Wasted
 	}
-	r.result.Repeated = max(0, r.result.Prefilled-useful)
+	r.result.RecomputedTokens = max(0, r.result.Prefilled-useful)
 }
--- a/replay/timeline.go
+++ b/replay/timeline.go
@@ -4,38 +4,38 @@
 
 import "lynxramp.org/event"
 
-// moment is something planned.
-type moment struct {
-	at     event.Time
-	number int // of its planning; breaks ties
-	do     func()
+// scheduledEvent is a function to run at a simulated time.
+type scheduledEvent struct {
+	at       event.Time
+	sequence int // order of scheduling; breaks ties
+	do       func()
 }
 
-// timeline implements heap.Interface, the earliest moment first.
-type timeline []moment
+// eventQueue implements heap.Interface, earliest event first.
+type eventQueue []scheduledEvent
 
 // Len implements heap.Interface.
-func (t timeline) Len() int { return len(t) }
+func (t eventQueue) Len() int { return len(t) }
 
 // Less implements heap.Interface.
-func (t timeline) Less(i, j int) bool {
+func (t eventQueue) Less(i, j int) bool {
 	if t[i].at != t[j].at {
 		return t[i].at < t[j].at
 	}
-	return t[i].number < t[j].number
+	return t[i].sequence < t[j].sequence
 }
 
 // Swap implements heap.Interface.
-func (t timeline) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t eventQueue) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 
 // Push implements heap.Interface.
-func (t *timeline) Push(x any) { *t = append(*t, x.(moment)) }
+func (t *eventQueue) Push(x any) { *t = append(*t, x.(scheduledEvent)) }
 
 // Pop implements heap.Interface.
-func (t *timeline) Pop() any {
+func (t *eventQueue) Pop() any {
 	last := len(*t) - 1
 	m := (*t)[last]
-	(*t)[last] = moment{}
+	(*t)[last] = scheduledEvent{}
 	*t = (*t)[:last]
 	return m
 }
