--- a/lang/command.go
+++ b/lang/command.go
@@ -11,33 +11,34 @@
 	"lynxramp.org/event"
 )
 
-// Changes returns what the command does to a catalog, which stays as it is.
+// Changes returns the changes that the command makes to a catalog, which is not
+// modified.
 func (c *Command) Changes(k catalog.Catalog) ([]catalog.Change, error) {
 	var change catalog.Change
 	var err error
 	switch {
 	case c.Drain != nil:
-		change, err = leaving(k, *c.Drain, true)
+		change, err = setDraining(k, *c.Drain, true)
 	case c.Return != nil:
-		change, err = leaving(k, *c.Return, false)
+		change, err = setDraining(k, *c.Return, false)
 	case c.Delete != nil:
-		change, err = remove(k, *c.Delete)
+		change, err = deleteTarget(k, *c.Delete)
 	default:
 		change, err = c.Set.change(k)
 	}
 	return []catalog.Change{change}, err
 }
 
-func leaving(k catalog.Catalog, name string, leaves bool) (catalog.Change, error) {
+func setDraining(k catalog.Catalog, name string, draining bool) (catalog.Change, error) {
 	e, pool, ok := k.Endpoint(event.EndpointID(name))
 	if !ok {
 		return catalog.Change{}, errors.Errorf("there is no endpoint %q", name)
 	}
-	e.Leaving = leaves
+	e.Leaving = draining
 	return catalog.Change{Endpoint: &catalog.EndpointChange{Pool: pool, Endpoint: e}}, nil
 }
 
-func remove(k catalog.Catalog, t Target) (catalog.Change, error) {
+func deleteTarget(k catalog.Catalog, t Target) (catalog.Change, error) {
 	switch t.Kind {
 	case "tier":
 		return catalog.Change{Delete: true, Tier: &catalog.Tier{Name: t.Name}}, nil
--- a/lang/doc.go
+++ b/lang/doc.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 
-// Package lang is the operators' language: questions about what waits, runs and
-// was refused, and commands that change the catalog.
+// Package lang implements the operators' language: queries about requests that are
+// waiting, running or refused, and commands that change the catalog.
 //
 //	show waiting
 //	show running by team, endpoint where tier = gold order by count desc limit 5
@@ -16,7 +16,6 @@
 //	set rule blogs card-api tier bronze
 //	delete team blogs
 //
-// Any command may end in "at N": it is then only carried out on version N of the
-// catalog. Parse answers with the column of a mistake. Query.Run and
-// Command.Changes are pure.
+// Any command may end in "at N": it is then applied only to version N of the catalog.
+// Syntax errors give the column. Query.Run and Command.Changes are pure functions.
 package lang
--- a/lang/lang.go
+++ b/lang/lang.go
@@ -10,13 +10,13 @@
 	"github.com/pkg/errors"
 )
 
-// Statement is a parsed line: one of its fields is set.
+// Statement is a parsed line; exactly one field is set.
 type Statement struct {
 	Query   *Query   `parser:"(  @@"`
 	Command *Command `parser:" | @@ )"`
 }
 
-// Query is a question.
+// Query counts requests in a state, grouped by fields.
 type Query struct {
 	What  string      `parser:"'show' @('waiting'|'running'|'refused')"`
 	By    []string    `parser:"('by' @('team'|'tier'|'pool'|'endpoint'|'reason') (',' @('team'|'tier'|'pool'|'endpoint'|'reason'))*)?"`
@@ -27,28 +27,28 @@
 
 // Condition compares a field with a value.
 type Condition struct {
-	Field string `parser:"@('team'|'tier'|'pool'|'endpoint'|'reason')"`
-	Not   bool   `parser:"(@'!=' | '=')"`
-	Value string `parser:"@(Word|Number|String)"`
+	Field   string `parser:"@('team'|'tier'|'pool'|'endpoint'|'reason')"`
+	Negated bool   `parser:"(@'!=' | '=')"`
+	Value   string `parser:"@(Word|Number|String)"`
 }
 
-// Order says how a result is sorted.
+// Order is the sort order of a result.
 type Order struct {
 	By   string `parser:"'order' 'by' @('count'|'team'|'tier'|'pool'|'endpoint'|'reason')"`
 	Desc bool   `parser:"@'desc'?"`
 }
 
-// Command is a change of the catalog.
+// Command is a change of the catalog; one field besides CatalogVersion is set.
 type Command struct {
 	Drain  *string  `parser:"(  'drain' 'endpoint' @Word"`
 	Return *string  `parser:" | 'return' 'endpoint' @Word"`
 	Set    *Setting `parser:" | 'set' @@"`
 	Delete *Target  `parser:" | 'delete' @@ )"`
-	// At is the version that the command is meant for; nil for the present one.
+	// CatalogVersion is the version to which the command applies; nil for the current one.
 	At *uint64 `parser:"('at' @Number)?"`
 }
 
-// Setting sets one property of one thing.
+// Setting sets one property of an item.
 type Setting struct {
 	Tier *TierSetting `parser:"(  'tier' @@"`
 	Pool *PoolSetting `parser:" | 'pool' @@"`
@@ -83,7 +83,7 @@
 	Tier    string `parser:"'tier' @Word"`
 }
 
-// Target names a thing to delete.
+// Target is an item to delete.
 type Target struct {
 	Kind string `parser:"@('tier'|'team'|'service'|'pool')"`
 	Name string `parser:"@Word"`
@@ -101,7 +101,7 @@
 	participle.UseLookahead(2),
 )
 
-// SyntaxError is a mistake in a line.
+// SyntaxError is a syntax error in a line.
 type SyntaxError struct {
 	Column  int // from 1
 	Message string
@@ -110,7 +110,7 @@
 // Error implements error.
 func (e *SyntaxError) Error() string { return fmt.Sprintf("column %d: %s", e.Column, e.Message) }
 
-// Parse reads one line. A mistake is a *SyntaxError.
+// Parse parses one line. A syntax error is a *SyntaxError.
 func Parse(line string) (*Statement, error) {
 	s, err := parser.ParseString("", line)
 	if err == nil {
--- a/lang/lang_test.go
+++ b/lang/lang_test.go
@@ -18,6 +18,7 @@
 	{Team: "tagging", Tier: "bronze", Pool: "chef", Count: 9},
 }
 
+// TestQuery guards against wrong filters, groups, sorting or limits.
 func TestQuery(t *testing.T) {
 	tests := []struct {
 		line string
@@ -41,7 +42,8 @@
 	}
 }
 
-func TestMistakes(t *testing.T) {
+// TestSyntaxErrorColumns guards against syntax errors reported at the wrong column.
+func TestSyntaxErrorColumns(t *testing.T) {
 	for line, column := range map[string]int{
 		"show running by teem":        17,
 		"show waiting limit many":     20,
@@ -50,13 +52,14 @@
 		"show waiting where team ~ x": 25,
 	} {
 		_, err := Parse(line)
-		var mistake *SyntaxError
-		if !errors.As(err, &mistake) || mistake.Column != column {
+		var syntaxError *SyntaxError
+		if !errors.As(err, &syntaxError) || syntaxError.Column != column {
 			t.Errorf("%s: %v, want column %d", line, err, column)
 		}
 	}
 }
 
+// TestCommands guards against commands without effect on a catalog, or with an invalid result.
 func TestCommands(t *testing.T) {
 	k := catalog.Catalog{
 		Tiers: []catalog.Tier{{Name: "gold", Rank: 3}, {Name: "bronze", Rank: 1}},
@@ -87,6 +90,6 @@
 		t.Fatal(err)
 	}
 	if _, err := s.Command.Changes(k); err == nil {
-		t.Error("an endpoint that is not there was drained")
+		t.Error("a missing endpoint was drained")
 	}
 }
--- a/lang/query.go
+++ b/lang/query.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Row is a number of requests that are alike in all fields.
+// Row is a group of requests with equal fields, and their number.
 type Row struct {
 	Team     string `json:"team,omitempty"`
 	Tier     string `json:"tier,omitempty"`
@@ -51,7 +51,8 @@
 	}
 }
 
-// Run answers the query from rows, which stay as they are.
+// Run returns the groups of the rows that match the query, sorted and limited. It does
+// not modify rows.
 func (q *Query) Run(rows []Row) []Row {
 	groups := make(map[Row]int)
 	for _, r := range rows {
@@ -78,14 +79,14 @@
 
 func (q *Query) matches(r Row) bool {
 	for _, c := range q.Where {
-		if (r.Field(c.Field) == c.Value) == c.Not {
+		if (r.Field(c.Field) == c.Value) == c.Negated {
 			return false
 		}
 	}
 	return true
 }
 
-// compare sorts by the query's order, then by its fields.
+// compare orders rows by the query's order, then by the grouping fields.
 func (q *Query) compare(a, b Row) int {
 	if q.Order != nil {
 		n := strings.Compare(a.Field(q.Order.By), b.Field(q.Order.By))
