--- a/trace/doc.go
+++ b/trace/doc.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
 
-// Package trace has recorded workloads: JSON lines that say which endpoints a
-// pool has, which requests come when, what fails when, and which outcomes are
-// stated for the whole. A trace file's name ends in .jsonl or .jsonl.gz.
+// Package trace reads, writes and generates recorded workloads. A trace is a file of
+// JSON lines, named .jsonl or .jsonl.gz, with the endpoints of a pool, the requests and
+// faults with their times, and the objectives that a replay must meet.
 //
-// Make writes traces of the two users' workloads at the sizes of today from a
-// seed, so that the same seed always gives the same file.
+// Generate writes traces of two deployments' workloads. The same seed always gives the
+// same trace.
 package trace
--- a/trace/make.go
+++ b/trace/make.go
@@ -10,131 +10,130 @@
 	"github.com/pkg/errors"
 )
 
-// Scenarios are the kinds of traces that Make knows.
+// Scenarios are the scenarios that Generate accepts.
 var Scenarios = [...]string{"steady", "burst", "slowdown", "leaving", "new-owner", "mix"}
 
-// Deployments are the workloads that Make knows: the association's and the
-// agency's.
+// Deployments are the deployments whose workloads Generate accepts.
 var Deployments = [...]string{"casablanca", "tbilisi"}
 
-// kind is a kind of request of a workload.
-type kind struct {
-	name   string
-	share  float64 // of all requests
-	system int     // tokens of the shared beginning
-	// documents is from how many documents of documentTokens each a prompt
-	// takes one; 0 for none.
+// requestKind is a class of requests in a workload.
+type requestKind struct {
+	name         string
+	share        float64 // fraction of all requests
+	systemTokens int     // tokens of the shared prefix
+	// documents is how many documents a prompt draws one from; 0 for none. documentTokens
+	// is their mean length.
 	documents      int
 	documentTokens int
-	question       int // tokens of the request's own part, about
-	output         int // tokens, about
-	deadline       int64
+	questionTokens int // median tokens of the request's own part
+	outputTokens   int // median tokens
+	deadlineMillis int64
 }
 
-// customer is a team of a workload.
-type customer struct {
+// teamShare is a team's share of a workload.
+type teamShare struct {
 	name  string
 	rank  int
 	share float64
 }
 
-// workload is a deployment's traffic.
+// workload is the traffic of a deployment.
 type workload struct {
 	pool          string
-	kinds         []kind
-	teams         []customer
+	kinds         []requestKind
+	teams         []teamShare
 	speeds        []float64
-	rate          float64 // requests a second at steady load
-	burst         float64 // requests a second, three times what the pool can serve
+	rate          float64 // requests per second at steady load
+	burstRate     float64 // requests per second, three times the pool's capacity
 	prefillWeight float64
 }
 
 const (
-	replicas      = 18
-	length        = 120_000 // milliseconds
-	concurrency   = 16
-	cacheBlocks   = 3000
-	maxWaiting    = 400
-	loadLagMillis = 2000
-	burstFactor   = 3.0
-	slowFactor    = 5.0
-	lengthSpread  = 0.6 // of the normal distribution of a length's logarithm
-	burstFrom     = length / 4
-	burstTo       = length / 2
-	faultAt       = length / 3
+	endpointCount  = 18
+	durationMillis = 120_000 // of a trace
+	concurrency    = 16
+	cacheBlocks    = 3000
+	maxWaiting     = 400
+	loadLagMillis  = 2000
+	burstFactor    = 3.0
+	slowdownFactor = 5.0
+	lengthSigma    = 0.6 // standard deviation of a length's logarithm
+	burstStart     = durationMillis / 4
+	burstEnd       = durationMillis / 2
+	faultAt        = durationMillis / 3
 )
 
 var workloads = map[string]workload{
 	"casablanca": {
-		pool: "chef", prefillWeight: 1, rate: 30, burst: 165,
-		kinds: []kind{
-			{name: "tag", share: 0.4, system: 200, question: 60, output: 12, deadline: 4_000},
-			{name: "question", share: 0.35, system: 400, question: 80, output: 150, deadline: 12_000},
-			{name: "recipe", share: 0.25, system: 400, documents: 150, documentTokens: 2500, question: 60, output: 600, deadline: 40_000},
+		pool: "chef", prefillWeight: 1, rate: 30, burstRate: 165,
+		kinds: []requestKind{
+			{name: "tag", share: 0.4, systemTokens: 200, questionTokens: 60, outputTokens: 12, deadlineMillis: 4_000},
+			{name: "question", share: 0.35, systemTokens: 400, questionTokens: 80, outputTokens: 150, deadlineMillis: 12_000},
+			{name: "recipe", share: 0.25, systemTokens: 400, documents: 150, documentTokens: 2500, questionTokens: 60, outputTokens: 600, deadlineMillis: 40_000},
 		},
-		teams: []customer{
+		teams: []teamShare{
 			{"portal-regional", 3, 0.18}, {"portal-cities", 3, 0.1}, {"blogs-tagine", 2, 0.3}, {"blogs-family", 2, 0.12}, {"tagging", 1, 0.3},
 		},
 		speeds: []float64{1.6, 1, 0.5},
 	},
 	"tbilisi": {
-		pool: "scribe", prefillWeight: 3, rate: 16, burst: 90,
-		kinds: []kind{
-			{name: "tag", share: 0.35, system: 300, documents: 60, documentTokens: 1500, question: 40, output: 15, deadline: 6_000},
-			{name: "caption", share: 0.35, system: 300, documents: 60, documentTokens: 1500, question: 60, output: 90, deadline: 12_000},
-			{name: "dossier", share: 0.3, system: 300, documents: 40, documentTokens: 7000, question: 100, output: 500, deadline: 45_000},
+		pool: "scribe", prefillWeight: 3, rate: 16, burstRate: 90,
+		kinds: []requestKind{
+			{name: "tag", share: 0.35, systemTokens: 300, documents: 60, documentTokens: 1500, questionTokens: 40, outputTokens: 15, deadlineMillis: 6_000},
+			{name: "caption", share: 0.35, systemTokens: 300, documents: 60, documentTokens: 1500, questionTokens: 60, outputTokens: 90, deadlineMillis: 12_000},
+			{name: "dossier", share: 0.3, systemTokens: 300, documents: 40, documentTokens: 7000, questionTokens: 100, outputTokens: 500, deadlineMillis: 45_000},
 		},
-		teams: []customer{
+		teams: []teamShare{
 			{"icons", 3, 0.14}, {"manuscripts", 3, 0.1}, {"textiles", 3, 0.06}, {"research", 2, 0.3}, {"public-pages", 1, 0.4},
 		},
 		speeds: []float64{1.4, 0.7},
 	},
 }
 
-// Make returns a trace of a deployment's workload under a scenario.
+// Generate returns a trace of a deployment's workload under a scenario.
 func Make(deployment, scenario string, seed uint64) (Trace, error) {
 	w, ok := workloads[deployment]
 	if !ok {
-		return Trace{}, errors.Errorf("no deployment %q", deployment)
+		return Trace{}, errors.Errorf("unknown deployment %q", deployment)
 	}
 	t := Trace{Header: Header{
 		Name: fmt.Sprintf("%s-%s-%d", deployment, scenario, seed), Pool: w.pool,
 		MaxWaiting: maxWaiting, LoadLagMillis: loadLagMillis, PrefillWeight: w.prefillWeight,
 	}}
-	t.Header.Outcomes = statedOutcomes[deployment+"-"+scenario]
-	for i := range replicas {
+	t.Header.Outcomes = objectives[deployment+"-"+scenario]
+	for i := range endpointCount {
 		t.Header.Endpoints = append(t.Header.Endpoints, Endpoint{
 			Name: fmt.Sprintf("%s-%02d", w.pool, i), Speed: w.speeds[i%len(w.speeds)],
 			Concurrency: concurrency, CacheBlocks: cacheBlocks,
 		})
 	}
 	if !t.addFaults(scenario) {
-		return t, errors.Errorf("no scenario %q", scenario)
+		return t, errors.Errorf("unknown scenario %q", scenario)
 	}
 	random := rand.New(rand.NewPCG(seed, uint64(len(scenario))))
 	for at := 0.0; ; {
 		rate := w.rate
-		if bursts := scenario == "burst" || scenario == "mix"; bursts && at >= burstFrom && at < burstTo {
-			rate = w.burst
+		if bursts := scenario == "burst" || scenario == "mix"; bursts && at >= burstStart && at < burstEnd {
+			rate = w.burstRate
 		}
 		at += random.ExpFloat64() / rate * 1000
-		if at >= length {
+		if at >= durationMillis {
 			return t, nil
 		}
-		t.Requests = append(t.Requests, w.request(random, int64(at), len(t.Requests)))
+		t.Requests = append(t.Requests, w.newRequest(random, int64(at), len(t.Requests)))
 	}
 }
 
-// addFaults adds a scenario's faults; false if there is no such scenario.
+// addFaults adds a scenario's faults; false if the scenario is unknown.
 func (t *Trace) addFaults(scenario string) bool {
 	name := func(i int) string { return t.Header.Endpoints[i].Name }
-	slow := Fault{At: faultAt, Endpoint: name(0), Slowdown: slowFactor}
+	slow := Fault{At: faultAt, Endpoint: name(0), Slowdown: slowdownFactor}
 	leaving := []Fault{{At: faultAt, Endpoint: name(1), Leaving: true}, {At: faultAt + 5000, Endpoint: name(4), Leaving: true}}
 	owner := Fault{At: faultAt + 10_000, NewOwner: true}
 	switch scenario {
 	case "steady", "burst":
 	case "slowdown":
-		t.Faults = []Fault{slow, {At: faultAt + 5000, Endpoint: name(3), Slowdown: slowFactor}, {At: faultAt + 9000, Endpoint: name(6), Slowdown: slowFactor}}
+		t.Faults = []Fault{slow, {At: faultAt + 5000, Endpoint: name(3), Slowdown: slowdownFactor}, {At: faultAt + 9000, Endpoint: name(6), Slowdown: slowdownFactor}}
 	case "leaving":
 		t.Faults = leaving
 	case "new-owner":
@@ -147,25 +146,25 @@
 	return true
 }
 
-func (w workload) request(random *rand.Rand, at int64, n int) Request {
-	k := pick(random, w.kinds, func(k kind) float64 { return k.share })
-	c := pick(random, w.teams, func(c customer) float64 { return c.share })
+func (w workload) newRequest(random *rand.Rand, at int64, n int) Request {
+	k := pick(random, w.kinds, func(k requestKind) float64 { return k.share })
+	c := pick(random, w.teams, func(c teamShare) float64 { return c.share })
 	r := Request{
-		At: at, ID: fmt.Sprintf("r%05d", n), Team: c.name, Rank: c.rank, Deadline: k.deadline,
-		Output: spread(random, k.output),
-		Prompt: []Segment{{Text: "system " + k.name, Tokens: k.system}},
+		At: at, ID: fmt.Sprintf("r%05d", n), Team: c.name, Rank: c.rank, Deadline: k.deadlineMillis,
+		Output: logNormal(random, k.outputTokens),
+		Prompt: []Segment{{Text: "system " + k.name, Tokens: k.systemTokens}},
 	}
 	if k.documents > 0 {
-		// Some documents are asked for far more often than others.
+		// The popularity of documents is skewed towards low numbers.
 		which := int(float64(k.documents) * math.Pow(random.Float64(), 2))
 		size := k.documentTokens/2 + which*k.documentTokens/k.documents
 		r.Prompt = append(r.Prompt, Segment{Text: fmt.Sprintf("%s document %d", k.name, which), Tokens: size})
 	}
-	r.Prompt = append(r.Prompt, Segment{Text: "question " + r.ID, Tokens: spread(random, k.question)})
+	r.Prompt = append(r.Prompt, Segment{Text: "question " + r.ID, Tokens: logNormal(random, k.questionTokens)})
 	return r
 }
 
-// pick returns one of a list by the items' shares, which add up to 1.
+// pick returns a random item with the probability of its share; shares add up to 1.
 func pick[T any](random *rand.Rand, list []T, share func(T) float64) T {
 	x := random.Float64()
 	for _, item := range list {
@@ -176,7 +175,7 @@
 	return list[len(list)-1]
 }
 
-// spread returns a length about a middle one, a few times more or less.
-func spread(random *rand.Rand, middle int) int {
-	return max(1, int(float64(middle)*math.Exp(lengthSpread*random.NormFloat64())))
+// logNormal returns a log-normally distributed length, at least 1.
+func logNormal(random *rand.Rand, median int) int {
+	return max(1, int(float64(median)*math.Exp(lengthSigma*random.NormFloat64())))
 }
--- a/trace/outcomes.go
+++ b/trace/outcomes.go
@@ -2,10 +2,9 @@
 
 package trace
 
-// statedOutcomes has, by deployment and scenario, what a replay must reach: a
-// little less than the worse of the traces of seeds 1 and 2, on which the
-// scheduler was tuned. The traces that are judged have seed 3.
-var statedOutcomes = map[string]Outcomes{
+// objectives has what a replay must reach, by deployment and scenario. The recorded traces
+// have another seed than those on which the scheduler was tuned.
+var objectives = map[string]Objectives{
 	"casablanca-burst":     {Goodput: map[int]float64{3: 0.98, 2: 0.74, 1: 0.28}, WastedPrefill: 0.63},
 	"casablanca-leaving":   {Goodput: map[int]float64{3: 0.99, 2: 0.99, 1: 0.99}, WastedPrefill: 0.55},
 	"casablanca-mix":       {Goodput: map[int]float64{3: 0.97, 2: 0.58, 1: 0.28}, WastedPrefill: 0.7},
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -16,25 +16,25 @@
 	"lynxramp.org/engine"
 )
 
-// Line is one line of a trace: the field that is set says what it is.
+// Line is one line of a trace; exactly one field is set.
 type Line struct {
 	Header  *Header  `json:"header,omitempty"`
 	Request *Request `json:"request,omitempty"`
 	Fault   *Fault   `json:"fault,omitempty"`
 }
 
-// Header is a trace's first line.
+// Header is the first line of a trace.
 type Header struct {
 	Name      string     `json:"name"`
 	Pool      string     `json:"pool"`
 	Endpoints []Endpoint `json:"endpoints"`
 	// MaxWaiting bounds the pool's queue, in requests.
 	MaxWaiting int `json:"max_waiting"`
-	// LoadLagMillis is the age of load reports, in milliseconds.
+	// LoadLagMillis is the age of endpoints' load reports, in milliseconds.
 	LoadLagMillis int64 `json:"load_lag_ms"`
-	// PrefillWeight is the service's weight of wasted prefill.
-	PrefillWeight float64  `json:"prefill_weight"`
-	Outcomes      Outcomes `json:"outcomes"`
+	// PrefillWeight is the pool's cost of repeated prefill relative to waiting time.
+	PrefillWeight float64    `json:"prefill_weight"`
+	Outcomes      Objectives `json:"outcomes"`
 }
 
 // Endpoint is an engine of the pool.
@@ -45,17 +45,16 @@
 	CacheBlocks int     `json:"cache_blocks"`
 }
 
-// Outcomes are what a replay must reach.
-type Outcomes struct {
-	// Goodput has, by rank, the least share of requests that are answered in
-	// time, from 0 to 1.
+// Objectives are what a replay must reach.
+type Objectives struct {
+	// Goodput is the smallest accepted fraction of requests answered before their
+	// deadline, by rank, from 0 to 1.
 	Goodput map[int]float64 `json:"goodput"`
-	// WastedPrefill is the largest share of wasted prompt tokens among all that
-	// are computed, from 0 to 1.
+	// WastedPrefill is the largest accepted fraction of computed prompt tokens that are
+	// wasted, from 0 to 1.
 	WastedPrefill float64 `json:"wasted_prefill"`
 }
 
-// Request is one request.
 type Request struct {
 	At     int64  `json:"at"` // milliseconds from the start
 	ID     string `json:"id"`
@@ -64,35 +63,35 @@
 	Output int    `json:"output"` // tokens
 	// Deadline is in milliseconds from At.
 	Deadline int64 `json:"deadline"`
-	// Prompt is what the prompt consists of.
+	// Prompt is the sequence of segments that make up the prompt.
 	Prompt []Segment `json:"prompt"`
 }
 
-// Segment is a part of a prompt. Prompts that begin with the same segments have
-// that prefix in common.
+// Segment is a part of a prompt. Prompts that begin with the same segments share that
+// prefix in an engine's cache.
 type Segment struct {
-	Text   string `json:"text"` // stands for its content
+	Text   string `json:"text"` // identifies the content
 	Tokens int    `json:"tokens"`
 }
 
-// Fault is something that happens to an endpoint, or to the scheduler.
+// Fault is a change of an endpoint, or of the scheduler.
 type Fault struct {
 	At       int64   `json:"at"` // milliseconds from the start
 	Endpoint string  `json:"endpoint,omitempty"`
-	Slowdown float64 `json:"slowdown,omitempty"` // iterations are so much longer
+	Slowdown float64 `json:"slowdown,omitempty"` // factor on the duration of an iteration
 	Leaving  bool    `json:"leaving,omitempty"`
-	// NewOwner replaces the scheduler by one that knows nothing.
+	// NewOwner replaces the scheduler by one without state.
 	NewOwner bool `json:"new_owner,omitempty"`
 }
 
-// Trace is a whole trace, in the order of its file.
+// Trace is a whole trace; requests and faults are in file order.
 type Trace struct {
 	Header   Header
 	Requests []Request
 	Faults   []Fault
 }
 
-// PromptTokens returns the length of the request's prompt.
+// PromptTokens returns the prompt's length.
 func (r Request) PromptTokens() int {
 	n := 0
 	for _, s := range r.Prompt {
@@ -101,7 +100,7 @@
 	return n
 }
 
-// Blocks returns the hashes of the prompt's whole prefix blocks.
+// Blocks returns the hashes of the prompt's complete prefix blocks.
 func (r Request) Blocks() []uint64 {
 	var blocks []uint64
 	d := xxhash.New()
@@ -119,9 +118,9 @@
 	return blocks
 }
 
-const compressed = ".gz"
+const gzipSuffix = ".gz"
 
-// Load reads a trace file.
+// Load reads a trace file, compressed if its name ends in .gz.
 func Load(file string) (Trace, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -129,7 +128,7 @@
 	}
 	defer f.Close()
 	var r io.Reader = f
-	if strings.HasSuffix(file, compressed) {
+	if strings.HasSuffix(file, gzipSuffix) {
 		if r, err = gzip.NewReader(f); err != nil {
 			return Trace{}, errors.Wrap(err, file)
 		}
@@ -138,7 +137,7 @@
 	return t, errors.Wrap(err, file)
 }
 
-// Read reads a trace's lines.
+// Read reads a trace.
 func Read(r io.Reader) (Trace, error) {
 	var t Trace
 	decoder := json.NewDecoder(bufio.NewReader(r))
@@ -161,19 +160,19 @@
 		}
 	}
 	if len(t.Header.Endpoints) == 0 {
-		return t, errors.New("there is no header with endpoints")
+		return t, errors.New("trace has no header with endpoints")
 	}
 	return t, nil
 }
 
-// Save writes a trace file.
+// Save writes a trace file, compressed if its name ends in .gz.
 func (t Trace) Save(file string) error {
 	f, err := os.Create(file)
 	if err != nil {
 		return errors.Wrap(err, "trace")
 	}
 	defer f.Close()
-	if !strings.HasSuffix(file, compressed) {
+	if !strings.HasSuffix(file, gzipSuffix) {
 		return t.Write(f)
 	}
 	z := gzip.NewWriter(f)
@@ -183,7 +182,7 @@
 	return errors.Wrap(z.Close(), file)
 }
 
-// Write writes a trace's lines.
+// Write writes the trace uncompressed.
 func (t Trace) Write(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	lines := []Line{{Header: &t.Header}}
