--- a/catalog/change.go
+++ b/catalog/change.go
@@ -28,8 +28,8 @@
 	Endpoint Endpoint `json:"endpoint"`
 }
 
-// Apply returns a copy of c with the changes applied, and all problems of the
-// result. It does not modify c.
+// Apply returns a copy of c with the changes applied, and all problems of the changes
+// and of the result. It does not modify c.
 func Apply(c Catalog, changes []Change) (Catalog, []Problem) {
 	c = c.clone()
 	var problems []Problem
--- a/lang/lang.go
+++ b/lang/lang.go
@@ -18,6 +18,7 @@
 
 // Query counts requests in a state, grouped by fields.
 type Query struct {
+	// What is the state of the requests to count.
 	What  string      `parser:"'show' @('waiting'|'running'|'refused')"`
 	By    []string    `parser:"('by' @('team'|'tier'|'pool'|'endpoint'|'reason') (',' @('team'|'tier'|'pool'|'endpoint'|'reason'))*)?"`
 	Where []Condition `parser:"('where' @@ ('and' @@)*)?"`
--- a/link/conn.go
+++ b/link/conn.go
@@ -63,7 +63,7 @@
 // Conn is a connection that carries messages of type M both ways.
 type Conn[M any] struct {
 	raw         net.Conn
-	stream      timeoutConn
+	timeoutConn timeoutConn
 	queue       chan queued[M]
 	queuedBytes atomic.Int64 // bytes in queue
 	once        sync.Once
@@ -96,7 +96,7 @@
 func newConn[M any](raw net.Conn) *Conn[M] {
 	SetUserTimeout(raw, userTimeout)
 	return &Conn[M]{
-		raw: raw, stream: timeoutConn{raw: raw, timeout: idleTimeout},
+		raw: raw, timeoutConn: timeoutConn{raw: raw, timeout: idleTimeout},
 		queue: make(chan queued[M], maxQueuedMessages), done: make(chan struct{}),
 		maxMessage: MaxMessage, maxQueued: maxQueuedBytes,
 		encodings: Forms[M]{}.withDefaults(),
@@ -128,12 +128,12 @@
 
 // BytesReceived returns the number of bytes received on the connection. It is safe for
 // concurrent use, also after the connection has ended.
-func (c *Conn[M]) Received() int64 { return c.stream.received.Load() }
+func (c *Conn[M]) Received() int64 { return c.timeoutConn.received.Load() }
 
 // BytesSent returns the number of bytes that the system has accepted from the connection's
 // writer; the peer may not have received them. It is safe for concurrent use, also after
 // the connection has ended.
-func (c *Conn[M]) BytesSent() int64 { return c.stream.sent.Load() }
+func (c *Conn[M]) BytesSent() int64 { return c.timeoutConn.sent.Load() }
 
 // Send queues a message. It never blocks: if the queue is full or the message is too long,
 // the connection is closed and Serve returns ErrSlowPeer or ErrTooLong. The message must
@@ -188,12 +188,12 @@
 
 // read calls receive for each incoming message until the connection ends, and returns why.
 func (c *Conn[M]) read(receive func(*M)) error {
-	raw := &frameReader{in: bufio.NewReaderSize(&c.stream, bufferBytes), limit: c.maxMessage}
+	raw := &frameReader{in: bufio.NewReaderSize(&c.timeoutConn, bufferBytes), limit: c.maxMessage}
 	preamble, err := raw.readPreamble()
 	if err != nil {
 		return err
 	}
-	in := gob.NewDecoder(&prefixedReader{prefix: preamble, rest: raw})
+	in := gob.NewDecoder(&prefixedReader{preamble: preamble, rest: raw})
 	read := c.encodings.Reader(preamble)
 	for {
 		m, err := read(in)
@@ -209,7 +209,7 @@
 // write sends the queue until the connection ends. Messages that are queued together
 // share a flush.
 func (c *Conn[M]) write() {
-	buffer := bufio.NewWriterSize(&c.stream, bufferBytes)
+	buffer := bufio.NewWriterSize(&c.timeoutConn, bufferBytes)
 	out := newEncoder(buffer, c.maxMessage)
 	timer := time.NewTimer(keepaliveInterval)
 	defer timer.Stop()
--- a/link/forms.go
+++ b/link/forms.go
@@ -68,31 +68,31 @@
 	}
 }
 
-// prefixedReader reads prefix and then rest. It is an io.ByteReader, so that gob does not
-// read beyond a message.
+// prefixedReader reads preamble and then rest. It is an io.ByteReader, so that gob does
+// not read beyond a message.
 type prefixedReader struct {
-	prefix []byte
-	rest   *frameReader
+	preamble []byte
+	rest     *frameReader
 }
 
 // Read implements io.Reader.
 func (r *prefixedReader) Read(p []byte) (int, error) {
-	if len(r.prefix) == 0 {
-		r.prefix = nil
+	if len(r.preamble) == 0 {
+		r.preamble = nil
 		return r.rest.Read(p)
 	}
-	n := copy(p, r.prefix)
-	r.prefix = r.prefix[n:]
+	n := copy(p, r.preamble)
+	r.preamble = r.preamble[n:]
 	return n, nil
 }
 
 // ReadByte implements io.ByteReader.
 func (r *prefixedReader) ReadByte() (byte, error) {
-	if len(r.prefix) == 0 {
+	if len(r.preamble) == 0 {
 		return r.rest.ReadByte()
 	}
-	b := r.prefix[0]
-	r.prefix = r.prefix[1:]
+	b := r.preamble[0]
+	r.preamble = r.preamble[1:]
 	return b, nil
 }
 
--- a/replay/result.go
+++ b/replay/result.go
@@ -30,9 +30,9 @@
 	Trace  string
 	Policy string
 	Ranks  map[int]*RankResult
-	// PrefillTokens counts all prompt tokens computed, RecomputedTokens those that had been
-	// computed before, DiscardedTokens those of requests cancelled before their end.
-	Prefilled, RecomputedTokens, DiscardedTokens int
+	// Prefilled counts all prompt tokens computed, Recomputed those that had been computed
+	// before, Discarded those of requests cancelled before their end.
+	Prefilled, Recomputed, Discarded int
 	// TierViolations counts requests shed while one of a lower tier was queued.
 	TierViolations int
 }
@@ -54,8 +54,8 @@
 	return all.Goodput()
 }
 
-// WastedTokens returns the number of prompt tokens recomputed or discarded.
-func (r Result) Wasted() int { return r.RecomputedTokens + r.DiscardedTokens }
+// Wasted returns the number of prompt tokens recomputed or discarded.
+func (r Result) Wasted() int { return r.Recomputed + r.Discarded }
 
 // WastedShare returns the fraction of computed prompt tokens that were wasted.
 func (r Result) WastedShare() float64 {
--- a/replay/run.go
+++ b/replay/run.go
@@ -49,7 +49,7 @@
 	id          event.EndpointID
 	model       *fake.Model
 	meter       meter.Meter
-	requests    map[event.RequestID]*request
+	running     map[event.RequestID]*request
 	draining    bool
 	loadHistory []loadSample
 	nextChange  event.Time
@@ -62,31 +62,31 @@
 
 // simulation is the state of a replay.
 type simulation struct {
-	trace          trace.Trace
-	newPolicy      PolicyFactory
-	policy         Policy // nil while the scheduler is replaced
-	pool           event.Pool
-	now            event.Time
-	queue          eventQueue
-	scheduled      int
-	servers        []*server
-	byID           map[event.EndpointID]*server
-	requests       map[event.RequestID]*request
-	unfinished     int // requests without an outcome
-	effects        event.Effects
-	result         Result
-	computedBlocks map[uint64]struct{} // all prefix blocks dispatched so far
+	trace      trace.Trace
+	make       PolicyFactory
+	policy     Policy // nil while the scheduler is replaced
+	pool       event.Pool
+	now        event.Time
+	queue      eventQueue
+	scheduled  int
+	servers    []*server
+	byID       map[event.EndpointID]*server
+	requests   map[event.RequestID]*request
+	unfinished int // requests without an outcome
+	effects    event.Effects
+	result     Result
+	blocks     map[uint64]struct{} // prefix blocks of all dispatched requests
 }
 
 // Run replays a trace under a policy.
 func Run(t trace.Trace, newPolicy PolicyFactory) Result {
 	r := &simulation{
-		trace:          t,
-		newPolicy:      newPolicy,
-		byID:           make(map[event.EndpointID]*server),
-		requests:       make(map[event.RequestID]*request),
-		computedBlocks: make(map[uint64]struct{}),
-		result:         Result{Trace: t.Header.Name, Ranks: make(map[int]*RankResult)},
+		trace:    t,
+		make:     newPolicy,
+		byID:     make(map[event.EndpointID]*server),
+		requests: make(map[event.RequestID]*request),
+		blocks:   make(map[uint64]struct{}),
+		result:   Result{Trace: t.Header.Name, Ranks: make(map[int]*RankResult)},
 	}
 	r.prepare()
 	for len(r.queue) > 0 && r.unfinished > 0 {
@@ -105,33 +105,33 @@
 		p := fake.DefaultProfile().Scaled(e.Speed)
 		p.MaxBatch = e.Concurrency
 		p.CacheBlocks = e.CacheBlocks
-		s := &server{Endpoint: e, id: event.EndpointID(e.Name), model: fake.NewModel(p), requests: make(map[event.RequestID]*request)}
+		s := &server{Endpoint: e, id: event.EndpointID(e.Name), model: fake.NewModel(p), running: make(map[event.RequestID]*request)}
 		r.servers = append(r.servers, s)
 		r.byID[s.id] = s
 		r.pool.Endpoints = append(r.pool.Endpoints, event.Endpoint{ID: s.id, Concurrency: e.Concurrency, Speed: e.Speed})
 	}
-	r.policy = r.newPolicy(0, r.pool)
+	r.policy = r.make(0, r.pool)
 	for i, s := range r.servers {
-		r.schedule(event.Time(i)*event.Time(event.Millisecond), func() { r.report(s) })
+		r.at(event.Time(i)*event.Time(event.Millisecond), func() { r.report(s) })
 	}
-	r.schedule(0, r.tick)
+	r.at(0, r.tick)
 	for _, q := range r.trace.Requests {
 		r.unfinished++
-		r.schedule(event.Time(warmUp).Add(event.Duration(q.At)*event.Millisecond), func() { r.arrive(q) })
+		r.at(event.Time(warmUp).Add(event.Duration(q.At)*event.Millisecond), func() { r.arrive(q) })
 	}
 	for _, f := range r.trace.Faults {
-		r.schedule(event.Time(warmUp).Add(event.Duration(f.At)*event.Millisecond), func() { r.applyFault(f) })
+		r.at(event.Time(warmUp).Add(event.Duration(f.At)*event.Millisecond), func() { r.applyFault(f) })
 	}
 }
 
-// schedule runs do at a time.
-func (r *simulation) schedule(t event.Time, do func()) {
+// at schedules do to run at a time.
+func (r *simulation) at(t event.Time, do func()) {
 	r.scheduled++
 	heap.Push(&r.queue, scheduledEvent{at: t, sequence: r.scheduled, do: do})
 }
 
-// scheduleAfter runs do after a delay.
-func (r *simulation) scheduleAfter(s event.Duration, do func()) { r.schedule(r.now.Add(s), do) }
+// after schedules do to run after a delay.
+func (r *simulation) after(s event.Duration, do func()) { r.at(r.now.Add(s), do) }
 
 // step passes an event to the policy and schedules the resulting grants and refusals.
 func (r *simulation) step(e event.Event) {
@@ -141,17 +141,17 @@
 	r.effects.Reset()
 	r.policy.Step(r.now, e, &r.effects)
 	for _, g := range slices.Clone(r.effects.Grants) {
-		r.scheduleAfter(networkDelay, func() { r.dispatch(g) })
+		r.after(networkDelay, func() { r.dispatch(g) })
 	}
 	for _, f := range slices.Clone(r.effects.Refusals) {
-		r.scheduleAfter(networkDelay, func() { r.refused(f) })
+		r.after(networkDelay, func() { r.refused(f) })
 	}
 }
 
 func (r *simulation) tick() {
 	r.step(&event.EntryHeartbeat{Entry: entryID})
 	r.step(&event.Tick{})
-	r.scheduleAfter(tickInterval, r.tick)
+	r.after(tickInterval, r.tick)
 }
 
 func (r *simulation) arrive(q trace.Request) {
@@ -163,8 +163,8 @@
 	}
 	r.requests[simulated.ticket.ID] = simulated
 	r.result.rankResult(q.Rank).Offered++
-	r.scheduleAfter(networkDelay, func() { r.step(&event.Submitted{Entry: entryID, Ticket: simulated.ticket}) })
-	r.scheduleAfter(simulated.ticket.Deadline, func() { r.disconnect(simulated) })
+	r.after(networkDelay, func() { r.step(&event.Submitted{Entry: entryID, Ticket: simulated.ticket}) })
+	r.after(simulated.ticket.Deadline, func() { r.disconnect(simulated) })
 }
 
 func (r *simulation) dispatch(g event.Granted) {
@@ -174,7 +174,7 @@
 		return
 	}
 	if s.draining {
-		r.scheduleAfter(networkDelay, func() {
+		r.after(networkDelay, func() {
 			r.step(&event.Finished{ID: g.ID, Pool: r.pool.Name, Void: true})
 			r.step(&event.Submitted{Entry: entryID, Ticket: q.ticket})
 		})
@@ -182,12 +182,12 @@
 	}
 	q.endpoint = s
 	q.dispatched = true
-	s.requests[g.ID] = q
+	s.running[g.ID] = q
 	s.model.Submit(r.now, fake.Job{
 		ID: q.ID, PromptTokens: q.ticket.PromptTokens, OutputTokens: q.Output, Priority: q.Rank, Prefix: q.blocks,
 	})
 	for _, b := range q.blocks {
-		r.computedBlocks[b] = struct{}{}
+		r.blocks[b] = struct{}{}
 	}
 	r.scheduleAdvance(s)
 }
@@ -199,7 +199,7 @@
 		return
 	}
 	s.nextChange = next
-	r.schedule(next, func() { r.advance(s) })
+	r.at(next, func() { r.advance(s) })
 }
 
 func (r *simulation) advance(s *server) {
@@ -217,13 +217,13 @@
 }
 
 func (r *simulation) complete(s *server, q *request) {
-	delete(s.requests, q.ticket.ID)
+	delete(s.running, q.ticket.ID)
 	if q.finished {
 		return
 	}
 	r.end(q)
 	r.result.rankResult(q.Rank).InTime++
-	r.scheduleAfter(networkDelay, func() { r.step(&event.Finished{ID: q.ticket.ID, Pool: r.pool.Name, Tokens: q.Output}) })
+	r.after(networkDelay, func() { r.step(&event.Finished{ID: q.ticket.ID, Pool: r.pool.Name, Tokens: q.Output}) })
 }
 
 func (r *simulation) end(q *request) {
@@ -240,14 +240,14 @@
 	r.result.rankResult(q.Rank).Late++
 	s := q.endpoint
 	if s == nil {
-		r.scheduleAfter(networkDelay, func() { r.step(&event.Withdrawn{Entry: entryID, ID: q.ticket.ID, Pool: r.pool.Name}) })
+		r.after(networkDelay, func() { r.step(&event.Withdrawn{Entry: entryID, ID: q.ticket.ID, Pool: r.pool.Name}) })
 		return
 	}
-	r.scheduleAfter(2*networkDelay, func() {
+	r.after(2*networkDelay, func() {
 		s.model.Cancel(q.ID)
-		delete(s.requests, q.ticket.ID)
+		delete(s.running, q.ticket.ID)
 	})
-	r.scheduleAfter(networkDelay, func() { r.step(&event.Finished{ID: q.ticket.ID, Pool: r.pool.Name, Failed: true}) })
+	r.after(networkDelay, func() { r.step(&event.Finished{ID: q.ticket.ID, Pool: r.pool.Name, Failed: true}) })
 }
 
 func (r *simulation) refused(f event.Refused) {
@@ -286,31 +286,31 @@
 		Endpoint: s.id, Pool: r.pool.Name, Address: string(s.id), Incarnation: 1, Draining: s.draining,
 		QueueLength: s.loadHistory[0].queueLength, LoadAge: r.now.Sub(s.loadHistory[0].at), TokenGap: s.meter.Gap(r.now),
 	}
-	for id := range s.requests {
+	for id := range s.running {
 		rep.Running = append(rep.Running, id.Dispatch(0))
 	}
 	slices.Sort(rep.Running)
-	r.scheduleAfter(networkDelay, func() { r.step(&event.SlotReported{Report: rep}) })
-	r.scheduleAfter(reportInterval, func() { r.report(s) })
+	r.after(networkDelay, func() { r.step(&event.SlotReported{Report: rep}) })
+	r.after(reportInterval, func() { r.report(s) })
 }
 
 func (r *simulation) applyFault(f trace.Fault) {
 	if f.NewOwner {
 		r.policy = nil
-		r.scheduleAfter(ownerGap, r.replaceOwner)
+		r.after(ownerGap, r.replaceOwner)
 		return
 	}
 	s := r.byID[event.EndpointID(f.Endpoint)]
 	if f.Slowdown > 0 {
 		s.model.SetSlowdown(f.Slowdown)
 	}
-	s.draining = s.draining || f.Leaving
+	s.draining = s.draining || f.Draining
 }
 
 // replaceOwner starts a scheduler without state; the entry submits the queued requests
 // again.
 func (r *simulation) replaceOwner() {
-	r.policy = r.newPolicy(r.now, r.pool)
+	r.policy = r.make(r.now, r.pool)
 	for _, q := range r.trace.Requests {
 		simulated := r.requests[event.RequestID(q.ID)]
 		if simulated == nil || simulated.finished || simulated.endpoint != nil {
@@ -325,7 +325,7 @@
 
 // finish totals the engines' counters.
 func (r *simulation) finish() {
-	useful := len(r.computedBlocks) * engine.BlockTokens
+	useful := len(r.blocks) * engine.BlockTokens
 	for _, q := range r.requests {
 		if q.dispatched && q.finished {
 			useful += q.ticket.PromptTokens - len(q.blocks)*engine.BlockTokens
@@ -334,7 +334,7 @@
 	for _, s := range r.servers {
 		t := s.model.Totals()
 		r.result.Prefilled += t.Prefilled
-		r.result.DiscardedTokens += t.Wasted
+		r.result.Discarded += t.Wasted
 	}
-	r.result.RecomputedTokens = max(0, r.result.Prefilled-useful)
+	r.result.Recomputed = max(0, r.result.Prefilled-useful)
 }
--- a/trace/make.go
+++ b/trace/make.go
@@ -50,7 +50,7 @@
 
 const (
 	endpointCount  = 18
-	durationMillis = 120_000 // of a trace
+	durationMillis = 120_000 // length of a trace
 	concurrency    = 16
 	cacheBlocks    = 3000
 	maxWaiting     = 400
@@ -128,18 +128,18 @@
 func (t *Trace) addFaults(scenario string) bool {
 	name := func(i int) string { return t.Header.Endpoints[i].Name }
 	slow := Fault{At: faultAt, Endpoint: name(0), Slowdown: slowdownFactor}
-	leaving := []Fault{{At: faultAt, Endpoint: name(1), Leaving: true}, {At: faultAt + 5000, Endpoint: name(4), Leaving: true}}
+	draining := []Fault{{At: faultAt, Endpoint: name(1), Draining: true}, {At: faultAt + 5000, Endpoint: name(4), Draining: true}}
 	owner := Fault{At: faultAt + 10_000, NewOwner: true}
 	switch scenario {
 	case "steady", "burst":
 	case "slowdown":
 		t.Faults = []Fault{slow, {At: faultAt + 5000, Endpoint: name(3), Slowdown: slowdownFactor}, {At: faultAt + 9000, Endpoint: name(6), Slowdown: slowdownFactor}}
 	case "leaving":
-		t.Faults = leaving
+		t.Faults = draining
 	case "new-owner":
 		t.Faults = []Fault{owner}
 	case "mix":
-		t.Faults = append([]Fault{slow}, append(leaving, owner)...)
+		t.Faults = append([]Fault{slow}, append(draining, owner)...)
 	default:
 		return false
 	}
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -79,7 +79,7 @@
 	At       int64   `json:"at"` // milliseconds from the start
 	Endpoint string  `json:"endpoint,omitempty"`
 	Slowdown float64 `json:"slowdown,omitempty"` // factor on the duration of an iteration
-	Leaving  bool    `json:"leaving,omitempty"`
+	Draining bool    `json:"leaving,omitempty"`
 	// NewOwner replaces the scheduler by one without state.
 	NewOwner bool `json:"new_owner,omitempty"`
 }
