--- a/settings/box.go
+++ b/settings/box.go
@@ -34,12 +34,12 @@
 	DataCentre string      `yaml:"data_centre"`
 	Roles      []Role      `yaml:"roles"`
 	Listen     Listen      `yaml:"listen"`
-	// Control has the boxes of the control role, this one included if it is one.
+	// Control lists the boxes of the control role, including this one if it has the role.
 	Control []Peer `yaml:"control"`
-	// KeyFile holds the key that the system's processes share. Its path, as each
-	// path here, is relative to the settings file.
+	// KeyFile contains the key shared by the system's processes. All paths are
+	// relative to the settings file.
 	KeyFile string `yaml:"key_file"`
-	// OperatorKeyFile holds the key that operators' commands need.
+	// OperatorKeyFile contains the key required for operators' commands.
 	OperatorKeyFile string `yaml:"operator_key_file"`
 	// Platform is the URL (http://IP:port/path) of the platform's list of boxes;
 	// empty if there is none.
@@ -70,7 +70,7 @@
 	BodyBytes int64 `yaml:"body_bytes"`
 	HeldBytes int64 `yaml:"held_bytes"`
 	Requests  int   `yaml:"requests"`
-	// BodyTime is how long a caller may take to send a body.
+	// BodyTimeout is how long a caller may take to send a body.
 	BodyTime catalog.Duration `yaml:"body_time"`
 }
 
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -34,6 +34,7 @@
 	}
 }
 
+// TestCatalogFindings guards against catalog faults that are missed or reported at the wrong place.
 func TestCatalogFindings(t *testing.T) {
 	check(t, `tiers:
   - {name: gold, rank: high}
@@ -69,6 +70,7 @@
 	})
 }
 
+// TestBoxFindings guards against box settings faults that are missed or reported at the wrong place.
 func TestBoxFindings(t *testing.T) {
 	check(t, `id: a
 id: b
@@ -96,6 +98,7 @@
 	})
 }
 
+// TestSlotFindings guards against slot settings faults that are missed or reported at the wrong place.
 func TestSlotFindings(t *testing.T) {
 	check(t, "endpoint: e\npool: p\nkind: cake\nlisten: x\n", []string{
 		`f.yaml:1: data_centre: required value is missing`,
@@ -120,6 +123,7 @@
 	}
 }
 
+// FuzzCatalog guards against findings without a line or a message.
 func FuzzCatalog(f *testing.F) {
 	f.Add([]byte("tiers: [{name: gold, rank: 3}]\nrules: [{team: '*', service: '*', tier: gold}]\n"))
 	f.Add([]byte("a: &a [*a]\n"))
