--- a/box/control.go
+++ b/box/control.go
@@ -55,10 +55,10 @@
 // newControl opens the data directory and the listener of a control box; it
 // returns nil for a box without the control role.
 func newControl(s settings.Box, c catalog.Catalog, keys Keys, client *http.Client, clock event.Clock, log *zap.Logger) (*controlRole, error) {
-	if !s.Has(settings.RoleControl) {
+	if !s.HasRole(settings.RoleControl) {
 		return nil, nil
 	}
-	disk, identity, restored, err := store.Open(s.Data, s.ID, event.Incarnation(random.Uint64()))
+	disk, identity, restored, err := store.Open(s.DataDir, s.ID, event.Incarnation(random.Uint64()))
 	if err != nil {
 		return nil, err
 	}
--- a/box/slot.go
+++ b/box/slot.go
@@ -35,7 +35,7 @@
 		EndpointURL: "http://" + s.EndpointAddress,
 		Address:     s.Address,
 		Model:       s.Kind == catalog.KindModel,
-		MaxBody:     s.BodyBytes,
+		MaxBody:     s.MaxBodyBytes,
 	}, event.Incarnation(time.Now().UnixNano()), log)
 	l, err := listen(s.Listen, core.Handler(key), log)
 	if err != nil {
@@ -68,7 +68,7 @@
 		return group.Wait()
 	}
 	s.log.Info("draining", zap.Int("held", s.slot.InFlight()))
-	drainCtx, cancel := context.WithTimeout(context.Background(), time.Duration(s.settings.Drain.Bound))
+	drainCtx, cancel := context.WithTimeout(context.Background(), time.Duration(s.settings.Drain.Timeout))
 	defer cancel()
 	err := s.slot.Drain(drainCtx)
 	if stepErr := s.server.drain(drainCtx); err == nil {
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -83,7 +83,7 @@
 	// DataCentre is the endpoint's location.
 	DataCentre string `yaml:"data_centre" json:"data_centre"`
 	// Draining endpoints get no new requests.
-	Leaving bool `yaml:"leaving" json:"leaving,omitempty"`
+	Draining bool `yaml:"leaving" json:"leaving,omitempty"`
 }
 
 // Rule sets the default tier of a team's requests to a service. The rule that gives
@@ -116,7 +116,7 @@
 		if speed == 0 {
 			speed = 1
 		}
-		q.Endpoints = append(q.Endpoints, event.Endpoint{ID: e.Name, Concurrency: e.Concurrency, Speed: speed, Draining: e.Leaving})
+		q.Endpoints = append(q.Endpoints, event.Endpoint{ID: e.Name, Concurrency: e.Concurrency, Speed: speed, Draining: e.Draining})
 	}
 	return q
 }
--- a/cmd/lynxramp/replay.go
+++ b/cmd/lynxramp/replay.go
@@ -21,7 +21,7 @@
 }
 
 func (c *traceCommand) Run() error {
-	t, err := trace.Make(c.Deployment, c.Scenario, c.Seed)
+	t, err := trace.Generate(c.Deployment, c.Scenario, c.Seed)
 	if err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 			r.Policy = p.Name
 			writeRow(table, r)
 			if i == 0 {
-				for _, violation := range r.Misses(t.Header.Outcomes) {
+				for _, violation := range r.Violations(t.Header.Objectives) {
 					violations++
 					fmt.Fprintf(table, "%s\tMISSED\t%s\n", r.Trace, violation)
 				}
@@ -72,7 +72,7 @@
 	for _, n := range r.SortedRanks() {
 		tiers += fmt.Sprintf("%.3f ", r.Ranks[n].Goodput())
 		refused += r.Ranks[n].Refused
-		timedOut += r.Ranks[n].Late
+		timedOut += r.Ranks[n].TimedOut
 	}
 	fmt.Fprintf(w, "%s\t%s\t%.3f\t%s\t%d\t%d\t%d\t%d\t%.3f\n", r.Trace, r.Policy, r.Goodput(), tiers, refused, timedOut, r.Prefilled, r.Wasted(), r.WastedShare())
 }
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -38,7 +38,7 @@
 		Instance:         instance,
 		ControlAddresses: controlAddresses(f),
 		Limits:           newLimits(f.Bounds),
-		ConfigValidity:   event.Duration(f.Bounds.Fresh),
+		ConfigValidity:   event.Duration(f.Bounds.ConfigValidity),
 		Decode:           d.Decode,
 		Log:              log,
 	})
@@ -59,7 +59,7 @@
 	}
 	go watch(run, file, log, func(f settings.Fleet) { agent.AddControlBoxes(controlAddresses(f)) })
 	<-ctx.Done()
-	return drainEntry(g, callers, time.Duration(f.Bounds.Stop), log)
+	return drainEntry(g, callers, time.Duration(f.Bounds.StopTimeout), log)
 }
 
 // newCallerServer returns the HTTP server for callers. idle returns the current idle timeout of
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -81,7 +81,7 @@
 	limitMemory(f.Resources)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	log.Info("box starting", zap.String("role", string(f.Role)), zap.Strings("seeds", f.Seeds), zap.Bool("found", f.Found),
+	log.Info("box starting", zap.String("role", string(f.Role)), zap.Strings("seeds", f.Seeds), zap.Bool("found", f.Bootstrap),
 		zap.Bool("links_without_keys", f.Unprotected))
 	if f.Role == settings.RoleControl {
 		err = runControl(ctx, file, f, d, log)
@@ -147,13 +147,13 @@
 		LinkListenAddress: f.Listen.LinkBind,
 		OperatorAddress:   f.Listen.Operators,
 		Seeds:             f.Seeds,
-		Bootstrap:         f.Found,
-		DataDir:           f.Data,
+		Bootstrap:         f.Bootstrap,
+		DataDir:           f.DataDir,
 		Settings: cluster.Settings{
 			Limits:            newLimits(f.Bounds),
-			Members:           consensus.MembershipLimits{MaxVoters: 2*f.Bounds.Tolerated + 1, ReplaceAfter: replaceVoterAfter},
-			HeartbeatInterval: event.Duration(f.Bounds.Beat),
-			ConfigValidity:    event.Duration(f.Bounds.Fresh),
+			Members:           consensus.MembershipLimits{MaxVoters: 2*f.Bounds.ToleratedFailures + 1, ReplaceAfter: replaceVoterAfter},
+			HeartbeatInterval: event.Duration(f.Bounds.HeartbeatInterval),
+			ConfigValidity:    event.Duration(f.Bounds.ConfigValidity),
 			Decode:            d.Decode,
 		},
 		Log: log,
@@ -189,7 +189,7 @@
 }
 
 func serve(address string, s *http.Server) (*http.Server, error) {
-	config := net.ListenConfig{KeepAliveConfig: link.Probing}
+	config := net.ListenConfig{KeepAliveConfig: link.KeepAlive}
 	l, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
--- a/lang/command.go
+++ b/lang/command.go
@@ -34,7 +34,7 @@
 	if !ok {
 		return catalog.Change{}, errors.Errorf("there is no endpoint %q", name)
 	}
-	e.Leaving = draining
+	e.Draining = draining
 	return catalog.Change{Endpoint: &catalog.EndpointChange{Pool: pool, Endpoint: e}}, nil
 }
 
--- a/lang/lang.go
+++ b/lang/lang.go
@@ -46,7 +46,7 @@
 	Set    *Setting `parser:" | 'set' @@"`
 	Delete *Target  `parser:" | 'delete' @@ )"`
 	// CatalogVersion is the version to which the command applies; nil for the current one.
-	At *uint64 `parser:"('at' @Number)?"`
+	CatalogVersion *uint64 `parser:"('at' @Number)?"`
 }
 
 // Setting sets one property of an item.
--- a/link/bounds_test.go
+++ b/link/bounds_test.go
@@ -67,7 +67,7 @@
 		}
 		break
 	}
-	expectEnd(t, ended, ErrBehind)
+	expectEnd(t, ended, ErrSlowPeer)
 	// The writer may hold one more, and one more is accepted when the queue is exactly at its bound.
 	if sent < most/size || sent > most/size+3 {
 		t.Errorf("the connection ended at message %d, want about %d", sent, most/size)
--- a/link/conn.go
+++ b/link/conn.go
@@ -44,13 +44,13 @@
 // sent data awaits an acknowledgement: after one second without a packet, a peer that
 // answers no probe for 3 s is disconnected. The system's default takes minutes or hours,
 // during which a request on such a connection waits for an answer that can't come.
-var Probing = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
+var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
 
 // ErrClosed is the reason of a connection that this side closed.
 var ErrClosed = errors.New("connection closed")
 
 // ErrSlowPeer is the reason of a connection whose send queue exceeded its bound.
-var ErrBehind = errors.New("send queue full: the peer reads too slowly")
+var ErrSlowPeer = errors.New("send queue full: the peer reads too slowly")
 
 // Sized is a message that estimates its encoded length in bytes. Size is called once for
 // each connection that sends the message, so it must be cheap; parts of fixed size needn't
@@ -71,7 +71,7 @@
 	reason      error // why the connection ended; set before done is closed
 
 	maxMessage, maxQueued int64 // bytes
-	encodings             Forms[M]
+	encodings             Encodings[M]
 }
 
 // queued is a message in the send queue.
@@ -85,7 +85,7 @@
 
 // Dial connects to an address (IP:port).
 func Dial[M any](address string) (*Conn[M], error) {
-	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: Probing}
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: KeepAlive}
 	raw, err := dialer.Dial("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "link")
@@ -99,12 +99,12 @@
 		raw: raw, timeoutConn: timeoutConn{raw: raw, timeout: idleTimeout},
 		queue: make(chan queued[M], maxQueuedMessages), done: make(chan struct{}),
 		maxMessage: MaxMessage, maxQueued: maxQueuedBytes,
-		encodings: Forms[M]{}.withDefaults(),
+		encodings: Encodings[M]{}.withDefaults(),
 	}
 }
 
 // SetEncodings sets how messages are encoded on the connection. It must be called before Serve.
-func (c *Conn[M]) SetForms(f Forms[M]) { c.encodings = f.withDefaults() }
+func (c *Conn[M]) SetEncodings(f Encodings[M]) { c.encodings = f.withDefaults() }
 
 // SetUserTimeout bounds how long, in milliseconds, sent bytes may stay
 // unacknowledged on a TCP connection. Other connections are left as they are.
@@ -128,7 +128,7 @@
 
 // BytesReceived returns the number of bytes received on the connection. It is safe for
 // concurrent use, also after the connection has ended.
-func (c *Conn[M]) Received() int64 { return c.timeoutConn.received.Load() }
+func (c *Conn[M]) BytesReceived() int64 { return c.timeoutConn.received.Load() }
 
 // BytesSent returns the number of bytes that the system has accepted from the connection's
 // writer; the peer may not have received them. It is safe for concurrent use, also after
@@ -146,14 +146,14 @@
 	}
 	// Only the bytes queued before the message count, so that a long one can be sent when few are.
 	if queuedBefore := c.queuedBytes.Add(size) - size; queuedBefore > c.maxQueued {
-		c.closeWith(errors.Wrapf(ErrBehind, "%d bytes queued", queuedBefore))
+		c.closeWith(errors.Wrapf(ErrSlowPeer, "%d bytes queued", queuedBefore))
 		return
 	}
 	select {
 	case <-c.done:
 	case c.queue <- queued[M]{m, size}:
 	default:
-		c.closeWith(errors.Wrapf(ErrBehind, "%d messages queued", maxQueuedMessages))
+		c.closeWith(errors.Wrapf(ErrSlowPeer, "%d messages queued", maxQueuedMessages))
 	}
 }
 
@@ -237,7 +237,7 @@
 // Listen accepts connections at an address and calls serve for each, on a
 // goroutine of its own, until the listener is closed.
 func Listen[M any](address string, serve func(*Conn[M])) (net.Listener, error) {
-	config := net.ListenConfig{KeepAliveConfig: Probing}
+	config := net.ListenConfig{KeepAliveConfig: KeepAlive}
 	l, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "link")
--- a/link/flow_test.go
+++ b/link/flow_test.go
@@ -33,7 +33,7 @@
 	if _, err := remote.Write(part); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(time.Second); c.Received() < int64(len(part)) && time.Now().Before(end); {
+	for end := time.Now().Add(time.Second); c.BytesReceived() < int64(len(part)) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	// A write is counted when it returns, which needs the rest of the message to be read.
@@ -46,7 +46,7 @@
 	if c.BytesSent() < size || c.BytesSent() > size+1000 {
 		t.Errorf("%d bytes are counted as sent, want between %d and 1000 more", c.BytesSent(), size)
 	}
-	if c.Received() != int64(len(part)) {
-		t.Errorf("%d bytes are counted as received, want %d", c.Received(), len(part))
+	if c.BytesReceived() != int64(len(part)) {
+		t.Errorf("%d bytes are counted as received, want %d", c.BytesReceived(), len(part))
 	}
 }
--- a/link/forms.go
+++ b/link/forms.go
@@ -9,7 +9,7 @@
 
 // Encodings says how messages are encoded on a connection whose peer may run another build.
 // The zero value is for peers of the same build.
-type Forms[M any] struct {
+type Encodings[M any] struct {
 	// Frame returns the value to encode for a message: it has a field Message that is a pointer,
 	// nil for a nil message. It is called by the connection's writer.
 	Frame func(*M) any
@@ -21,7 +21,7 @@
 // Reader reads the next message; nil for a keep-alive.
 type Reader[M any] func(*gob.Decoder) (*M, error)
 
-func (f Forms[M]) withDefaults() Forms[M] {
+func (f Encodings[M]) withDefaults() Encodings[M] {
 	if f.Frame == nil {
 		f.Frame = func(m *M) any { return frame[M]{m} }
 	}
--- a/link/probing_test.go
+++ b/link/probing_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dialer := net.Dialer{KeepAliveConfig: Probing}
+	dialer := net.Dialer{KeepAliveConfig: KeepAlive}
 	dialled, err := dialer.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/proc/failure_test.go
+++ b/proc/failure_test.go
@@ -405,7 +405,7 @@
 	l := c.startLoad(10, 4, 0, 1)
 	l.waitMore(20)
 	draining := catalog.EndpointChange{Pool: "chef", Endpoint: catalog.Endpoint{
-		Name: "chef-0", Concurrency: 16, Speed: 4, Leaving: true,
+		Name: "chef-0", Concurrency: 16, Speed: 4, Draining: true,
 	}}
 	c.apply("drain", c.show(0).Version, catalog.Change{Endpoint: &draining})
 	accepted := time.Now()
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -25,7 +25,7 @@
 				t.Fatal(err)
 			}
 			r := Run(recorded, Policies[0].New)
-			for _, m := range r.Misses(recorded.Header.Outcomes) {
+			for _, m := range r.Violations(recorded.Header.Objectives) {
 				t.Error(m)
 			}
 		})
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	for _, p := range Policies[1:] {
-		if r := Run(recorded, p.New); len(r.Misses(recorded.Header.Outcomes)) == 0 {
+		if r := Run(recorded, p.New); len(r.Violations(recorded.Header.Objectives)) == 0 {
 			t.Errorf("%s meets the objectives", p.Name)
 		}
 	}
@@ -47,7 +47,7 @@
 
 // TestReplayIsDeterministic guards against replays of one trace that differ.
 func TestReplayIsDeterministic(t *testing.T) {
-	recorded, err := trace.Make("tbilisi", "mix", 4)
+	recorded, err := trace.Generate("tbilisi", "mix", 4)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/replay/result.go
+++ b/replay/result.go
@@ -11,10 +11,10 @@
 
 // RankResult counts the requests of one tier by outcome.
 type RankResult struct {
-	Offered int
-	InTime  int // answered completely before the deadline
-	Late    int // disconnected at the deadline
-	Refused int
+	Offered  int
+	InTime   int // answered completely before the deadline
+	TimedOut int // disconnected at the deadline
+	Refused  int
 }
 
 // Goodput returns the fraction of requests answered in time; 1 if there were none.
@@ -74,7 +74,7 @@
 }
 
 // Violations returns the objectives that the result fails to meet, a line each.
-func (r Result) Misses(objectives trace.Objectives) []string {
+func (r Result) Violations(objectives trace.Objectives) []string {
 	var violations []string
 	for _, n := range r.SortedRanks() {
 		if minimum, ok := objectives.Goodput[n]; ok && r.Ranks[n].Goodput() < minimum {
--- a/replay/run.go
+++ b/replay/run.go
@@ -237,7 +237,7 @@
 		return
 	}
 	r.end(q)
-	r.result.rankResult(q.Rank).Late++
+	r.result.rankResult(q.Rank).TimedOut++
 	s := q.endpoint
 	if s == nil {
 		r.after(networkDelay, func() { r.step(&event.Withdrawn{Entry: entryID, ID: q.ticket.ID, Pool: r.pool.Name}) })
--- a/settings/box.go
+++ b/settings/box.go
@@ -45,7 +45,7 @@
 	// empty if there is none.
 	Platform string `yaml:"platform"`
 	// DataDir is the directory of a control box's state.
-	Data string `yaml:"data"`
+	DataDir string `yaml:"data"`
 	// Catalog is the catalog file with which a new control group is initialised.
 	Catalog string `yaml:"catalog"`
 	Limits  Limits `yaml:"limits"`
@@ -67,20 +67,20 @@
 
 // Limits bounds the resources of an entry; 0 selects the default.
 type Limits struct {
-	BodyBytes int64 `yaml:"body_bytes"`
-	HeldBytes int64 `yaml:"held_bytes"`
-	Requests  int   `yaml:"requests"`
+	MaxBodyBytes int64 `yaml:"body_bytes"`
+	MaxHeldBytes int64 `yaml:"held_bytes"`
+	MaxRequests  int   `yaml:"requests"`
 	// BodyTimeout is how long a caller may take to send a body.
-	BodyTime catalog.Duration `yaml:"body_time"`
+	BodyTimeout catalog.Duration `yaml:"body_time"`
 }
 
 // Drain controls a planned shutdown.
 type Drain struct {
 	// ShutdownDelay is how long a stopping entry still accepts requests after /readyz
 	// started to fail.
-	Notice catalog.Duration `yaml:"notice"`
+	ShutdownDelay catalog.Duration `yaml:"notice"`
 	// Timeout is how long requests in flight may take to finish.
-	Bound catalog.Duration `yaml:"bound"`
+	Timeout catalog.Duration `yaml:"bound"`
 }
 
 // Log configures logging.
@@ -102,19 +102,19 @@
 	EndpointAddress string `yaml:"endpoint_address"`
 	Control         []Peer `yaml:"control"`
 	KeyFile         string `yaml:"key_file"`
-	BodyBytes       int64  `yaml:"body_bytes"`
+	MaxBodyBytes    int64  `yaml:"body_bytes"`
 	Drain           Drain  `yaml:"drain"`
 	Log             Log    `yaml:"log"`
 }
 
 // Defaults of omitted settings.
 const (
-	DefaultBodyBytes     = 4 << 20
-	DefaultHeldBytes     = 1 << 30
-	DefaultRequests      = 50_000
-	DefaultBodyTime      = 30 * time.Second
+	DefaultMaxBodyBytes  = 4 << 20
+	DefaultMaxHeldBytes  = 1 << 30
+	DefaultMaxRequests   = 50_000
+	DefaultBodyTimeout   = 30 * time.Second
 	DefaultShutdownDelay = 2 * time.Second
-	DefaultDrainBound    = 5 * time.Minute
+	DefaultDrainTimeout  = 5 * time.Minute
 	defaultLogLevel      = "info"
 )
 
@@ -149,7 +149,7 @@
 	}
 	b.KeyFile = resolvePath(file, b.KeyFile)
 	b.OperatorKeyFile = resolvePath(file, b.OperatorKeyFile)
-	b.Data = resolvePath(file, b.Data)
+	b.DataDir = resolvePath(file, b.DataDir)
 	b.setDefaults()
 	return b, c, d.findings.asError()
 }
@@ -265,12 +265,12 @@
 			d.addAt(itemPath("roles", i), "%q is neither %q nor %q", r, RoleEntry, RoleControl)
 		}
 	}
-	if b.Has(RoleEntry) {
+	if b.HasRole(RoleEntry) {
 		d.checkAddress("listen.callers", b.Listen.Callers)
 	}
-	if b.Has(RoleControl) {
+	if b.HasRole(RoleControl) {
 		d.require("catalog", b.Catalog)
-		d.require("data", b.Data)
+		d.require("data", b.DataDir)
 		d.require("operator_key_file", b.OperatorKeyFile)
 		d.checkAddress("listen.boxes", b.Listen.Boxes)
 		if !slices.ContainsFunc(b.Control, func(p Peer) bool { return p.ID == b.ID }) {
@@ -298,8 +298,8 @@
 		d.checkAddress("address", s.Address)
 	}
 	d.checkPeers(s.Control)
-	if s.BodyBytes < 0 {
-		d.addAt("body_bytes", "%d is negative", s.BodyBytes)
+	if s.MaxBodyBytes < 0 {
+		d.addAt("body_bytes", "%d is negative", s.MaxBodyBytes)
 	}
 	d.checkDrain(s.Drain)
 	d.checkLog(s.Log)
@@ -315,8 +315,8 @@
 			capacity += e.Concurrency
 		}
 	}
-	if b.Limits.Requests > 0 && b.Limits.Requests < capacity {
-		d.addAt("limits.requests", "%d is less than the capacity of the pools (%d); a full entry would refuse requests regardless of tier", b.Limits.Requests, capacity)
+	if b.Limits.MaxRequests > 0 && b.Limits.MaxRequests < capacity {
+		d.addAt("limits.requests", "%d is less than the capacity of the pools (%d); a full entry would refuse requests regardless of tier", b.Limits.MaxRequests, capacity)
 	}
 }
 
@@ -363,13 +363,13 @@
 }
 
 func (d *decoder) checkLimits(l Limits) {
-	if l.BodyBytes < 0 || l.HeldBytes < 0 || l.Requests < 0 || l.BodyTime < 0 {
+	if l.MaxBodyBytes < 0 || l.MaxHeldBytes < 0 || l.MaxRequests < 0 || l.BodyTimeout < 0 {
 		d.addAt("limits", "a limit is negative")
 	}
 }
 
 func (d *decoder) checkDrain(r Drain) {
-	if r.Notice < 0 || r.Bound < 0 {
+	if r.ShutdownDelay < 0 || r.Timeout < 0 {
 		d.addAt("drain", "a duration is negative")
 	}
 }
@@ -381,28 +381,28 @@
 }
 
 func (b *Box) setDefaults() {
-	b.Limits.BodyBytes = orDefault(b.Limits.BodyBytes, DefaultBodyBytes)
-	b.Limits.HeldBytes = orDefault(b.Limits.HeldBytes, DefaultHeldBytes)
-	b.Limits.Requests = orDefault(b.Limits.Requests, DefaultRequests)
-	b.Limits.BodyTime = orDefault(b.Limits.BodyTime, catalog.Duration(DefaultBodyTime))
+	b.Limits.MaxBodyBytes = orDefault(b.Limits.MaxBodyBytes, DefaultMaxBodyBytes)
+	b.Limits.MaxHeldBytes = orDefault(b.Limits.MaxHeldBytes, DefaultMaxHeldBytes)
+	b.Limits.MaxRequests = orDefault(b.Limits.MaxRequests, DefaultMaxRequests)
+	b.Limits.BodyTimeout = orDefault(b.Limits.BodyTimeout, catalog.Duration(DefaultBodyTimeout))
 	b.Drain.setDefaults()
 	b.Log.Level = orDefault(b.Log.Level, defaultLogLevel)
 }
 
 func (s *Slot) setDefaults() {
 	s.Address = orDefault(s.Address, s.Listen)
-	s.BodyBytes = orDefault(s.BodyBytes, DefaultBodyBytes)
+	s.MaxBodyBytes = orDefault(s.MaxBodyBytes, DefaultMaxBodyBytes)
 	s.Drain.setDefaults()
 	s.Log.Level = orDefault(s.Log.Level, defaultLogLevel)
 }
 
 func (r *Drain) setDefaults() {
-	r.Notice = orDefault(r.Notice, catalog.Duration(DefaultShutdownDelay))
-	r.Bound = orDefault(r.Bound, catalog.Duration(DefaultDrainBound))
+	r.ShutdownDelay = orDefault(r.ShutdownDelay, catalog.Duration(DefaultShutdownDelay))
+	r.Timeout = orDefault(r.Timeout, catalog.Duration(DefaultDrainTimeout))
 }
 
 // HasRole reports whether the box has a role.
-func (b Box) Has(r Role) bool { return slices.Contains(b.Roles, r) }
+func (b Box) HasRole(r Role) bool { return slices.Contains(b.Roles, r) }
 
 // ReadKey returns the shared key in a file.
 func ReadKey(file string) (string, error) {
--- a/settings/fleet.go
+++ b/settings/fleet.go
@@ -19,11 +19,11 @@
 	// Seeds are operator addresses (IP:port) of control boxes; some may be outdated.
 	Seeds []string `yaml:"seeds"`
 	// Bootstrap makes the seeds form a new control group if their disks are empty.
-	Found bool `yaml:"found"`
+	Bootstrap bool `yaml:"found"`
 	// Unprotected confirms that connections between boxes are not authenticated. It must
 	// be true, so that a fleet does not run without keys by accident.
 	Unprotected bool           `yaml:"unprotected"`
-	Data        string         `yaml:"data"`
+	DataDir     string         `yaml:"data"`
 	Resources   FleetResources `yaml:"resources"`
 	Bounds      FleetBounds    `yaml:"bounds"`
 	Log         Log            `yaml:"log"`
@@ -49,15 +49,15 @@
 // FleetBounds are limits that hold for the whole deployment.
 type FleetBounds struct {
 	// ToleratedFailures is how many control boxes may fail at the same time.
-	Tolerated int `yaml:"tolerated"`
+	ToleratedFailures int `yaml:"tolerated"`
 	// HeartbeatInterval is how often endpoints send heartbeats.
-	Beat catalog.Duration `yaml:"beat"`
+	HeartbeatInterval catalog.Duration `yaml:"beat"`
 	// StopTimeout is how long a planned shutdown may take.
-	Stop catalog.Duration `yaml:"stop"`
+	StopTimeout catalog.Duration `yaml:"stop"`
 	// ConfigValidity is how long an entry may serve requests without confirmation that
 	// its configuration is current.
-	Fresh       catalog.Duration `yaml:"fresh"`
-	QuotaWindow catalog.Duration `yaml:"quota_window"`
+	ConfigValidity catalog.Duration `yaml:"fresh"`
+	QuotaWindow    catalog.Duration `yaml:"quota_window"`
 	// A quota may be exceeded by its fraction QuotaOvershoot plus QuotaSlack.
 	QuotaOvershoot float64          `yaml:"quota_overshoot"`
 	QuotaSlack     float64          `yaml:"quota_slack"`
@@ -109,7 +109,7 @@
 		d.checkAddress("listen.readiness", f.Listen.Readiness)
 	case RoleControl:
 		d.checkAddress("listen.operators", f.Listen.Operators)
-		d.require("data", f.Data)
+		d.require("data", f.DataDir)
 	default:
 		d.addAt("role", "%q is neither %q nor %q", f.Role, RoleEntry, RoleControl)
 	}
@@ -131,8 +131,8 @@
 }
 
 func (d *decoder) checkFleetBounds(b FleetBounds) {
-	if b.Tolerated < 0 {
-		d.addAt("bounds.tolerated", "%d is negative", b.Tolerated)
+	if b.ToleratedFailures < 0 {
+		d.addAt("bounds.tolerated", "%d is negative", b.ToleratedFailures)
 	}
 	switch b.Placement {
 	case "", PlacementForecast, PlacementLeastOutstanding:
@@ -146,7 +146,7 @@
 		d.addAt("bounds.quota_overshoot", "a quota's overshoot and slack must not be negative")
 	}
 	for path, value := range map[string]catalog.Duration{
-		"bounds.beat": b.Beat, "bounds.stop": b.Stop, "bounds.fresh": b.Fresh,
+		"bounds.beat": b.HeartbeatInterval, "bounds.stop": b.StopTimeout, "bounds.fresh": b.ConfigValidity,
 		"bounds.quota_window": b.QuotaWindow, "bounds.retry_window": b.RetryWindow,
 	} {
 		if value < 0 {
@@ -158,9 +158,9 @@
 func (f *Fleet) setDefaults() {
 	f.Log.Level = orDefault(f.Log.Level, defaultLogLevel)
 	b := &f.Bounds
-	b.Beat = orDefault(b.Beat, catalog.Duration(defaultHeartbeatInterval))
-	b.Stop = orDefault(b.Stop, catalog.Duration(defaultStopTimeout))
-	b.Fresh = orDefault(b.Fresh, catalog.Duration(defaultConfigValidity))
+	b.HeartbeatInterval = orDefault(b.HeartbeatInterval, catalog.Duration(defaultHeartbeatInterval))
+	b.StopTimeout = orDefault(b.StopTimeout, catalog.Duration(defaultStopTimeout))
+	b.ConfigValidity = orDefault(b.ConfigValidity, catalog.Duration(defaultConfigValidity))
 	b.QuotaWindow = orDefault(b.QuotaWindow, catalog.Duration(defaultRateWindow))
 	b.RetryWindow = orDefault(b.RetryWindow, catalog.Duration(defaultRateWindow))
 }
--- a/settings/fleet_test.go
+++ b/settings/fleet_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if time.Duration(f.Bounds.QuotaWindow) != 8*time.Second || time.Duration(f.Bounds.Fresh) != defaultConfigValidity {
+	if time.Duration(f.Bounds.QuotaWindow) != 8*time.Second || time.Duration(f.Bounds.ConfigValidity) != defaultConfigValidity {
 		t.Errorf("bounds %+v", f.Bounds)
 	}
 	if kind, err := Check(file); kind != KindFleet || err != nil {
--- a/trace/make.go
+++ b/trace/make.go
@@ -91,7 +91,7 @@
 }
 
 // Generate returns a trace of a deployment's workload under a scenario.
-func Make(deployment, scenario string, seed uint64) (Trace, error) {
+func Generate(deployment, scenario string, seed uint64) (Trace, error) {
 	w, ok := workloads[deployment]
 	if !ok {
 		return Trace{}, errors.Errorf("unknown deployment %q", deployment)
@@ -100,7 +100,7 @@
 		Name: fmt.Sprintf("%s-%s-%d", deployment, scenario, seed), Pool: w.pool,
 		MaxWaiting: maxWaiting, LoadLagMillis: loadLagMillis, PrefillWeight: w.prefillWeight,
 	}}
-	t.Header.Outcomes = objectives[deployment+"-"+scenario]
+	t.Header.Objectives = objectives[deployment+"-"+scenario]
 	for i := range endpointCount {
 		t.Header.Endpoints = append(t.Header.Endpoints, Endpoint{
 			Name: fmt.Sprintf("%s-%02d", w.pool, i), Speed: w.speeds[i%len(w.speeds)],
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -34,7 +34,7 @@
 	LoadLagMillis int64 `json:"load_lag_ms"`
 	// PrefillWeight is the pool's cost of repeated prefill relative to waiting time.
 	PrefillWeight float64    `json:"prefill_weight"`
-	Outcomes      Objectives `json:"outcomes"`
+	Objectives    Objectives `json:"outcomes"`
 }
 
 // Endpoint is an engine of the pool.
