--- a/proc/caller_test.go
+++ b/proc/caller_test.go
@@ -36,12 +36,13 @@
 	DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
 }}
 
-// call sends a request to an entry and reads the whole response. The team is
-// gold-team unless h has another key.
+// call sends a request to an entry, as send does.
 func (c *cluster) call(box int, method, path, body string, h http.Header) result {
-	return send(context.Background(), method, "http://"+c.caller(box)+path, body, h)
+	return send(context.Background(), method, "http://"+c.callerAddress(box)+path, body, h)
 }
 
+// send sends a request and reads the whole response. The key is that of gold-team
+// unless h has another.
 func send(ctx context.Context, method, url, body string, h http.Header) result {
 	began := time.Now()
 	r, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
@@ -96,7 +97,7 @@
 	t.Helper()
 	want := send(context.Background(), http.MethodPost, o.url+path, a.request, nil)
 	if want.err != nil || want.status != http.StatusOK {
-		t.Errorf("oracle: status %d, %v", want.status, want.err)
+		t.Errorf("the oracle answered with status %d, %v", want.status, want.err)
 		return
 	}
 	if a.err != nil || a.status != http.StatusOK || !bytes.Equal(a.body, want.body) {
--- a/proc/failure_test.go
+++ b/proc/failure_test.go
@@ -56,7 +56,7 @@
 	return len(l.results)
 }
 
-// waitMore waits until n more calls have ended.
+// waitMore waits until n more calls have returned.
 func (l *load) waitMore(n int) {
 	l.c.t.Helper()
 	from := l.count()
@@ -95,9 +95,9 @@
 	}
 }
 
-// TestPausedOwner guards against two owners and lost changes when the owner is
-// paused beyond its lease and resumes after another was elected.
-func TestPausedOwner(t *testing.T) {
+// TestFrozenOwner guards against two owners and lost changes when the owner is
+// frozen beyond its lease and resumes after another was elected.
+func TestFrozenOwner(t *testing.T) {
 	c := newCluster(t, topology{boxes: 4, controls: 3, engines: []float64{4, 2}})
 	o := c.newOracle()
 	leader := c.waitLeader()
@@ -110,7 +110,7 @@
 	version := c.show(next).Version
 	r := c.apply("while-frozen", version, teamChange(1))
 	if r.Version != version+1 {
-		t.Fatalf("command while the owner is paused: %v", r)
+		t.Fatalf("the command while the owner is frozen got %v", r)
 	}
 	l.waitMore(20)
 	c.boxes[leader].signal(syscall.SIGCONT)
@@ -142,7 +142,7 @@
 		c.partition(leader, direction.from, direction.to)
 		next := c.waitLeader(leader)
 		if r := c.apply(fmt.Sprint("cut-", n), version, teamChange(n)); r.Version != version+1 {
-			t.Fatalf("command while the owner is partitioned: %v", r)
+			t.Fatalf("the command while the owner is partitioned got %v", r)
 		}
 		version++
 		if s := c.show(leader); s.Leads {
@@ -158,11 +158,11 @@
 	}
 }
 
-// waitVoter waits until all three control boxes are voters again, with no learner
-// left, and the returned box has a catalog version.
-func (c *cluster) waitVoter(leader, box int, version uint64) {
+// waitVoters waits until all three control boxes are voters, with no learner left, and
+// the given box has a catalog version.
+func (c *cluster) waitVoters(leader, box int, version uint64) {
 	c.t.Helper()
-	c.waitFor("the wiped box is a voter again", func() bool {
+	c.waitFor("three voters, and the wiped box has the catalog", func() bool {
 		s := c.show(leader)
 		return len(s.GetMembers().GetVoters()) == 3 && len(s.Members.Learners) == 0 && c.show(box).Version == version
 	})
@@ -182,16 +182,16 @@
 	c.boxes[lost].kill()
 	c.wipe(lost)
 	c.boxes[lost].start()
-	c.waitVoter(leader, lost, version)
+	c.waitVoters(leader, lost, version)
 	// The second loss follows at once; accepted changes must survive it.
 	c.boxes[second].kill()
 	c.wipe(second)
 	r := c.apply("after", version, teamChange(9))
 	if r.Version != version+1 {
-		t.Errorf("command after a second loss: %v", r)
+		t.Errorf("the command after a second disk loss got %v", r)
 	}
 	c.boxes[second].start()
-	c.waitVoter(leader, second, version+1)
+	c.waitVoters(leader, second, version+1)
 	c.boxes[leader].kill()
 	if next := c.waitLeader(leader); c.show(next).Version != version+1 {
 		t.Errorf("version %d after the loss of the leader, want %d", c.show(next).Version, version+1)
@@ -211,13 +211,13 @@
 	c.wipe(1)
 	c.boxes[0].start()
 	c.boxes[1].start()
-	c.waitFor("both log that they wait for the others", func() bool {
-		return strings.Contains(tail(c.boxes[0].log), "waiting for the other control boxes") &&
-			strings.Contains(tail(c.boxes[1].log), "waiting for the other control boxes")
+	c.waitFor("both wiped boxes log that they wait for the others", func() bool {
+		return strings.Contains(tail(c.boxes[0].logFile), "waiting for the other control boxes") &&
+			strings.Contains(tail(c.boxes[1].logFile), "waiting for the other control boxes")
 	})
 	c.boxes[2].start()
 	c.waitFor("the third logs that it has no quorum", func() bool {
-		return strings.Contains(tail(c.boxes[2].log), "no quorum")
+		return strings.Contains(tail(c.boxes[2].logFile), "no quorum")
 	})
 	if leader := c.findLeader(); leader >= 0 {
 		t.Errorf("box %d leads after a majority of disks was lost", leader)
@@ -235,7 +235,7 @@
 	for i := range 3 {
 		c.boxes[i].start()
 	}
-	c.waitVoter(c.waitLeader(), 0, version)
+	c.waitVoters(c.waitLeader(), 0, version)
 	if s := c.show(c.waitLeader()); s.Version != version {
 		t.Errorf("version %d after the recovery, want %d", s.Version, version)
 	}
@@ -248,7 +248,7 @@
 	version := c.show(c.waitLeader()).Version
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	won := make(map[string]bool)
+	accepted := make(map[string]bool)
 	conflicts := make(map[string]bool)
 	for n := range 12 {
 		wg.Go(func() {
@@ -258,7 +258,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if r.Conflict == "" && r.Version == version+1 {
-				won[id+" by test"] = true
+				accepted[id+" by test"] = true
 			} else {
 				conflicts[r.Conflict] = true
 			}
@@ -268,12 +268,12 @@
 		})
 	}
 	wg.Wait()
-	if len(won) != 1 || len(conflicts) != 1 {
-		t.Fatalf("%d commands accepted, conflicts reported with %v", len(won), conflicts)
+	if len(accepted) != 1 || len(conflicts) != 1 {
+		t.Fatalf("%d commands accepted, conflicts reported with %v", len(accepted), conflicts)
 	}
 	for id := range conflicts {
-		if !won[id] {
-			t.Errorf("the conflict names %q, accepted was %v", id, won)
+		if !accepted[id] {
+			t.Errorf("the conflict names %q, accepted was %v", id, accepted)
 		}
 	}
 }
@@ -289,7 +289,7 @@
 	version := c.show(leader).Version
 	for n := range 500 {
 		if r := c.apply(fmt.Sprint("change-", n), version, teamChange(n%7)); r.Version != version+1 {
-			t.Fatalf("change %d: %v", n, r)
+			t.Fatalf("change %d got %v", n, r)
 		}
 		version++
 	}
@@ -297,7 +297,7 @@
 	c.boxes[away].start()
 	c.boxes[3].start()
 	c.waitFor("the control box has all changes", func() bool { return c.show(away).Version == version })
-	c.waitFor("the entries have all changes in force", func() bool {
+	c.waitFor("the entries apply all changes", func() bool {
 		boxes := c.show(c.waitLeader()).Boxes
 		for _, b := range boxes {
 			if b.Version != version && b.SilentMs < 2000 {
@@ -306,12 +306,12 @@
 		}
 		return len(boxes) == 4
 	})
-	t.Logf("in force on all boxes %v after the restart", time.Since(began))
+	t.Logf("applied on all boxes %v after the restart", time.Since(began))
 	c.waitServing(3)
 }
 
-// TestChangeReachesAllBoxes guards against an entry on which an accepted change is
-// never in force; it logs how long the change takes.
+// TestChangeReachesAllBoxes guards against an entry that never applies an accepted
+// change; it logs how long the change takes.
 func TestChangeReachesAllBoxes(t *testing.T) {
 	c := newCluster(t, topology{boxes: 5, controls: 3, engines: []float64{4}})
 	leader := c.waitLeader()
@@ -325,11 +325,12 @@
 			return a.status == http.StatusOK
 		})
 	}
-	t.Logf("committed after %v, in force on 5 boxes after %v", committed, time.Since(began))
+	t.Logf("committed after %v, applied on 5 boxes after %v", committed, time.Since(began))
 }
 
 // TestPlatformListDrainsBoxes guards against an owner that keeps leading, and an
-// endpoint that gets new requests, when the platform's list marks their boxes as leaving.
+// endpoint that receives new requests, when the platform's list marks their boxes as
+// leaving, which means draining.
 func TestPlatformListDrainsBoxes(t *testing.T) {
 	var mu sync.Mutex
 	draining := []string{}
@@ -348,7 +349,7 @@
 	leader := c.waitLeader()
 	l.waitMore(20)
 	mu.Lock()
-	draining = append(draining, event.Host(c.box(leader)), event.Host(c.slot(0)))
+	draining = append(draining, event.Host(c.boxAddress(leader)), event.Host(c.slotListenAddress(0)))
 	mu.Unlock()
 	next := c.waitLeader(leader)
 	c.waitFor("the endpoint on the draining box does not serve", func() bool {
@@ -373,7 +374,7 @@
 func TestOperatorLanguage(t *testing.T) {
 	c := newCluster(t, topology{boxes: 3, controls: 3, engines: []float64{1}})
 	do := func(line string) string {
-		control := c.box(0) + "," + c.box(1) + "," + c.box(2)
+		control := c.boxAddress(0) + "," + c.boxAddress(1) + "," + c.boxAddress(2)
 		tool := exec.Command(filepath.Join(binDir, "lynxramp"), "do", "--control", control,
 			"--key-file", filepath.Join(c.dir, "operator-key"), line)
 		out, _ := tool.CombinedOutput() // a failure is in what it prints
@@ -392,7 +393,7 @@
 		{"drain endpoint nowhere", "there is no endpoint"},
 	} {
 		if got := do(step.line); !strings.Contains(got, step.want) {
-			t.Errorf("%s: %s", step.line, got)
+			t.Errorf("%q printed %s", step.line, got)
 		}
 	}
 	l.finish()
--- a/proc/harness_test.go
+++ b/proc/harness_test.go
@@ -56,7 +56,7 @@
 	t            testing.TB
 	name         string
 	args         []string
-	log          string
+	logFile      string // path of the file that receives its output
 	cmd          *exec.Cmd
 	exited       chan struct{}
 	exitExpected bool // the test has stopped or killed it
@@ -64,7 +64,7 @@
 
 func (p *process) start() {
 	p.t.Helper()
-	f, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	f, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 	p.signal(syscall.SIGTERM)
 	p.waitExit()
 	if code := p.cmd.ProcessState.ExitCode(); code != 0 {
-		p.t.Errorf("%s %v exited with status %d\n%s", p.name, p.args, code, tail(p.log))
+		p.t.Errorf("%s %v exited with status %d\n%s", p.name, p.args, code, tail(p.logFile))
 	}
 }
 
@@ -112,10 +112,11 @@
 	select {
 	case <-p.exited:
 	case <-time.After(waitTimeout):
-		p.t.Fatalf("%s %v did not exit in time\n%s", p.name, p.args, tail(p.log))
+		p.t.Fatalf("%s %v did not exit in time\n%s", p.name, p.args, tail(p.logFile))
 	}
 }
 
+// tail returns the last 4000 bytes of a file.
 func tail(file string) string {
 	data, _ := os.ReadFile(file)
 	if n := len(data) - 4000; n > 0 {
@@ -184,12 +185,12 @@
 	c.writeCatalog()
 	for i := range s.engines {
 		c.engines = append(c.engines, c.process(fmt.Sprintf("engine-%d", i), "lynxramp", "engine",
-			"--listen", c.engine(i), "--speed", fmt.Sprint(s.engines[i])))
+			"--listen", c.engineAddress(i), "--speed", fmt.Sprint(s.engines[i])))
 	}
 	for i := range s.services {
 		n := len(s.engines) + i
 		c.engines = append(c.engines, c.process(fmt.Sprintf("service-%d", i), "lynxramp", "service",
-			"--listen", c.engine(n), "--delay", s.delay.String()))
+			"--listen", c.engineAddress(n), "--delay", s.delay.String()))
 	}
 	for i := range c.engines {
 		file := c.writeSlotSettings(i)
@@ -197,7 +198,7 @@
 	}
 	if s.relays {
 		for i := range c.slots {
-			c.relays = append(c.relays, newRelay(t, c.slotAddress(i), c.slot(i)))
+			c.relays = append(c.relays, newRelay(t, c.slotAddress(i), c.slotListenAddress(i)))
 		}
 	}
 	if s.controlRelays {
@@ -205,7 +206,7 @@
 		for from := range s.controls {
 			for to := range s.controls {
 				if from != to {
-					c.controlLinks[[2]int{from, to}] = newRelay(t, c.linkAddress(from, to), c.box(to))
+					c.controlLinks[[2]int{from, to}] = newRelay(t, c.linkAddress(from, to), c.boxAddress(to))
 				}
 			}
 		}
@@ -225,8 +226,9 @@
 	return c
 }
 
+// process returns a command that is not started yet; log names its log file.
 func (c *cluster) process(log, name string, args ...string) *process {
-	p := &process{t: c.t, name: name, args: args, log: filepath.Join(c.dir, log+".log")}
+	p := &process{t: c.t, name: name, args: args, logFile: filepath.Join(c.dir, log+".log")}
 	c.t.Cleanup(func() {
 		if p.cmd == nil {
 			return
@@ -234,7 +236,7 @@
 		p.signal(syscall.SIGKILL)
 		<-p.exited
 		if c.t.Failed() {
-			c.t.Logf("--- %s\n%s", log, tail(p.log))
+			c.t.Logf("--- %s\n%s", log, tail(p.logFile))
 		}
 	})
 	return p
@@ -248,19 +250,26 @@
 	return file
 }
 
-func (c *cluster) caller(box int) string {
+// callerAddress returns the address at which a box accepts callers' requests.
+func (c *cluster) callerAddress(box int) string {
 	return fmt.Sprintf("%s.%d:%d", c.subnet, 10+box, callerPort)
 }
-func (c *cluster) box(box int) string  { return fmt.Sprintf("%s.%d:%d", c.subnet, 10+box, boxPort) }
-func (c *cluster) slot(n int) string   { return fmt.Sprintf("%s.%d:%d", c.subnet, 100+n, slotPort) }
-func (c *cluster) engine(n int) string { return fmt.Sprintf("%s.%d:%d", c.subnet, 100+n, enginePort) }
+func (c *cluster) boxAddress(box int) string {
+	return fmt.Sprintf("%s.%d:%d", c.subnet, 10+box, boxPort)
+}
+func (c *cluster) slotListenAddress(n int) string {
+	return fmt.Sprintf("%s.%d:%d", c.subnet, 100+n, slotPort)
+}
+func (c *cluster) engineAddress(n int) string {
+	return fmt.Sprintf("%s.%d:%d", c.subnet, 100+n, enginePort)
+}
 
 // slotAddress returns the address at which entries reach a slot.
 func (c *cluster) slotAddress(n int) string {
 	if c.topology.relays {
 		return fmt.Sprintf("%s.%d:%d", c.subnet, 100+n, slotPort+1)
 	}
-	return c.slot(n)
+	return c.slotListenAddress(n)
 }
 
 func (c *cluster) endpointName(n int) string {
@@ -308,7 +317,7 @@
 func (c *cluster) controlPeers(from int) string {
 	var b strings.Builder
 	for i := range c.topology.controls {
-		address := c.box(i)
+		address := c.boxAddress(i)
 		if c.topology.controlRelays && from >= 0 && from < c.topology.controls && from != i {
 			address = c.linkAddress(from, i)
 		}
@@ -352,7 +361,7 @@
 drain: {notice: 100ms, bound: 30s}
 limits: {body_time: 2s}
 control:
-%s`, i, i%2, roles, c.caller(i), c.box(i), c.topology.platform, i, c.controlPeers(i)))
+%s`, i, i%2, roles, c.callerAddress(i), c.boxAddress(i), c.topology.platform, i, c.controlPeers(i)))
 }
 
 func (c *cluster) writeSlotSettings(n int) string {
@@ -370,7 +379,7 @@
 key_file: key
 drain: {bound: 30s}
 control:
-%s`, c.endpointName(n), pool, kind, c.slot(n), c.engine(n), c.slotAddress(n), c.controlPeers(-1)))
+%s`, c.endpointName(n), pool, kind, c.slotListenAddress(n), c.engineAddress(n), c.slotAddress(n), c.controlPeers(-1)))
 }
 
 // waitServing waits until an entry serves a completion.
@@ -403,7 +412,7 @@
 			select {
 			case <-p.exited:
 				if !p.exitExpected {
-					c.t.Fatalf("%s %v exited unexpectedly\n%s", p.name, p.args, tail(p.log))
+					c.t.Fatalf("%s %v exited unexpectedly\n%s", p.name, p.args, tail(p.logFile))
 				}
 			default:
 			}
--- a/proc/measure_test.go
+++ b/proc/measure_test.go
@@ -18,7 +18,7 @@
 //	go test ./proc -run '^$' -bench Commit -benchtime 500x
 //	go test ./proc -run '^$' -bench 'Failover|Idle' -benchtime 1x
 
-// sampleTime is how long processes are measured.
+// sampleTime is how long reportUsage measures processes.
 const sampleTime = 10 * time.Second
 
 // usage is the CPU time and memory of processes.
@@ -35,7 +35,7 @@
 			b.Fatal(err)
 		}
 		_, rest, _ := strings.Cut(string(data), ") ")
-		f := strings.Fields(rest)
+		f := strings.Fields(rest) // see proc(5); times are in ticks of 10 ms
 		user, _ := strconv.ParseInt(f[11], 10, 64)
 		system, _ := strconv.ParseInt(f[12], 10, 64)
 		pages, _ := strconv.ParseInt(f[21], 10, 64)
@@ -141,7 +141,7 @@
 }
 
 // BenchmarkFailover measures the time without an owner after the owner is killed,
-// paused or stopped.
+// frozen or stopped.
 func BenchmarkFailover(b *testing.B) {
 	cases := []struct {
 		name   string
--- a/proc/operator_test.go
+++ b/proc/operator_test.go
@@ -22,7 +22,7 @@
 var operatorClient = &http.Client{Transport: rpc.WithKey(operatorKey, &http.Transport{MaxIdleConnsPerHost: 8}), Timeout: 5 * time.Second}
 
 func (c *cluster) operator(box int) rpc.Operator {
-	return rpc.NewOperatorProtobufClient("http://"+c.box(box), operatorClient)
+	return rpc.NewOperatorProtobufClient("http://"+c.boxAddress(box), operatorClient)
 }
 
 // findLeader returns the control box that owns the pools, or -1 for none. It skips the
@@ -54,6 +54,7 @@
 	return leader
 }
 
+// show returns the state that a box reports to operators; empty if it does not respond.
 func (c *cluster) show(box int) *rpc.ShowResponse {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -64,7 +65,7 @@
 	return r
 }
 
-// apply sends a command until the leader responds.
+// apply sends a command, which expects a catalog version, until the leader responds.
 func (c *cluster) apply(id string, expect uint64, changes ...catalog.Change) *rpc.ApplyResponse {
 	data, err := json.Marshal(changes)
 	if err != nil {
@@ -92,6 +93,7 @@
 	return catalog.Change{Team: &catalog.Team{Name: name, Tier: "bronze", KeyHashes: []string{catalog.HashKey(name)}}}
 }
 
+// wipe deletes the data folder of a box.
 func (c *cluster) wipe(box int) {
 	c.t.Helper()
 	if err := os.RemoveAll(filepath.Join(c.dir, fmt.Sprintf("data-%d", box))); err != nil {
@@ -103,7 +105,7 @@
 func (c *cluster) dispatches(id string) int {
 	total := 0
 	for n := range c.engines {
-		a := send(context.Background(), http.MethodGet, "http://"+c.engine(n)+"/starts/"+id, "", nil)
+		a := send(context.Background(), http.MethodGet, "http://"+c.engineAddress(n)+"/starts/"+id, "", nil)
 		var count int
 		if json.Unmarshal(a.body, &count) == nil {
 			total += count
@@ -112,8 +114,8 @@
 	return total
 }
 
-// checkAtMostOnce fails the test if a request ran more than once, or ran although
-// its outcome is "not-run".
+// checkAtMostOnce fails the test if a request was dispatched more than once, or at all
+// although its outcome is "not-run".
 func (c *cluster) checkAtMostOnce(a result) {
 	c.t.Helper()
 	id := a.header.Get("Lynxramp-Request-Id")
@@ -129,9 +131,9 @@
 // setFaults sets the faults that an engine injects.
 func (c *cluster) setFaults(n int, content string) {
 	c.t.Helper()
-	a := send(context.Background(), http.MethodPut, "http://"+c.engine(n)+"/faults", content, nil)
+	a := send(context.Background(), http.MethodPut, "http://"+c.engineAddress(n)+"/faults", content, nil)
 	if a.status != http.StatusNoContent {
-		c.t.Fatalf("faults: status %d, %v", a.status, a.err)
+		c.t.Fatalf("setting the faults of an engine got status %d, %v", a.status, a.err)
 	}
 }
 
@@ -176,6 +178,7 @@
 	}
 }
 
+// add records open connections. It returns false if the relay is down.
 func (r *relay) add(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/proc/path_test.go
+++ b/proc/path_test.go
@@ -64,7 +64,7 @@
 	for _, path := range []string{"/a%20b", "/a%0Ab%3Fc", "/a%2Fb//c", "/%E1%83%98%E1%83%99%E1%83%9D%E1%83%9C%E1%83%90?q=a%20b&q", "/"} {
 		a := c.call(0, http.MethodGet, "/svc/card-api"+path, "", nil)
 		if want := "GET " + path + "\n"; a.status != http.StatusOK || string(a.body) != want {
-			t.Errorf("%s: status %d: %q", path, a.status, a.body)
+			t.Errorf("path %s: status %d, body %q", path, a.status, a.body)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 // TestStalledRequestBody guards against waiting without end for a body that stalls.
 func TestStalledRequestBody(t *testing.T) {
 	c := newCluster(t, topology{boxes: 1, controls: 1, engines: []float64{4}})
-	caller, err := net.Dial("tcp", c.caller(0))
+	caller, err := net.Dial("tcp", c.callerAddress(0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,9 +125,9 @@
 				return
 			}
 			for n := range c.engines {
-				starts := send(context.Background(), "GET", "http://"+c.engine(n)+"/starts/"+id, "", nil)
+				starts := send(context.Background(), "GET", "http://"+c.engineAddress(n)+"/starts/"+id, "", nil)
 				if string(starts.body) != "0" {
-					t.Errorf("endpoint %d ran the request: %s", n, starts.body)
+					t.Errorf("endpoint %d received the invalid request %s times", n, starts.body)
 				}
 			}
 		})
--- a/proc/request_test.go
+++ b/proc/request_test.go
@@ -94,7 +94,7 @@
 		})
 	}
 	c.waitFor("all calls run at the service", func() bool {
-		load := send(context.Background(), http.MethodGet, "http://"+c.engine(1)+"/load", "", nil)
+		load := send(context.Background(), http.MethodGet, "http://"+c.engineAddress(1)+"/load", "", nil)
 		return strings.Contains(string(load.body), `"running":10,`)
 	})
 	c.slots[1].kill()
@@ -256,7 +256,7 @@
 }
 
 // TestKilledEntry guards against requests of a killed entry that keep the engines
-// busy; the other entry must still serve.
+// busy: requests of the other entry must still be served.
 func TestKilledEntry(t *testing.T) {
 	c := newCluster(t, topology{boxes: 2, controls: 1, engines: []float64{1}})
 	o := c.newOracle()
@@ -278,7 +278,7 @@
 	var wg sync.WaitGroup
 	for i := range 40 {
 		wg.Go(func() {
-			send(ctx, http.MethodPost, "http://"+c.caller(0)+completions, completion(fmt.Sprint(i), 5000, true), header("Lynxramp-Deadline-Ms", "600000"))
+			send(ctx, http.MethodPost, "http://"+c.callerAddress(0)+completions, completion(fmt.Sprint(i), 5000, true), header("Lynxramp-Deadline-Ms", "600000"))
 		})
 	}
 	busy := func() (uint32, uint32) {
@@ -352,10 +352,10 @@
 func TestInternalPathsRequireKey(t *testing.T) {
 	c := newCluster(t, topology{boxes: 1, controls: 1, engines: []float64{4}})
 	for _, url := range []string{
-		"http://" + c.box(0) + "/twirp/lynxramp.Scheduler/Report",
-		"http://" + c.box(0) + "/twirp/lynxramp.Control/Deliver",
-		"http://" + c.box(0) + "/twirp/lynxramp.Operator/Apply",
-		"http://" + c.slot(0) + "/v1/run",
+		"http://" + c.boxAddress(0) + "/twirp/lynxramp.Scheduler/Report",
+		"http://" + c.boxAddress(0) + "/twirp/lynxramp.Control/Deliver",
+		"http://" + c.boxAddress(0) + "/twirp/lynxramp.Operator/Apply",
+		"http://" + c.slotListenAddress(0) + "/v1/run",
 	} {
 		if a := send(context.Background(), http.MethodPost, url, "{}", nil); a.status != http.StatusUnauthorized {
 			t.Errorf("%s without a key: status %d", url, a.status)
