--- a/link/bounds_test.go
+++ b/link/bounds_test.go
@@ -21,7 +21,7 @@
 type sizedMessage struct{ Data []byte }
 
 // Size implements Sized.
-func (p *sizedMessage) Size() int { return len(p.Data) }
+func (m *sizedMessage) Size() int { return len(m.Data) }
 
 // servePipe serves a connection over a pipe and returns the peer's end of it.
 func servePipe[M any](t *testing.T, configure func(*Conn[M])) (*Conn[M], net.Conn, chan error) {
@@ -38,7 +38,7 @@
 	return c, remote, ended
 }
 
-// expectEnd waits for a connection's end and compares its reason.
+// expectEnd waits until a connection ends and compares the reason with want.
 func expectEnd(t *testing.T, ended chan error, want error) {
 	t.Helper()
 	select {
@@ -54,11 +54,11 @@
 // TestSlowPeerExceedsQueueBytes guards against a queue that is bounded only by the number of
 // messages: large messages for a peer that reads nothing would exhaust memory.
 func TestSlowPeerExceedsQueueBytes(t *testing.T) {
-	const size, most = 1 << 20, 16 << 20
-	c, _, ended := servePipe(t, func(c *Conn[sizedMessage]) { c.maxQueued = most })
+	const size, limit = 1 << 20, 16 << 20
+	c, _, ended := servePipe(t, func(c *Conn[sizedMessage]) { c.maxQueued = limit })
 	data := make([]byte, size)
 	sent := 0
-	for ; sent < 2*most/size; sent++ {
+	for ; sent < 2*limit/size; sent++ {
 		select {
 		case <-c.done:
 		default:
@@ -69,8 +69,8 @@
 	}
 	expectEnd(t, ended, ErrSlowPeer)
 	// The writer may hold one more, and one more is accepted when the queue is exactly at its bound.
-	if sent < most/size || sent > most/size+3 {
-		t.Errorf("the connection ended at message %d, want about %d", sent, most/size)
+	if sent < limit/size || sent > limit/size+3 {
+		t.Errorf("the connection ended at message %d, want about %d", sent, limit/size)
 	}
 }
 
@@ -93,16 +93,16 @@
 // TestTooLongMessageClosesConnection guards against dropping a too long message silently, of
 // known or unknown size, and against allocating memory for an announced length.
 func TestTooLongMessageClosesConnection(t *testing.T) {
-	const most = 10_000
+	const limit = 10_000
 	t.Run("size known before encoding", func(t *testing.T) {
-		c, _, ended := servePipe(t, func(c *Conn[sizedMessage]) { c.maxMessage = most })
-		c.Send(&sizedMessage{make([]byte, most+1)})
+		c, _, ended := servePipe(t, func(c *Conn[sizedMessage]) { c.maxMessage = limit })
+		c.Send(&sizedMessage{make([]byte, limit+1)})
 		expectEnd(t, ended, ErrTooLong)
 	})
 	t.Run("size known after encoding", func(t *testing.T) {
-		c, remote, ended := servePipe(t, func(c *Conn[note]) { c.maxMessage = most })
+		c, remote, ended := servePipe(t, func(c *Conn[note]) { c.maxMessage = limit })
 		go discardAll(remote)
-		c.Send(&note{Text: string(make([]byte, most+1))})
+		c.Send(&note{Text: string(make([]byte, limit+1))})
 		expectEnd(t, ended, ErrTooLong)
 	})
 	t.Run("length announced by the peer", func(t *testing.T) {
@@ -130,8 +130,8 @@
 	})
 }
 
-// TestFrameReaderWithPartialReads guards against a reader that loses its place when the bytes
-// arrive in small pieces.
+// TestFrameReaderWithPartialReads guards against a reader that misses the start of a message when
+// the bytes arrive in small pieces.
 func TestFrameReaderWithPartialReads(t *testing.T) {
 	var wire bytes.Buffer
 	out := newEncoder(&wire, MaxMessage)
@@ -190,8 +190,8 @@
 		return all
 	})
 	t.Logf("%d encoders retain %d bytes", entries, held)
-	if most := int64(entries * 2 * maxKeptBuffer); held > most {
-		t.Errorf("%d idle encoders retain %d bytes, want %d at most", entries, held, most)
+	if limit := int64(entries * 2 * maxKeptBuffer); held > limit {
+		t.Errorf("%d idle encoders retain %d bytes, want %d at most", entries, held, limit)
 	}
 	runtime.KeepAlive(long)
 }
--- a/link/conn.go
+++ b/link/conn.go
@@ -35,9 +35,9 @@
 	tcpUserTimeout = 18
 )
 
-// MaxMessage is the largest message, in bytes: a configuration of the largest size that
-// operators may send, 32 MB, along with the other state in force. It equals the limit on a
-// record of the store.
+// MaxMessage is the maximum length of a message, in bytes. It has space for the largest
+// configuration that operators may send, 32 MB, and the rest of the current state. It equals
+// the limit on a record of the store.
 const MaxMessage = 64 << 20
 
 // KeepAlive detects connections whose peer has become unreachable without a reset while no
@@ -46,10 +46,10 @@
 // during which a request on such a connection waits for an answer that can't come.
 var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
 
-// ErrClosed is the reason of a connection that this side closed.
+// ErrClosed is returned by Serve for a connection that this side closed.
 var ErrClosed = errors.New("connection closed")
 
-// ErrSlowPeer is the reason of a connection whose send queue exceeded its bound.
+// ErrSlowPeer is returned by Serve for a connection whose send queue exceeded its bound.
 var ErrSlowPeer = errors.New("send queue full: the peer reads too slowly")
 
 // Sized is a message that estimates its encoded length in bytes. Size is called once for
@@ -104,7 +104,7 @@
 }
 
 // SetEncodings sets how messages are encoded on the connection. It must be called before Serve.
-func (c *Conn[M]) SetEncodings(f Encodings[M]) { c.encodings = f.withDefaults() }
+func (c *Conn[M]) SetEncodings(e Encodings[M]) { c.encodings = e.withDefaults() }
 
 // SetUserTimeout bounds how long, in milliseconds, sent bytes may stay
 // unacknowledged on a TCP connection. Other connections are left as they are.
@@ -219,7 +219,7 @@
 		case <-c.done:
 			return
 		case next = <-c.queue:
-		case <-timer.C:
+		case <-timer.C: // next stays empty, which is encoded as a keep-alive
 		}
 		timer.Reset(keepaliveInterval)
 		err := out.encode(c.encodings.Frame(next.message))
--- a/link/flow_test.go
+++ b/link/flow_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestByteCounters guards against counters that leave out an unfinished message: they show
-// whether any bytes moved before a connection broke.
+// whether any bytes were transferred before a connection broke.
 func TestByteCounters(t *testing.T) {
 	const size = 100_000
 	local, remote := net.Pipe()
--- a/link/forms.go
+++ b/link/forms.go
@@ -21,14 +21,14 @@
 // Reader reads the next message; nil for a keep-alive.
 type Reader[M any] func(*gob.Decoder) (*M, error)
 
-func (f Encodings[M]) withDefaults() Encodings[M] {
-	if f.Frame == nil {
-		f.Frame = func(m *M) any { return frame[M]{m} }
+func (e Encodings[M]) withDefaults() Encodings[M] {
+	if e.Frame == nil {
+		e.Frame = func(m *M) any { return frame[M]{m} }
 	}
-	if f.Reader == nil {
-		f.Reader = func([]byte) Reader[M] { return readFrame[M] }
+	if e.Reader == nil {
+		e.Reader = func([]byte) Reader[M] { return readFrame[M] }
 	}
-	return f
+	return e
 }
 
 // readFrame reads a message that is encoded as in this build.
--- a/link/frames.go
+++ b/link/frames.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrTooLong is the reason of a connection on which a message exceeds the limit: one to
-// send, or one announced by the peer.
+// ErrTooLong is returned by Serve for a connection on which a message, to be sent or announced
+// by the peer, exceeds the limit.
 var ErrTooLong = errors.New("message too long")
 
 // In gob, a message is its length followed by that many bytes. An unsigned integer below
--- a/link/slow_test.go
+++ b/link/slow_test.go
@@ -16,7 +16,7 @@
 // instead of making the message large.
 
 const (
-	// slowDuration is how long a message takes that must still arrive; well over idleTimeout.
+	// slowDuration is the transfer time of a message that must still arrive; well over idleTimeout.
 	slowDuration     = 4 * time.Second
 	slowInterval     = 50 * time.Millisecond
 	slowMessageBytes = 200_000
@@ -77,7 +77,7 @@
 	case err := <-ended:
 		t.Errorf("the connection ended while bytes arrived: %v", err)
 	case <-time.After(3 * slowDuration):
-		t.Error("the message did not come")
+		t.Error("the message did not arrive")
 	}
 }
 
@@ -90,20 +90,20 @@
 	go func() { ended <- c.Serve(func(*note) {}) }()
 	go sendKeepalives(remote)
 	c.Send(&note{Text: string(make([]byte, slowMessageBytes))})
-	took := make(chan error, 1)
+	decoded := make(chan error, 1)
 	go func() {
 		f := new(frame[note])
-		took <- gob.NewDecoder(bufio.NewReaderSize(&slowReader{c: remote}, 16)).Decode(f)
+		decoded <- gob.NewDecoder(bufio.NewReaderSize(&slowReader{c: remote}, 16)).Decode(f)
 	}()
 	select {
-	case err := <-took:
+	case err := <-decoded:
 		if err != nil {
 			t.Errorf("the message did not arrive whole: %v", err)
 		}
 	case err := <-ended:
 		t.Errorf("the connection ended while its peer was reading: %v", err)
 	case <-time.After(3 * slowDuration):
-		t.Error("the message did not come")
+		t.Error("the message did not arrive")
 	}
 }
 
