--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -27,15 +27,15 @@
 	Rank int `yaml:"rank" json:"rank"`
 }
 
-// Team is a tenant.
+// Team is a tenant: a group of callers that share keys and a tier.
 type Team struct {
 	Name string `yaml:"name" json:"name"`
 	// KeyHashes are the SHA-256 hashes of the team's keys, in hex.
 	KeyHashes []string `yaml:"key_hashes" json:"key_hashes"`
 	// Tier is the highest tier that the team has a right to.
 	Tier string `yaml:"tier" json:"tier"`
-	// MaxWaiting bounds the team's unfinished requests at one entry box; 0 is
-	// without a bound of its own.
+	// MaxWaiting bounds the team's unfinished requests at one entry box; 0 means no
+	// bound.
 	MaxWaiting int `yaml:"max_waiting" json:"max_waiting"`
 }
 
@@ -78,7 +78,7 @@
 	Name event.EndpointID `yaml:"name" json:"name"`
 	// Concurrency is the maximum number of concurrent requests.
 	Concurrency int `yaml:"concurrency" json:"concurrency"`
-	// Speed is relative to the reference engine; 0 selects 1.
+	// Speed is relative to the reference engine, 0 to 1000; 0 selects 1.
 	Speed float64 `yaml:"speed" json:"speed"`
 	// DataCentre is the endpoint's location.
 	DataCentre string `yaml:"data_centre" json:"data_centre"`
@@ -86,8 +86,8 @@
 	Draining bool `yaml:"leaving" json:"leaving,omitempty"`
 }
 
-// Rule sets the default tier of a team's requests to a service. The rule that gives
-// more of the two names takes precedence.
+// Rule sets the default tier of a team's requests to a service; either may be Any. A rule
+// with fewer Any takes precedence.
 type Rule struct {
 	Team    string `yaml:"team" json:"team"`
 	Service string `yaml:"service" json:"service"`
@@ -95,7 +95,7 @@
 	Tier string `yaml:"tier" json:"tier"`
 }
 
-// Duration is a time.Duration in the form of time.ParseDuration, such as 1.5s.
+// Duration is a time.Duration whose text has the format of time.ParseDuration, such as 1.5s.
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
--- a/catalog/check.go
+++ b/catalog/check.go
@@ -21,14 +21,14 @@
 
 // Problem is a fault in a catalog.
 type Problem struct {
-	// Path is the place of the fault, such as teams[2].tier.
+	// Path locates the fault in the catalog, such as teams[2].tier.
 	Path    string
 	Message string
 }
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// checker collects problems, and the names that are defined.
+// checker collects problems, and the names defined so far, for references to them.
 type checker struct {
 	problems []Problem
 	tiers    map[string]int // ranks
--- a/catalog/index.go
+++ b/catalog/index.go
@@ -10,11 +10,11 @@
 // Index answers lookups in one valid Catalog. It is immutable.
 type Index struct {
 	catalog  Catalog
-	ranks    map[string]int
-	teams    map[string]*Team // by key hash
-	models   map[string]*Service
-	services map[string]*Service
-	rules    map[[2]string]*Rule
+	ranks    map[string]int      // by tier name
+	teams    map[string]*Team    // by key hash
+	models   map[string]*Service // by model name
+	services map[string]*Service // by service name
+	rules    map[[2]string]*Rule // by team and service
 }
 
 // NewIndex returns the index of c, which must be valid and must not be modified.
@@ -52,7 +52,7 @@
 // Catalog returns the indexed catalog. It must not be modified.
 func (x *Index) Catalog() Catalog { return x.catalog }
 
-// HashKey returns the hash of a key in the form of Team.KeyHashes.
+// HashKey returns the SHA-256 hash of a key in hex, as in Team.KeyHashes.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -73,8 +73,8 @@
 	return Tier{Name: name, Rank: rank}, ok
 }
 
-// TierFor returns the default tier of a team's requests to a service. A rule never
-// raises it above the team's own tier.
+// TierFor returns the default tier of a team's requests to a service: that of the most
+// specific rule, but never above the team's own tier.
 func (x *Index) TierFor(t *Team, s *Service) Tier {
 	highest := Tier{Name: t.Tier, Rank: x.ranks[t.Tier]}
 	for _, pair := range [...][2]string{{t.Name, s.Name}, {t.Name, Any}, {Any, s.Name}, {Any, Any}} {
--- a/settings/box.go
+++ b/settings/box.go
@@ -53,13 +53,13 @@
 	Log     Log    `yaml:"log"`
 }
 
-// Listen has the addresses of a box, as IP:port.
+// Listen has the addresses of a box, as IP:port. An entry needs Callers, a control box Boxes.
 type Listen struct {
 	Callers string `yaml:"callers"`
 	Boxes   string `yaml:"boxes"`
 }
 
-// Peer is a box of the control role.
+// Peer is a control box and its address, as IP:port.
 type Peer struct {
 	ID      event.BoxID `yaml:"id"`
 	Address string      `yaml:"address"`
@@ -67,9 +67,12 @@
 
 // Limits bounds the resources of an entry; 0 selects the default.
 type Limits struct {
+	// MaxBodyBytes is the maximum size of one request body, MaxHeldBytes that of all bodies
+	// in memory together.
 	MaxBodyBytes int64 `yaml:"body_bytes"`
 	MaxHeldBytes int64 `yaml:"held_bytes"`
-	MaxRequests  int   `yaml:"requests"`
+	// MaxRequests is the maximum number of requests in flight.
+	MaxRequests int `yaml:"requests"`
 	// BodyTimeout is how long a caller may take to send a body.
 	BodyTimeout catalog.Duration `yaml:"body_time"`
 }
@@ -96,7 +99,7 @@
 	Kind       catalog.Kind     `yaml:"kind"`
 	DataCentre string           `yaml:"data_centre"`
 	Listen     string           `yaml:"listen"`
-	// Address is where entries reach the slot, if that is not Listen.
+	// Address is where entries reach the slot, as IP:port; empty for Listen.
 	Address string `yaml:"address"`
 	// EndpointAddress is where the endpoint serves HTTP, as IP:port.
 	EndpointAddress string `yaml:"endpoint_address"`
@@ -142,9 +145,9 @@
 	d.checkBox(&b)
 	var c catalog.Catalog
 	if b.Catalog != "" {
-		var inner Findings
-		c, inner = loadCatalog(resolvePath(file, b.Catalog))
-		d.findings = append(d.findings, inner...)
+		var found Findings
+		c, found = loadCatalog(resolvePath(file, b.Catalog))
+		d.findings = append(d.findings, found...)
 		d.checkCapacity(b, c)
 	}
 	b.KeyFile = resolvePath(file, b.KeyFile)
@@ -195,7 +198,7 @@
 	}
 }
 
-// guessKind distinguishes the kinds of files by keys that occur in only one of them.
+// guessKind returns the kind of a file by its first top-level key among those listed here.
 func guessKind(data string) Kind {
 	for line := range strings.Lines(data) {
 		switch key, _, _ := strings.Cut(line, ":"); key {
@@ -368,8 +371,8 @@
 	}
 }
 
-func (d *decoder) checkDrain(r Drain) {
-	if r.ShutdownDelay < 0 || r.Timeout < 0 {
+func (d *decoder) checkDrain(s Drain) {
+	if s.ShutdownDelay < 0 || s.Timeout < 0 {
 		d.addAt("drain", "a duration is negative")
 	}
 }
@@ -396,9 +399,9 @@
 	s.Log.Level = orDefault(s.Log.Level, defaultLogLevel)
 }
 
-func (r *Drain) setDefaults() {
-	r.ShutdownDelay = orDefault(r.ShutdownDelay, catalog.Duration(DefaultShutdownDelay))
-	r.Timeout = orDefault(r.Timeout, catalog.Duration(DefaultDrainTimeout))
+func (d *Drain) setDefaults() {
+	d.ShutdownDelay = orDefault(d.ShutdownDelay, catalog.Duration(DefaultShutdownDelay))
+	d.Timeout = orDefault(d.Timeout, catalog.Duration(DefaultDrainTimeout))
 }
 
 // HasRole reports whether the box has a role.
--- a/settings/decode.go
+++ b/settings/decode.go
@@ -12,11 +12,11 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Finding is a fault at a place in a file.
+// Finding is a fault in a file and its position.
 type Finding struct {
 	File    string
-	Line    int // from 1; 0 for the file as a whole
-	Path    string
+	Line    int    // from 1; 0 for the file as a whole
+	Path    string // of YAML keys, such as teams[2].tier; "." for the whole document
 	Message string
 }
 
@@ -45,11 +45,12 @@
 	return f
 }
 
-// decoder fills Go values from YAML nodes and continues after each fault.
+// decoder fills Go values from YAML nodes and collects all faults instead of stopping at the
+// first.
 type decoder struct {
 	file     string
 	findings Findings
-	lines    map[string]int // by path
+	lines    map[string]int // line of each path that is in the file
 }
 
 // rootPath is the path of the whole document.
--- a/settings/fleet.go
+++ b/settings/fleet.go
@@ -31,18 +31,22 @@
 
 // FleetListen has the addresses of a box, as IP:port.
 type FleetListen struct {
+	// Callers and Readiness are needed for an entry, Operators for a control box.
 	Callers   string `yaml:"callers"`
 	Readiness string `yaml:"readiness"`
 	Operators string `yaml:"operators"`
-	Link      string `yaml:"link"`
+	// Link is where other boxes reach this one.
+	Link string `yaml:"link"`
 	// LinkBind is the address to listen on if other boxes reach Link through a
 	// forwarder; empty for Link itself.
 	LinkBind string `yaml:"link_bind"`
 }
 
-// FleetResources is what a box may use.
+// FleetResources are the resources that a box may use.
 type FleetResources struct {
-	MemoryMB    int `yaml:"memory_mb"`
+	// MemoryMB is in mebibytes.
+	MemoryMB int `yaml:"memory_mb"`
+	// Descriptors is the limit of file descriptors; 0 is none.
 	Descriptors int `yaml:"descriptors"`
 }
 
@@ -58,12 +62,14 @@
 	// its configuration is current.
 	ConfigValidity catalog.Duration `yaml:"fresh"`
 	QuotaWindow    catalog.Duration `yaml:"quota_window"`
-	// A quota may be exceeded by its fraction QuotaOvershoot plus QuotaSlack.
-	QuotaOvershoot float64          `yaml:"quota_overshoot"`
-	QuotaSlack     float64          `yaml:"quota_slack"`
-	RetryWindow    catalog.Duration `yaml:"retry_window"`
-	RetryRatio     float64          `yaml:"retry_ratio"`
-	RetryMin       int              `yaml:"retry_min"`
+	// A quota may be exceeded by its fraction QuotaOvershoot plus QuotaSlack tokens.
+	QuotaOvershoot float64 `yaml:"quota_overshoot"`
+	QuotaSlack     float64 `yaml:"quota_slack"`
+	// In each RetryWindow, RetryMin plus the fraction RetryRatio of a service's requests may be
+	// retried.
+	RetryWindow catalog.Duration `yaml:"retry_window"`
+	RetryRatio  float64          `yaml:"retry_ratio"`
+	RetryMin    int              `yaml:"retry_min"`
 	// Placement is the placement policy; empty is PlacementForecast.
 	Placement Placement `yaml:"placement"`
 }
@@ -81,7 +87,7 @@
 	PlacementLeastOutstanding Placement = "least_outstanding"
 )
 
-// Defaults of a fleet's bounds.
+// Defaults of a fleet's bounds. defaultRateWindow applies to QuotaWindow and RetryWindow.
 const (
 	defaultHeartbeatInterval = time.Second
 	defaultStopTimeout       = 8 * time.Second
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -131,7 +131,7 @@
 		_, findings := parseCatalog("f", data)
 		for _, one := range findings {
 			if one.Line < 1 || one.Message == "" {
-				t.Errorf("finding without a place: %v", one)
+				t.Errorf("finding without a line or a message: %v", one)
 			}
 		}
 	})
