--- a/meter/meter.go
+++ b/meter/meter.go
@@ -6,11 +6,11 @@
 
 import "lynxramp.org/event"
 
-// ewmaWeight is the weight of a new sample in the moving average.
+// ewmaWeight is the weight of a new sample in the moving average, from 0 to 1.
 const ewmaWeight = 0.05
 
 // MaxAge is how long a measurement is valid after the last token. After that the
-// endpoint's configured speed counts again.
+// endpoint's configured speed is used.
 const MaxAge = 8 * event.Second
 
 // Meter keeps an exponentially weighted moving average of the time between an
@@ -21,7 +21,7 @@
 	last event.Time
 }
 
-// Observe records that tokens arrived a span after the previous one of their stream.
+// Observe records that tokens arrived at now, a span after the previous one of their stream.
 func (m *Meter) Observe(now event.Time, tokens int, span event.Duration) {
 	if tokens < 1 || span <= 0 {
 		return
--- a/replay/baseline.go
+++ b/replay/baseline.go
@@ -25,11 +25,11 @@
 type baseline struct {
 	pool        event.Pool
 	choose      func(*baseline, event.Ticket) int
-	next        int
+	next        int                      // index at which the last search started
 	outstanding map[event.EndpointID]int // unfinished requests
 	placements  map[event.RequestID]event.EndpointID
 	reported    map[event.EndpointID]event.Report
-	cached      map[event.EndpointID]map[uint64]struct{}
+	cached      map[event.EndpointID]map[uint64]struct{} // sampled prefix hashes of the requests placed there
 }
 
 func newBaseline(choose func(*baseline, event.Ticket) int) PolicyFactory {
--- a/replay/result.go
+++ b/replay/result.go
@@ -9,7 +9,7 @@
 	"lynxramp.org/trace"
 )
 
-// RankResult counts the requests of one tier by outcome.
+// RankResult counts the requests of one tier (one rank) by outcome.
 type RankResult struct {
 	Offered  int
 	InTime   int // answered completely before the deadline
@@ -29,7 +29,7 @@
 type Result struct {
 	Trace  string
 	Policy string
-	Ranks  map[int]*RankResult
+	Ranks  map[int]*RankResult // by rank of the tier
 	// Prefilled counts all prompt tokens computed, Recomputed those that had been computed
 	// before, Discarded those of requests cancelled before their end.
 	Prefilled, Recomputed, Discarded int
@@ -44,7 +44,7 @@
 	return r.Ranks[n]
 }
 
-// Goodput returns the fraction of all requests answered in time.
+// Goodput returns the fraction of all requests answered in time; 1 if there were none.
 func (r Result) Goodput() float64 {
 	var all RankResult
 	for _, one := range r.Ranks {
@@ -57,12 +57,12 @@
 // Wasted returns the number of prompt tokens recomputed or discarded.
 func (r Result) Wasted() int { return r.Recomputed + r.Discarded }
 
-// WastedShare returns the fraction of computed prompt tokens that were wasted.
+// WastedShare returns the fraction of computed prompt tokens that were wasted, from 0 to 1.
 func (r Result) WastedShare() float64 {
 	return float64(r.Wasted()) / float64(max(1, r.Prefilled))
 }
 
-// SortedRanks returns the ranks of the tiers, highest first.
+// SortedRanks returns the keys of Ranks, highest first.
 func (r Result) SortedRanks() []int {
 	ranks := make([]int, 0, len(r.Ranks))
 	for n := range r.Ranks {
--- a/replay/run.go
+++ b/replay/run.go
@@ -28,7 +28,7 @@
 	Step(now event.Time, e event.Event, out *event.Effects)
 }
 
-// PolicyFactory returns a policy that owns the pool from now on.
+// PolicyFactory returns a policy that schedules the pool from now on, without any requests.
 type PolicyFactory func(now event.Time, p event.Pool) Policy
 
 // request is a simulated request of the trace.
@@ -52,9 +52,10 @@
 	running     map[event.RequestID]*request
 	draining    bool
 	loadHistory []loadSample
-	nextChange  event.Time
+	nextChange  event.Time // time of the last scheduled call of advance
 }
 
+// loadSample is the number of requests at a server at one time.
 type loadSample struct {
 	at          event.Time
 	queueLength int
@@ -63,12 +64,12 @@
 // simulation is the state of a replay.
 type simulation struct {
 	trace      trace.Trace
-	make       PolicyFactory
+	newPolicy  PolicyFactory
 	policy     Policy // nil while the scheduler is replaced
 	pool       event.Pool
 	now        event.Time
 	queue      eventQueue
-	scheduled  int
+	scheduled  int // number of events scheduled so far
 	servers    []*server
 	byID       map[event.EndpointID]*server
 	requests   map[event.RequestID]*request
@@ -81,12 +82,12 @@
 // Run replays a trace under a policy.
 func Run(t trace.Trace, newPolicy PolicyFactory) Result {
 	r := &simulation{
-		trace:    t,
-		make:     newPolicy,
-		byID:     make(map[event.EndpointID]*server),
-		requests: make(map[event.RequestID]*request),
-		blocks:   make(map[uint64]struct{}),
-		result:   Result{Trace: t.Header.Name, Ranks: make(map[int]*RankResult)},
+		trace:     t,
+		newPolicy: newPolicy,
+		byID:      make(map[event.EndpointID]*server),
+		requests:  make(map[event.RequestID]*request),
+		blocks:    make(map[uint64]struct{}),
+		result:    Result{Trace: t.Header.Name, Ranks: make(map[int]*RankResult)},
 	}
 	r.prepare()
 	for len(r.queue) > 0 && r.unfinished > 0 {
@@ -110,7 +111,7 @@
 		r.byID[s.id] = s
 		r.pool.Endpoints = append(r.pool.Endpoints, event.Endpoint{ID: s.id, Concurrency: e.Concurrency, Speed: e.Speed})
 	}
-	r.policy = r.make(0, r.pool)
+	r.policy = r.newPolicy(0, r.pool)
 	for i, s := range r.servers {
 		r.at(event.Time(i)*event.Time(event.Millisecond), func() { r.report(s) })
 	}
@@ -131,7 +132,7 @@
 }
 
 // after schedules do to run after a delay.
-func (r *simulation) after(s event.Duration, do func()) { r.at(r.now.Add(s), do) }
+func (r *simulation) after(d event.Duration, do func()) { r.at(r.now.Add(d), do) }
 
 // step passes an event to the policy and schedules the resulting grants and refusals.
 func (r *simulation) step(e event.Event) {
@@ -167,6 +168,8 @@
 	r.after(simulated.ticket.Deadline, func() { r.disconnect(simulated) })
 }
 
+// dispatch sends a granted request to its endpoint. A draining endpoint denies it, and the
+// entry submits it again.
 func (r *simulation) dispatch(g event.Granted) {
 	q := r.requests[g.ID]
 	s := r.byID[g.Endpoint]
@@ -192,7 +195,7 @@
 	r.scheduleAdvance(s)
 }
 
-// scheduleAdvance schedules the next change of the server's model.
+// scheduleAdvance schedules advance at the next change of the server's model.
 func (r *simulation) scheduleAdvance(s *server) {
 	next, ok := s.model.Next()
 	if !ok || next == s.nextChange {
@@ -202,6 +205,7 @@
 	r.at(next, func() { r.advance(s) })
 }
 
+// advance processes the tokens that a server's model has produced up to now.
 func (r *simulation) advance(s *server) {
 	for _, o := range s.model.Advance(r.now, nil) {
 		q := r.requests[event.RequestID(o.ID)]
@@ -250,6 +254,7 @@
 	r.after(networkDelay, func() { r.step(&event.Finished{ID: q.ticket.ID, Pool: r.pool.Name, Failed: true}) })
 }
 
+// refused records a refusal and, if the request was shed, checks the order of tiers.
 func (r *simulation) refused(f event.Refused) {
 	q := r.requests[f.ID]
 	if q.finished || q.endpoint != nil {
@@ -269,13 +274,14 @@
 	}
 }
 
-// isWaiting reports whether the policy has a request queued; false for policies that
-// don't report it.
+// isWaiting reports whether the policy has a request queued; false for policies without
+// the method Waits.
 func (r *simulation) isWaiting(q *request) bool {
 	p, ok := r.policy.(interface{ Waits(id event.RequestID) bool })
 	return ok && p.Waits(q.ticket.ID)
 }
 
+// report sends a slot's report, with the load of LoadLagMillis ago, and schedules the next.
 func (r *simulation) report(s *server) {
 	s.loadHistory = append(s.loadHistory, loadSample{at: r.now, queueLength: s.model.Load().Waiting + s.model.Load().Running})
 	lag := event.Duration(r.trace.Header.LoadLagMillis) * event.Millisecond
@@ -310,20 +316,21 @@
 // replaceOwner starts a scheduler without state; the entry submits the queued requests
 // again.
 func (r *simulation) replaceOwner() {
-	r.policy = r.make(r.now, r.pool)
+	r.policy = r.newPolicy(r.now, r.pool)
 	for _, q := range r.trace.Requests {
 		simulated := r.requests[event.RequestID(q.ID)]
 		if simulated == nil || simulated.finished || simulated.endpoint != nil {
 			continue
 		}
-		k := simulated.ticket
-		k.Waited = r.now.Sub(simulated.arrived)
-		k.Deadline -= k.Waited
-		r.step(&event.Submitted{Entry: entryID, Ticket: k})
+		ticket := simulated.ticket
+		ticket.Waited = r.now.Sub(simulated.arrived)
+		ticket.Deadline -= ticket.Waited
+		r.step(&event.Submitted{Entry: entryID, Ticket: ticket})
 	}
 }
 
-// finish totals the engines' counters.
+// finish sums the engines' counters. Each prefix block is useful once; computing it again
+// counts as recomputed.
 func (r *simulation) finish() {
 	useful := len(r.blocks) * engine.BlockTokens
 	for _, q := range r.requests {
--- a/replay/timeline.go
+++ b/replay/timeline.go
@@ -15,27 +15,27 @@
 type eventQueue []scheduledEvent
 
 // Len implements heap.Interface.
-func (t eventQueue) Len() int { return len(t) }
+func (q eventQueue) Len() int { return len(q) }
 
 // Less implements heap.Interface.
-func (t eventQueue) Less(i, j int) bool {
-	if t[i].at != t[j].at {
-		return t[i].at < t[j].at
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
 	}
-	return t[i].sequence < t[j].sequence
+	return q[i].sequence < q[j].sequence
 }
 
 // Swap implements heap.Interface.
-func (t eventQueue) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (t *eventQueue) Push(x any) { *t = append(*t, x.(scheduledEvent)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
 
 // Pop implements heap.Interface.
-func (t *eventQueue) Pop() any {
-	last := len(*t) - 1
-	m := (*t)[last]
-	(*t)[last] = scheduledEvent{}
-	*t = (*t)[:last]
-	return m
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	e := (*q)[last]
+	(*q)[last] = scheduledEvent{}
+	*q = (*q)[:last]
+	return e
 }
--- a/trace/make.go
+++ b/trace/make.go
@@ -33,18 +33,18 @@
 // teamShare is a team's share of a workload.
 type teamShare struct {
 	name  string
-	rank  int
-	share float64
+	rank  int     // of the tier
+	share float64 // fraction of all requests
 }
 
-// workload is the traffic of a deployment.
+// workload is the traffic of a deployment and its pool.
 type workload struct {
 	pool          string
 	kinds         []requestKind
 	teams         []teamShare
-	speeds        []float64
-	rate          float64 // requests per second at steady load
-	burstRate     float64 // requests per second, three times the pool's capacity
+	speeds        []float64 // of the endpoints in turn, relative to the reference engine
+	rate          float64   // requests per second at steady load
+	burstRate     float64   // requests per second, three times the pool's capacity
 	prefillWeight float64
 }
 
@@ -57,8 +57,8 @@
 	loadLagMillis  = 2000
 	burstFactor    = 3.0
 	slowdownFactor = 5.0
-	lengthSigma    = 0.6 // standard deviation of a length's logarithm
-	burstStart     = durationMillis / 4
+	lengthSigma    = 0.6                // standard deviation of a length's logarithm
+	burstStart     = durationMillis / 4 // milliseconds from the start, as burstEnd and faultAt
 	burstEnd       = durationMillis / 2
 	faultAt        = durationMillis / 3
 )
@@ -147,20 +147,20 @@
 }
 
 func (w workload) newRequest(random *rand.Rand, at int64, n int) Request {
-	k := pick(random, w.kinds, func(k requestKind) float64 { return k.share })
-	c := pick(random, w.teams, func(c teamShare) float64 { return c.share })
+	kind := pick(random, w.kinds, func(k requestKind) float64 { return k.share })
+	team := pick(random, w.teams, func(t teamShare) float64 { return t.share })
 	r := Request{
-		At: at, ID: fmt.Sprintf("r%05d", n), Team: c.name, Rank: c.rank, Deadline: k.deadlineMillis,
-		Output: logNormal(random, k.outputTokens),
-		Prompt: []Segment{{Text: "system " + k.name, Tokens: k.systemTokens}},
+		At: at, ID: fmt.Sprintf("r%05d", n), Team: team.name, Rank: team.rank, Deadline: kind.deadlineMillis,
+		Output: logNormal(random, kind.outputTokens),
+		Prompt: []Segment{{Text: "system " + kind.name, Tokens: kind.systemTokens}},
 	}
-	if k.documents > 0 {
+	if kind.documents > 0 {
 		// The popularity of documents is skewed towards low numbers.
-		which := int(float64(k.documents) * math.Pow(random.Float64(), 2))
-		size := k.documentTokens/2 + which*k.documentTokens/k.documents
-		r.Prompt = append(r.Prompt, Segment{Text: fmt.Sprintf("%s document %d", k.name, which), Tokens: size})
+		which := int(float64(kind.documents) * math.Pow(random.Float64(), 2))
+		size := kind.documentTokens/2 + which*kind.documentTokens/kind.documents
+		r.Prompt = append(r.Prompt, Segment{Text: fmt.Sprintf("%s document %d", kind.name, which), Tokens: size})
 	}
-	r.Prompt = append(r.Prompt, Segment{Text: "question " + r.ID, Tokens: logNormal(random, k.questionTokens)})
+	r.Prompt = append(r.Prompt, Segment{Text: "question " + r.ID, Tokens: logNormal(random, kind.questionTokens)})
 	return r
 }
 
@@ -175,7 +175,7 @@
 	return list[len(list)-1]
 }
 
-// logNormal returns a log-normally distributed length, at least 1.
+// logNormal returns a log-normally distributed length in tokens, at least 1.
 func logNormal(random *rand.Rand, median int) int {
 	return max(1, int(float64(median)*math.Exp(lengthSigma*random.NormFloat64())))
 }
--- a/trace/outcomes.go
+++ b/trace/outcomes.go
@@ -2,8 +2,8 @@
 
 package trace
 
-// objectives has what a replay must reach, by deployment and scenario. The recorded traces
-// have another seed than those on which the scheduler was tuned.
+// objectives are what a replay must reach, by deployment and scenario. They are for recorded
+// traces whose seed differs from that of the traces on which the scheduler was tuned.
 var objectives = map[string]Objectives{
 	"casablanca-burst":     {Goodput: map[int]float64{3: 0.98, 2: 0.74, 1: 0.28}, WastedPrefill: 0.63},
 	"casablanca-leaving":   {Goodput: map[int]float64{3: 0.99, 2: 0.99, 1: 0.99}, WastedPrefill: 0.55},
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -32,7 +32,7 @@
 	MaxWaiting int `json:"max_waiting"`
 	// LoadLagMillis is the age of endpoints' load reports, in milliseconds.
 	LoadLagMillis int64 `json:"load_lag_ms"`
-	// PrefillWeight is the pool's cost of repeated prefill relative to waiting time.
+	// PrefillWeight is that of catalog.Pool.
 	PrefillWeight float64    `json:"prefill_weight"`
 	Objectives    Objectives `json:"outcomes"`
 }
@@ -42,7 +42,7 @@
 	Name        string  `json:"name"`
 	Speed       float64 `json:"speed"` // relative to the reference engine
 	Concurrency int     `json:"concurrency"`
-	CacheBlocks int     `json:"cache_blocks"`
+	CacheBlocks int     `json:"cache_blocks"` // capacity of the prefix cache, in blocks
 }
 
 // Objectives are what a replay must reach.
@@ -55,11 +55,12 @@
 	WastedPrefill float64 `json:"wasted_prefill"`
 }
 
+// Request is one request of the workload.
 type Request struct {
 	At     int64  `json:"at"` // milliseconds from the start
 	ID     string `json:"id"`
 	Team   string `json:"team"`
-	Rank   int    `json:"rank"`
+	Rank   int    `json:"rank"`   // of the tier; higher has priority
 	Output int    `json:"output"` // tokens
 	// Deadline is in milliseconds from At.
 	Deadline int64 `json:"deadline"`
@@ -74,12 +75,12 @@
 	Tokens int    `json:"tokens"`
 }
 
-// Fault is a change of an endpoint, or of the scheduler.
+// Fault is a change of an endpoint, or the replacement of the scheduler, at a time.
 type Fault struct {
 	At       int64   `json:"at"` // milliseconds from the start
 	Endpoint string  `json:"endpoint,omitempty"`
-	Slowdown float64 `json:"slowdown,omitempty"` // factor on the duration of an iteration
-	Draining bool    `json:"leaving,omitempty"`
+	Slowdown float64 `json:"slowdown,omitempty"` // factor on the duration of an iteration; 0 for no change
+	Draining bool    `json:"leaving,omitempty"`  // the endpoint accepts no more requests
 	// NewOwner replaces the scheduler by one without state.
 	NewOwner bool `json:"new_owner,omitempty"`
 }
@@ -91,7 +92,7 @@
 	Faults   []Fault
 }
 
-// PromptTokens returns the prompt's length.
+// PromptTokens returns the prompt's length in tokens.
 func (r Request) PromptTokens() int {
 	n := 0
 	for _, s := range r.Prompt {
