--- a/bench/path.go
+++ b/bench/path.go
@@ -33,12 +33,13 @@
 	_ = h.hdr.RecordValue(min(max(int64(d), minTime), maxTime)) // the value is within the range
 }
 
+// at returns a percentile, 0 to 100.
 func (h histogram) at(percent float64) time.Duration {
 	return time.Duration(h.hdr.ValueAtQuantile(percent))
 }
 
-// Overhead measures the latency that lynxramp adds to streamed calls. Direct calls and
-// calls through lynxramp alternate.
+// Overhead measures the latency that lynxramp adds to streamed calls. Direct calls to an engine
+// and calls through lynxramp alternate.
 type Overhead struct {
 	Direct  Target
 	Through Target
--- a/cmd/lynxramp/levels.go
+++ b/cmd/lynxramp/levels.go
@@ -45,7 +45,7 @@
 
 // levelReport collects the builds and format levels from the metrics of control boxes.
 type levelReport struct {
-	group    string   // level in force; empty if unknown
+	group    string   // the control group's level; empty if unknown
 	blockers []string // members that block the next level
 	boxes    map[string]boxLevel
 }
@@ -74,7 +74,7 @@
 	return r.read(response.Body)
 }
 
-// read adds the metrics of a box to the report. The highest group level wins, as a box that was
+// read adds the metrics of a box to the report. The highest group level is kept, as a box that was
 // disconnected may report an older one.
 func (r *levelReport) read(in io.Reader) error {
 	lines := bufio.NewScanner(in)
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -26,10 +26,10 @@
 	"lynxramp.org/settings"
 )
 
-// Names of the model and the plain service of the deployment.
+// Names by which callers address the deployment.
 const (
-	Model   = "lynx-chef"
-	Service = "card-api"
+	Model   = "lynx-chef" // of the engines
+	Service = "card-api"  // plain service
 	// TeamKey is the key of the only team.
 	TeamKey = "dev-key"
 )
@@ -164,7 +164,7 @@
 		return err
 	}
 	server := &http.Server{Handler: e.handler, ReadHeaderTimeout: 10 * time.Second}
-	go func() { _ = server.Serve(listener) }() // runs until the process exits
+	go func() { _ = server.Serve(listener) }() // until the process exits
 	if e.run != nil {
 		go e.run(context.WithoutCancel(ctx))
 	}
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -27,7 +27,7 @@
 	Fields  map[string]any
 }
 
-// lineKeys are the keys that are stored in fields of Line or dropped.
+// lineKeys are the keys of a log line that are left out of Line.Fields.
 var lineKeys = []string{"time", "at", "box", "msg", "request", "id", "level", "after"}
 
 // Read returns the lines of a log. Text before the first brace of a line, which some
@@ -91,7 +91,7 @@
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	states := make(map[string]Line) // the last state line, by box and subject
-	var history []Line
+	var history []Line              // the lines of the request
 	for _, line := range lines {
 		if subject, ok := stateMessages[line.Message]; ok {
 			states[line.Box+" "+subject] = line
@@ -115,9 +115,9 @@
 // writeState writes the last reported state of a line's box.
 func writeState(w io.Writer, line Line, states map[string]Line) {
 	for _, subject := range []string{"configuration", "owner", "stopping"} {
-		if b, ok := states[line.Box+" "+subject]; ok {
-			fmt.Fprintf(w, "  %s: state since %s (%.1f s): %s %s\n", b.Box, b.At.Format("15:04:05.000"),
-				line.At.Sub(b.At).Seconds(), b.Message, formatFields(b))
+		if state, ok := states[line.Box+" "+subject]; ok {
+			fmt.Fprintf(w, "  %s: state since %s (%.1f s): %s %s\n", state.Box, state.At.Format("15:04:05.000"),
+				line.At.Sub(state.At).Seconds(), state.Message, formatFields(state))
 		}
 	}
 }
--- a/internal/logx/async.go
+++ b/internal/logx/async.go
@@ -13,8 +13,8 @@
 	queueLines = 2048
 	// batchBytes is the size at which a batch is written.
 	batchBytes = 32 << 10
-	// batchInterval is how long a batch collects lines before it is written, and how
-	// long Close waits.
+	// batchInterval is how long lines are collected into a batch before it is written, and
+	// how long Close waits at most.
 	batchInterval = 200 * time.Millisecond
 )
 
@@ -52,7 +52,7 @@
 // as one.
 func (a *Async) Dropped() uint64 { return a.dropped.Load() }
 
-// Close flushes the queue, but waits for a short time only. Lines written after it are
+// Close flushes the queue, but waits for batchInterval at most. Lines written after it are
 // dropped. It must be called exactly once.
 func (a *Async) Close() {
 	close(a.closing)
@@ -87,8 +87,8 @@
 	}
 }
 
-// collect appends lines to the buffer until the batch is full or its time is over. It
-// reports false after Close.
+// collect appends lines to the buffer until the batch is full or batchInterval has passed. It
+// returns false after Close.
 func (a *Async) collect(buffer *[]byte) bool {
 	timer := time.NewTimer(batchInterval)
 	defer timer.Stop()
--- a/internal/logx/budget.go
+++ b/internal/logx/budget.go
@@ -12,10 +12,10 @@
 type RateLimiter struct {
 	mu       sync.Mutex
 	rate     float64 // lines per second
-	burst    float64
-	tokens   float64
+	burst    float64 // lines
+	tokens   float64 // lines that may be written now
 	refilled time.Time
-	dropped  uint64
+	dropped  uint64 // lines since the last TakeDropped
 }
 
 // NewRateLimiter returns a limiter of rate lines per second with a burst of one
@@ -26,26 +26,26 @@
 
 // Allow reports whether n lines may be written now; if not, all of them are
 // counted as dropped.
-func (b *RateLimiter) Allow(now time.Time, n int) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.refilled.IsZero() {
-		b.tokens = min(b.burst, b.tokens+b.rate*now.Sub(b.refilled).Seconds())
+func (l *RateLimiter) Allow(now time.Time, n int) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.refilled.IsZero() {
+		l.tokens = min(l.burst, l.tokens+l.rate*now.Sub(l.refilled).Seconds())
 	}
-	b.refilled = now
-	if b.tokens < float64(n) {
-		b.dropped += uint64(n)
+	l.refilled = now
+	if l.tokens < float64(n) {
+		l.dropped += uint64(n)
 		return false
 	}
-	b.tokens -= float64(n)
+	l.tokens -= float64(n)
 	return true
 }
 
 // TakeDropped returns how many lines were dropped since the last call.
-func (b *RateLimiter) TakeDropped() uint64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	n := b.dropped
-	b.dropped = 0
+func (l *RateLimiter) TakeDropped() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	n := l.dropped
+	l.dropped = 0
 	return n
 }
--- a/internal/progress/reader_test.go
+++ b/internal/progress/reader_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// TestReaderTimesOutOnStall: a slow body is read whole, a stalled one fails after the idle
-// timeout, and a slow one fails after its deadline.
+// TestReaderTimesOutOnStall guards against a timeout for a slow body before its deadline, and
+// against waiting for a stalled one, or for a slow one after its deadline.
 func TestReaderTimesOutOnStall(t *testing.T) {
 	const idleTimeout, gap, pieces = 400 * time.Millisecond, 40 * time.Millisecond, 25
 	for name, c := range map[string]struct {
--- a/internal/uptime/uptime.go
+++ b/internal/uptime/uptime.go
@@ -2,7 +2,7 @@
 
 // Package uptime has a monotonic clock that also counts the time in which the computer is suspended.
 // The monotonic clock of package time stops then, so that after a resume leases, ages and deadlines
-// would be extended by the length of the suspension. The wall clock goes on, but may be set.
+// would be extended by the length of the suspension. The wall clock doesn't stop, but may be set.
 package uptime
 
 import (
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 
-// Package wait has waits that return early when a context ends.
+// Package wait waits for a duration or a tick, and returns early when a context ends.
 package wait
 
 import (
--- a/lang/command.go
+++ b/lang/command.go
@@ -13,24 +13,24 @@
 
 // Changes returns the changes that the command makes to a catalog, which is not
 // modified.
-func (c *Command) Changes(k catalog.Catalog) ([]catalog.Change, error) {
+func (c *Command) Changes(current catalog.Catalog) ([]catalog.Change, error) {
 	var change catalog.Change
 	var err error
 	switch {
 	case c.Drain != nil:
-		change, err = setDraining(k, *c.Drain, true)
+		change, err = setDraining(current, *c.Drain, true)
 	case c.Return != nil:
-		change, err = setDraining(k, *c.Return, false)
+		change, err = setDraining(current, *c.Return, false)
 	case c.Delete != nil:
-		change, err = deleteTarget(k, *c.Delete)
+		change, err = deleteTarget(current, *c.Delete)
 	default:
-		change, err = c.Set.change(k)
+		change, err = c.Set.change(current)
 	}
 	return []catalog.Change{change}, err
 }
 
-func setDraining(k catalog.Catalog, name string, draining bool) (catalog.Change, error) {
-	e, pool, ok := k.Endpoint(event.EndpointID(name))
+func setDraining(current catalog.Catalog, name string, draining bool) (catalog.Change, error) {
+	e, pool, ok := current.Endpoint(event.EndpointID(name))
 	if !ok {
 		return catalog.Change{}, errors.Errorf("there is no endpoint %q", name)
 	}
@@ -38,7 +38,7 @@
 	return catalog.Change{Endpoint: &catalog.EndpointChange{Pool: pool, Endpoint: e}}, nil
 }
 
-func deleteTarget(k catalog.Catalog, t Target) (catalog.Change, error) {
+func deleteTarget(current catalog.Catalog, t Target) (catalog.Change, error) {
 	switch t.Kind {
 	case "tier":
 		return catalog.Change{Delete: true, Tier: &catalog.Tier{Name: t.Name}}, nil
@@ -51,25 +51,25 @@
 	}
 }
 
-func (s *Setting) change(k catalog.Catalog) (catalog.Change, error) {
+func (s *Setting) change(current catalog.Catalog) (catalog.Change, error) {
 	switch {
 	case s.Tier != nil:
 		return catalog.Change{Tier: &catalog.Tier{Name: s.Tier.Name, Rank: s.Tier.Rank}}, nil
 	case s.Rule != nil:
 		return catalog.Change{Rule: &catalog.Rule{Team: s.Rule.Team, Service: s.Rule.Service, Tier: s.Rule.Tier}}, nil
 	case s.Pool != nil:
-		return s.Pool.change(k)
+		return s.Pool.change(current)
 	default:
-		return s.Team.change(k)
+		return s.Team.change(current)
 	}
 }
 
-func (s *PoolSetting) change(k catalog.Catalog) (catalog.Change, error) {
-	i := slices.IndexFunc(k.Pools, func(p catalog.Pool) bool { return p.Name == s.Name })
+func (s *PoolSetting) change(current catalog.Catalog) (catalog.Change, error) {
+	i := slices.IndexFunc(current.Pools, func(p catalog.Pool) bool { return p.Name == s.Name })
 	if i < 0 {
 		return catalog.Change{}, errors.Errorf("there is no pool %q", s.Name)
 	}
-	p := k.Pools[i]
+	p := current.Pools[i]
 	if s.MaxWaiting != nil {
 		p.MaxWaiting = *s.MaxWaiting
 	}
@@ -79,12 +79,12 @@
 	return catalog.Change{Pool: &p}, nil
 }
 
-func (s *TeamSetting) change(k catalog.Catalog) (catalog.Change, error) {
-	i := slices.IndexFunc(k.Teams, func(t catalog.Team) bool { return t.Name == s.Name })
+func (s *TeamSetting) change(current catalog.Catalog) (catalog.Change, error) {
+	i := slices.IndexFunc(current.Teams, func(t catalog.Team) bool { return t.Name == s.Name })
 	if i < 0 {
 		return catalog.Change{}, errors.Errorf("there is no team %q", s.Name)
 	}
-	t := k.Teams[i]
+	t := current.Teams[i]
 	if s.Tier != nil {
 		t.Tier = *s.Tier
 	}
--- a/lang/lang_test.go
+++ b/lang/lang_test.go
@@ -61,7 +61,7 @@
 
 // TestCommands guards against commands without effect on a catalog, or with an invalid result.
 func TestCommands(t *testing.T) {
-	k := catalog.Catalog{
+	current := catalog.Catalog{
 		Tiers: []catalog.Tier{{Name: "gold", Rank: 3}, {Name: "bronze", Rank: 1}},
 		Teams: []catalog.Team{{Name: "blogs", Tier: "gold"}},
 		Pools: []catalog.Pool{{Name: "chef", MaxWaiting: 10, Endpoints: []catalog.Endpoint{{Name: "chef-01", Concurrency: 4}}}},
@@ -75,13 +75,13 @@
 			t.Errorf("%s: %v", line, err)
 			continue
 		}
-		changes, err := s.Command.Changes(k)
+		changes, err := s.Command.Changes(current)
 		if err != nil {
 			t.Errorf("%s: %v", line, err)
 			continue
 		}
-		next, problems := catalog.Apply(k, changes)
-		if len(problems) > 0 || cmp.Equal(k, next) {
+		next, problems := catalog.Apply(current, changes)
+		if len(problems) > 0 || cmp.Equal(current, next) {
 			t.Errorf("%s: problems %v, catalog %+v", line, problems, next)
 		}
 	}
@@ -89,7 +89,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Command.Changes(k); err == nil {
+	if _, err := s.Command.Changes(current); err == nil {
 		t.Error("a missing endpoint was drained")
 	}
 }
