--- a/box/control.go
+++ b/box/control.go
@@ -31,7 +31,7 @@
 	transferPoll    = 10 * time.Millisecond
 )
 
-// Poll interval and request timeout of the platform's list of machines.
+// Poll interval and request timeout of the platform's list of boxes.
 const (
 	platformInterval = time.Second
 	platformTimeout  = 2 * time.Second
@@ -43,9 +43,9 @@
 	log      *zap.Logger
 	keys     Keys
 	clock    event.Clock
-	platform string // URL of the platform's list; empty if it has none
+	platform string // URL of the platform's list of boxes; empty if there is none
 	disk     *store.Store
-	restored consensus.PersistentState
+	restored consensus.PersistentState // read from disk at the start
 	peers    *control.Peers
 	server   *server
 	handler  atomic.Pointer[http.Handler]
@@ -76,85 +76,85 @@
 }
 
 // serve forwards a request to the current handler.
-func (p *controlRole) serve(w http.ResponseWriter, r *http.Request) {
-	(*p.handler.Load()).ServeHTTP(w, r)
+func (r *controlRole) serve(w http.ResponseWriter, request *http.Request) {
+	(*r.handler.Load()).ServeHTTP(w, request)
 }
 
 // setHandler replaces the current handler. service is nil until the box has
 // joined a control group; until then its calls are not served.
-func (p *controlRole) setHandler(service *control.Service) {
+func (r *controlRole) setHandler(service *control.Service) {
 	mux := http.NewServeMux()
-	mux.Handle(rpc.ControlPathPrefix, rpc.RequireKey(p.keys.Boxes, rpc.NewControlServer(p.peers)))
+	mux.Handle(rpc.ControlPathPrefix, rpc.RequireKey(r.keys.Boxes, rpc.NewControlServer(r.peers)))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
 	if service != nil {
-		mux.Handle(rpc.SchedulerPathPrefix, rpc.RequireKey(p.keys.Boxes, rpc.NewSchedulerServer(service)))
-		mux.Handle(rpc.OperatorPathPrefix, rpc.RequireKey(p.keys.Operators, rpc.NewOperatorServer(service)))
+		mux.Handle(rpc.SchedulerPathPrefix, rpc.RequireKey(r.keys.Boxes, rpc.NewSchedulerServer(service)))
+		mux.Handle(rpc.OperatorPathPrefix, rpc.RequireKey(r.keys.Operators, rpc.NewOperatorServer(service)))
 	}
 	var h http.Handler = mux
-	p.handler.Store(&h)
+	r.handler.Store(&h)
 }
 
 // run runs the control role until ctx ends.
-func (p *controlRole) run(ctx context.Context) error {
+func (r *controlRole) run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(p.server.serve)
+	group.Go(r.server.serve)
 	group.Go(func() error {
 		<-ctx.Done()
-		return p.server.http.Close()
+		return r.server.http.Close()
 	})
-	group.Go(func() error { return p.bootstrapAndRun(ctx) })
+	group.Go(func() error { return r.bootstrapAndRun(ctx) })
 	err := group.Wait()
-	if closeErr := p.disk.Close(); err == nil {
+	if closeErr := r.disk.Close(); err == nil {
 		err = closeErr
 	}
 	return err
 }
 
-func (p *controlRole) bootstrapAndRun(ctx context.Context) error {
-	restored, err := p.peers.Bootstrap(ctx, p.disk, p.restored)
+func (r *controlRole) bootstrapAndRun(ctx context.Context) error {
+	restored, err := r.peers.Bootstrap(ctx, r.disk, r.restored)
 	if ctx.Err() != nil {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	self := p.peers.Self()
-	state, err := control.NewState(p.clock.Now(), self.ID, restored, p.catalog, randomSeed())
+	self := r.peers.Self()
+	state, err := control.NewState(r.clock.Now(), self.ID, restored, r.catalog, randomSeed())
 	if err != nil {
 		return err
 	}
-	writer := store.NewWriter(p.disk, p.peers)
+	writer := store.NewWriter(r.disk, r.peers)
 	outboxes := control.NewOutboxes(writer)
-	loop := control.NewLoop(state, p.clock, outboxes)
-	p.peers.Start(loop, outboxes)
-	p.loop.Store(loop)
-	p.setHandler(control.NewService(loop, outboxes))
+	loop := control.NewLoop(state, r.clock, outboxes)
+	r.peers.Start(loop, outboxes)
+	r.loop.Store(loop)
+	r.setHandler(control.NewService(loop, outboxes))
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { loop.Run(ctx); return nil })
-	group.Go(func() error { p.peers.Run(ctx); return nil })
-	group.Go(func() error { p.peers.MaintainMembership(ctx, loop); return nil })
-	group.Go(func() error { p.watchPlatform(ctx, loop); return nil })
+	group.Go(func() error { r.peers.Run(ctx); return nil })
+	group.Go(func() error { r.peers.MaintainMembership(ctx, loop); return nil })
+	group.Go(func() error { r.watchPlatform(ctx, loop); return nil })
 	group.Go(func() error { return writer.Run(ctx) })
 	return group.Wait()
 }
 
-// watchPlatform polls the platform's list and posts it to loop until ctx ends.
-// After a failed poll the last list stays in effect.
-func (p *controlRole) watchPlatform(ctx context.Context, loop *control.Loop) {
-	if p.platform == "" {
+// watchPlatform polls the platform's list of boxes and posts the draining ones to loop until
+// ctx ends. After a failed poll the last list stays in effect.
+func (r *controlRole) watchPlatform(ctx context.Context, loop *control.Loop) {
+	if r.platform == "" {
 		return
 	}
 	client := &http.Client{Timeout: platformTimeout}
 	ticker := time.NewTicker(platformInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		draining, err := member.Fetch(ctx, client, p.platform)
+		draining, err := member.Fetch(ctx, client, r.platform)
 		if err == nil {
 			_, err = loop.Post(ctx, &event.DrainListUpdated{Draining: draining})
 		}
 		if err != nil {
-			p.log.Warn("reading the platform list failed; keeping the last one", logx.Err(err))
+			r.log.Warn("reading the platform's list of boxes failed; keeping the last one", logx.Err(err))
 		}
 		wait.Next(ctx, ticker)
 	}
@@ -162,8 +162,8 @@
 
 // transferLeadership transfers leadership to another voter if this box leads, and
 // waits for it for at most transferTimeout.
-func (p *controlRole) transferLeadership(ctx context.Context) {
-	loop := p.loop.Load()
+func (r *controlRole) transferLeadership(ctx context.Context) {
+	loop := r.loop.Load()
 	if loop == nil {
 		return
 	}
@@ -183,7 +183,7 @@
 		}
 		wait.For(ctx, transferPoll)
 	}
-	p.log.Info("leadership transfer finished", logx.Err(ctx.Err()))
+	r.log.Info("leadership transfer finished", logx.Err(ctx.Err()))
 }
 
 // randomSeed returns a seed from the current time.
--- a/box/slot.go
+++ b/box/slot.go
@@ -71,12 +71,12 @@
 	drainCtx, cancel := context.WithTimeout(context.Background(), time.Duration(s.settings.Drain.Timeout))
 	defer cancel()
 	err := s.slot.Drain(drainCtx)
-	if stepErr := s.server.drain(drainCtx); err == nil {
-		err = stepErr
+	if serverErr := s.server.drain(drainCtx); err == nil {
+		err = serverErr
 	}
 	stop()
-	if stepErr := group.Wait(); err == nil {
-		err = stepErr
+	if waitErr := group.Wait(); err == nil {
+		err = waitErr
 	}
 	s.log.Info("stopped", logx.Err(err))
 	return err
--- a/fleet/descriptors_test.go
+++ b/fleet/descriptors_test.go
@@ -16,10 +16,11 @@
 )
 
 const (
-	// maxDescriptors is the server's limit of file descriptors; more callers than that
-	// keep idle connections to it.
+	// maxDescriptors is the server's limit of file descriptors; idleCallers, which keep idle
+	// connections to it, are more.
 	maxDescriptors = 700
 	idleCallers    = 800
+	// serverVariable is the environment variable that is set in the server's process.
 	serverVariable = "LYNXRAMP_TEST_FEW_DESCRIPTORS"
 	connectTimeout = time.Second
 	newCallers     = 7
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -26,7 +26,8 @@
 	// streams; shutdownTimeout bounds the wait for the other requests after that.
 	streamMargin    = 1000 * time.Millisecond
 	shutdownTimeout = 600 * time.Millisecond
-	drainPoll       = 50 * time.Millisecond
+	// drainPoll is how often an entry checks whether streams are open.
+	drainPoll = 50 * time.Millisecond
 )
 
 func runEntry(ctx context.Context, file string, f settings.Fleet, d Dialect, log *zap.Logger) error {
@@ -70,7 +71,7 @@
 	return server
 }
 
-// controlAddresses returns the link addresses of the seed control boxes.
+// controlAddresses returns the link addresses of the control boxes in f.Seeds.
 func controlAddresses(f settings.Fleet) []string {
 	var list []string
 	for _, seed := range f.Seeds {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -30,11 +30,12 @@
 
 // Timing and size limits of a box.
 const (
+	// reloadInterval is how often the settings file is checked for changes.
 	reloadInterval = 2 * time.Second
 	// replaceVoterAfter is how long a voter may be unreachable before another control box
 	// replaces it.
 	replaceVoterAfter = 1800 * event.Millisecond
-	// memoryLimitFraction is the part of the box's memory that is set as the Go runtime's
+	// memoryLimitFraction is the fraction of the box's memory that is set as the Go runtime's
 	// soft memory limit.
 	memoryLimitFraction = 0.75
 	readHeaderTimeout   = 10 * time.Second
@@ -44,7 +45,7 @@
 	idleTimeout    = 15 * time.Second
 	maxCallerIdle  = 10 * time.Minute
 	maxHeaderBytes = 64 << 10
-	// heldBytesFraction is the part of an entry's memory that request bodies may take.
+	// heldBytesFraction is the fraction of an entry's memory that request bodies may take.
 	heldBytesFraction = 0.2
 )
 
@@ -117,7 +118,7 @@
 	defer signal.Stop(hangup)
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
-	before, _ := os.ReadFile(file) // LoadFleet has just read it
+	previous, _ := os.ReadFile(file) // the error is ignored, as LoadFleet has just read the file
 	for {
 		select {
 		case <-ctx.Done():
@@ -126,11 +127,11 @@
 			log.Info("received SIGHUP; checking settings for changes")
 		case <-ticker.C:
 		}
-		now, err := os.ReadFile(file)
-		if err != nil || string(now) == string(before) {
+		current, err := os.ReadFile(file)
+		if err != nil || string(current) == string(previous) {
 			continue
 		}
-		before = now
+		previous = current
 		f, err := settings.LoadFleet(file)
 		if err != nil {
 			log.Error("new settings are invalid; keeping the current ones", logx.Err(err))
@@ -188,6 +189,7 @@
 	}
 }
 
+// serve listens at an address and serves on a goroutine until s is closed.
 func serve(address string, s *http.Server) (*http.Server, error) {
 	config := net.ListenConfig{KeepAliveConfig: link.KeepAlive}
 	l, err := config.Listen(context.Background(), "tcp", address)
--- a/fleet/idle_test.go
+++ b/fleet/idle_test.go
@@ -24,6 +24,8 @@
 	return err
 }
 
+// TestIdleConnectionIsClosedAfterTimeout guards against closing a connection before its idle
+// timeout, and against a timeout that a request does not restart.
 func TestIdleConnectionIsClosedAfterTimeout(t *testing.T) {
 	const idleTimeout = 300 * time.Millisecond
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -51,8 +53,8 @@
 	}
 }
 
-// TestLongestIdleIsClosedFirst: above the connection limit the longest idle connection is
-// closed, and never one with a request in flight.
+// TestLongestIdleIsClosedFirst guards against closing another connection than the longest idle
+// one above the connection limit, above all one with a request in flight.
 func TestLongestIdleIsClosedFirst(t *testing.T) {
 	hold := make(chan struct{})
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
