--- a/box/slot.go
+++ b/box/slot.go
@@ -71,12 +71,12 @@
 	drainCtx, cancel := context.WithTimeout(context.Background(), time.Duration(s.settings.Drain.Timeout))
 	defer cancel()
 	err := s.slot.Drain(drainCtx)
-	if serverErr := s.server.drain(drainCtx); err == nil {
-		err = serverErr
+	if shutdownErr := s.server.drain(drainCtx); err == nil {
+		err = shutdownErr
 	}
 	stop()
-	if waitErr := group.Wait(); err == nil {
-		err = waitErr
+	if shutdownErr := group.Wait(); err == nil {
+		err = shutdownErr
 	}
 	s.log.Info("stopped", logx.Err(err))
 	return err
--- a/replay/run.go
+++ b/replay/run.go
@@ -64,7 +64,7 @@
 // simulation is the state of a replay.
 type simulation struct {
 	trace      trace.Trace
-	newPolicy  PolicyFactory
+	make       PolicyFactory
 	policy     Policy // nil while the scheduler is replaced
 	pool       event.Pool
 	now        event.Time
@@ -82,12 +82,12 @@
 // Run replays a trace under a policy.
 func Run(t trace.Trace, newPolicy PolicyFactory) Result {
 	r := &simulation{
-		trace:     t,
-		newPolicy: newPolicy,
-		byID:      make(map[event.EndpointID]*server),
-		requests:  make(map[event.RequestID]*request),
-		blocks:    make(map[uint64]struct{}),
-		result:    Result{Trace: t.Header.Name, Ranks: make(map[int]*RankResult)},
+		trace:    t,
+		make:     newPolicy,
+		byID:     make(map[event.EndpointID]*server),
+		requests: make(map[event.RequestID]*request),
+		blocks:   make(map[uint64]struct{}),
+		result:   Result{Trace: t.Header.Name, Ranks: make(map[int]*RankResult)},
 	}
 	r.prepare()
 	for len(r.queue) > 0 && r.unfinished > 0 {
@@ -111,7 +111,7 @@
 		r.byID[s.id] = s
 		r.pool.Endpoints = append(r.pool.Endpoints, event.Endpoint{ID: s.id, Concurrency: e.Concurrency, Speed: e.Speed})
 	}
-	r.policy = r.newPolicy(0, r.pool)
+	r.policy = r.make(0, r.pool)
 	for i, s := range r.servers {
 		r.at(event.Time(i)*event.Time(event.Millisecond), func() { r.report(s) })
 	}
@@ -316,16 +316,16 @@
 // replaceOwner starts a scheduler without state; the entry submits the queued requests
 // again.
 func (r *simulation) replaceOwner() {
-	r.policy = r.newPolicy(r.now, r.pool)
+	r.policy = r.make(r.now, r.pool)
 	for _, q := range r.trace.Requests {
 		simulated := r.requests[event.RequestID(q.ID)]
 		if simulated == nil || simulated.finished || simulated.endpoint != nil {
 			continue
 		}
-		ticket := simulated.ticket
-		ticket.Waited = r.now.Sub(simulated.arrived)
-		ticket.Deadline -= ticket.Waited
-		r.step(&event.Submitted{Entry: entryID, Ticket: ticket})
+		resubmitted := simulated.ticket
+		resubmitted.Waited = r.now.Sub(simulated.arrived)
+		resubmitted.Deadline -= resubmitted.Waited
+		r.step(&event.Submitted{Entry: entryID, Ticket: resubmitted})
 	}
 }
 
--- a/trace/make.go
+++ b/trace/make.go
@@ -147,8 +147,8 @@
 }
 
 func (w workload) newRequest(random *rand.Rand, at int64, n int) Request {
-	kind := pick(random, w.kinds, func(k requestKind) float64 { return k.share })
-	team := pick(random, w.teams, func(t teamShare) float64 { return t.share })
+	kind := pick(random, w.kinds, func(kind requestKind) float64 { return kind.share })
+	team := pick(random, w.teams, func(team teamShare) float64 { return team.share })
 	r := Request{
 		At: at, ID: fmt.Sprintf("r%05d", n), Team: team.name, Rank: team.rank, Deadline: kind.deadlineMillis,
 		Output: logNormal(random, kind.outputTokens),
