--- a/internal/cputime/cputime.go
+++ b/internal/cputime/cputime.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Of runs do and returns the CPU time that it took on its thread. The work of other goroutines
+// Of calls do and returns the CPU time that it took on its thread. The work of other goroutines
 // and of the garbage collector is not counted.
 func Of(do func()) time.Duration {
 	runtime.LockOSThread()
--- a/replay/run.go
+++ b/replay/run.go
@@ -28,7 +28,7 @@
 	Step(now event.Time, e event.Event, out *event.Effects)
 }
 
-// PolicyFactory returns a policy that schedules the pool from now on, without any requests.
+// PolicyFactory returns a policy that schedules the pool from now on and starts without requests.
 type PolicyFactory func(now event.Time, p event.Pool) Policy
 
 // request is a simulated request of the trace.
