--- a/sched/class.go
+++ b/sched/class.go
@@ -8,8 +8,9 @@
 	"lynxramp.org/event"
 )
 
-// TeamRankStride is the distance between adjacent team ranks. Ranks that give
-// the same team rank when divided by it and rounded belong to one team tier.
+// TeamRankStride is the distance between adjacent team ranks: a request's rank
+// is its team's rank times TeamRankStride plus its route's rank. Ranks that
+// round to the same multiple belong to one team tier.
 const TeamRankStride = 1000
 
 // classDecayTime is the time constant of the class counters.
--- a/sched/endpoint.go
+++ b/sched/endpoint.go
@@ -29,7 +29,7 @@
 	cooldowns map[event.BoxID]event.Time
 	inflight  int
 	// backoffUntil is when the endpoint may be granted requests again after it
-	// did not take one.
+	// did not accept one.
 	backoffUntil    event.Time
 	prefillQueue    prefillQueue
 	prefillSlowdown prefillSlowdown // relative to slowness
--- a/sched/forecast.go
+++ b/sched/forecast.go
@@ -30,14 +30,14 @@
 	case *event.Tick:
 		s.demoteLate(now)
 		s.refuseAllInCooldown(now, out)
-		var late []*ticket
+		var overdue []*ticket
 		for _, k := range s.queue.byID {
 			if s.willTimeOut(now, k) {
-				late = append(late, k)
+				overdue = append(overdue, k)
 			}
 		}
-		sortByArrival(late)
-		for _, k := range late {
+		sortByArrival(overdue)
+		for _, k := range overdue {
 			s.refuse(now, k, event.ReasonShed, out)
 		}
 	}
--- a/sched/limit.go
+++ b/sched/limit.go
@@ -14,8 +14,8 @@
 // rateLimit is the rate limit of one endpoint. The zero value is no limit.
 type rateLimit struct {
 	isSet bool
-	// everSet says that a limit was set at some time since the endpoint is known: grants since then are decided
-	// with knowledge of the limit.
+	// everSet says that a limit was set at some time since the endpoint was added. All grants from then on are
+	// marked as paced.
 	everSet bool
 	rate    float64 // requests per second, from all boxes
 	pacer   backpressure.Pacer
@@ -48,7 +48,7 @@
 	}
 }
 
-// take spends one request of the limit.
+// take spends the permission for one request of the limit.
 func (l *rateLimit) take(now event.Time) {
 	if l.isSet {
 		l.pacer.Take(now)
--- a/sched/reading.go
+++ b/sched/reading.go
@@ -64,7 +64,7 @@
 	return q.pending[0].prefillWork
 }
 
-// Smoothing weight and bounds of an endpoint's prefill slowness.
+// Smoothing weight and bounds of an endpoint's prefill slowdown.
 const (
 	prefillSlowdownWeight = 0.2
 	prefillSlowdownMin    = 0.4
--- a/sched/reading_test.go
+++ b/sched/reading_test.go
@@ -10,21 +10,21 @@
 )
 
 func TestPrefillQueueIsSequential(t *testing.T) {
-	var r prefillQueue
+	var q prefillQueue
 	a, b := &grant{prefillWork: 1}, &grant{prefillWork: 2}
-	r.add(0, a)
-	r.add(event.Time(event.Second/2), b)
-	if r.work != 3 || r.headWork() != 1 || r.headSince != 0 {
-		t.Errorf("work %v, first %v, since %v", r.work, r.headWork(), r.headSince)
+	q.add(0, a)
+	q.add(event.Time(event.Second/2), b)
+	if q.work != 3 || q.headWork() != 1 || q.headSince != 0 {
+		t.Errorf("work %v, first %v, since %v", q.work, q.headWork(), q.headSince)
 	}
-	r.remove(event.Time(event.Second), a)
-	if r.work != 2 || r.headWork() != 2 || r.headSince != event.Time(event.Second) {
-		t.Errorf("after one prefill: work %v, first %v, since %v", r.work, r.headWork(), r.headSince)
+	q.remove(event.Time(event.Second), a)
+	if q.work != 2 || q.headWork() != 2 || q.headSince != event.Time(event.Second) {
+		t.Errorf("after one prefill: work %v, first %v, since %v", q.work, q.headWork(), q.headSince)
 	}
-	r.remove(event.Time(2*event.Second), a) // already removed
-	r.remove(event.Time(2*event.Second), b)
-	if r.work != 0 || r.headWork() != 0 {
-		t.Errorf("after all prefills: work %v, first %v", r.work, r.headWork())
+	q.remove(event.Time(2*event.Second), a) // already removed
+	q.remove(event.Time(2*event.Second), b)
+	if q.work != 0 || q.headWork() != 0 {
+		t.Errorf("after all prefills: work %v, first %v", q.work, q.headWork())
 	}
 }
 
@@ -99,11 +99,10 @@
 	}
 }
 
-// TestPrefillSlowdownIsLearned checks that the factor follows its samples and expires.
-func TestPrefillSlowdownIsLearned(t *testing.T) {
+func TestPrefillSlowdownFollowsSamplesAndExpires(t *testing.T) {
 	var p prefillSlowdown
 	if p.get(0) != 1 {
-		t.Errorf("slowness %v without a sample", p.get(0))
+		t.Errorf("slowdown %v without a sample", p.get(0))
 	}
 	now := event.Time(0)
 	for range 30 {
@@ -111,9 +110,9 @@
 		p.observe(now, 2)
 	}
 	if got := p.get(now); got < 1.9 || got > 2 {
-		t.Errorf("slowness %v after samples of 2", got)
+		t.Errorf("slowdown %v after samples of 2", got)
 	}
 	if got := p.get(now.Add(prefillSlowdownMaxAge + event.Second)); got != 1 {
-		t.Errorf("slowness %v from expired samples, want 1", got)
+		t.Errorf("slowdown %v from expired samples, want 1", got)
 	}
 }
--- a/sched/state.go
+++ b/sched/state.go
@@ -24,8 +24,8 @@
 	// MissingGrantGrace is how long a grant may be missing from its slot's
 	// reports before it is treated as ended.
 	MissingGrantGrace = 2 * event.Second
-	// EndpointBackoff is how long an endpoint that did not take a request gets
-	// no other.
+	// EndpointBackoff is how long an endpoint that did not accept a request is
+	// granted no other.
 	EndpointBackoff = 300 * event.Millisecond
 	// MinRetryAfter and MaxRetryAfter bound the Retry-After of refusals.
 	MinRetryAfter = event.Second
@@ -85,7 +85,7 @@
 	prefillWork     float64 // work of its prefill, in seconds at speed 1
 	firstPrefill    bool    // no other prefill was pending when it was granted
 	adopted         bool    // reported by an entry: it may have begun earlier
-	paced           bool    // decided with knowledge of the endpoint's rate limits
+	paced           bool    // granted after the endpoint first set a rate limit
 }
 
 // State is the scheduler of one pool. It is not safe for concurrent use.
@@ -328,8 +328,8 @@
 	g.endpoint.inflight++
 }
 
-// finish ends a grant and updates the estimates. An endpoint that did not take
-// the request gets no other during EndpointBackoff.
+// finish ends a grant and updates the estimates. An endpoint that did not
+// accept the request is granted no other during EndpointBackoff.
 func (s *State) finish(now event.Time, e *event.Finished) {
 	if g, ok := s.grants[e.ID]; ok {
 		if e.Unused {
--- a/sched/view.go
+++ b/sched/view.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// clampInt32 converts a count for a view, which is kept small for fast scans.
+// clampInt32 limits a count to the range of int32: views are kept small for fast
+// scans.
 func clampInt32(n int) int32 { return int32(min(n, math.MaxInt32)) }
 
 // subtractView removes a view from the pool's sums.
