--- a/routing/table.go
+++ b/routing/table.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Kind defines whether a request that may have run can be repeated.
+// Kind defines whether a request that may already have run may be sent again.
 type Kind uint8
 
 // Route kinds.
@@ -53,8 +53,8 @@
 	// MaxAttempts is the maximum number of endpoints that a request may be sent
 	// to. Index raises it to at least 1.
 	MaxAttempts int
-	Public      bool
-	Resumable   bool
+	Public      bool // no API key is required
+	Resumable   bool // a request of a KindStream route may run more than once
 }
 
 // Repeatable reports whether a request of the route may run more than once.
@@ -79,8 +79,8 @@
 	Name string
 	Keys []string
 	Rank *int // takes precedence over the route's rank if set
-	// Rate is the quota per second and Burst the amount allowed in addition; a
-	// Rate of 0 is no limit.
+	// Rate is the quota per second, in requests or in tokens (InTokens), and Burst
+	// the amount allowed in addition; a Rate of 0 is no limit.
 	Rate  float64
 	Burst float64
 	// InTokens says that the quota counts tokens. PlainTokens is what a request
