--- a/budget/account.go
+++ b/budget/account.go
@@ -50,8 +50,8 @@
 	spent, charged int
 }
 
-// account is the owner's state of one budget, kept from first use until nothing of it
-// counts.
+// account is the owner's state of one budget, kept from first use until it is idle
+// (isIdle).
 type account struct {
 	name  Account
 	limit Limit
@@ -69,7 +69,7 @@
 	// Nothing is spent or leased until a Record of this owner replaces it.
 	isStale     bool
 	isDropped   bool        // removed from its Allocator
-	isUnlimited bool        // has no limit any more; dropped when nothing of it counts
+	isUnlimited bool        // has no limit any more; dropped when it is idle
 	awaited     int         // the largest amount that waits for a Record
 	usage       decayingSum // by all entries
 }
--- a/budget/allowances.go
+++ b/budget/allowances.go
@@ -11,7 +11,7 @@
 )
 
 // ownerRecoveryTime is how long a degraded entry is usually without an owner: longer than
-// an election. Callers whose budget is not leased are told to retry after it.
+// an election. It is the Retry-After of callers whose budget is not leased.
 const ownerRecoveryTime = 700 * event.Millisecond
 
 // Leases is what a degraded entry (one without an owner) may spend: the shares that owners
--- a/budget/lend.go
+++ b/budget/lend.go
@@ -41,7 +41,7 @@
 	renewedAt     event.Time    // when its leases were last renewed
 	// isSettled is true if all its leases were counted as spent since then.
 	isSettled bool
-	// keepsAll is true if the entry never forgets an account.
+	// keepsAll is true if the entry never removes a lease.
 	keepsAll bool
 	// isReporting is true until the entry has reported all that it held when the session
 	// began.
@@ -70,7 +70,7 @@
 	// wantedUntil is until when the account is leased because the entry used it.
 	wantedUntil event.Time
 	// isRevoking is true while the update with that number, which revokes the lease, is not
-	// acknowledged. isRevoked is true once it is, and the entry has forgotten the account.
+	// acknowledged. isRevoked is true once it is, and the entry has removed the lease.
 	isRevoking, isRevoked bool
 }
 
@@ -93,7 +93,7 @@
 // outstanding is what the entry may still spend.
 func (l *leaseState) outstanding() int { return max(0, max(l.acked, l.offered)-l.spent) }
 
-// BeginSession takes in an entry at the beginning of a session, with the leases that it
+// BeginSession registers an entry at the beginning of a session, with the leases that it
 // reports. A new instance of the entry has lost the leases of the one before, which then
 // count as spent.
 func (b *Allocator) BeginSession(now event.Time, entry event.BoxID, instance uint64, reported []Lease) {
@@ -118,8 +118,8 @@
 	}
 }
 
-// KeepAllLeases must be called for an entry of an earlier build, which never forgets an
-// account. Its leases are not revoked: when an account was leased again, its earlier
+// KeepAllLeases must be called for an entry of an earlier build, which never removes a
+// lease. Its leases are not revoked: if an account were leased again, its earlier
 // spending would count a second time.
 func (b *Allocator) KeepAllLeases(entry event.BoxID) {
 	if h, ok := b.holders[entry]; ok {
@@ -381,8 +381,7 @@
 	return ok
 }
 
-// revoke revokes a lease. The entry forgets the account if it has spent no more than the
-// owner knows.
+// revoke revokes a lease. The entry removes it if it has reported all that it spent.
 func (b *Allocator) revoke(h *holder, l *leaseState) Lease {
 	b.update(l, func() { l.offered = l.spent })
 	l.isRevoking = true
@@ -395,7 +394,7 @@
 	return want == have || (have > 0 && want > have*3/4 && want < have*5/4)
 }
 
-// share returns the target of an entry's lease: its part by usage, and an even part.
+// share returns the target of an entry's lease: a share by usage plus an even share.
 func (a *account) share(now event.Time, l *leaseState, entries int) int {
 	total := float64(a.leaseTarget(now))
 	fraction := evenFraction / float64(max(1, entries))
@@ -410,9 +409,9 @@
 // leaseTarget returns how much of an account should be on lease in total: half of what is
 // left, less what may be spent before the next Record, and never less than the reserve.
 func (a *account) leaseTarget(now event.Time) int {
-	maxSpend := float64(a.limit.Max)
-	left := maxSpend - float64(a.spent.Total(now)+a.inherited)
-	return int(min(maxLeaseFraction*maxSpend, max(minLeaseFraction*maxSpend, left/2-headroomFraction*maxSpend)))
+	limit := float64(a.limit.Max)
+	left := limit - float64(a.spent.Total(now)+a.inherited)
+	return int(min(maxLeaseFraction*limit, max(minLeaseFraction*limit, left/2-headroomFraction*limit)))
 }
 
 // leasable returns how much more of an account may be leased.
--- a/budget/record.go
+++ b/budget/record.go
@@ -299,7 +299,7 @@
 }
 
 // ApplyForeign must be called for a committed Record that was not made by this Allocator:
-// its owner proposed it in an earlier run of the same term. The Record holds for its
+// its owner proposed it before it restarted within the same term. The Record holds for its
 // accounts until a Record of this Allocator replaces their lines.
 func (b *Allocator) ApplyForeign(now event.Time, r Record) {
 	for _, line := range r.Lines {
--- a/budget/size_test.go
+++ b/budget/size_test.go
@@ -15,8 +15,8 @@
 )
 
 // The tests of this file bound the size of messages and Records and the work of an owner
-// with many teams and entries. An entry considers an owner lost that is silent for half a
-// second, its link carries 1.25 MB/s, and an owner's lease is 340 ms.
+// with many teams and entries. An entry treats an owner as lost after half a second
+// without a reply, its link carries 1.25 MB/s, and an owner's lease is 340 ms.
 
 const (
 	manyTeams = 14000
@@ -95,13 +95,13 @@
 // TestLeaseUpdateCostFollowsUsage: the cost of updates and ticks must not grow with teams
 // that are not used.
 func TestLeaseUpdateCostFollowsUsage(t *testing.T) {
-	const questions = 150
+	const updates = 150
 	b, now := newLargeAllocator(manyTeams, 30, 100)
 	best := time.Hour
 	for range 5 {
 		began := time.Now()
-		for i := range questions {
-			now = now.Add(event.Second / questions)
+		for i := range updates {
+			now = now.Add(event.Second / updates)
 			name := event.BoxID(fmt.Sprint(i % 30))
 			b.ApplyReport(now, name, b.UpdateLeases(now, name, 30).Number, nil)
 		}
--- a/budget/window_test.go
+++ b/budget/window_test.go
@@ -26,7 +26,7 @@
 	w.Add(20*second, 5)
 	w.Remove(20*second, 20*second, 3)
 	if got := w.Total(20 * second); got != 2 {
-		t.Errorf("total after taking back: %d, want 2", got)
+		t.Errorf("total after removing 3: %d, want 2", got)
 	}
 }
 
@@ -46,7 +46,7 @@
 	}
 	w.Remove(20*second, 5*second, 20)
 	if got := w.Total(20 * second); got != 0 {
-		t.Errorf("total %d after taking back what counts no more, want 0", got)
+		t.Errorf("total %d after removing what has expired, want 0", got)
 	}
 }
 
