--- a/event/event.go
+++ b/event/event.go
@@ -81,8 +81,8 @@
 	// Target is the remaining time in which the answer should begin; 0 means that
 	// only the deadline counts.
 	Target Duration
-	// Patience is the longest wait that may be expected for the request, else it
-	// is refused; 0 is no limit.
+	// Patience is the queue timeout: the request is refused when its expected wait,
+	// with the time already waited, exceeds it; 0 is no limit.
 	Patience Duration
 	// Placed is set when the request was granted before, but was not served or its
 	// answer broke off: it is not queued behind others again.
@@ -312,7 +312,7 @@
 	Attach DispatchID
 }
 
-// Refused tells an entry that a request is refused. It has not run.
+// Refused is the refusal of an entry's request, which has not run.
 type Refused struct {
 	Entry  BoxID
 	ID     RequestID
