--- a/admission/asked.go
+++ b/admission/asked.go
@@ -11,12 +11,12 @@
 
 // ObserveFeedback records feedback of an endpoint that an entry received, and reports whether the state of the
 // endpoint changed for all entries.
-func (s *State) ObserveFeedback(now event.Time, entry event.BoxID, h *backpressure.Report, out *event.Effects) bool {
-	k, ok := s.endpoints[h.Endpoint]
-	if ok && h.Word.Rest > 0 {
-		s.step(now, s.service(now, k.Service), &event.CooldownRequested{Entry: entry, Endpoint: h.Endpoint, For: h.Word.Rest}, out)
+func (s *State) ObserveFeedback(now event.Time, entry event.BoxID, r *backpressure.Report, out *event.Effects) bool {
+	k, ok := s.endpoints[r.Endpoint]
+	if ok && r.Word.Rest > 0 {
+		s.step(now, s.service(now, k.Service), &event.CooldownRequested{Entry: entry, Endpoint: r.Endpoint, For: r.Word.Rest}, out)
 	}
-	if !ok || !k.feedback.Observe(now, s.service(now, k.Service).pool.GrantedAt(h.Request), h.Word) {
+	if !ok || !k.feedback.Observe(now, s.service(now, k.Service).pool.GrantedAt(r.Request), r.Word) {
 		return false
 	}
 	s.updatePool(now, k, out)
--- a/admission/asked_test.go
+++ b/admission/asked_test.go
@@ -91,7 +91,7 @@
 	s.RemoveEndpoint(0, "b/1", &out)
 	now := event.Time(event.Second)
 	id := 0
-	answer := func(w backpressure.Feedback) {
+	answer := func(f backpressure.Feedback) {
 		t.Helper()
 		for range 100 { // until the limit allows a grant
 			now = now.Add(50 * event.Millisecond)
@@ -111,13 +111,13 @@
 		}
 		g := out.Grants[0]
 		now = now.Add(event.Millisecond)
-		s.ObserveFeedback(now, "entry", &backpressure.Report{Endpoint: "a/1", Request: g.ID, Word: w}, &out)
+		s.ObserveFeedback(now, "entry", &backpressure.Report{Endpoint: "a/1", Request: g.ID, Word: f}, &out)
 		s.Finish(now, &message.Finish{Finished: event.Finished{ID: g.ID, Pool: "s"}, Endpoint: "a/1"}, &out)
 	}
-	for _, w := range []backpressure.Feedback{{Limited: true, Rate: 2}, {Limited: true, Rate: 5}, {Limited: true, Rate: 1}, {}} {
-		answer(w)
-		if b := s.FeedbackState("a/1"); b.Limited != w.Limited || b.Rate != w.Rate {
-			t.Errorf("after %+v the state is %+v", w, b)
+	for _, f := range []backpressure.Feedback{{Limited: true, Rate: 2}, {Limited: true, Rate: 5}, {Limited: true, Rate: 1}, {}} {
+		answer(f)
+		if b := s.FeedbackState("a/1"); b.Limited != f.Limited || b.Rate != f.Rate {
+			t.Errorf("after %+v the state is %+v", f, b)
 		}
 	}
 }
--- a/admission/counted.go
+++ b/admission/counted.go
@@ -16,8 +16,8 @@
 	submission *message.Submission
 	team       string
 	service    string
-	quota      int
-	repeat     bool
+	quota      int  // amount spent from the team's quota, unless repeat is set
+	repeat     bool // a retry, which is spent from the service's retry budget
 	granted    bool
 	chargedAt  event.Time
 }
--- a/admission/park.go
+++ b/admission/park.go
@@ -9,8 +9,8 @@
 	"lynxramp.org/poison"
 )
 
-// quotaWaitDivisor is the fraction of its target, as a divisor, that a request may wait for its team's
-// quota; if the quota is not available by then, the request is refused at once.
+// quotaWaitDivisor bounds how long a request may wait for its team's quota, to target/quotaWaitDivisor. If
+// the quota will not be available by then, the request is refused at once.
 const quotaWaitDivisor = 5
 
 // recordTimeout is the minimum time that a request waits for a pending record of budgets to be
--- a/admission/park_test.go
+++ b/admission/park_test.go
@@ -16,9 +16,9 @@
 func TestRequestsWaitForOwner(t *testing.T) {
 	const leased, short, long = 3000, 100, 5000
 	const timeout = 720 * event.Millisecond
-	allowances := &budget.Leases{}
-	allowances.Apply(budget.LeaseUpdate{Number: 1, UpTo: []budget.Lease{{Account: budget.Team("t"), UpTo: leased}}})
-	s := New(testLimits, 1, allowances, emptyPoisonTracker())
+	leases := &budget.Leases{}
+	leases.Apply(budget.LeaseUpdate{Number: 1, UpTo: []budget.Lease{{Account: budget.Team("t"), UpTo: leased}}})
+	s := New(testLimits, 1, leases, emptyPoisonTracker())
 	s.SetTable(0, testTable())
 	var out event.Effects
 	s.SetEndpoint(0, message.Endpoint{Endpoint: registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 1 << 20, Sequence: 1}}, &out)
--- a/admission/poison.go
+++ b/admission/poison.go
@@ -13,8 +13,8 @@
 // maxHeld bounds the calls that wait for the outcome of another run of their requests.
 const maxHeld = 1000
 
-// heldRetryAfter is the retry-after time for a caller whose call waited in vain for another run: about
-// the duration of a run.
+// heldRetryAfter is the retry-after time for a caller whose call waited for another run until its
+// timeout: about the duration of a run.
 const heldRetryAfter = event.Second
 
 // checkPoison reports whether a call may run, given the terminations under earlier runs of its request.
--- a/admission/poison_test.go
+++ b/admission/poison_test.go
@@ -18,17 +18,17 @@
 // poisonRig is a State with some endpoints, and the log of its tracker.
 type poisonRig struct {
 	*State
-	t      *testing.T
-	book   *poison.Tracker
-	ledger poison.Ledger
-	now    event.Time
-	out    event.Effects
+	t       *testing.T
+	tracker *poison.Tracker
+	ledger  poison.Ledger
+	now     event.Time
+	out     event.Effects
 }
 
 func newPoisonRig(t *testing.T, endpoints, slots int) *poisonRig {
 	r := &poisonRig{t: t, now: event.Time(event.Second)}
-	r.book = poison.NewTracker(r.now, &r.ledger)
-	r.State = New(testLimits, 1, recordedBook{budget.NewAllocator(r.now, 5*event.Second)}, r.book)
+	r.tracker = poison.NewTracker(r.now, &r.ledger)
+	r.State = New(testLimits, 1, committingAllocator{budget.NewAllocator(r.now, 5*event.Second)}, r.tracker)
 	r.SetTable(r.now, testTable())
 	for i := range endpoints {
 		r.SetEndpoint(r.now, message.Endpoint{Endpoint: registry.Endpoint{
@@ -40,10 +40,10 @@
 
 // save commits the state of the tracker and checks held calls again.
 func (r *poisonRig) save() {
-	for r.book.Due() {
-		record, _ := r.book.MakeRecord()
+	for r.tracker.Due() {
+		record, _ := r.tracker.MakeRecord()
 		r.ledger.Apply(record)
-		r.book.Committed()
+		r.tracker.Committed()
 	}
 	r.ReleaseHeld(r.now, &r.out)
 }
@@ -199,16 +199,16 @@
 }
 
 // TestUnreportedTerminationIsDetected: if the entry of a run terminates too, the run counts when the
-// endpoint becomes unreachable; a run that finished before the endpoint was last heard from does not.
+// endpoint becomes unreachable; a run that finished before the endpoint was last seen does not.
 func TestUnreportedTerminationIsDetected(t *testing.T) {
 	r := newPoisonRig(t, 3, 4)
 	r.submit(1, badPrint)
 	r.submit(2, "finished before")
 	r.Finish(r.now, &message.Finish{Finished: event.Finished{ID: "2", Pool: "s"}, Endpoint: r.granted(2), Print: "finished before"}, &r.out)
-	lastHeard := r.now.Add(event.Second)
+	lastSeen := r.now.Add(event.Second)
 	r.EntryRemoved(r.now, "entry", &r.out)
-	r.now = lastHeard.Add(4 * event.Second)
-	r.EndpointsLost(r.now, map[event.EndpointID]event.Time{"e1": lastHeard, "e2": lastHeard, "e3": lastHeard}, &r.out)
+	r.now = lastSeen.Add(4 * event.Second)
+	r.EndpointsLost(r.now, map[event.EndpointID]event.Time{"e1": lastSeen, "e2": lastSeen, "e3": lastSeen}, &r.out)
 	for id, p := range []poison.Fingerprint{badPrint, "finished before"} {
 		r.submit(10+id, p)
 	}
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -28,8 +28,8 @@
 	State(now event.Time, a budget.Account) (spent, limit int)
 }
 
-// requestWindowRatio is the part of a retry window whose requests bound a service's retries. The rule
-// counts the requests of the current window, the previous one, or one shifted by half a window; each
+// requestWindowRatio is the part of a retry window whose requests bound a service's retries. The
+// bound counts the requests of the current window, the previous one, or one shifted by half a window; each
 // span of half a window lies within one of them. It is below 0.5 since a Window expires late.
 const requestWindowRatio = 0.48
 
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -57,11 +57,11 @@
 }
 
 // EndpointsLost records that endpoints terminated or became unreachable, with the time when each was
-// last heard from. Runs that were in progress then, or started since, count as terminations.
-func (s *State) EndpointsLost(now event.Time, lastHeard map[event.EndpointID]event.Time, out *event.Effects) {
+// last seen. Runs that were in progress then, or started since, count as terminations.
+func (s *State) EndpointsLost(now event.Time, lastSeen map[event.EndpointID]event.Time, out *event.Effects) {
 	var ids []event.RequestID
 	for id, r := range s.runs {
-		if at, ok := lastHeard[r.endpoint]; ok && (r.finishedAt == 0 || r.finishedAt >= at) {
+		if at, ok := lastSeen[r.endpoint]; ok && (r.finishedAt == 0 || r.finishedAt >= at) {
 			ids = append(ids, id)
 		}
 	}
--- a/admission/state.go
+++ b/admission/state.go
@@ -75,7 +75,7 @@
 	failures     int
 }
 
-// isDraining reports whether an endpoint takes no new requests, by its registration or its feedback.
+// isDraining reports whether an endpoint accepts no new requests, by its registration or its feedback.
 func (k *endpointState) isDraining() bool { return k.Leaving || k.feedback.Draining }
 
 // New returns an empty State that spends from b and asks p which requests may run.
--- a/poison/book_test.go
+++ b/poison/book_test.go
@@ -299,7 +299,7 @@
 
 // TestRunsAreBoundedAcrossOwners: owners change at any time and read the log; entries
 // terminate and records are lost. Of a request without a successful run, at most 1 + maxTrials runs
-// start after its first known termination until it is forgotten.
+// start after its first known termination until it is removed.
 func TestRunsAreBoundedAcrossOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l Ledger
--- a/poison/bounds.go
+++ b/poison/bounds.go
@@ -11,7 +11,7 @@
 // Thresholds of a Tracker.
 const (
 	// serializeEnds is the number of terminations after which a request runs one call at a time,
-	// each recorded in the log first, so that a termination that nobody survives to report counts.
+	// each recorded in the log first, so that a termination counts even if nobody reports it.
 	serializeEnds = 1
 	// suspectEnds is the number of terminations after which only trials are run. One is no
 	// evidence: other requests run on the endpoint at the same time.
--- a/poison/trial.go
+++ b/poison/trial.go
@@ -26,7 +26,7 @@
 	entry    event.BoxID
 	request  event.RequestID
 	attempt  int
-	deadline event.Time
+	deadline event.Time // until when its outcome is awaited
 	// isCounted is set if it is one of maxTrials; else it is a run after a single termination.
 	isCounted     bool
 	isSaved       bool // recorded in the log
