--- a/budget/record.go
+++ b/budget/record.go
@@ -27,7 +27,7 @@
 	smallRecordBytes = 8 << 10
 )
 
-// Record is an entry of the replicated log. A Record that is not partial replaces all
+// Record is a command of the replicated log. A Record that is not partial replaces all
 // before. A partial one replaces the lines of the accounts that it names.
 type Record struct {
 	Lines   []Line `json:"lines"`
--- a/sched/reading.go
+++ b/sched/reading.go
@@ -113,7 +113,7 @@
 type prefillFit struct {
 	samples      int
 	weight       float64
-	x, y, xx, xy float64
+	x, y, xx, xy float64 // decayed sums over the samples; x is in tokens, y in seconds
 }
 
 // observe adds a sample: a prompt's tokens, divided by the endpoint's speed, and the time
--- a/sched/state_test.go
+++ b/sched/state_test.go
@@ -70,6 +70,7 @@
 	}
 }
 
+// act applies one random event.
 func (b *invariantChecker) act() {
 	t := b.t
 	switch rapid.IntRange(0, 9).Draw(t, "act") {
