--- a/budget/lend.go
+++ b/budget/lend.go
@@ -409,9 +409,9 @@
 // leaseTarget returns how much of an account should be on lease in total: half of what is
 // left, less what may be spent before the next Record, and never less than the reserve.
 func (a *account) leaseTarget(now event.Time) int {
-	limit := float64(a.limit.Max)
-	left := limit - float64(a.spent.Total(now)+a.inherited)
-	return int(min(maxLeaseFraction*limit, max(minLeaseFraction*limit, left/2-headroomFraction*limit)))
+	maxSpend := float64(a.limit.Max)
+	left := maxSpend - float64(a.spent.Total(now)+a.inherited)
+	return int(min(maxLeaseFraction*maxSpend, max(minLeaseFraction*maxSpend, left/2-headroomFraction*maxSpend)))
 }
 
 // leasable returns how much more of an account may be leased.
