--- a/budget/record.go
+++ b/budget/record.go
@@ -27,7 +27,7 @@
 	smallRecordBytes = 8 << 10
 )
 
-// Record is an entry of the replicated log. A Record that is not partial replaces all
+// Record is a command of the replicated log. A Record that is not partial replaces all
 // before. A partial one replaces the lines of the accounts that it names.
 type Record struct {
 	Lines   []Line `json:"lines"`
@@ -299,7 +299,7 @@
 }
 
 // ApplyForeign must be called for a committed Record that was not made by this Allocator:
-// its owner proposed it in an earlier run of the same term. The Record holds for its
+// its owner proposed it before it restarted within the same term. The Record holds for its
 // accounts until a Record of this Allocator replaces their lines.
 func (b *Allocator) ApplyForeign(now event.Time, r Record) {
 	for _, line := range r.Lines {
--- a/sched/reading.go
+++ b/sched/reading.go
@@ -64,7 +64,7 @@
 	return q.pending[0].prefillWork
 }
 
-// Smoothing weight and bounds of an endpoint's prefill slowness.
+// Smoothing weight and bounds of an endpoint's prefill slowdown.
 const (
 	prefillSlowdownWeight = 0.2
 	prefillSlowdownMin    = 0.4
@@ -113,7 +113,7 @@
 type prefillFit struct {
 	samples      int
 	weight       float64
-	x, y, xx, xy float64
+	x, y, xx, xy float64 // decayed sums over the samples; x is in tokens, y in seconds
 }
 
 // observe adds a sample: a prompt's tokens, divided by the endpoint's speed, and the time
