--- a/consensus/node.go
+++ b/consensus/node.go
@@ -72,7 +72,7 @@
 	random *rand.Rand
 
 	hard     HardState
-	savedHS  HardState
+	savedHS  HardState // as last returned in a Ready
 	log      raftLog
 	snapshot Snapshot
 	saved    Index // last entry on disk
@@ -111,7 +111,7 @@
 	// MaxVoters is the number of voters up to which joining boxes become voters; 0 means no limit.
 	MaxVoters int
 	// ReplaceAfter is how long a voter may be unreachable before a joining box replaces it; 0 means
-	// for ever.
+	// that no voter is replaced.
 	ReplaceAfter event.Duration
 }
 
--- a/consensus/replicate.go
+++ b/consensus/replicate.go
@@ -30,8 +30,8 @@
 	WholeSnapshots bool
 	// Excluded: it cannot read the log's encoding, and is sent nothing.
 	Excluded bool
-	// HeartbeatsOnly: it is not known any more what it reads. Its answers to heartbeats will say
-	// that.
+	// HeartbeatsOnly: it is not known which encodings it reads. Its replies to heartbeats report
+	// them.
 	HeartbeatsOnly bool
 }
 
--- a/consensus/types.go
+++ b/consensus/types.go
@@ -24,10 +24,10 @@
 }
 
 func hex(n uint64) string {
-	const signs = "0123456789abcdef"
+	const digits = "0123456789abcdef"
 	var b [16]byte
 	for i := range b {
-		b[i] = signs[n>>(60-4*i)&15]
+		b[i] = digits[n>>(60-4*i)&15]
 	}
 	return string(b[:])
 }
