--- a/cluster/absent_test.go
+++ b/cluster/absent_test.go
@@ -41,8 +41,8 @@
 	now := s.now.Add(entryTimeout + second)
 	var out Effects
 	owner.state.owner.tick(now, owner.state, &out)
-	if got := forgottenEntries(owner.state.owner); got == 0 || got > maxForgetPerTick {
-		t.Errorf("%d entries forgotten in one tick, want 1 to %d", got, maxForgetPerTick)
+	if got := forgottenEntries(owner.state.owner); got == 0 || got > maxExpiredPerTick {
+		t.Errorf("%d entries forgotten in one tick, want 1 to %d", got, maxExpiredPerTick)
 	}
 	best := time.Hour
 	for range 3 {
@@ -66,7 +66,7 @@
 func forgottenEntries(o *owner) int {
 	n := 0
 	for _, e := range o.entries {
-		if e.isForgotten {
+		if e.isExpired {
 			n++
 		}
 	}
--- a/cluster/early.go
+++ b/cluster/early.go
@@ -19,7 +19,7 @@
 	pings      []*PingReceived
 }
 
-// pendingSessionTimeout is how long a pending session is kept: most of an election, but short enough
+// pendingSessionTimeout is how long a pending session is kept: most of the time of an election, but short enough
 // that an entry loses little time at a box that is cut off from the group.
 const pendingSessionTimeout = 250 * event.Millisecond
 
--- a/cluster/endpoints.go
+++ b/cluster/endpoints.go
@@ -10,7 +10,7 @@
 
 // This file applies the heartbeats of endpoints, which carry their state, and their removals.
 
-// instanceOf returns the reported endpoint with the id of its instance; false if the report is void. Start
+// instanceOf returns the reported endpoint with the id of its instance; false if the report is stale. Start
 // times are ignored until all boxes of the group support them.
 func (s *State) instanceOf(reported registry.Endpoint) (registry.Endpoint, bool) {
 	return s.machine.registry.ResolveInstance(s.toGroupFormat(reported))
--- a/cluster/level_meters.go
+++ b/cluster/level_meters.go
@@ -15,7 +15,8 @@
 // second, and an owner has one gauge for each.
 const formatGaugesInterval = time.Second
 
-// formatGauges are the gauges of the format versions of boxes. Boxes come and go, and their gauges with them.
+// formatGauges are the gauges of the format versions of boxes. The gauge of a box that
+// disconnected is unregistered.
 type formatGauges struct {
 	set       *metrics.Set
 	updatedAt time.Time
--- a/cluster/levels.go
+++ b/cluster/levels.go
@@ -20,7 +20,7 @@
 	build         string
 	// connections are the open connections from it to this box.
 	connections map[uint64]bool
-	// connectOrder is larger the later the box's process first connected.
+	// connectOrder is larger the later the box last connected after having no connection.
 	connectOrder uint64
 }
 
@@ -29,7 +29,7 @@
 	// own is the format version that this box supports.
 	own      level.Level
 	peers    map[event.BoxID]*peerBox
-	connects uint64 // count of peers that connected; source of connectOrder
+	connects uint64 // number of times that a box connected after having no connection; source of connectOrder
 	// raiseIndex is the index of the last command that raises the group's version, 0 for none;
 	// blockedBy is the last logged reason why it can't be raised.
 	raiseIndex consensus.Index
@@ -47,7 +47,7 @@
 func (s *State) peerConnected(e *PeerConnected, out *Effects) {
 	p, ok := s.formats.peers[e.Box]
 	if !ok {
-		if !s.makeRoomFor(e.Box) {
+		if !s.admitPeer(e.Box) {
 			out.logInfo("too many control boxes connected; ignoring one", Field{"peer", string(e.Box)}, Field{"most", maxPeers})
 			return
 		}
@@ -71,9 +71,9 @@
 	}
 }
 
-// makeRoomFor reports whether another control box may be tracked. Peers choose their own names, so the number
-// of names is bounded. It evicts a disconnected box that is no member; members always have room.
-func (s *State) makeRoomFor(box event.BoxID) bool {
+// admitPeer reports whether another control box may be tracked. Peers choose their own names, so the number
+// of names is bounded. At the bound it evicts a disconnected box that is no member; a member is always tracked.
+func (s *State) admitPeer(box event.BoxID) bool {
 	if len(s.formats.peers) < maxPeers {
 		return true
 	}
@@ -250,7 +250,7 @@
 	}
 }
 
-// transferRank ranks the members for a leadership transfer: the one with the youngest process is first. In a
+// transferRank ranks the members for a leadership transfer: the one that reconnected last is first. In a
 // rolling restart that one was restarted already, so that leadership moves once.
 func (s *State) transferRank(id consensus.ID) int {
 	if p, ok := s.formats.peers[id.Box()]; ok && len(p.connections) > 0 {
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -40,9 +40,9 @@
 	recordIndex      consensus.Index          // of the last budget record in the log
 	poison           *poison.Tracker          // poison requests
 	changedEndpoints map[string]bool          // ids of endpoints whose change is not yet sent to the entries
-	pieces           map[uint64]registry.Page // by the preceding revision, valid at piecesRevision
-	piecesRevision   uint64
-	packed           map[pieceKey]packedPiece
+	pages            map[uint64]registry.Page // by the preceding revision, valid at piecesRevision
+	pagesRevision    uint64
+	packed           map[pageKey]packedPage
 	budgetsLoggedAt  event.Time // when high budgets were last logged
 	// poisonIndex is the index of the last poison record in the log.
 	poisonIndex consensus.Index
@@ -53,8 +53,8 @@
 	feedback         feedbackTracker // of endpoints
 }
 
-// maxForgetPerTick bounds the disconnected entries whose requests one tick takes as terminated.
-const maxForgetPerTick = 16
+// maxExpiredPerTick bounds the disconnected entries whose requests one tick takes as terminated.
+const maxExpiredPerTick = 16
 
 // reclaimAfterHeartbeats is the number of heartbeat intervals without a heartbeat of an endpoint after
 // which the previous endpoint at its address may take it back: two intervals and some jitter.
@@ -75,8 +75,8 @@
 		startedAt:        now,
 		entryRetention:   s.settings.ConfigValidity + s.settings.Limits.QuotaWindow,
 		changedEndpoints: make(map[string]bool),
-		pieces:           make(map[uint64]registry.Page),
-		packed:           make(map[pieceKey]packedPiece),
+		pages:            make(map[uint64]registry.Page),
+		packed:           make(map[pageKey]packedPage),
 	}
 	o.poison = poison.NewTracker(now, &s.machine.poison)
 	o.suspects, o.suspectsRevision = o.poison.Suspects()
@@ -93,7 +93,7 @@
 	return o
 }
 
-// newBudgets returns the budget book of a new owner, with the spending recorded in the log.
+// newBudgets returns the budget allocator of a new owner, with the spending recorded in the log.
 func (s *State) newBudgets(now event.Time) *budget.Allocator {
 	if s.machine.document.Version == 0 {
 		return budget.NewAllocator(now, s.settings.ConfigValidity) // nothing was served without a configuration
@@ -181,7 +181,7 @@
 }
 
 func (o *owner) tick(now event.Time, s *State, out *Effects) {
-	o.forgetAbsentEntries(now)
+	o.expireEntries(now)
 	o.budgets.Tick(now)
 	limit := downAfterHeartbeats * s.settings.HeartbeatInterval
 	lost := make(map[event.EndpointID]event.Time)
@@ -205,23 +205,23 @@
 	o.raiseFormatVersion(now, s, out)
 }
 
-// forgetAbsentEntries takes the requests of long disconnected entries as terminated. The number of
+// expireEntries takes the requests of entries disconnected for longer than entryTimeout as terminated. The number of
 // entries per tick is bounded to keep the step short: each scans all requests.
-func (o *owner) forgetAbsentEntries(now event.Time) {
+func (o *owner) expireEntries(now event.Time) {
 	var expired []event.BoxID
 	for name, e := range o.entries {
 		if e.session != 0 {
 			continue
 		}
-		if away := now.Sub(e.disconnectedAt); away > entryTimeout && !e.isForgotten {
+		if disconnected := now.Sub(e.disconnectedAt); disconnected > entryTimeout && !e.isExpired {
 			expired = append(expired, name)
-		} else if away > o.entryRetention {
+		} else if disconnected > o.entryRetention {
 			delete(o.entries, name)
 		}
 	}
 	slices.Sort(expired)
-	for _, name := range expired[:min(len(expired), maxForgetPerTick)] {
-		o.entries[name].isForgotten = true
+	for _, name := range expired[:min(len(expired), maxExpiredPerTick)] {
+		o.entries[name].isExpired = true
 		o.admission.EntryRemoved(now, name, &o.effects)
 		o.admission.EntryTerminated(now, name, &o.effects)
 	}
@@ -249,9 +249,9 @@
 }
 
 // isAddressTaken reports whether a heartbeat is from an endpoint whose address was taken by another
-// that is alive: then it was delayed and its sender is dead. If the other is overdue the heartbeat
-// counts; otherwise an endpoint whose address was taken by a delayed message of a dead one would
-// never get requests again.
+// that still sends heartbeats: then it was delayed and its sender has terminated. If the other is
+// overdue the heartbeat counts; otherwise an endpoint whose address was taken by a delayed message of
+// a terminated one would never get requests again.
 func (o *owner) isAddressTaken(now event.Time, e registry.Endpoint, s *State) bool {
 	other := s.machine.registry.AddressConflict(e)
 	return other != "" && other != e.ID && now.Sub(o.lastHeartbeat[other]) < event.Duration(reclaimAfterHeartbeats*float64(s.settings.HeartbeatInterval))
--- a/cluster/owner_session.go
+++ b/cluster/owner_session.go
@@ -31,12 +31,12 @@
 	session        SessionID // 0 while disconnected
 	disconnectedAt event.Time
 	deferredAt     event.Time // when it last said that it leaves decisions to this owner; 0 if not yet in this session
-	// isForgotten reports whether its requests were taken as terminated since it disconnected.
-	isForgotten  bool
+	// isExpired reports whether its requests were taken as terminated since it disconnected.
+	isExpired    bool
 	terminations terminationProgress
 }
 
-// sendConfig announces the newest configuration to an entry. The entry requests the parts it lacks
+// sendConfig announces the newest configuration to an entry. The entry requests the nodes it lacks
 // in small steps: a large document in one message would delay the owner's pongs beyond the entry's
 // timeout, and be sent again on each connection.
 func (o *owner) sendConfig(id SessionID, sess *session, s *State, out *Effects) {
@@ -98,7 +98,7 @@
 		delete(o.sessions, e.session)
 		out.Closes = append(out.Closes, e.session)
 	}
-	e.session, e.isForgotten, e.deferredAt = b.Session, false, 0
+	e.session, e.isExpired, e.deferredAt = b.Session, false, 0
 	if newInstance {
 		e.terminations = terminationProgress{}
 		o.admission.EntryTerminated(now, name, &o.effects)
@@ -138,7 +138,7 @@
 		return
 	}
 	o.applyPing(now, sess.entry, &p.Ping)
-	o.entries[sess.entry].receiveOwned(now, &p.Ping)
+	o.entries[sess.entry].recordDeferral(now, &p.Ping)
 	if !s.owns(now) {
 		return
 	}
--- a/cluster/server.go
+++ b/cluster/server.go
@@ -300,7 +300,8 @@
 	delete(s.sessions, id)
 }
 
-// maintainMembership asks the group to add this box while it is no voter or hears no leader.
+// maintainMembership asks the group to add this box while it is no voter or has no contact with
+// a leader.
 func (s *Server) maintainMembership(ctx context.Context) {
 	s.AddSeeds(s.config.Seeds)
 	ticker := time.NewTicker(joinInterval)
--- a/cluster/state.go
+++ b/cluster/state.go
@@ -207,7 +207,7 @@
 	s.pendingCalls[index] = pendingCall{call: call, term: s.node.Term()}
 }
 
-// isLeaderActive reports whether another box leads and was heard within the election timeout.
+// isLeaderActive reports whether another box leads and was in contact within the election timeout.
 func (s *State) isLeaderActive(now event.Time) bool {
 	leader := s.node.Leader()
 	return leader != "" && leader != s.node.ID() && now.Sub(s.node.LastLeaderContact()) < consensus.MinElectionTimeout
