--- a/gateway/agent.go
+++ b/gateway/agent.go
@@ -94,8 +94,8 @@
 }
 
 // ObserveFeedback reports feedback received from an endpoint.
-func (a *Agent) ObserveFeedback(h backpressure.Report) {
-	a.input <- func(now event.Time) { a.client.observeFeedback(now, h) }
+func (a *Agent) ObserveFeedback(r backpressure.Report) {
+	a.input <- func(now event.Time) { a.client.observeFeedback(now, r) }
 }
 
 // AddControlBoxes adds link addresses of control boxes.
--- a/gateway/asked.go
+++ b/gateway/asked.go
@@ -25,7 +25,7 @@
 	f, err := g.config.ParseFeedback(r.StatusCode, r.Header)
 	if err != nil {
 		g.meters.feedback(feedbackInvalid).Inc()
-		if g.feedbackBudget.Allow(time.Now(), 1) {
+		if g.feedbackLimiter.Allow(time.Now(), 1) {
 			g.log.Warn("invalid feedback in endpoint response, ignoring the invalid header", zap.String("endpoint", string(a.decision.Endpoint)),
 				zap.String("request", c.callerID), logx.Err(err))
 		}
@@ -35,22 +35,22 @@
 		return f
 	}
 	now := g.agent.clock.Now()
-	isKept := !a.decision.Degraded && a.decision.Permit != backpressure.PermitLegacy
-	isNew := g.agent.client.gate.Observe(now, now.Add(-time.Since(a.sent)), endpoint, f, isKept)
+	keptByOwner := !a.decision.Degraded && a.decision.Permit != backpressure.PermitLegacy
+	isNew := g.agent.client.gate.Observe(now, now.Add(-time.Since(a.sent)), endpoint, f, keptByOwner)
 	g.agent.ObserveFeedback(backpressure.Report{Endpoint: endpoint, Request: c.id, Word: f})
 	g.countFeedback(f)
 	fields := append(feedbackFields(f), zap.String("endpoint", string(endpoint)), zap.Int("answered", r.StatusCode))
 	if f.Restricts() {
 		c.addStep(stepFeedback, fields...)
 	}
-	if isNew && g.feedbackBudget.Allow(time.Now(), 1) {
+	if isNew && g.feedbackLimiter.Allow(time.Now(), 1) {
 		g.log.With(zap.String("request", c.callerID)).Info(stepFeedback, fields...)
 	}
 	return f
 }
 
 // checkGate returns why a grant must not be used: the endpoint's feedback forbids it and the grant was made
-// without knowing this feedback.
+// without knowing this feedback. It returns NotStopped if the grant may be used.
 func (c *call) checkGate(d Decision) backpressure.StopReason {
 	gate := &c.gateway.agent.client.gate
 	if !gate.IsTracking() {
@@ -59,7 +59,8 @@
 	return gate.Check(c.gateway.agent.clock.Now(), d.Endpoint, d.Permit)
 }
 
-// reportStopped records that a grant is not used and reports the feedback that forbids it to the decider.
+// reportStopped records that a grant is not used and reports the feedback that forbids it to the
+// scheduler that granted it.
 func (c *call) reportStopped(a *attempt, why backpressure.StopReason) {
 	agent := c.gateway.agent
 	a.outcome, a.notTried = outcomeStopped, true
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -41,13 +41,13 @@
 		c.respondError(http.StatusRequestEntityTooLarge, 0, errBodyTooLong.Error())
 		return false
 	}
-	printer := poison.NewFingerprinter(c.teamName(), c.r.Method, c.r.Host, c.r.RequestURI)
-	defer func() { c.fingerprint = printer.Sum() }()
+	fingerprinter := poison.NewFingerprinter(c.teamName(), c.r.Method, c.r.Host, c.r.RequestURI)
+	defer func() { c.fingerprint = fingerprinter.Sum() }()
 	if c.r.ContentLength == 0 {
 		return true
 	}
 	body := progress.Reader{Body: c.r.Body, Control: http.NewResponseController(c.w), IdleTimeout: c.gateway.bodyIdleTimeout, Deadline: time.Now().Add(c.remaining())}
-	err := c.receiveBody(io.TeeReader(&body, printer), limit)
+	err := c.receiveBody(io.TeeReader(&body, fingerprinter), limit)
 	body.ClearDeadline()
 	switch {
 	case err == nil:
--- a/gateway/fresh.go
+++ b/gateway/fresh.go
@@ -15,16 +15,16 @@
 
 // versionConfirmation is an owner's confirmation that a version was the newest.
 type versionConfirmation struct {
-	version uint64
-	asked   event.Time // when the entry sent the ping; the version was the newest at some time after
+	version    uint64
+	pingSentAt event.Time // of the ping that the owner answered; the version was the newest at some time after
 }
 
 // confirmVersion records an owner's confirmation that a version was the newest.
-func (a *OwnerClient) confirmVersion(now event.Time, w versionConfirmation) {
+func (a *OwnerClient) confirmVersion(now event.Time, c versionConfirmation) {
 	a.confirmations = slices.DeleteFunc(a.confirmations, func(old versionConfirmation) bool {
-		return old.version == w.version || now.Sub(old.asked) >= a.config.ConfigValidity
+		return old.version == c.version || now.Sub(old.pingSentAt) >= a.config.ConfigValidity
 	})
-	a.confirmations = append(a.confirmations, w)
+	a.confirmations = append(a.confirmations, c)
 	a.extendValidity()
 }
 
@@ -37,11 +37,11 @@
 	}
 	until := a.validUntil.Load()
 	wasKnown := until != 0
-	a.confirmations = slices.DeleteFunc(a.confirmations, func(w versionConfirmation) bool {
-		if w.version > t.Version {
+	a.confirmations = slices.DeleteFunc(a.confirmations, func(c versionConfirmation) bool {
+		if c.version > t.Version {
 			return false
 		}
-		until = max(until, int64(w.asked.Add(a.config.ConfigValidity)))
+		until = max(until, int64(c.pingSentAt.Add(a.config.ConfigValidity)))
 		return true
 	})
 	a.validUntil.Store(until)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -73,7 +73,8 @@
 	refusesStreams     atomic.Bool // new streams are refused
 	meters             meters
 
-	failedBudget, briefBudget, sampledBudget, feedbackBudget *logx.RateLimiter
+	// Limits of log lines, see record.go.
+	failedLimiter, briefLimiter, sampledLimiter, feedbackLimiter *logx.RateLimiter
 }
 
 // New returns a gateway. Run closes its idle connections and logs what was suppressed.
@@ -81,8 +82,8 @@
 	g := &Gateway{config: c, agent: c.Agent, log: c.Log, upstream: newUpstream(), maxTimeouts: newMaxTimeouts(), inFlightLimit: inFlightLimit(c.Descriptors), bodyIdleTimeout: bodyIdleTimeout, callerWriteTimeout: callerWriteTimeout}
 	g.upstream.maxConnections = MaxConnections(c.Descriptors)
 	g.meters = newMeters(g)
-	g.failedBudget, g.briefBudget, g.sampledBudget = logx.NewRateLimiter(failedLines), logx.NewRateLimiter(briefLines), logx.NewRateLimiter(sampledLines)
-	g.feedbackBudget = logx.NewRateLimiter(feedbackLines)
+	g.failedLimiter, g.briefLimiter, g.sampledLimiter = logx.NewRateLimiter(failedLines), logx.NewRateLimiter(briefLines), logx.NewRateLimiter(sampledLines)
+	g.feedbackLimiter = logx.NewRateLimiter(feedbackLines)
 	return g
 }
 
@@ -210,7 +211,7 @@
 func (c *call) age() time.Duration       { return c.gateway.agent.clock.Now().Sub(c.arrivedClock) }
 func (c *call) remaining() time.Duration { return c.timeout - c.age() }
 
-// checkDeadline returns an error if the caller left or the deadline has passed.
+// checkDeadline returns an error if the caller disconnected or the deadline has passed.
 func (c *call) checkDeadline(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
--- a/gateway/longest.go
+++ b/gateway/longest.go
@@ -31,7 +31,7 @@
 func newMaxTimeouts() *maxTimeouts { return &maxTimeouts{routes: make(map[string]*routeMax)} }
 
 // observe records a request's timeout and reports whether it is below the recent maximum of its route.
-func (l *maxTimeouts) observe(at time.Time, route string, left time.Duration) bool {
+func (l *maxTimeouts) observe(at time.Time, route string, timeout time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t, ok := l.routes[route]
@@ -42,8 +42,8 @@
 	if at.Sub(t.since) >= maxTimeoutWindow {
 		t.current, t.previous, t.since = 0, t.current, at
 	}
-	t.current = max(t.current, left)
-	return float64(left) < retryFraction*float64(max(t.current, t.previous))
+	t.current = max(t.current, timeout)
+	return float64(timeout) < retryFraction*float64(max(t.current, t.previous))
 }
 
 // sweep removes the routes without a request in the last two windows.
--- a/gateway/owner_asked.go
+++ b/gateway/owner_asked.go
@@ -32,17 +32,17 @@
 func (a *OwnerClient) Gate() *backpressure.Gate { return &a.gate }
 
 // ObserveFeedback records feedback from a response, or feedback that a grant's owner did not know.
-func (a *OwnerClient) ObserveFeedback(now event.Time, h backpressure.Report) {
-	a.observeFeedback(now, h)
+func (a *OwnerClient) ObserveFeedback(now event.Time, r backpressure.Report) {
+	a.observeFeedback(now, r)
 	a.deliverDecisions(now)
 }
 
-func (a *OwnerClient) observeFeedback(now event.Time, h backpressure.Report) {
+func (a *OwnerClient) observeFeedback(now event.Time, r backpressure.Report) {
 	if a.hasOwner && a.ownerLevel >= level.Feedback {
-		a.batch.Heard = append(a.batch.Heard, h)
+		a.batch.Heard = append(a.batch.Heard, r)
 	}
 	if a.degraded != nil {
-		a.degraded.ObserveFeedback(now, a.config.Entry, &h, &a.effects)
+		a.degraded.ObserveFeedback(now, a.config.Entry, &r, &a.effects)
 	}
 }
 
--- a/gateway/owner_client.go
+++ b/gateway/owner_client.go
@@ -105,7 +105,7 @@
 	receivedBytes int64    // on the current link, at the last tick
 	controlBoxes  []string // link addresses
 	leaderHint    string   // address of the leader from the last redirect
-	nextTry       int
+	nextTry       int      // index into controlBoxes of the next one to dial
 	waiting       map[event.RequestID]*waiter
 	running       map[event.RequestID]*message.Running
 	endpoints     map[event.EndpointID]message.Endpoint
@@ -368,8 +368,8 @@
 	for _, s := range a.gate.States() {
 		a.degraded.ApplyFeedbackState(now, s, &a.effects)
 	}
-	for _, h := range a.gate.Cooldowns(now) {
-		a.degraded.ObserveFeedback(now, a.config.Entry, &h, &a.effects)
+	for _, r := range a.gate.Cooldowns(now) {
+		a.degraded.ObserveFeedback(now, a.config.Entry, &r, &a.effects)
 	}
 	for _, u := range a.unsavedEnds {
 		a.degraded.RecordEnds(now, []poison.End{u.end}, &a.effects)
--- a/gateway/owner_session.go
+++ b/gateway/owner_session.go
@@ -162,7 +162,7 @@
 		a.ownerFound(now)
 	}
 	a.submitWaiting(now)
-	a.confirmVersion(now, versionConfirmation{version: p.Version, asked: p.Sent})
+	a.confirmVersion(now, versionConfirmation{version: p.Version, pingSentAt: p.Sent})
 }
 
 // ownerFound starts the session with a found owner: waiting requests, ends and feedback go to it.
@@ -255,8 +255,8 @@
 }
 
 // markDown marks endpoints without a heartbeat as down.
-func (a *OwnerClient) markDown(silent []event.EndpointID) {
-	for _, id := range silent {
+func (a *OwnerClient) markDown(unreachable []event.EndpointID) {
+	for _, id := range unreachable {
 		if e, ok := a.endpoints[id]; ok {
 			e.Down = true
 			a.endpoints[id] = e
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -24,8 +24,8 @@
 // maxUnsentAttempts limits the endpoints tried for a request of which no byte was sent.
 const maxUnsentAttempts = 4
 
-// errCallerLeft is returned when the caller no longer accepts its response.
-var errCallerLeft = errors.New("caller disconnected")
+// errCallerDisconnected is returned when the caller no longer accepts its response.
+var errCallerDisconnected = errors.New("caller disconnected")
 
 // retryAfterNotRun is the Retry-After for a request that no endpoint ran.
 const retryAfterNotRun = 300 * event.Millisecond
@@ -135,7 +135,7 @@
 			c.mayHaveRun = true
 		}
 		if a.outcome == outcomeStopped {
-			// The decider now knows the feedback, unless its build does not support it.
+			// The scheduler now knows the feedback, unless its build does not support it.
 			if stopped++; stopped == 1 {
 				continue
 			}
@@ -291,7 +291,7 @@
 	})
 }
 
-// reportAttempt reports the result of an attempt to the decider: the owner, or the entry itself while degraded.
+// reportAttempt reports the result of an attempt to the scheduler: the owner, or the entry itself while degraded.
 func (c *call) reportAttempt(a *attempt) {
 	failed := a.outcome != outcomeDone || a.err != nil
 	c.gateway.meters.countAttempt(a.outcome)
@@ -321,7 +321,7 @@
 // try sends the request to an endpoint and forwards its response.
 func (c *call) try(ctx context.Context, d Decision) *attempt {
 	a := &attempt{decision: d, outcome: outcomeNotSent}
-	// If the caller left or the deadline passed while the grant arrived, sending on a kept connection would
+	// If the caller disconnected or the deadline passed while the grant arrived, sending on a kept connection would
 	// race with its cancellation, and the closed connection would count against the endpoint.
 	if err := c.checkDeadline(ctx); err != nil {
 		a.err, a.notTried = err, true
--- a/gateway/ticket.go
+++ b/gateway/ticket.go
@@ -65,7 +65,7 @@
 	return c.team.PlainTokens
 }
 
-// ticket describes the request to the decider.
+// ticket describes the request to the scheduler: the owner, or the entry itself while degraded.
 func (c *call) ticket(isRetry bool) message.Submission {
 	left := c.remaining()
 	target := c.route.Target - c.age()
@@ -92,9 +92,9 @@
 	if c.mayHaveRun {
 		return 0
 	}
-	patience := event.Duration(float64(left) * maxWaitOfRemaining)
+	wait := event.Duration(float64(left) * maxWaitOfRemaining)
 	if c.route.Target > 0 {
-		patience = min(patience, event.Duration(float64(c.route.Target)*maxWaitOfTarget))
+		wait = min(wait, event.Duration(float64(c.route.Target)*maxWaitOfTarget))
 	}
-	return max(patience, event.Millisecond)
+	return max(wait, event.Millisecond)
 }
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -33,7 +33,7 @@
 	// maxInlineBody is the longest body that is written before the response is read, in bytes.
 	maxInlineBody       = 8 << 10
 	maxInterimResponses = 8
-	userTimeoutMillis   = 3000
+	userTimeoutMillis   = 3000 // how long sent bytes may stay unacknowledged (TCP_USER_TIMEOUT)
 )
 
 // errNotSent is returned if no byte of the request was sent.
