--- a/control/keys.go
+++ b/control/keys.go
@@ -92,7 +92,7 @@
 	s.keys.claims, s.keys.releases = nil, nil
 }
 
-// resumeClaimed steps the requests whose claims were committed, in the order of their IDs.
+// resumeClaimed passes the requests whose claims were committed to their schedulers, in the order of their IDs.
 func (s *State) resumeClaimed(now event.Time, out *Effects) {
 	var decided []*keyedRequest
 	for _, k := range s.keys.byID {
