--- a/slot/run.go
+++ b/slot/run.go
@@ -41,8 +41,8 @@
 	header   http.Header
 	body     []byte
 	priority string
-	noRepeat bool
-	retain   bool
+	noRepeat bool // it must not be repeated; its run is never cancelled
+	retain   bool // other requests may fetch the same response
 }
 
 // run is one dispatched request.
