--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -61,7 +61,7 @@
 	Evicted  bool   `json:"evicted"`
 }
 
-// Order requests an engine to change what it serves.
+// Order asks an engine to change what it serves.
 type Order struct {
 	// Kind is "model", "adapter", "version" or "role".
 	Kind string `json:"kind"`
