--- a/message/listing.go
+++ b/message/listing.go
@@ -201,9 +201,9 @@
 	}
 	n := len(c.Flags)
 	names := c.names()
-	short := len(c.Hosts) == 4*n && len(c.Ports) == 2*n && len(c.Addresses) == 0
-	long := len(c.Addresses) == n && len(c.Hosts)+len(c.Ports) == 0
-	if len(names) != n || len(c.Service) != 2*n || len(c.DataCentre) != 2*n || len(c.Slots) != n || !short && !long {
+	hasHosts := len(c.Hosts) == 4*n && len(c.Ports) == 2*n && len(c.Addresses) == 0
+	hasAddresses := len(c.Addresses) == n && len(c.Hosts)+len(c.Ports) == 0
+	if len(names) != n || len(c.Service) != 2*n || len(c.DataCentre) != 2*n || len(c.Slots) != n || !hasHosts && !hasAddresses {
 		return nil, errListing
 	}
 	born, err := c.startTimes(n)
@@ -220,7 +220,7 @@
 		e.ID = registry.InstanceID(c.Prefix+names[i], born[i])
 		e.Service, e.DataCentre, e.Slots = c.Texts[service], c.Texts[dataCentre], c.Slots[i]
 		e.Leaving, e.Down = c.Flags[i]&flagDraining != 0, c.Flags[i]&flagDown != 0
-		if long {
+		if hasAddresses {
 			e.Address = c.Addresses[i]
 			continue
 		}
