--- a/cluster/absent_test.go
+++ b/cluster/absent_test.go
@@ -12,14 +12,13 @@
 	"lynxramp.org/message"
 )
 
-// TestTickTimeWithAbsentEntries guards against ticks whose cost grows with the number of absent entries:
-// the owner used to scan all requests for each of them at each tick. It takes the best of several runs, as
-// the machine may be busy.
-func TestTickTimeWithAbsentEntries(t *testing.T) {
+// TestTickTimeWithDisconnectedEntries guards against a scan of all requests for each disconnected entry at
+// each tick. It takes the best of several runs, as the machine may be busy.
+func TestTickTimeWithDisconnectedEntries(t *testing.T) {
 	const (
-		entries, absent = 390, 130
-		requests        = 20000
-		maxTickTime     = 200 * time.Millisecond
+		entries, disconnected = 390, 130
+		requests              = 20000
+		maxTickTime           = 200 * time.Millisecond
 	)
 	s := newSim(t, 3, 0)
 	s.run(2 * second)
@@ -33,16 +32,16 @@
 		s.step(owner, &SessionOpened{FormatVersion: level.Newest, Session: SessionID(i + 1), Hello: message.Hello{Entry: event.BoxID(fmt.Sprint("entry", i))}})
 	}
 	for i := range requests {
-		s.step(owner, &BatchReceived{Session: SessionID(absent + 1 + i%(entries-absent)), Batch: submit(event.RequestID(fmt.Sprint("r", i)))})
+		s.step(owner, &BatchReceived{Session: SessionID(disconnected + 1 + i%(entries-disconnected)), Batch: submit(event.RequestID(fmt.Sprint("r", i)))})
 	}
-	for i := range absent {
+	for i := range disconnected {
 		s.step(owner, &SessionClosed{Session: SessionID(i + 1)})
 	}
 	now := s.now.Add(entryTimeout + second)
 	var out Effects
 	owner.state.owner.tick(now, owner.state, &out)
-	if got := forgottenEntries(owner.state.owner); got == 0 || got > maxExpiredPerTick {
-		t.Errorf("%d entries forgotten in one tick, want 1 to %d", got, maxExpiredPerTick)
+	if got := expiredEntries(owner.state.owner); got == 0 || got > maxExpiredPerTick {
+		t.Errorf("%d entries expired in one tick, want 1 to %d", got, maxExpiredPerTick)
 	}
 	best := time.Hour
 	for range 3 {
@@ -54,16 +53,16 @@
 		best = min(best, time.Since(began))
 	}
 	t.Logf("the ticks of one second take %v", best)
-	if got := forgottenEntries(owner.state.owner); got != absent {
-		t.Errorf("%d of %d absent entries forgotten after one more second", got, absent)
+	if got := expiredEntries(owner.state.owner); got != disconnected {
+		t.Errorf("%d of %d disconnected entries expired after one more second", got, disconnected)
 	}
 	if best > maxTickTime {
-		t.Errorf("the ticks of one second with %d of %d entries absent and %d requests take %v, want at most %v", absent, entries, requests, best, maxTickTime)
+		t.Errorf("the ticks of one second with %d of %d entries disconnected and %d requests take %v, want at most %v", disconnected, entries, requests, best, maxTickTime)
 	}
 }
 
-// forgottenEntries returns the number of entries whose requests an owner has taken as terminated.
-func forgottenEntries(o *owner) int {
+// expiredEntries returns the number of entries whose requests an owner has taken as terminated.
+func expiredEntries(o *owner) int {
 	n := 0
 	for _, e := range o.entries {
 		if e.isExpired {
--- a/cluster/limit_sim_test.go
+++ b/cluster/limit_sim_test.go
@@ -84,10 +84,10 @@
 
 // deliverResponses delivers the responses that are due to an entry.
 func (l *limitedEndpoint) deliverResponses(f *fleetSim, e *fleetEntry, now event.Time) {
-	var left []limitedResponse
+	var pending []limitedResponse
 	for _, a := range l.responses {
 		if a.entry != e || f.now < a.at {
-			left = append(left, a)
+			pending = append(pending, a)
 			continue
 		}
 		if a.client != e.client {
@@ -111,7 +111,7 @@
 		gate.Observe(now, a.sent, "e", feedback, !a.isDegraded)
 		e.client.ObserveFeedback(now, backpressure.Report{Endpoint: "e", Request: a.id, Word: feedback})
 	}
-	l.responses = left
+	l.responses = pending
 }
 
 // maxSince returns the largest number of arrivals in a window, of those since a time, and the time of the
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -205,8 +205,9 @@
 	o.raiseFormatVersion(now, s, out)
 }
 
-// expireEntries takes the requests of entries disconnected for longer than entryTimeout as terminated. The number of
-// entries per tick is bounded to keep the step short: each scans all requests.
+// expireEntries takes the requests of entries disconnected for longer than entryTimeout as
+// terminated. The number of entries per tick is bounded to keep the step short: each scans all
+// requests.
 func (o *owner) expireEntries(now event.Time) {
 	var expired []event.BoxID
 	for name, e := range o.entries {
--- a/cluster/poison_sim_test.go
+++ b/cluster/poison_sim_test.go
@@ -364,7 +364,7 @@
 
 // TestPoisonRunsAreBoundedUnderFaults: whatever faults owners, entries and connections have, also at the
 // moment of a crash, healthy entries send a request at most maxLatePoisonRuns times after its third crash.
-// Two of the crashes may be unobserved, as their entry and owner died with them; each further one allows
+// Two of the crashes may be unobserved, as their entry and owner were killed with them; each further one allows
 // one more run.
 func TestPoisonRunsAreBoundedUnderFaults(t *testing.T) {
 	for entries, seeds := range map[int]uint64{4: 24, 22: 6} {
--- a/cluster/sim_test.go
+++ b/cluster/sim_test.go
@@ -329,8 +329,8 @@
 // join sends join requests, as Server.maintainMembership does.
 func (s *sim) join(b *simBox) {
 	node := b.state.Node()
-	quiet := s.now.Sub(node.LastLeaderContact()) > leaderTimeout && node.Leader() != node.ID()
-	if int64(s.now)%int64(300*event.Millisecond) != 0 || (node.IsVoter() && !quiet) {
+	isLeaderless := s.now.Sub(node.LastLeaderContact()) > leaderTimeout && node.Leader() != node.ID()
+	if int64(s.now)%int64(300*event.Millisecond) != 0 || (node.IsVoter() && !isLeaderless) {
 		return
 	}
 	for _, name := range s.order {
--- a/cluster/upgrade_sim_test.go
+++ b/cluster/upgrade_sim_test.go
@@ -285,7 +285,7 @@
 		s := newSim(t, rapid.SampledFrom([]int{3, 5}).Draw(rt, "boxes"), 0)
 		s.run(2 * event.Second)
 		order := rapid.Permutation(s.order).Draw(rt, "order")
-		lead, moves := s.mustOwner().name, 0
+		leader, moves := s.mustOwner().name, 0
 		for _, name := range order {
 			s.step(s.boxes[name], &StopRequested{})
 			s.run(600 * event.Millisecond)
@@ -293,8 +293,8 @@
 			s.run(event.Duration(rapid.IntRange(1, 100).Draw(rt, "off")) * simStep)
 			s.restart(name)
 			s.run(event.Duration(rapid.IntRange(50, 300).Draw(rt, "gap")) * simStep)
-			if now := s.mustOwner().name; now != lead {
-				lead = now
+			if now := s.mustOwner().name; now != leader {
+				leader = now
 				moves++
 			}
 		}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -136,10 +136,10 @@
 		return false
 	}
 	for _, c := range []struct {
-		name, path  string
-		first       responder
-		status      int
-		first2, all int // runs at the first endpoint and at both together
+		name, path         string
+		first              responder
+		status             int
+		firstRuns, allRuns int // runs at the first endpoint and at both together
 	}{
 		{"not run, once", "/once/x", notRun, 200, 1, 2},
 		{"not run, safe", "/safe/x", notRun, 200, 1, 2},
@@ -166,8 +166,8 @@
 			if status != c.status {
 				t.Errorf("status %d (%q), want %d", status, body, c.status)
 			}
-			if one.runs() != c.first2 || one.runs()+two.runs() != c.all {
-				t.Errorf("%d and %d runs, want %d and %d in all", one.runs(), two.runs(), c.first2, c.all)
+			if one.runs() != c.firstRuns || one.runs()+two.runs() != c.allRuns {
+				t.Errorf("%d and %d runs, want %d and %d in all", one.runs(), two.runs(), c.firstRuns, c.allRuns)
 			}
 		})
 	}
@@ -180,9 +180,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead := &fakeEndpoint{address: l.Addr().String()}
+	unreachable := &fakeEndpoint{address: l.Addr().String()}
 	_ = l.Close()
-	for name, second := range map[string]*fakeEndpoint{"rejected": newFakeEndpoint(t, notRun), "not reached": dead} {
+	for name, second := range map[string]*fakeEndpoint{"rejected": newFakeEndpoint(t, notRun), "not reached": unreachable} {
 		r := newTestGateway(t, newFakeEndpoint(t, reset), second)
 		if status, body, _ := r.do(t, r.request("POST", "/safe/x", "q")); status != 502 {
 			t.Errorf("%s: %d %q, want 502", name, status, body)
@@ -204,9 +204,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead := &fakeEndpoint{address: l.Addr().String()}
+	unreachable := &fakeEndpoint{address: l.Addr().String()}
 	_ = l.Close()
-	r := newTestGateway(t, dead, dead, newFakeEndpoint(t, whole(200, "answer")))
+	r := newTestGateway(t, unreachable, unreachable, newFakeEndpoint(t, whole(200, "answer")))
 	if status, body, _ := r.do(t, r.request("POST", "/once/x", "q")); status != 200 {
 		t.Errorf("%d %q, want 200 from the endpoint that was reached", status, body)
 	}
@@ -274,9 +274,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead := &fakeEndpoint{address: l.Addr().String()}
+	unreachable := &fakeEndpoint{address: l.Addr().String()}
 	_ = l.Close()
-	r := newTestGateway(t, newFakeEndpoint(t, events(3, true)), dead)
+	r := newTestGateway(t, newFakeEndpoint(t, events(3, true)), unreachable)
 	if _, _, all := r.do(t, r.request("POST", "/stream/x", "q")); all {
 		t.Error("a stream whose second endpoint was not reached is complete")
 	}
@@ -304,7 +304,7 @@
 	select {
 	case <-e.closed:
 	case <-time.After(2 * time.Second):
-		t.Error("the endpoint still works for a caller that has left")
+		t.Error("the endpoint still works for a caller that has disconnected")
 	}
 }
 
--- a/gateway/gone_test.go
+++ b/gateway/gone_test.go
@@ -147,15 +147,15 @@
 }
 
 // checkCancelled checks that the endpoint saw the connection close in time.
-func (w *cancelWatcher) checkCancelled(t *testing.T, left time.Time) {
+func (w *cancelWatcher) checkCancelled(t *testing.T, disconnected time.Time) {
 	t.Helper()
 	select {
 	case at := <-w.cancelled:
-		if took := at.Sub(left); took > cancelWithin {
+		if took := at.Sub(disconnected); took > cancelWithin {
 			t.Errorf("the request was cancelled after %v", took)
 		}
 	case <-time.After(2 * cancelWithin):
-		t.Error("the endpoint still works for a caller that has left")
+		t.Error("the endpoint still works for a caller that has disconnected")
 	}
 }
 
@@ -171,14 +171,14 @@
 }
 
 // checkWithdrawn checks that the request was withdrawn at the owner in time.
-func (o *fakeOwner) checkWithdrawn(t *testing.T, left time.Time) {
+func (o *fakeOwner) checkWithdrawn(t *testing.T, disconnected time.Time) {
 	t.Helper()
 	waitFor(t, "the request is withdrawn", func() bool {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		return len(o.withdrawn) == 1
 	})
-	if took := time.Since(left); took > cancelWithin {
+	if took := time.Since(disconnected); took > cancelWithin {
 		t.Errorf("the request was withdrawn after %v", took)
 	}
 }
@@ -286,7 +286,7 @@
 		r.owner.mu.Unlock()
 		waitFor(t, "the grant is returned", func() bool { return len(r.owner.finishes()) == 1 && r.owner.finishes()[0].Unused })
 		if e.runs() != 0 {
-			t.Errorf("%d runs for a caller that has left", e.runs())
+			t.Errorf("%d runs for a caller that has disconnected", e.runs())
 		}
 	})
 }
@@ -305,9 +305,9 @@
 			before := e.runs()
 			c.send("/safe/x", "half of", 100)
 			waitFor(t, "half the body has arrived", func() bool { return r.gateway.bodyBytes.Load() == 7 })
-			left := c.disconnect(m)
+			disconnected := c.disconnect(m)
 			waitFor(t, "nothing is held", func() bool { all, _ := r.gateway.InFlight(); return all == 0 && r.gateway.bodyBytes.Load() == 0 })
-			if took := time.Since(left); took > cancelWithin {
+			if took := time.Since(disconnected); took > cancelWithin {
 				t.Errorf("the request was held for %v", took)
 			}
 			if e.runs() != before {
@@ -317,7 +317,7 @@
 	}
 }
 
-// TestDisconnectBeforeDispatch guards against sending on a kept connection for a caller that has just left: the
+// TestDisconnectBeforeDispatch guards against sending on a kept connection for a caller that has just disconnected: the
 // cancellation would look like a failure of the endpoint.
 func TestDisconnectBeforeDispatch(t *testing.T) {
 	e := newFakeEndpoint(t, whole(200, "answer"))
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -38,16 +38,16 @@
 }
 
 // testFeedback reads the feedback of the test endpoints.
-func testFeedback(_ int, h http.Header) (w backpressure.Feedback, err error) {
+func testFeedback(_ int, h http.Header) (f backpressure.Feedback, err error) {
 	if text := h.Get("X-Limit"); text != "" {
-		w.Limited = true
-		w.Rate, err = strconv.ParseFloat(text, 64)
+		f.Limited = true
+		f.Rate, err = strconv.ParseFloat(text, 64)
 	}
 	if text := h.Get("X-Rest"); text != "" {
-		w.Rest, err = time.ParseDuration(text)
+		f.Rest, err = time.ParseDuration(text)
 	}
-	w.Leaving = h.Get("X-Leaving") != ""
-	return w, err
+	f.Leaving = h.Get("X-Leaving") != ""
+	return f, err
 }
 
 // fakeEndpoint responds to each request on its connections by a script.
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -50,7 +50,7 @@
 }
 
 // TestForwardedDeadlineIncludesSuspend guards against giving the next endpoint the suspended time on top, so that it
-// works after the caller has left.
+// works after the caller has disconnected.
 func TestForwardedDeadlineIncludesSuspend(t *testing.T) {
 	const slept = 1500 * time.Millisecond // of the 2.5 s that the caller waits
 	clock := &suspendableClock{}
--- a/gateway/view_test.go
+++ b/gateway/view_test.go
@@ -23,17 +23,17 @@
 	return message.Pack(list)
 }
 
-// TestEndpointListIsReceivedInParts: an entry requests each next part of an endpoint list at once. Known endpoints
-// are kept until the last part arrives, also over another connection, and only then the unlisted ones are removed.
-// Changes between the parts do not end the list.
-func TestEndpointListIsReceivedInParts(t *testing.T) {
+// TestEndpointListIsReceivedInPages: an entry requests each next page of an endpoint list at once. Known endpoints
+// are kept until the last page arrives, also over another connection, and only then the unlisted ones are removed.
+// Changes between the pages do not end the list.
+func TestEndpointListIsReceivedInPages(t *testing.T) {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", ControlAddresses: []string{"box"}, ConfigValidity: 5 * event.Second, Log: zap.NewNop()})
-	receive := func(v message.View) (asked bool) {
+	receive := func(v message.View) (pinged bool) {
 		a.Received(0, a.link, &message.Envelope{View: &v})
 		for _, s := range a.TakeEffects().Sends {
-			asked = asked || (s.Message.Ping != nil && s.Message.Ping.Revision == a.revision)
+			pinged = pinged || (s.Message.Ping != nil && s.Message.Ping.Revision == a.revision)
 		}
-		return asked
+		return pinged
 	}
 	check := func(revision uint64, want ...event.EndpointID) {
 		t.Helper()
--- a/registry/start_test.go
+++ b/registry/start_test.go
@@ -36,12 +36,12 @@
 			if !terminated && !cmp.Equal(removed, []string{"a/1000"}) {
 				t.Errorf("at %s: removed %v, want the earlier instance", address, removed)
 			}
-			for _, late := range []Endpoint{
+			for _, delayed := range []Endpoint{
 				{ID: "a", Born: 1000, Address: "10.0.0.1:80", Sequence: 901, Leaving: true},
 				{ID: "a", Address: "10.0.0.1:80", Sequence: 902},
 			} {
-				if _, accepted := s.ResolveInstance(late); accepted {
-					t.Errorf("a heartbeat of the earlier instance was accepted: %+v", late)
+				if _, accepted := s.ResolveInstance(delayed); accepted {
+					t.Errorf("a heartbeat of the earlier instance was accepted: %+v", delayed)
 				}
 			}
 		}
@@ -113,7 +113,7 @@
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 3))
 		var s State
-		var late []Endpoint
+		var delayed []Endpoint
 		born, revision := uint64(1000), uint64(0)
 		next := func() uint64 { revision++; return revision }
 		for range 40 {
@@ -124,13 +124,13 @@
 			for sequence := uint64(1); sequence <= heartbeats; sequence++ {
 				e := Endpoint{ID: name, Born: born, Address: address, Sequence: sequence, Leaving: sequence == 4}
 				if r.IntN(3) > 0 {
-					late = append(late, e)
+					delayed = append(delayed, e)
 				}
 				if r.IntN(3) > 0 {
 					s.heartbeat(e, next())
 				}
-				if len(late) > 0 && r.IntN(2) == 0 {
-					s.heartbeat(late[r.IntN(len(late))], next())
+				if len(delayed) > 0 && r.IntN(2) == 0 {
+					s.heartbeat(delayed[r.IntN(len(delayed))], next())
 				}
 			}
 			if r.IntN(4) == 0 {
