--- a/gateway/owner_client.go
+++ b/gateway/owner_client.go
@@ -368,8 +368,8 @@
 	for _, s := range a.gate.States() {
 		a.degraded.ApplyFeedbackState(now, s, &a.effects)
 	}
-	for _, r := range a.gate.Cooldowns(now) {
-		a.degraded.ObserveFeedback(now, a.config.Entry, &r, &a.effects)
+	for _, report := range a.gate.Cooldowns(now) {
+		a.degraded.ObserveFeedback(now, a.config.Entry, &report, &a.effects)
 	}
 	for _, u := range a.unsavedEnds {
 		a.degraded.RecordEnds(now, []poison.End{u.end}, &a.effects)
--- a/message/message.go
+++ b/message/message.go
@@ -43,9 +43,9 @@
 
 // Hello begins a session. An entry sends the state that a new owner needs of it.
 type Hello struct {
-	// Entry is the entry's name and instance; empty if a control box sends it.
+	// Entry is the entry's name; empty if a control box sends it.
 	Entry event.BoxID
-	// Life identifies the instance of the process.
+	// Life identifies the instance of the entry's process.
 	Life uint64
 	// Held has the entry's leases with what it has spent of them, Running its running requests:
 	// as many as fit into a message. Pings carry the rest; More is set if there is more of Held.
