--- a/gateway/asked_test.go
+++ b/gateway/asked_test.go
@@ -41,8 +41,8 @@
 			third      responder
 			want       string
 		}{
-			{"first try", "/once/x", nil, whole(200, "answer"), "answer"},
-			{"repeat", "/safe/x", reset, whole(200, "answer"), "answer"},
+			{"first attempt", "/once/x", nil, whole(200, "answer"), "answer"},
+			{"retry", "/safe/x", reset, whole(200, "answer"), "answer"},
 			{"resumed stream", "/stream/x", events(1, true), events(2, false), eventText(1) + eventText(2)},
 		} {
 			t.Run(header+" "+attempt.name, func(t *testing.T) {
@@ -61,12 +61,12 @@
 				}
 				status, body, all := r.do(t, r.request("POST", attempt.path, "second"))
 				if status != 200 || body != attempt.want || !all || e1.runs() != 1 || e3.runs() != 1 {
-					t.Errorf("%d %q whole %v; the endpoint had %d requests, the third %d", status, body, all, e1.runs(), e3.runs())
+					t.Errorf("status %d, body %q, complete %v; e1 had %d requests and e3 %d, want 1 each", status, body, all, e1.runs(), e3.runs())
 				}
 				r.owner.mu.Lock()
 				defer r.owner.mu.Unlock()
 				if n := len(r.owner.feedback); n < 2 {
-					t.Errorf("the owner received %d feedback reports", n)
+					t.Errorf("the owner received %d feedback reports, want at least 2", n)
 				}
 				unused := 0
 				for _, f := range r.owner.finished {
@@ -75,14 +75,15 @@
 					}
 				}
 				if unused != 1 {
-					t.Errorf("%d grants were returned unused", unused)
+					t.Errorf("%d grants were returned unused, want 1", unused)
 				}
 			})
 		}
 	}
 }
 
-// TestMisdirectedFeedbackIsIgnored: feedback in a misdirected response comes from another endpoint.
+// TestMisdirectedFeedbackIsIgnored: feedback in a misdirected response (421) comes from another endpoint and must
+// not be applied to the one that was granted.
 func TestMisdirectedFeedbackIsIgnored(t *testing.T) {
 	e1, e2 := newFakeEndpoint(t, withFeedback(421, "X-Leaving: 1\r\nX-Limit: 0")), newFakeEndpoint(t, whole(200, "answer"))
 	r := newTestGateway(t, e1, e2)
@@ -100,7 +101,7 @@
 	e1, e2 := newFakeEndpoint(t, withFeedback(503, "X-Rest: 3s")), newFakeEndpoint(t, whole(200, "answer"))
 	r := newTestGateway(t, e1, e2)
 	if status, body, _ := r.do(t, r.request("POST", "/once/x", "q")); status != 200 || body != "answer" || e1.runs() != 1 {
-		t.Errorf("%d %q, %d runs", status, body, e1.runs())
+		t.Errorf("status %d, body %q after %d runs at the endpoint in cooldown, want 200 from the other endpoint", status, body, e1.runs())
 	}
 }
 
@@ -113,7 +114,7 @@
 	}
 	defer a.Body.Close()
 	if a.Header.Get("X-Limit") != "2" || a.Header.Get("X-Leaving") != "1" {
-		t.Errorf("headers %v", a.Header)
+		t.Errorf("the response lacks feedback headers: %v", a.Header)
 	}
 }
 
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -38,8 +38,8 @@
 	return false
 }
 
-// TestAttemptResultsAreReported: an end is reported only if the endpoint closed the connection before or during a
-// response. Only a complete response that is framed counts as a success.
+// TestAttemptResultsAreReported: the end (crash) of an endpoint is reported only if it closed the connection before or
+// during a response. Only a complete response that is framed counts as a success.
 func TestAttemptResultsAreReported(t *testing.T) {
 	cut := func(c net.Conn, r *http.Request) bool {
 		fmt.Fprintf(c, "%sContent-Length: 100\r\n\r\nhalf", head(r, 200, ""))
@@ -56,18 +56,18 @@
 		isEnd  bool
 		ran    message.Outcome
 	}{
-		"whole":               {"/once/1", whole(200, "x"), false, message.OutcomeSuccess},
-		"not found":           {"/once/1", whole(404, "x"), false, message.OutcomeSuccess},
-		"stream":              {"/single/1", events(2, false), false, message.OutcomeSuccess},
-		"failure":             {"/once/1", whole(500, "x"), false, message.OutcomeFailed},
-		"not run":             {"/once/1", notRun, false, message.OutcomeFailed},
-		"reset":               {"/once/1", reset, true, message.OutcomeUnknown},
-		"cut":                 {"/once/1", cut, true, message.OutcomeUnknown},
-		"cut in a long one":   {"/once/1", longCut, true, message.OutcomeUnknown},
-		"cut in a stream":     {"/single/1", events(2, true), true, message.OutcomeUnknown},
-		"end that is no sign": {"/once/1", unframed, false, message.OutcomeUnknown},
-		"foreign":             {"/once/1", foreign, false, message.OutcomeUnknown},
-		"no answer in time":   {"/once/1", silent, false, message.OutcomeUnknown},
+		"whole":              {"/once/1", whole(200, "x"), false, message.OutcomeSuccess},
+		"not found":          {"/once/1", whole(404, "x"), false, message.OutcomeSuccess},
+		"stream":             {"/single/1", events(2, false), false, message.OutcomeSuccess},
+		"failure":            {"/once/1", whole(500, "x"), false, message.OutcomeFailed},
+		"not run":            {"/once/1", notRun, false, message.OutcomeFailed},
+		"reset":              {"/once/1", reset, true, message.OutcomeUnknown},
+		"cut":                {"/once/1", cut, true, message.OutcomeUnknown},
+		"cut in a long body": {"/once/1", longCut, true, message.OutcomeUnknown},
+		"cut in a stream":    {"/single/1", events(2, true), true, message.OutcomeUnknown},
+		"unframed body":      {"/once/1", unframed, false, message.OutcomeUnknown},
+		"foreign":            {"/once/1", foreign, false, message.OutcomeUnknown},
+		"no answer in time":  {"/once/1", silent, false, message.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -79,7 +79,7 @@
 			want := poison.NewFingerprinter("team", http.MethodPost, "h.example", one.path)
 			_, _ = want.Write([]byte("body")) // Write returns no errors
 			if f.Print != want.Sum() || f.Ran != one.ran {
-				t.Errorf("reported %d of %v, want %d of %v", f.Ran, f.Print, one.ran, want.Sum())
+				t.Errorf("reported outcome %d of request %v, want %d of %v", f.Ran, f.Print, one.ran, want.Sum())
 			}
 			r.owner.mu.Lock()
 			defer r.owner.mu.Unlock()
@@ -88,11 +88,11 @@
 			}
 			for _, e := range r.owner.ends {
 				if e.Print != want.Sum() || e.Endpoint != "e1" || e.Request != f.ID || e.Number != 1 {
-					t.Errorf("reported end: %+v", e)
+					t.Errorf("the reported end has wrong fields: %+v", e)
 				}
 			}
 			if s := r.owner.submits[0]; s.Print != want.Sum() {
-				t.Errorf("submitted with fingerprint %v", s.Print)
+				t.Errorf("submitted with the wrong fingerprint %v", s.Print)
 			}
 		})
 	}
@@ -108,24 +108,24 @@
 	return a
 }
 
-// sentEnds returns the ends and successes that a client sends.
-func sentEnds(a *OwnerClient) (ends []poison.End, well []poison.Fingerprint) {
+// sentEnds returns the ends of endpoints and the fingerprints of successful requests that a client sends.
+func sentEnds(a *OwnerClient) (ends []poison.End, successes []poison.Fingerprint) {
 	for _, s := range a.TakeEffects().Sends {
 		if b := s.Message.Batch; b != nil {
-			ends, well = append(ends, b.Ends...), append(well, b.Well...)
+			ends, successes = append(ends, b.Ends...), append(successes, b.Well...)
 		}
 	}
-	return ends, well
+	return ends, successes
 }
 
-// TestEndsAreReportedUntilSaved: an end is reported at once, and again to each new owner until one has it in its log.
-// Successes without an owner are reported to the next one.
+// TestEndsAreReportedUntilSaved: the end of an endpoint is reported at once, and again to each new owner until one has
+// it in its log. Successes without an owner are reported to the next one.
 func TestEndsAreReportedUntilSaved(t *testing.T) {
 	a := ownedClient()
 	a.RecordEnd(0, poison.End{Print: "p", Endpoint: "e1"})
 	a.RecordEnd(0, poison.End{Print: "q", Endpoint: "e2"})
 	if ends, _ := sentEnds(a); len(ends) != 2 || ends[0].Number != 1 || ends[1].Number != 2 {
-		t.Fatalf("reported at once: %+v", ends)
+		t.Fatalf("reported at once: %+v, want ends 1 and 2", ends)
 	}
 	a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Ends: 1}})
 	a.Disconnected(0, 1, nil)
@@ -133,22 +133,22 @@
 	later := event.Time(event.Second)
 	a.Connected(later, 2, "box")
 	a.Received(later, 2, &message.Envelope{Pong: &message.Pong{}})
-	ends, well := sentEnds(a)
+	ends, successes := sentEnds(a)
 	if len(ends) != 1 || ends[0].Print != "q" || ends[0].Number != 2 || ends[0].Ago != event.Second {
-		t.Errorf("reported to the next owner: %+v", ends)
+		t.Errorf("reported to the next owner: %+v, want only end 2 with its age", ends)
 	}
-	if len(well) != 1 || well[0] != "w" {
-		t.Errorf("reported successes: %v", well)
+	if len(successes) != 1 || successes[0] != "w" {
+		t.Errorf("reported successes: %v, want w", successes)
 	}
 	a.Received(later, 2, &message.Envelope{Pong: &message.Pong{Ends: 2}})
 	if len(a.unsavedEnds) != 0 {
-		t.Errorf("%d saved ends are kept", len(a.unsavedEnds))
+		t.Errorf("%d ends are kept although the owner has saved them", len(a.unsavedEnds))
 	}
 	for i := range 5 * maxUnsavedEnds {
 		a.RecordEnd(later, poison.End{Print: poison.Fingerprint(fmt.Sprint(i)), Endpoint: "e"})
 	}
 	if len(a.unsavedEnds) > maxUnsavedEnds {
-		t.Errorf("%d ends are kept", len(a.unsavedEnds))
+		t.Errorf("%d ends are kept, more than maxUnsavedEnds", len(a.unsavedEnds))
 	}
 }
 
@@ -196,7 +196,7 @@
 		default:
 		}
 		if want := len(lists) == 1; isRefused != want {
-			t.Errorf("after lists %v it is refused: %v", lists, isRefused)
+			t.Errorf("after the lists of suspects %v the request is refused: %v", lists, isRefused)
 		}
 	}
 }
--- a/gateway/fresh_test.go
+++ b/gateway/fresh_test.go
@@ -42,10 +42,10 @@
 		pong(now, version)
 		put(now.Add(100*event.Millisecond), version-1)
 		if a.Table(now.Add(100*event.Millisecond)) == nil {
-			t.Fatalf("refuses at version %d, %v after the beginning", version, now)
+			t.Fatalf("no valid configuration when version %d is announced, at %v", version, now)
 		}
 		if len(a.confirmations) > 20 {
-			t.Fatalf("%d confirmations kept", len(a.confirmations))
+			t.Fatalf("%d confirmations are kept, want at most 20", len(a.confirmations))
 		}
 	}
 }
@@ -58,32 +58,32 @@
 	confirm := func(ms int, version uint64) {
 		a.confirmVersion(at(ms), versionConfirmation{version: version, asked: at(ms)})
 	}
-	serves := func(ms int) bool { return a.Table(at(ms)) != nil }
+	isValid := func(ms int) bool { return a.Table(at(ms)) != nil }
 	put(0, 1)
-	if serves(0) {
+	if isValid(0) {
 		t.Error("valid without a confirmation")
 	}
 	confirm(1000, 1)
 	confirm(2000, 2)
 	confirm(3000, 3)
-	if !serves(5999) || serves(6000) {
+	if !isValid(5999) || isValid(6000) {
 		t.Error("version 1 must be valid for 5 s after the ping at 1 s")
 	}
 	put(4000, 2)
-	if !serves(6999) || serves(7000) {
+	if !isValid(6999) || isValid(7000) {
 		t.Error("version 2 must be valid for 5 s after the ping at 2 s")
 	}
 	confirm(4500, 1) // a late confirmation that version 1 still was the newest
-	if !serves(9499) || serves(9500) {
+	if !isValid(9499) || isValid(9500) {
 		t.Error("version 2 is valid by the confirmation of version 1 at 4.5 s")
 	}
 	put(9600, 3)
-	if serves(9600) {
-		t.Error("a confirmation of 3 s is valid at 9.6 s")
+	if isValid(9600) {
+		t.Error("version 3 is valid at 9.6 s by a ping at 3 s")
 	}
 	select {
 	case <-a.firstTable:
 	default:
-		t.Error("firstTable is not closed")
+		t.Error("firstTable is not closed although a version has been valid")
 	}
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -26,7 +26,7 @@
 	r := newTestGateway(t, e)
 	status, body, all := r.do(t, r.request("POST", "/once/a%20b?x=1", "question"))
 	if status != 200 || body != "answer" || !all {
-		t.Fatalf("%d %q whole %v", status, body, all)
+		t.Fatalf("status %d, body %q, complete %v, want the endpoint's answer", status, body, all)
 	}
 	got := e.requests[0]
 	for name, want := range map[string]string{"X-Team": "team", "X-Expect": "e1", "X-Request": "r-1", "Authorization": ""} {
@@ -47,7 +47,7 @@
 		endpoints []responder
 	}{
 		"call":    {"/once/x", []responder{whole(200, "a")}},
-		"repeat":  {"/safe/x", []responder{reset, whole(200, "a")}},
+		"retry":   {"/safe/x", []responder{reset, whole(200, "a")}},
 		"stream":  {"/stream/x", []responder{events(3, false)}},
 		"resumed": {"/stream/x", []responder{events(2, true), events(4, false)}},
 	} {
@@ -108,11 +108,11 @@
 		q := r.request("POST", "/once/x", "q")
 		c.change(q)
 		if status, _, _ := r.do(t, q); status != c.want {
-			t.Errorf("%s: %d, want %d", name, status, c.want)
+			t.Errorf("%s: status %d, want %d", name, status, c.want)
 		}
 	}
 	if e.runs() != 0 {
-		t.Errorf("%d of these reached the endpoint", e.runs())
+		t.Errorf("%d invalid requests reached the endpoint", e.runs())
 	}
 }
 
@@ -139,7 +139,7 @@
 		name, path  string
 		first       responder
 		status      int
-		first2, all int // runs at the first endpoint and at both together
+		runs, total int // at the first endpoint, and at both together
 	}{
 		{"not run, once", "/once/x", notRun, 200, 1, 2},
 		{"not run, safe", "/safe/x", notRun, 200, 1, 2},
@@ -166,8 +166,8 @@
 			if status != c.status {
 				t.Errorf("status %d (%q), want %d", status, body, c.status)
 			}
-			if one.runs() != c.first2 || one.runs()+two.runs() != c.all {
-				t.Errorf("%d and %d runs, want %d and %d in all", one.runs(), two.runs(), c.first2, c.all)
+			if one.runs() != c.runs || one.runs()+two.runs() != c.total {
+				t.Errorf("%d runs at the first endpoint and %d at the second, want %d at the first and %d in all", one.runs(), two.runs(), c.runs, c.total)
 			}
 		})
 	}
@@ -246,7 +246,7 @@
 	status, body, all := r.do(t, r.request("POST", "/stream/x", "q"))
 	want := eventText(1) + eventText(2) + eventText(3) + eventText(4) + eventText(5)
 	if status != 200 || body != want || !all {
-		t.Errorf("%d, whole %v, body %q", status, all, body)
+		t.Errorf("status %d, complete %v, body %q, want all events once", status, all, body)
 	}
 	if got := two.requests[0].Header.Get("X-Last"); got != "3" {
 		t.Errorf("the second endpoint was asked from event %q, want 3", got)
@@ -256,18 +256,18 @@
 	defer r.owner.mu.Unlock()
 	first, second := r.owner.submits[0].Ticket, r.owner.submits[1].Ticket
 	if first.Placed || first.Patience == 0 || !second.Placed || second.Patience != 0 {
-		t.Errorf("first %+v, second %+v", first, second)
+		t.Errorf("only the first ticket may have a limit on its wait; first %+v, second %+v", first, second)
 	}
 }
 
 // TestAbortedStreamIsNotComplete covers the ways in which a started stream is given up. The caller must see the
 // response break off, not end.
 func TestAbortedStreamIsNotComplete(t *testing.T) {
-	for name, path := range map[string]string{"not resumable": "/single/x", "nobody to resume at": "/stream/x"} {
+	for name, path := range map[string]string{"not resumable": "/single/x", "no endpoint left to resume at": "/stream/x"} {
 		r := newTestGateway(t, newFakeEndpoint(t, events(3, true)))
 		status, body, all := r.do(t, r.request("POST", path, "q"))
 		if all || status != 200 || !strings.HasPrefix(body, eventText(1)) {
-			t.Errorf("%s: %d, whole %v, %q; want an aborted response", name, status, all, body)
+			t.Errorf("%s: status %d, complete %v, body %q; want an aborted response", name, status, all, body)
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -304,7 +304,7 @@
 	select {
 	case <-e.closed:
 	case <-time.After(2 * time.Second):
-		t.Error("the endpoint still works for a caller that has left")
+		t.Error("the endpoint still runs the request of a disconnected caller")
 	}
 }
 
@@ -320,7 +320,7 @@
 		}
 		_ = a.Body.Close()
 		if a.StatusCode != want || a.Header.Get("Retry-After") == "" {
-			t.Errorf("%s: %d, Retry-After %q", reason, a.StatusCode, a.Header.Get("Retry-After"))
+			t.Errorf("refused for %s: status %d, Retry-After %q", reason, a.StatusCode, a.Header.Get("Retry-After"))
 		}
 	}
 }
@@ -334,7 +334,7 @@
 	r.owner.mu.Unlock()
 	waitFor(t, "the new configuration is in force", func() bool { return r.agent.Table().Version == 2 })
 	if status, _, _ := r.do(t, r.request("POST", "/once/x", "q")); status != 401 || e.runs() != 0 {
-		t.Errorf("%d and %d runs with a revoked key", status, e.runs())
+		t.Errorf("status %d and %d runs with a revoked key, want 401 and none", status, e.runs())
 	}
 }
 
@@ -347,7 +347,7 @@
 	waitFor(t, "the new configuration is in force", func() bool { return r.agent.Table().Version == 2 })
 	time.Sleep(50 * time.Millisecond) // the older one has been received by then
 	if got := r.agent.Table().Version; got != 2 {
-		t.Errorf("version %d is in force again", got)
+		t.Errorf("version %d is in force after version 2", got)
 	}
 }
 
@@ -365,7 +365,7 @@
 	})
 	waitFor(t, "the entry is not ready any more", func() bool { return !r.gateway.Ready() })
 	if status, _, _ := r.do(t, r.request("POST", "/safe/x", "q")); status != 503 {
-		t.Errorf("%d by an expired configuration, want 503", status)
+		t.Errorf("status %d with an expired configuration, want 503", status)
 	}
 }
 
@@ -376,13 +376,13 @@
 	if status, _, _ := r.do(t, r.request("POST", "/stream/x", "question")); status != 503 {
 		t.Errorf("status %d, want 503", status)
 	}
-	waitFor(t, "nothing is held", func() bool { return r.gateway.bodyBytes.Load() == 0 })
+	waitFor(t, "no body bytes are held", func() bool { return r.gateway.bodyBytes.Load() == 0 })
 }
 
 func TestDescriptorsLimitInFlight(t *testing.T) {
 	for descriptors, want := range map[int]int64{0: maxInFlight, 100: 1, 1400: 500, 100000: maxInFlight} {
 		if got := inFlightLimit(descriptors); got != want {
-			t.Errorf("%d requests with %d descriptors, want %d", got, descriptors, want)
+			t.Errorf("a limit of %d requests with %d descriptors, want %d", got, descriptors, want)
 		}
 	}
 }
@@ -404,11 +404,11 @@
 	a.withdraw(0, "2")
 	granted("2")
 	if len(a.batch.Finish) != 2 || len(a.batch.Withdraw) != 1 {
-		t.Fatalf("%d ends and %d withdrawals, want 2 and 1", len(a.batch.Finish), len(a.batch.Withdraw))
+		t.Fatalf("%d finishes and %d withdrawals, want 2 and 1", len(a.batch.Finish), len(a.batch.Withdraw))
 	}
 	for _, f := range a.batch.Finish {
 		if !f.Unsent || !f.Void || !f.Unused {
-			t.Errorf("%s is finished as %+v", f.ID, f)
+			t.Errorf("the unused grant of %s is finished as %+v", f.ID, f)
 		}
 	}
 }
--- a/gateway/gone_test.go
+++ b/gateway/gone_test.go
@@ -18,9 +18,9 @@
 	"lynxramp.org/message"
 )
 
-// When a caller disconnects, its request is cancelled at the endpoint and at the owner within cancelWithin.
+// When a caller disconnects, its request must be cancelled at the endpoint and at the owner within cancelWithin.
 
-// cancelWithin is how long after a disconnect an endpoint or the owner may still hold the request.
+// cancelWithin is how long after a disconnect an endpoint may still run the request, or the owner queue it.
 const cancelWithin = 500 * time.Millisecond
 
 // rawCaller is a caller that controls its connection.
@@ -114,7 +114,7 @@
 				c.send(path, "question", 0)
 			}
 			scenario(t, r, c, m)
-			waitFor(t, "nothing is held", func() bool {
+			waitFor(t, "no request is held", func() bool {
 				all, streams := r.gateway.InFlight()
 				return all == 0 && streams == 0 && r.gateway.bodyBytes.Load() == 0
 			})
@@ -147,15 +147,15 @@
 }
 
 // checkCancelled checks that the endpoint saw the connection close in time.
-func (w *cancelWatcher) checkCancelled(t *testing.T, left time.Time) {
+func (w *cancelWatcher) checkCancelled(t *testing.T, disconnectedAt time.Time) {
 	t.Helper()
 	select {
 	case at := <-w.cancelled:
-		if took := at.Sub(left); took > cancelWithin {
-			t.Errorf("the request was cancelled after %v", took)
+		if took := at.Sub(disconnectedAt); took > cancelWithin {
+			t.Errorf("the request was cancelled %v after the disconnect, want at most cancelWithin", took)
 		}
 	case <-time.After(2 * cancelWithin):
-		t.Error("the endpoint still works for a caller that has left")
+		t.Error("the endpoint still runs the request of a disconnected caller")
 	}
 }
 
@@ -171,15 +171,15 @@
 }
 
 // checkWithdrawn checks that the request was withdrawn at the owner in time.
-func (o *fakeOwner) checkWithdrawn(t *testing.T, left time.Time) {
+func (o *fakeOwner) checkWithdrawn(t *testing.T, disconnectedAt time.Time) {
 	t.Helper()
 	waitFor(t, "the request is withdrawn", func() bool {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		return len(o.withdrawn) == 1
 	})
-	if took := time.Since(left); took > cancelWithin {
-		t.Errorf("the request was withdrawn after %v", took)
+	if took := time.Since(disconnectedAt); took > cancelWithin {
+		t.Errorf("the request was withdrawn %v after the disconnect, want at most cancelWithin", took)
 	}
 }
 
@@ -195,6 +195,7 @@
 	return len(o.submits)
 }
 
+// TestDisconnectDuringResponse: the connection to the endpoint is closed, so that it stops the run.
 func TestDisconnectDuringResponse(t *testing.T) {
 	for name, one := range map[string]struct {
 		path  string
@@ -229,7 +230,7 @@
 // TestDisconnectDuringResume: the caller disconnects after its stream broke off, while the next endpoint is
 // requested or is responding.
 func TestDisconnectDuringResume(t *testing.T) {
-	t.Run("at work", func(t *testing.T) {
+	t.Run("next endpoint is responding", func(t *testing.T) {
 		t.Parallel()
 		var w *cancelWatcher
 		start := func() []*fakeEndpoint {
@@ -241,26 +242,26 @@
 			w.checkCancelled(t, c.disconnect(m))
 		})
 	})
-	t.Run("asked for", func(t *testing.T) {
+	t.Run("next endpoint is requested", func(t *testing.T) {
 		t.Parallel()
 		var broken chan struct{}
 		start := func() []*fakeEndpoint {
-			now := make(chan struct{}) // per case, as endpoints of other cases may still wait
-			broken = now
+			breakNow := make(chan struct{}) // per case, as endpoints of other cases may still wait
+			broken = breakNow
 			first := func(c net.Conn, q *http.Request) bool {
 				streamHead(2)(c, q)
-				<-now
+				<-breakNow
 				return reset(c, q)
 			}
 			return []*fakeEndpoint{newFakeEndpoint(t, first), newFakeEndpoint(t, events(9, false))}
 		}
 		forEachConnectionCase(t, "/stream/x", false, start, func(t *testing.T, r *testGateway, c *rawCaller, m connectionCase) {
-			waitFor(t, "the first endpoint is asked", func() bool { return r.owner.submitCount() == 1 })
+			waitFor(t, "the first endpoint is requested", func() bool { return r.owner.submitCount() == 1 })
 			r.owner.mu.Lock()
 			r.owner.hold = true
 			r.owner.mu.Unlock()
 			close(broken)
-			waitFor(t, "the next endpoint is asked for", func() bool { return r.owner.submitCount() == 2 })
+			waitFor(t, "the next endpoint is requested", func() bool { return r.owner.submitCount() == 2 })
 			r.owner.checkWithdrawn(t, c.disconnect(m))
 		})
 	})
@@ -286,7 +287,7 @@
 		r.owner.mu.Unlock()
 		waitFor(t, "the grant is returned", func() bool { return len(r.owner.finishes()) == 1 && r.owner.finishes()[0].Unused })
 		if e.runs() != 0 {
-			t.Errorf("%d runs for a caller that has left", e.runs())
+			t.Errorf("%d runs for a disconnected caller, want none", e.runs())
 		}
 	})
 }
@@ -305,10 +306,10 @@
 			before := e.runs()
 			c.send("/safe/x", "half of", 100)
 			waitFor(t, "half the body has arrived", func() bool { return r.gateway.bodyBytes.Load() == 7 })
-			left := c.disconnect(m)
-			waitFor(t, "nothing is held", func() bool { all, _ := r.gateway.InFlight(); return all == 0 && r.gateway.bodyBytes.Load() == 0 })
-			if took := time.Since(left); took > cancelWithin {
-				t.Errorf("the request was held for %v", took)
+			disconnectedAt := c.disconnect(m)
+			waitFor(t, "no request is held", func() bool { all, _ := r.gateway.InFlight(); return all == 0 && r.gateway.bodyBytes.Load() == 0 })
+			if took := time.Since(disconnectedAt); took > cancelWithin {
+				t.Errorf("the request was held for %v after the disconnect, want at most cancelWithin", took)
 			}
 			if e.runs() != before {
 				t.Error("half a request reached an endpoint")
@@ -317,8 +318,8 @@
 	}
 }
 
-// TestDisconnectBeforeDispatch guards against sending on a kept connection for a caller that has just left: the
-// cancellation would look like a failure of the endpoint.
+// TestDisconnectBeforeDispatch guards against sending on a kept connection for a caller that has just
+// disconnected: the cancellation would look like a failure of the endpoint.
 func TestDisconnectBeforeDispatch(t *testing.T) {
 	e := newFakeEndpoint(t, whole(200, "answer"))
 	r := newTestGateway(t, e)
--- a/gateway/longest_test.go
+++ b/gateway/longest_test.go
@@ -13,10 +13,10 @@
 	l := newMaxTimeouts()
 	at := time.Unix(100, 0)
 	for _, step := range []struct {
-		after time.Duration
-		route string
-		left  time.Duration
-		want  bool
+		after   time.Duration
+		route   string
+		timeout time.Duration
+		want    bool
 	}{
 		{0, "a", 5 * time.Second, false},
 		{1 * time.Second, "a", 3 * time.Second, true},
@@ -26,12 +26,12 @@
 		{22 * time.Second, "a", 3 * time.Second, false}, // callers now give less
 		{23 * time.Second, "a", 2 * time.Second, true},
 	} {
-		if got := l.observe(at.Add(step.after), step.route, step.left); got != step.want {
-			t.Errorf("after %v on %s with %v left: %v", step.after, step.route, step.left, got)
+		if got := l.observe(at.Add(step.after), step.route, step.timeout); got != step.want {
+			t.Errorf("after %v on route %s a timeout of %v counts as shorter: %v", step.after, step.route, step.timeout, got)
 		}
 	}
 	l.sweep(at.Add(24 * time.Second)) // b was not requested since the first second
 	if _, ok := l.routes["a"]; len(l.routes) != 1 || !ok {
-		t.Errorf("%d routes are kept, want a alone", len(l.routes))
+		t.Errorf("%d routes are kept, want only a", len(l.routes))
 	}
 }
--- a/gateway/owner_client_test.go
+++ b/gateway/owner_client_test.go
@@ -17,12 +17,12 @@
 // TestExpiredLeasesAreNotReported: an entry that reconnects within the validity of its leases reports them. A
 // later one reports none: the owner has counted them as spent, and a new owner must not count them as returned.
 func TestExpiredLeasesAreNotReported(t *testing.T) {
-	const fresh = 5 * event.Second
+	const validity = 5 * event.Second
 	account := budget.Team("t")
 	tree := hashtree.Build(&routing.Table{Version: 1}, nil)
-	for away, want := range map[event.Duration]int{fresh - event.Second: 70, fresh + event.Millisecond: 0} {
+	for away, want := range map[event.Duration]int{validity - event.Second: 70, validity + event.Millisecond: 0} {
 		a := NewOwnerClient(ClientConfig{
-			Entry: "entry", ControlAddresses: []string{"box"}, ConfigValidity: fresh, Log: zap.NewNop(),
+			Entry: "entry", ControlAddresses: []string{"box"}, ConfigValidity: validity, Log: zap.NewNop(),
 		})
 		a.Connected(0, 1, "box")
 		a.Received(0, 1, &message.Envelope{View: &message.View{Version: 1, Root: tree.Root()}})
@@ -35,7 +35,7 @@
 		a.Connected(event.Time(away), 2, "box")
 		held := a.TakeEffects().Sends[0].Message.Hello.Held
 		if len(held) != 1 || held[0].UpTo-held[0].Spent != want {
-			t.Errorf("after %v its leases are %+v, want %d left", away, held, want)
+			t.Errorf("reported leases after %v without an owner: %+v, want %d left", away, held, want)
 		}
 	}
 }
--- a/gateway/record_test.go
+++ b/gateway/record_test.go
@@ -30,21 +30,21 @@
 	for i := range refused {
 		record(fmt.Sprintf("refused-%d", i), true)
 	}
-	whole := 0
+	complete := 0
 	for _, l := range lines.TakeAll() {
 		fields := l.ContextMap()
 		switch l.Message {
 		case stepEnded:
 			ended[fields["request"].(string)] = true
 			if fields["status"] != int64(503) {
-				t.Errorf("%v has the wrong status", fields)
+				t.Errorf("the line %v has the wrong status", fields)
 			}
 		case stepAdmitted:
-			whole++
+			complete++
 		}
 	}
-	if len(ended) != refused || whole != failedLines/3 {
-		t.Errorf("%d of %d have a line with their end, %d have all steps, want %d", len(ended), refused, whole, failedLines/3)
+	if len(ended) != refused || complete != failedLines/3 {
+		t.Errorf("%d of %d have a line with their end, %d have all steps, want %d", len(ended), refused, complete, failedLines/3)
 	}
 	sampled := 0
 	for i := range served {
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -38,16 +38,16 @@
 }
 
 // testFeedback reads the feedback of the test endpoints.
-func testFeedback(_ int, h http.Header) (w backpressure.Feedback, err error) {
+func testFeedback(_ int, h http.Header) (f backpressure.Feedback, err error) {
 	if text := h.Get("X-Limit"); text != "" {
-		w.Limited = true
-		w.Rate, err = strconv.ParseFloat(text, 64)
+		f.Limited = true
+		f.Rate, err = strconv.ParseFloat(text, 64)
 	}
 	if text := h.Get("X-Rest"); text != "" {
-		w.Rest, err = time.ParseDuration(text)
+		f.Rest, err = time.ParseDuration(text)
 	}
-	w.Leaving = h.Get("X-Leaving") != ""
-	return w, err
+	f.Leaving = h.Get("X-Leaving") != ""
+	return f, err
 }
 
 // fakeEndpoint responds to each request on its connections by a script.
@@ -171,17 +171,17 @@
 	next      int
 	refuse    event.Reason
 	silent    bool // ignores all messages
-	// beforeRepeat is called before a decision on a retry.
-	beforeRepeat func()
-	hold         bool // decides nothing
-	finished     []message.Finish
-	ends         []poison.End
-	feedback     []backpressure.Report
-	submits      []message.Submission
-	withdrawn    []message.Withdrawal
-	conn         *link.Conn[message.Envelope]
-	version      uint64
-	trees        map[uint64]*hashtree.Tree
+	// beforeRetry is called before a decision on a retry.
+	beforeRetry func()
+	hold        bool // decides nothing
+	finished    []message.Finish
+	ends        []poison.End
+	feedback    []backpressure.Report
+	submits     []message.Submission
+	withdrawn   []message.Withdrawal
+	conn        *link.Conn[message.Envelope]
+	version     uint64
+	trees       map[uint64]*hashtree.Tree
 }
 
 // publish puts a configuration in force at the owner and announces it.
@@ -249,8 +249,8 @@
 	d := &message.Decisions{}
 	for _, s := range b.Submit {
 		o.submits = append(o.submits, s)
-		if s.Repeat && o.beforeRepeat != nil {
-			o.beforeRepeat()
+		if s.Repeat && o.beforeRetry != nil {
+			o.beforeRetry()
 		}
 		if o.refuse != event.ReasonNone || o.next >= len(o.endpoints) {
 			d.Refusals = append(d.Refusals, event.Refused{ID: s.Ticket.ID, Reason: max(o.refuse, event.ReasonShed), RetryAfter: event.Second})
--- a/gateway/stalled_test.go
+++ b/gateway/stalled_test.go
@@ -27,10 +27,10 @@
 
 // longResponse is longer than the response buffer of the gateway and than a connection's buffers.
 func longResponse(c net.Conn, q *http.Request) bool {
-	const pieces, piece = 600, 16 << 10
-	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", head(q, 200, ""), pieces*piece)
-	for range pieces {
-		if _, err := io.WriteString(c, strings.Repeat("x", piece)); err != nil {
+	const chunks, chunk = 600, 16 << 10
+	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", head(q, 200, ""), chunks*chunk)
+	for range chunks {
+		if _, err := io.WriteString(c, strings.Repeat("x", chunk)); err != nil {
 			return false
 		}
 	}
@@ -63,9 +63,9 @@
 			waitFor(t, "the request is held", func() bool { all, _ := r.gateway.InFlight(); return all == 1 })
 			started := time.Now()
 			waitFor(t, "the grant is finished", func() bool { return len(r.owner.finishes()) == 1 })
-			waitFor(t, "nothing is held", func() bool { all, _ := r.gateway.InFlight(); return all == 0 })
+			waitFor(t, "no request is held", func() bool { all, _ := r.gateway.InFlight(); return all == 0 })
 			if took := time.Since(started); took > 2*time.Second {
-				t.Errorf("it took %v", took)
+				t.Errorf("the stalled caller was disconnected after %v, want at most 2 s", took)
 			}
 		})
 	}
@@ -84,17 +84,17 @@
 		t.Fatal(err)
 	}
 	buffer := make([]byte, 512<<10)
-	for whole := int64(0); ; {
+	for received := int64(0); ; {
 		n, err := io.ReadFull(a.Body, buffer)
-		if whole += int64(n); err != nil {
-			if whole != a.ContentLength {
-				t.Errorf("%d bytes of %d came: %v", whole, a.ContentLength, err)
+		if received += int64(n); err != nil {
+			if received != a.ContentLength {
+				t.Errorf("%d bytes of %d were received: %v", received, a.ContentLength, err)
 			}
 			break
 		}
 		time.Sleep(60 * time.Millisecond)
 	}
 	if took := time.Since(started); took < 2*r.gateway.callerWriteTimeout {
-		t.Errorf("it took only %v, too short for the test", took)
+		t.Errorf("the response took only %v, too short to exceed the write timeout", took)
 	}
 }
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -43,19 +43,19 @@
 	r.owner.mu.Lock()
 	r.owner.silent = false
 	r.owner.mu.Unlock()
-	waitFor(t, "it is ready again", r.gateway.Ready)
+	waitFor(t, "the gateway is ready again", r.gateway.Ready)
 	if status, body, _ := r.do(t, r.request("POST", "/safe/1", "")); status != http.StatusOK || body != "ok" {
-		t.Errorf("then %d %q", status, body)
+		t.Errorf("after the configuration was confirmed: status %d, body %q, want 200", status, body)
 	}
 }
 
 // TestForwardedDeadlineIncludesSuspend guards against giving the next endpoint the suspended time on top, so that it
-// works after the caller has left.
+// still runs the request after the caller has timed out.
 func TestForwardedDeadlineIncludesSuspend(t *testing.T) {
-	const slept = 1500 * time.Millisecond // of the 2.5 s that the caller waits
+	const suspended = 1500 * time.Millisecond // of the 2.5 s that the caller waits
 	clock := &suspendableClock{}
 	first := newFakeEndpoint(t, func(c net.Conn, q *http.Request) bool {
-		clock.suspend(slept)
+		clock.suspend(suspended)
 		return notRun(c, q)
 	})
 	second := newFakeEndpoint(t, whole(200, "ok"))
@@ -93,7 +93,7 @@
 	first, second := newFakeEndpoint(t, reset), newFakeEndpoint(t, whole(200, "ok"))
 	r := newTestGatewayWithClock(t, event.NewClockFrom(clock.now), first, second)
 	r.owner.mu.Lock()
-	r.owner.beforeRepeat = func() { clock.suspend(2500 * time.Millisecond) }
+	r.owner.beforeRetry = func() { clock.suspend(2500 * time.Millisecond) }
 	r.owner.mu.Unlock()
 	status, _, _ := r.do(t, r.request("POST", "/safe/1", ""))
 	if second.runs() != 0 || status == http.StatusOK {
--- a/gateway/upstream_test.go
+++ b/gateway/upstream_test.go
@@ -11,9 +11,9 @@
 func TestNewConnectionDropsIdleOnes(t *testing.T) {
 	e := newFakeEndpoint(t, whole(200, "answer"))
 	u := newUpstream()
-	get := func(fresh bool) *upstreamConn {
+	get := func(newOnly bool) *upstreamConn {
 		t.Helper()
-		c, err := u.get(context.Background(), e.address, "e", fresh)
+		c, err := u.get(context.Background(), e.address, "e", newOnly)
 		if err != nil {
 			t.Fatal(err)
 		}
