--- a/hashtree/fetch.go
+++ b/hashtree/fetch.go
@@ -27,8 +27,9 @@
 	version uint64
 	root    Sum
 	held    map[Sum]*heldNode
-	// heldBytes is the length of the held nodes beyond the last complete version; treeBytes that of
-	// the current tree as far as known, and peakBytes its maximum since the last complete version.
+	// heldBytes is the length of the held nodes that the last complete version does not need;
+	// treeBytes that of the current tree as far as known, and peakBytes its maximum since the last
+	// complete version.
 	// generation counts the versions.
 	heldBytes, treeBytes, peakBytes int
 	generation                      int
--- a/hashtree/hashtree_test.go
+++ b/hashtree/hashtree_test.go
@@ -83,7 +83,7 @@
 			t.Fatalf("%v: no table", size)
 		}
 		if diff := cmp.Diff(table, got, ignoreIndex, cmpopts.EquateEmpty()); diff != "" {
-			t.Errorf("%v: %s", size, diff)
+			t.Errorf("table of %v routes, teams and keys differs (-want +got):\n%s", size, diff)
 		}
 		for _, r := range table.Routes {
 			if found := got.Match(r.Host, r.Prefix+"x"); found == nil || found.Name != r.Name {
@@ -119,10 +119,10 @@
 	changed.Routes[9000].Timeout = time.Second
 	second := Build(&changed, first)
 	if n, bytes := fetchAll(t, &f, second, 3, 32<<10); n > 8 || bytes > 32<<10 {
-		t.Errorf("one route changed: %d nodes, %d bytes", n, bytes)
+		t.Errorf("one route changed: fetched %d nodes with %d bytes, want at most 8 with 32 KiB", n, bytes)
 	}
 	if got := f.Table().Routes[9000].Timeout; got != time.Second {
-		t.Errorf("timeout %v", got)
+		t.Errorf("the changed route has timeout %v, want 1 s", got)
 	}
 	if len(f.held) != second.Len() {
 		t.Errorf("%d nodes are held, the tree has %d", len(f.held), second.Len())
@@ -131,7 +131,7 @@
 	more.Routes = append([]routing.Route(nil), changed.Routes...)
 	addRoutes(&more, rand.New(rand.NewPCG(9, 9)), 1400)
 	if _, bytes := fetchAll(t, &f, Build(&more, second), 4, 32<<10); bytes > all/7 {
-		t.Errorf("a tenth more routes: %d bytes of %d", bytes, all)
+		t.Errorf("a tenth more routes: fetched %d bytes, want at most a seventh of %d", bytes, all)
 	}
 }
 
@@ -145,7 +145,7 @@
 	before := f.Table()
 	changed := *table
 	changed.Teams = append([]routing.Team(nil), table.Teams...)
-	taken := changed.Teams[1].Keys[0]
+	removed := changed.Teams[1].Keys[0]
 	changed.Teams[1].Keys = changed.Teams[1].Keys[1:]
 	fetchAll(t, &f, Build(&changed, first), 2, 32<<10)
 	after := f.Table()
@@ -156,7 +156,7 @@
 	if got := after.Match(r.Host, r.Prefix); got == nil || got.Name != r.Name {
 		t.Errorf("route %s is not found", r.Name)
 	}
-	if before.TeamByKey(taken) == nil || after.TeamByKey(taken) != nil {
+	if before.TeamByKey(removed) == nil || after.TeamByKey(removed) != nil {
 		t.Error("a removed key is still found, or was missing before")
 	}
 	changed.Routes = append([]routing.Route(nil), table.Routes...)
@@ -224,7 +224,7 @@
 	for f.IsIncomplete() {
 		next := f.Next(16 << 10)
 		if f.InFlightBytes() > 16<<10 && len(next) > 1 {
-			t.Fatalf("%d bytes are in flight", f.InFlightBytes())
+			t.Fatalf("%d bytes are in flight, more than the window", f.InFlightBytes())
 		}
 		for _, sum := range next {
 			packed, _ := tree.Node(sum)
@@ -235,7 +235,7 @@
 	}
 }
 
-// Strings that contain the separator or need escapes, and empty ones.
+// Strings that contain the separator or need escapes, and empty ones, must be restored unchanged.
 func TestUnusualStringsRoundTrip(t *testing.T) {
 	unusual := [][3]string{{"", "", "/"}, {"a b", "h", "/x/"}, {"n", "h h", "/y/"}, {"n", "h", "/with blank/"}, {"ü\n", "\x00", "/\"'<>/"}}
 	for n := range len(unusual) + 1 {
@@ -247,7 +247,7 @@
 		var f Fetcher
 		fetchAll(t, &f, Build(table, nil), 1, 32<<10)
 		if diff := cmp.Diff(table, f.Table(), ignoreIndex, cmpopts.EquateEmpty()); diff != "" {
-			t.Errorf("%d unusual routes: %s", n, diff)
+			t.Errorf("table with %d unusual routes differs (-want +got):\n%s", n, diff)
 		}
 	}
 }
@@ -260,14 +260,14 @@
 	packed, _ := tree.Node(sum)
 	for _, bad := range []Packed{nil, {1, 2, 3}, packed[:len(packed)/2], newPacker().pack([]byte(`{"c":[]}`))} {
 		if err := f.Receive(sum, bad); !errors.Is(err, ErrDamaged) {
-			t.Errorf("%d damaged bytes were accepted: %v", len(bad), err)
+			t.Errorf("damaged node of %d bytes: error %v, want ErrDamaged", len(bad), err)
 		}
 	}
 	if err := f.Receive(sum, packed); err != nil {
 		t.Error(err)
 	}
 	if err := f.Receive(Sum{1}, packed); err != nil || len(f.held) != 1 {
-		t.Errorf("a node that was not requested: %v, %d held", err, len(f.held))
+		t.Errorf("a node that was not requested: error %v, %d nodes held, want none and 1", err, len(f.held))
 	}
 }
 
--- a/hashtree/node.go
+++ b/hashtree/node.go
@@ -36,10 +36,10 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (s *Sum) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != sumBytes {
-		return errors.Errorf("sum has %d hex digits", len(text))
+		return errors.Errorf("configuration node sum has %d hex digits", len(text))
 	}
 	_, err := hex.Decode(s[:], text)
-	return errors.Wrap(err, "sum")
+	return errors.Wrap(err, "decoding a configuration node sum")
 }
 
 // MarshalBinary implements encoding.BinaryMarshaler.
@@ -48,7 +48,7 @@
 // UnmarshalBinary implements encoding.BinaryUnmarshaler.
 func (s *Sum) UnmarshalBinary(data []byte) error {
 	if len(data) != sumBytes {
-		return errors.Errorf("sum has %d bytes", len(data))
+		return errors.Errorf("configuration node sum has %d bytes", len(data))
 	}
 	copy(s[:], data)
 	return nil
@@ -201,7 +201,7 @@
 	if u.reader == nil {
 		u.reader = flate.NewReader(&u.in)
 	} else if err := u.reader.(flate.Resetter).Reset(&u.in, nil); err != nil {
-		return nil, errors.Wrap(err, "node")
+		return nil, errors.Wrap(err, "resetting the node decompressor")
 	}
 	u.plain.Reset()
 	if _, err := u.plain.ReadFrom(io.LimitReader(u.reader, maxNodeBytes)); err != nil {
--- a/hashtree/read_test.go
+++ b/hashtree/read_test.go
@@ -27,7 +27,7 @@
 		plain := encode(&node{Routes: encodeRoutes(list)})
 		run, ok := make(templateCache).readRun(plain)
 		if !ok {
-			t.Fatalf("not parsed: %.200s", plain)
+			t.Fatalf("the fast parser rejected a run of routes: %.200s", plain)
 		}
 		want, err := decodeJSON(plain)
 		if err != nil {
@@ -64,10 +64,10 @@
 		}
 		want, err := decodeJSON(plain)
 		if err != nil {
-			t.Fatalf("parsed though encoding/json rejects it: %v: %q", err, plain)
+			t.Fatalf("the fast parser accepted a node that encoding/json rejects: %v: %q", err, plain)
 		}
 		if diff := cmp.Diff(want, &node{Routes: run}, compareRoutes); diff != "" {
-			t.Fatalf("%q: %s", plain, diff)
+			t.Fatalf("%q is decoded differently (-want +got):\n%s", plain, diff)
 		}
 	})
 }
--- a/hashtree/window_test.go
+++ b/hashtree/window_test.go
@@ -58,6 +58,6 @@
 		}
 	}
 	if sent > window+window/4 {
-		t.Errorf("%d bytes are in flight, window is %d", sent, window)
+		t.Errorf("%d bytes are in flight, the window is %d", sent, window)
 	}
 }
--- a/level/level.go
+++ b/level/level.go
@@ -27,7 +27,7 @@
 	// Instances: endpoint IDs distinguish the instances of an endpoint.
 	Instances
 	// Feedback: entries send the feedback of endpoints to the owner, which sends it to all entries
-	// that read it.
+	// that read this level.
 	Feedback
 )
 
@@ -59,7 +59,7 @@
 	{Chunked, Members | Entries, "configurations, snapshots and log messages in chunks; records of some budgets; configurations as a tree", "d279456"},
 	{Suspects, Members, "records of requests that crash endpoints", "585ddf2"},
 	{Negotiated, Members, "levels, announced when a connection opens, and recorded in the log and in snapshots", "cf9622c"},
-	{Instances, Members | Entries, "feedback of endpoints with their start time; IDs with that, of which requests carry the name alone; endpoints listed by column", "4538dad"},
+	{Instances, Members | Entries, "heartbeats of endpoints with their start time; endpoint IDs with that time, of which requests carry the name alone; endpoints listed by column", "4538dad"},
 	{Feedback, Members, "feedback in the responses of endpoints, sent to the owner, and by it to each entry that reads it", ""},
 }
 
--- a/level/level_test.go
+++ b/level/level_test.go
@@ -11,7 +11,7 @@
 func TestEncodingsListEachLevelOnce(t *testing.T) {
 	for i, e := range Encodings {
 		if e.Level != Level(i+1) || e.Description == "" || e.Readers == 0 {
-			t.Errorf("row %d: %+v", i, e)
+			t.Errorf("row %d is out of order or incomplete: %+v", i, e)
 		}
 	}
 	if last := Encodings[len(Encodings)-1].Level; last != Newest {
@@ -22,7 +22,7 @@
 // An entry of an older build must not keep the group from encodings that entries are never sent.
 func TestAffectsOnlyReadersOfNewEncodings(t *testing.T) {
 	if Affects(Entries, Chunked, Negotiated) || !Affects(Entries, Compressed, Negotiated) || !Affects(Members, Chunked, Suspects) || Affects(Members, Negotiated, Negotiated) {
-		t.Error("the affected readers differ from the table")
+		t.Error("Affects differs from the readers in the table")
 	}
 }
 
--- a/machine/machine.go
+++ b/machine/machine.go
@@ -183,7 +183,7 @@
 }
 
 // expireClaims drops the claims older than ClaimTTL. A key that was released and
-// claimed again is in the list twice: the number tells its current claim.
+// claimed again is in the list twice: the number identifies its current claim.
 func (s *State) expireClaims() {
 	for len(s.claimAges) > 0 && s.clock-s.claimAges[0].time > ClaimTTL {
 		first := s.claimAges[0]
@@ -212,7 +212,7 @@
 	return data
 }
 
-// Restore replaces the state by that of a snapshot; no data is an empty one.
+// Restore replaces the state by that of a snapshot; empty data gives an empty state.
 func (s *State) Restore(data []byte) error {
 	var v snapshot
 	if len(data) > 0 {
--- a/store/keeper.go
+++ b/store/keeper.go
@@ -13,8 +13,8 @@
 const (
 	// queueLength is how many saves may wait for the disk.
 	queueLength = 1024
-	// batchBytes is about how much one sync saves: a quarter of a second on a disk of 4 MB/s, after
-	// which all of it counts as saved.
+	// batchBytes is about how much one sync saves, a quarter of a second on a disk of 4 MB/s. None
+	// of it counts as saved before.
 	batchBytes = 1 << 20
 )
 
@@ -93,17 +93,17 @@
 	return nil
 }
 
-// Saved returns the channel on which the event loop learns what was saved.
+// Saved returns the channel on which saves are reported to the event loop.
 func (w *Writer) Saved() <-chan Saved { return w.saved }
 
 // notify replaces an older Saved that was not received. It never blocks: the event loop may itself
 // be waiting for the writer.
-func (w *Writer) notify(e Saved) {
+func (w *Writer) notify(s Saved) {
 	select {
 	case <-w.saved:
 	default:
 	}
-	w.saved <- e
+	w.saved <- s
 }
 
 // batch adds the queued saves to r, up to batchBytes, so that one sync serves them all. Nothing is
--- a/store/keeper_test.go
+++ b/store/keeper_test.go
@@ -42,7 +42,7 @@
 	}
 	want := []int{batchBytes, batchBytes, batchBytes}
 	if diff := cmp.Diff(want, disk.sizes); diff != "" {
-		t.Errorf("bytes saved at a time (-want +got):\n%s", diff)
+		t.Errorf("bytes in each save (-want +got):\n%s", diff)
 	}
 }
 
--- a/store/load.go
+++ b/store/load.go
@@ -50,9 +50,9 @@
 		return r, nil
 	}
 	if err := s.log.Truncate(int64(length)); err != nil {
-		return r, errors.Wrap(err, "torn end")
+		return r, errors.Wrap(err, "truncating the torn end of the log")
 	}
-	return r, errors.Wrap(s.log.Sync(), "torn end")
+	return r, errors.Wrap(s.log.Sync(), "truncating the torn end of the log")
 }
 
 func containsIndex(list []consensus.Index, i consensus.Index) bool {
--- a/store/store.go
+++ b/store/store.go
@@ -80,7 +80,7 @@
 func (s *Store) acquireLock() error {
 	f, err := os.OpenFile(filepath.Join(s.dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return errors.Wrap(err, "lock")
+		return errors.Wrap(err, "lock file of the data folder")
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = f.Close() // the lock error is returned
@@ -96,7 +96,7 @@
 	if closeErr := s.lock.Close(); err == nil {
 		err = closeErr
 	}
-	return errors.Wrap(err, "close")
+	return errors.Wrap(err, "closing the data folder")
 }
 
 func (s *Store) openIdentity(box event.BoxID, disk event.Incarnation) (Identity, error) {
@@ -172,7 +172,7 @@
 	return errors.Wrap(err, "data folder")
 }
 
-// Save writes and syncs what r asks for.
+// Save writes and syncs the hard state, entries and snapshot of r.
 func (s *Store) Save(r *consensus.Ready) error {
 	if r.HardState != nil {
 		s.hard = *r.HardState
@@ -285,7 +285,7 @@
 				continue
 			}
 			if err := os.Remove(filepath.Join(s.dir, fileName(prefix, n))); err != nil {
-				return errors.Wrap(err, "old file")
+				return errors.Wrap(err, "removing a file from before the snapshot")
 			}
 		}
 	}
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -114,7 +114,7 @@
 			t.Fatal(err)
 		}
 		if _, _, _, err := Open(dir, "box", 7); !errors.Is(err, ErrDamaged) {
-			t.Fatalf("byte %d flipped: %v", i, err)
+			t.Fatalf("byte %d flipped: error %v, want ErrDamaged", i, err)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 		t.Fatal(err)
 	}
 	if _, _, _, err := Open(dir, "box", 7); !errors.Is(err, ErrDamaged) {
-		t.Errorf("error %v", err)
+		t.Errorf("damaged snapshot: error %v, want ErrDamaged", err)
 	}
 }
 
@@ -161,7 +161,7 @@
 			t.Errorf("the intact %d bytes are read as %d, %v", length, n, err)
 		}
 		if diff := cmp.Diff(r, again); diff != "" {
-			t.Errorf("read twice:\n%s", diff)
+			t.Errorf("the intact part is read differently the second time:\n%s", diff)
 		}
 	})
 }
@@ -209,7 +209,7 @@
 			t.Fatal(err)
 		}
 		if _, _, _, err := Open(dir, "box", 7); !errors.Is(err, ErrDamaged) {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: error %v, want ErrDamaged", name, err)
 		}
 	}
 	if err := os.WriteFile(file, whole, 0o600); err != nil {
@@ -288,7 +288,7 @@
 	content, length, err := readRecord(file)
 	var asOldBuildsRead consensus.Snapshot
 	if err != nil || length != len(file) || content[0] != recordSnapshot || json.Unmarshal(content[1:], &asOldBuildsRead) != nil {
-		t.Fatalf("%v, a record of %d of %d bytes", err, length, len(file))
+		t.Fatalf("the snapshot is not a single JSON record: error %v, the first record has %d of %d bytes", err, length, len(file))
 	}
 	if diff := cmp.Diff(snap, asOldBuildsRead); diff != "" {
 		t.Errorf("as older builds read it (-want +got):\n%s", diff)
@@ -298,7 +298,7 @@
 		t.Errorf("%d entries, the snapshot (-want +got):\n%s", len(r.Entries), diff)
 	}
 	if _, err := parseSnapshot(append(file, 0)); !errors.Is(err, ErrDamaged) {
-		t.Errorf("with an extra byte: %v", err)
+		t.Errorf("with an extra byte: error %v, want ErrDamaged", err)
 	}
 }
 
@@ -308,12 +308,12 @@
 	later := appendRecord(nil, []byte{lastRecord + 1, 1, 2, 3})
 	var r consensus.PersistentState
 	if _, err := parseLog(later, &r); !level.IsUnsupported(err) {
-		t.Errorf("log: %v", err)
+		t.Errorf("log with a record of a newer build: error %v, want an UnsupportedError", err)
 	}
 	if _, err := parseSnapshot(later); !level.IsUnsupported(err) {
-		t.Errorf("snapshot: %v", err)
+		t.Errorf("snapshot with a record of a newer build: error %v, want an UnsupportedError", err)
 	}
 	if _, err := parseLog(appendRecord(nil, []byte{recordSnapshot, 1}), &r); !errors.Is(err, ErrDamaged) {
-		t.Errorf("a known record in the wrong file: %v", err)
+		t.Errorf("a known record in the wrong file: error %v, want ErrDamaged", err)
 	}
 }
