--- a/cluster/bulk_sim_test.go
+++ b/cluster/bulk_sim_test.go
@@ -64,10 +64,10 @@
 
 // slowBox is the network link and the disk of a box.
 type slowBox struct {
-	linkFreeAt event.Time // when all messages sent so far have left
-	saving     []consensus.Ready
+	linkFreeAt event.Time        // when all messages sent so far have left
+	saving     []consensus.Ready // being saved, until savedAt
 	savedAt    event.Time
-	codecs     map[consensus.ID]*byteCounter
+	codecs     map[consensus.ID]*byteCounter // by receiver
 }
 
 // byteCounter counts the encoded bytes of a connection.
@@ -284,7 +284,7 @@
 		s.run(slowStep)
 		s.checkOwner(term)
 		if s.now.Sub(began) > 30*second {
-			t.Fatal("not acknowledged within 30 s")
+			t.Fatal("the configuration was not acknowledged within 30 s")
 		}
 	}
 	t.Logf("%d bytes acknowledged after %v, %d bytes sent", len(d.Data), s.now.Sub(began), s.sent)
@@ -297,11 +297,11 @@
 	}
 }
 
-// TestLargeConfigurationSurvivesLeaderChanges: no leader lives as long as the replication of a large
-// configuration takes. Replicated parts must be kept by the next leader, or the upload would never
+// TestLargeConfigurationSurvivesLeaderChanges kills each leader before the replication of a large
+// configuration is complete. Replicated parts must be kept by the next leader, or the upload would never
 // complete.
 func TestLargeConfigurationSurvivesLeaderChanges(t *testing.T) {
-	const lifetime = 1500 * event.Millisecond // of a leader; the replication takes longer
+	const lifetime = 1500 * event.Millisecond // until a leader is killed; the replication takes longer
 	s := newSlowSim(t, 3, 2)
 	s.run(8 * second)
 	d := noiseDocument(1, 3<<20)
@@ -325,7 +325,7 @@
 			s.restart(owner.name)
 		}
 		if s.now.Sub(began) > 120*second {
-			t.Fatalf("not acknowledged within 120 s by %d leaders", killed)
+			t.Fatalf("the configuration was not acknowledged within 120 s, after %d leaders were killed", killed)
 		}
 	}
 	t.Logf("%d bytes acknowledged after %v; %d leaders were killed", len(d.Data), s.now.Sub(began), killed)
--- a/cluster/fleet_sim_test.go
+++ b/cluster/fleet_sim_test.go
@@ -88,8 +88,8 @@
 	client         *gateway.OwnerClient
 	link           *fleetLink
 	calls          []*fleetCall
-	finishes       []fleetFinish
-	dialAt         event.Time // when the pending dial completes; 0 if there is none
+	finishes       []fleetFinish // not reported yet
+	dialAt         event.Time    // when the pending dial completes; 0 if there is none
 	dialAddress    string
 	suspendedUntil event.Time // its process is suspended until then
 	downUntil      event.Time // its process is not running until then
--- a/cluster/greet_bench_test.go
+++ b/cluster/greet_bench_test.go
@@ -20,8 +20,8 @@
 	for _, size := range []struct{ entries, teams int }{{100, 333}, {385, 5}, {385, 100}, {385, 333}, {770, 333}, {1540, 333}} {
 		b.Run(fmt.Sprintf("%d_entries/%d_teams", size.entries, size.teams), func(b *testing.B) {
 			for range b.N {
-				greet, bytes := openAllSessions(b, size.entries, size.teams)
-				b.ReportMetric(float64(greet.Microseconds())/1000, "ms")
+				took, bytes := openAllSessions(b, size.entries, size.teams)
+				b.ReportMetric(float64(took.Microseconds())/1000, "ms")
 				b.ReportMetric(float64(bytes)/1000, "kB")
 			}
 		})
--- a/cluster/growth_test.go
+++ b/cluster/growth_test.go
@@ -13,7 +13,7 @@
 // TestGrowingConfigurationReachesAllEntries adds many routes several times, each time followed by a small
 // change, and then restarts all processes. A large configuration over a slow link must neither delay the
 // owner's pongs beyond the entries' timeout nor be sent from its beginning on each connection: no entry
-// would ever get it.
+// would ever receive all of it.
 func TestGrowingConfigurationReachesAllEntries(t *testing.T) {
 	g := newGrowthSim(t, 6)
 	for range 3 {
@@ -26,7 +26,8 @@
 	g.mustBeInForce(recoveryBound)
 }
 
-// TestLargeChangeIsInForceInTime adds many routes, teams or keys in one change.
+// TestLargeChangeIsInForceInTime adds many routes, teams or keys in one change. All entries must use it in
+// time, and a small change after it.
 func TestLargeChangeIsInForceInTime(t *testing.T) {
 	const many = 14000
 	for name, grow := range map[string]func(*growthSim, *routing.Table){
@@ -71,7 +72,7 @@
 // it is in force at all entries, with the entries' link, CPU share or both limited.
 func BenchmarkGrowth(b *testing.B) {
 	for _, routes := range []int{1400, 4200, 14000, 28000, 56000} {
-		for name, size := range map[string][2]float64{"both": {smallLinkRate, smallCPUShare}, "link": {smallLinkRate, 0}, "processor": {0, smallCPUShare}} {
+		for name, size := range map[string][2]float64{"both": {smallLinkRate, smallCPUShare}, "link": {smallLinkRate, 0}, "CPU": {0, smallCPUShare}} {
 			b.Run(fmt.Sprintf("%d/%s", routes, name), func(b *testing.B) {
 				for range b.N {
 					g := newGrowthSim(b, 3)
--- a/cluster/levels_test.go
+++ b/cluster/levels_test.go
@@ -130,12 +130,12 @@
 func TestCommandsOfLaterBuildAreUnsupported(t *testing.T) {
 	for name, command := range map[string][]byte{"unknown kind": {lastCommand + 1, 1}, "later format version": encodeFormatVersion(level.Newest + 1)} {
 		if err := checkReadable(command, level.Newest); !level.IsUnsupported(err) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want an UnsupportedError", name, err)
 		}
 	}
 	for _, command := range [][]byte{{}, {0, 1}, encodeFormatVersion(level.Newest), encodeRemove("e")} {
 		if err := checkReadable(command, level.Newest); err != nil {
-			t.Errorf("%v: %v", command, err)
+			t.Errorf("readable command %v is rejected: %v", command, err)
 		}
 	}
 }
--- a/cluster/limit_sim_test.go
+++ b/cluster/limit_sim_test.go
@@ -37,7 +37,7 @@
 	total           int // arrivals, including those from entries that have not received the limit yet
 	limitReceivedAt map[*gateway.OwnerClient]event.Time
 	responses       []limitedResponse
-	blocked         int
+	blocked         int            // granted requests that the gate of their entry blocked
 	maxResponseTime event.Duration // largest delay of a response's headers; 0 means 0.8 s
 }
 
@@ -84,10 +84,10 @@
 
 // deliverResponses delivers the responses that are due to an entry.
 func (l *limitedEndpoint) deliverResponses(f *fleetSim, e *fleetEntry, now event.Time) {
-	var left []limitedResponse
+	var pending []limitedResponse
 	for _, a := range l.responses {
 		if a.entry != e || f.now < a.at {
-			left = append(left, a)
+			pending = append(pending, a)
 			continue
 		}
 		if a.client != e.client {
@@ -111,7 +111,7 @@
 		gate.Observe(now, a.sent, "e", feedback, !a.isDegraded)
 		e.client.ObserveFeedback(now, backpressure.Report{Endpoint: "e", Request: a.id, Word: feedback})
 	}
-	l.responses = left
+	l.responses = pending
 }
 
 // maxSince returns the largest number of arrivals in a window, of those since a time, and the time of the
@@ -162,9 +162,9 @@
 	f.runFleet(4 * event.Second)
 	rate := 0.5 * math.Exp2(6*l.random.Float64())
 	l.feedback = backpressure.Feedback{Limited: true, Rate: rate}
-	between := []int{1800, 6000}[(c.seed-1)%2] // ms between faults at most: frequent faults, or time to use the whole limit
+	maxInterval := []int{1800, 6000}[(c.seed-1)%2] // ms between faults: frequent faults, or time to use the whole limit
 	for range 25 {
-		f.runFleet(event.Duration(f.random.IntN(between)) * event.Millisecond / 10 * 10)
+		f.runFleet(event.Duration(f.random.IntN(maxInterval)) * event.Millisecond / 10 * 10)
 		f.injectFault()
 		f.demand = 1000 * (20 + 4*rate) // 20 + 4*rate requests per second
 	}
@@ -180,12 +180,12 @@
 	before := l.total
 	f.runFleet(4 * event.Second)
 	if n := l.total - before; float64(n) < 4*10 {
-		t.Errorf("%d requests in 4 s, 12 s after the limit was withdrawn", n)
+		t.Errorf("only %d requests in 4 s, 12 s after the limit was withdrawn: it still applies", n)
 	}
 }
 
-// TestWithdrawnRateLimitEnds: without faults, but with slow responses, so that those with and without the
-// limit arrive in any order.
+// TestWithdrawnRateLimitEnds guards against a withdrawn limit that stays in force: slow responses with and
+// without the limit arrive in any order, without faults.
 func TestWithdrawnRateLimitEnds(t *testing.T) {
 	for entries, seeds := range map[int]uint64{1: 40, 4: 24, 22: 4} {
 		for seed := range seeds {
@@ -203,7 +203,7 @@
 					before := l.total
 					f.runFleet(4 * event.Second)
 					if n := l.total - before; float64(n) < 4*40 {
-						t.Errorf("%d requests in 4 s, 6 s after the limit was withdrawn", n)
+						t.Errorf("only %d requests in 4 s, 6 s after the limit was withdrawn: it still applies", n)
 					}
 				}
 			})
--- a/cluster/peers_test.go
+++ b/cluster/peers_test.go
@@ -17,7 +17,7 @@
 )
 
 // TestDisconnectFollowsConnect: the connect and disconnect of a peer must arrive in this order. In the
-// other order the peer would count as connected for ever, and the group's format version could be raised
+// other order the peer would count as connected forever, and the group's format version could be raised
 // without it.
 func TestDisconnectFollowsConnect(t *testing.T) {
 	s := &Server{
--- a/cluster/poison_sim_test.go
+++ b/cluster/poison_sim_test.go
@@ -34,8 +34,8 @@
 	requestRate = 40
 )
 
-// poisonIntervals are the intervals of the requests that crash endpoints. An owner that forgets crashes
-// would learn of a rare one anew each time.
+// poisonIntervals are the intervals of the requests that crash endpoints. The long ones guard against an
+// owner that drops the recorded crashes of a rare request.
 var poisonIntervals = []event.Duration{250 * event.Millisecond, 2 * event.Second, 6 * event.Second}
 
 const hotFingerprint = poison.Fingerprint("hot")
@@ -76,8 +76,8 @@
 	poisons   []*poisonRequest
 	instances int
 	crashRate float64 // crashes of an endpoint by itself, per second
-	// killShare is the share of poison crashes at which the entry that sent the request is killed at the
-	// same moment, in half of them together with the owner.
+	// killShare is the share of crashes caused by poison requests at which the entry that sent the request is
+	// killed at the same moment, in half of them together with the owner.
 	killShare          float64
 	controlFaultAt     event.Time
 	owner              string
@@ -324,7 +324,7 @@
 const crashDetectionTime = 5 * event.Second
 
 // unobservedCrashes returns the number of crashes that were not reported: the entry was killed at that
-// moment, and the owner that had granted the request was lost before it detected the crash.
+// moment, and the owner that had granted the request lost its ownership before it detected the crash.
 func (g *crashSim) unobservedCrashes(p *poisonRequest) int {
 	n := 0
 	for _, at := range p.crashesWithKill {
@@ -364,8 +364,8 @@
 
 // TestPoisonRunsAreBoundedUnderFaults: whatever faults owners, entries and connections have, also at the
 // moment of a crash, healthy entries send a request at most maxLatePoisonRuns times after its third crash.
-// Two of the crashes may be unobserved, as their entry and owner died with them; each further one allows
-// one more run.
+// Two of the crashes may be unobserved, as their entry and owner were killed with them; each further one
+// allows one more run.
 func TestPoisonRunsAreBoundedUnderFaults(t *testing.T) {
 	for entries, seeds := range map[int]uint64{4: 24, 22: 6} {
 		for seed := range seeds * seedFactor(t) {
--- a/cluster/poison_test.go
+++ b/cluster/poison_test.go
@@ -32,7 +32,7 @@
 		}
 		return last
 	}
-	connected := func(string, string) bool { return false }
+	notCut := func(string, string) bool { return false }
 	s.isCut = func(from, to string) bool { return from == b.name || to == b.name }
 	s.step(b, &BatchReceived{Session: 1, Batch: &message.Batch{Ends: []poison.End{
 		{Number: 1, Print: "p", Endpoint: "e1"}, {Number: 2, Print: "p", Endpoint: "e2"},
@@ -40,7 +40,7 @@
 	if n := acked(); n != 0 {
 		t.Fatalf("crashes up to %d are acknowledged before they are committed", n)
 	}
-	s.isCut = connected
+	s.isCut = notCut
 	s.run(200 * event.Millisecond)
 	if n := acked(); n != 2 {
 		t.Errorf("crashes up to %d are acknowledged, want 2", n)
@@ -50,7 +50,7 @@
 	next := s.mustOwner()
 	call := &poison.Call{Fingerprint: "p", Request: "1", Remaining: event.Second}
 	if v, _ := next.state.owner.poison.Check(s.now, call); v != poison.Wait {
-		t.Errorf("the next owner does not hold back the request: %v", v)
+		t.Errorf("the next owner's verdict on the request is %v, want Wait", v)
 	}
 	// The first view has the requests that a degraded entry must not run.
 	s.step(next, &Tick{})
@@ -92,7 +92,7 @@
 			}})
 			s.run(200 * event.Millisecond)
 			if len(s.grants(1)) != 1 {
-				t.Fatalf("%d grants, want 1", len(s.grants(1)))
+				t.Fatalf("the request received %d grants, want 1", len(s.grants(1)))
 			}
 			loseEntry(s, b)
 			ticket.ID = "2"
--- a/cluster/quota_sim_test.go
+++ b/cluster/quota_sim_test.go
@@ -107,7 +107,8 @@
 	})
 }
 
-// TestRetryBudgetHoldsUnderFaults checks the same of the retry budget of a service.
+// TestRetryBudgetHoldsUnderFaults: under the same faults, the retries that arrive in any window stay within
+// the retry budget of the service.
 func TestRetryBudgetHoldsUnderFaults(t *testing.T) {
 	runWithFaults(t, func(t *testing.T, f *fleetSim) {
 		if over, from := maxRepeatsOverBudget(f); over > 0 {
--- a/cluster/sim_test.go
+++ b/cluster/sim_test.go
@@ -55,7 +55,7 @@
 	disk          *simDisk
 	state         *State // nil while it is stopped
 	tree          *hashtree.Tree
-	wantsToJoin   bool        // it requests to join while it is no voter or has no contact to a leader
+	wantsToJoin   bool        // it requests to join while it is not a voter or has no contact with a leader
 	formatVersion level.Level // 0 means level.Newest
 	// instance identifies the running process; peerInstances has the instances of other boxes that have
 	// connected to it.
--- a/cluster/starts_test.go
+++ b/cluster/starts_test.go
@@ -48,7 +48,7 @@
 	s.step(s.mustOwner(), &BatchReceived{Session: 1, Batch: submit("c")})
 	s.run(second / 2)
 	if got := s.grants(1); len(got) != 3 || got[2].Endpoint != "e/2000" {
-		t.Errorf("grants %+v, want three", got)
+		t.Errorf("grants %+v, want a third one, to the second instance", got)
 	}
 	s.stop(s.mustOwner().name)
 	s.run(4 * second)
@@ -57,7 +57,7 @@
 	s.step(s.mustOwner(), &BatchReceived{Session: 2, Batch: submit("d")})
 	s.run(second)
 	if got := s.grants(2); len(got) != 1 || got[0].Endpoint != "e/2000" {
-		t.Errorf("the next owner granted %+v", got)
+		t.Errorf("the next owner granted %+v, want one grant to the second instance", got)
 	}
 }
 
@@ -105,7 +105,7 @@
 		{ID: "f", Service: "nobody", Address: "10.0.0.1:80", Slots: 9, Sequence: 1},
 	} {
 		if callID := s.heartbeat(s.mustOwner(), e); s.answers[callID].Status != StatusUnknownService {
-			t.Errorf("%+v was answered with %+v", e, s.answers[callID])
+			t.Errorf("the heartbeat of %+v was answered with %+v, want StatusUnknownService", e, s.answers[callID])
 		}
 	}
 	s.run(second)
@@ -121,7 +121,7 @@
 	callID := s.heartbeat(s.mustOwner(), good)
 	s.run(second)
 	if s.answers[callID].Status != StatusDone {
-		t.Errorf("the draining endpoint was answered with %+v", s.answers[callID])
+		t.Errorf("the heartbeat of the draining endpoint was answered with %+v, want StatusDone", s.answers[callID])
 	}
 }
 
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestDeadVoterIsReplaced: an empty box replaces a voter that is lost for good, so that the group still
+// TestLostVoterIsReplaced: an empty box replaces a voter that is lost for good, so that the group still
 // commits after the loss of two more.
-func TestDeadVoterIsReplaced(t *testing.T) {
+func TestLostVoterIsReplaced(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 7)
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestTwoLostDisksKeepAcknowledgedDocument wipes two disks right after an acknowledgement while all boxes
-// lose power.
+// TestTwoLostDisksKeepAcknowledgedDocument: an acknowledged configuration must not be lost when all boxes
+// stop right after the acknowledgement and two of five lose their disks.
 func TestTwoLostDisksKeepAcknowledgedDocument(t *testing.T) {
 	for first := range 5 {
 		for next := range 5 {
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestPartitionedOwnerAnswersNoRead: an owner that is partitioned answers no reads once its lease has
-// expired, and another box is the owner.
+// TestPartitionedOwnerAnswersNoRead: a partitioned owner must answer no reads once its lease has expired and
+// another box owns the pools.
 func TestPartitionedOwnerAnswersNoRead(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -137,7 +137,7 @@
 	s.put(next, 4)
 	s.run(second)
 	if a := s.read(next); a.Document.Version != 4 {
-		t.Errorf("version %d, want 4", a.Document.Version)
+		t.Errorf("the next owner read version %d, want 4", a.Document.Version)
 	}
 }
 
@@ -177,6 +177,8 @@
 	s.mustOwner()
 }
 
+// TestSameOrLowerVersionChangesNothing guards against a resent or delayed configuration that replaces the
+// one in force.
 func TestSameOrLowerVersionChangesNothing(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
@@ -338,7 +340,7 @@
 		t.Fatal(err)
 	}
 	if string(restored.document.Data) != `{"version": 4}` || len(restored.registry.Endpoints) != 1 || len(restored.registry.Removed) != 1 {
-		t.Errorf("restored %+v", restored)
+		t.Errorf("the restored state differs: %+v", restored)
 	}
 	for _, bad := range [][]byte{nil, {99}, {commandDocument, 1}, append([]byte{commandEndpoint}, '{')} {
 		if _, err := restored.apply(9, bad); err == nil {
--- a/cluster/suspended_test.go
+++ b/cluster/suspended_test.go
@@ -34,7 +34,7 @@
 		}
 	}
 	if leader < 0 {
-		t.Fatal("no box leads")
+		t.Fatal("no box acknowledged the configuration within 20 s")
 	}
 	// The lease after the suspension is based on what was received before it.
 	a := servers[leader].ReadDocument(ctx)
--- a/cluster/takeup_test.go
+++ b/cluster/takeup_test.go
@@ -86,6 +86,6 @@
 		t.Fatalf("version %d is committed, want 2", s.machine.document.Version)
 	}
 	if s.owner != nil && s.config.version < 2 {
-		t.Errorf("owns the pools by version %d while version %d is committed", s.config.version, s.machine.document.Version)
+		t.Errorf("the box owns the pools with version %d while version %d is committed", s.config.version, s.machine.document.Version)
 	}
 }
--- a/cluster/upgrade_sim_test.go
+++ b/cluster/upgrade_sim_test.go
@@ -20,8 +20,8 @@
 type upgradeSim struct {
 	*sim
 	from      level.Level
-	states    map[uint64]string // state of the members by the last applied entry
-	applied   map[*State]uint64
+	states    map[uint64]string // state of the members by the index of the last applied entry
+	applied   map[*State]uint64 // index of the last entry that check has seen
 	submitted map[CallID]uint64 // versions by call
 	stopped   *simBox
 	isolated  string
@@ -181,6 +181,7 @@
 		}()
 		u.run(2 * event.Second)
 		order := rapid.Permutation(u.order).Draw(rt, "order")
+		// wiped is the index of the box that loses its disk, negative for none; at stopsAt the upgrade stops.
 		wiped := rapid.IntRange(-len(order), len(order)-1).Draw(rt, "wiped")
 		stopsAt := rapid.IntRange(0, len(order)).Draw(rt, "stops")
 		for i, name := range order {
@@ -247,7 +248,7 @@
 	before := simDisk{member: rolledBack.disk.member, restored: rolledBack.disk.restored}
 	rolledBack.formatVersion = level.Suspects
 	if _, err := NewState(s.now, rolledBack.disk.member.ID, rolledBack.disk.restored, Settings{FormatVersion: level.Suspects}); !level.IsUnsupported(err) {
-		t.Errorf("the folder of a later build: %v", err)
+		t.Errorf("opening the folder of a later build: error %v, want an UnsupportedError", err)
 	}
 	rolledBack.disk.restored.Snapshot.Data = nil // a build before level.Negotiated does not check it
 	s.restart(rolledBack.name)
@@ -299,7 +300,7 @@
 			}
 		}
 		if moves > 2 {
-			rt.Fatalf("leadership moved %d times while %v were restarted", moves, order)
+			rt.Fatalf("leadership was transferred %d times while %v were restarted in this order", moves, order)
 		}
 	})
 }
--- a/cluster/upload_property_test.go
+++ b/cluster/upload_property_test.go
@@ -21,7 +21,7 @@
 	loss     int     // lost messages, in percent
 	sent     map[uint64]Document
 	calls    map[CallID]uint64 // submitted versions
-	applied  map[*State]uint64
+	applied  map[*State]uint64 // version in force at the last check
 }
 
 func newChaosSim(t *rapid.T, tb testing.TB) *chaosSim {
@@ -60,7 +60,7 @@
 	case n < 10:
 		c.send()
 	case n < 20:
-		c.change()
+		c.changeEndpoints()
 	case n < 43 && c.stopped == nil:
 		c.stopped = c.boxes[c.order[c.random.IntN(len(c.order))]]
 		if owner := c.owner(); owner != nil && n < 42 {
@@ -92,8 +92,8 @@
 	c.check()
 }
 
-// change changes some endpoints, so that the log is compacted.
-func (c *chaosSim) change() {
+// changeEndpoints changes some endpoints, so that the log is compacted.
+func (c *chaosSim) changeEndpoints() {
 	owner := c.owner()
 	for i := 0; owner != nil && i < 4; i++ {
 		e := manyEndpoint(i, uint64(c.lastCall)+1)
@@ -157,14 +157,14 @@
 // taken. No box may have a configuration that was not submitted, acknowledged ones must not be lost, and
 // after the faults the last one must be in force on all boxes.
 func TestConfigurationUploadsUnderFaults(t *testing.T) {
-	snapshots, documents, partly := 0, 0, 0
+	snapshots, documents, partials := 0, 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newChaosSim(rt, t)
 		c.run(2 * second)
 		c.loss = rapid.SampledFrom([]int{0, 5, 20}).Draw(rt, "loss")
 		for range rapid.IntRange(50, 200).Draw(rt, "steps") {
 			c.randomAction()
-			partly += c.partialUploads()
+			partials += c.partialUploads()
 		}
 		c.loss, c.isolated = 0, ""
 		if c.stopped != nil {
@@ -193,8 +193,8 @@
 			documents += len(c.sent)
 		}
 	})
-	t.Logf("%d snapshots, %d configurations submitted, %d times an incomplete upload", snapshots, documents, partly)
-	if snapshots == 0 || partly == 0 {
-		t.Errorf("%d snapshots and %d times an incomplete upload, want some of both", snapshots, partly)
+	t.Logf("%d snapshots, %d configurations submitted, %d incomplete uploads seen", snapshots, documents, partials)
+	if snapshots == 0 || partials == 0 {
+		t.Errorf("%d snapshots and %d incomplete uploads seen, want some of both", snapshots, partials)
 	}
 }
--- a/cluster/upload_test.go
+++ b/cluster/upload_test.go
@@ -29,7 +29,7 @@
 	s.run(second)
 	for i := range CallID(calls) {
 		if a := s.answers[100+i]; a.Status != StatusDone {
-			t.Errorf("call %d was answered with %+v", i, a)
+			t.Errorf("call %d was answered with %+v, want StatusDone", i, a)
 		}
 	}
 	s.wantDocument(owner.name, d)
@@ -79,7 +79,7 @@
 	s.run(3 * second)
 	for callID := CallID(100); callID <= 101; callID++ {
 		if a := s.answers[callID]; a.Status != StatusUnknown {
-			t.Errorf("call %d was answered with %+v", callID, a)
+			t.Errorf("call %d was answered with %+v, want StatusUnknown", callID, a)
 		}
 	}
 	s.isCut = func(string, string) bool { return false }
