--- a/cluster/fleet_sim_test.go
+++ b/cluster/fleet_sim_test.go
@@ -434,14 +434,14 @@
 }
 
 func (f *fleetSim) dispatch(e *fleetEntry, now event.Time, c *fleetCall, d gateway.Decision) {
-	end := message.Finish{Finished: event.Finished{ID: c.id, Pool: "s"}, Endpoint: "e"}
+	finish := message.Finish{Finished: event.Finished{ID: c.id, Pool: "s"}, Endpoint: "e"}
 	if f.limited != nil {
 		f.limited.dispatch(f, e, now, c, d)
 		return
 	}
 	if f.random.IntN(40) == 0 || e.client.Table(now) == nil {
-		end.Void, end.Unused, end.Unsent = true, true, true
-		e.client.Finish(now, end)
+		finish.Void, finish.Unused, finish.Unsent = true, true, true
+		e.client.Finish(now, finish)
 		return
 	}
 	arrived := f.now
@@ -449,10 +449,10 @@
 		arrived = arrived.Add(event.Duration(f.random.IntN(3000)) * event.Millisecond)
 	}
 	if c.repeat && arrived.Sub(c.sent) > message.RetryWindow {
-		end.Void, end.Unused, end.Unsent = true, true, true
-		e.client.Finish(now, end)
+		finish.Void, finish.Unused, finish.Unsent = true, true, true
+		e.client.Finish(now, finish)
 		return
 	}
 	f.arrivals = append(f.arrivals, fleetArrival{sent: c.sent, arrived: arrived, amount: c.amount, repeat: c.repeat})
-	e.finishes = append(e.finishes, fleetFinish{at: arrived.Add(event.Duration(f.random.IntN(800)) * event.Millisecond), finish: end})
+	e.finishes = append(e.finishes, fleetFinish{at: arrived.Add(event.Duration(f.random.IntN(800)) * event.Millisecond), finish: finish})
 }
--- a/cluster/limit_sim_test.go
+++ b/cluster/limit_sim_test.go
@@ -56,46 +56,46 @@
 // dispatch sends a granted request to the endpoint, unless the entry's gate blocks it.
 func (l *limitedEndpoint) dispatch(f *fleetSim, e *fleetEntry, now event.Time, c *fleetCall, d gateway.Decision) {
 	gate := e.client.Gate()
-	end := message.Finish{Finished: event.Finished{ID: c.id, Pool: "s", Void: true, Unused: true}, Endpoint: "e", Unsent: true}
+	finish := message.Finish{Finished: event.Finished{ID: c.id, Pool: "s", Void: true, Unused: true}, Endpoint: "e", Unsent: true}
 	if l.random.IntN(40) == 0 {
-		e.client.Finish(now, end) // the caller cancelled the request
+		e.client.Finish(now, finish) // the caller cancelled the request
 		return
 	}
 	if gate.Check(now, d.Endpoint, d.Permit) != backpressure.NotStopped {
 		l.blocked++
 		e.client.ObserveFeedback(now, gate.LastReport(now, d.Endpoint))
-		e.client.Finish(now, end)
+		e.client.Finish(now, finish)
 		return
 	}
 	l.total++
 	if at, ok := l.limitReceivedAt[e.client]; l.limitedSince == 0 || ok && f.now.Sub(at) >= limitPropagation {
 		l.arrivals = append(l.arrivals, f.now)
 	}
-	end.Void, end.Unused, end.Unsent = false, false, false
+	finish.Void, finish.Unused, finish.Unsent = false, false, false
 	longest := cmp.Or(l.maxResponseTime, 800*event.Millisecond)
 	run := event.Duration(l.random.IntN(int(longest/event.Millisecond))) * event.Millisecond
-	e.finishes = append(e.finishes, fleetFinish{at: f.now.Add(run), finish: end})
-	a := limitedResponse{at: f.now.Add(run * event.Duration(l.random.IntN(100)) / 100), sent: now, entry: e, client: e.client, id: c.id, isDegraded: d.Degraded}
+	e.finishes = append(e.finishes, fleetFinish{at: f.now.Add(run), finish: finish})
+	response := limitedResponse{at: f.now.Add(run * event.Duration(l.random.IntN(100)) / 100), sent: now, entry: e, client: e.client, id: c.id, isDegraded: d.Degraded}
 	if feedback := l.feedback; l.random.IntN(2) == 0 {
-		a.feedbackAtStart = &feedback
+		response.feedbackAtStart = &feedback
 	}
-	l.responses = append(l.responses, a)
+	l.responses = append(l.responses, response)
 }
 
 // deliverResponses delivers the responses that are due to an entry.
 func (l *limitedEndpoint) deliverResponses(f *fleetSim, e *fleetEntry, now event.Time) {
 	var pending []limitedResponse
-	for _, a := range l.responses {
-		if a.entry != e || f.now < a.at {
-			pending = append(pending, a)
+	for _, response := range l.responses {
+		if response.entry != e || f.now < response.at {
+			pending = append(pending, response)
 			continue
 		}
-		if a.client != e.client {
+		if response.client != e.client {
 			continue // the entry was restarted
 		}
 		gate, feedback := e.client.Gate(), l.feedback
-		if a.feedbackAtStart != nil {
-			feedback = *a.feedbackAtStart
+		if response.feedbackAtStart != nil {
+			feedback = *response.feedbackAtStart
 		}
 		if !feedback.Restricts() && !gate.IsLimited("e") {
 			continue
@@ -108,8 +108,8 @@
 				l.limitReceivedAt[e.client] = f.now
 			}
 		}
-		gate.Observe(now, a.sent, "e", feedback, !a.isDegraded)
-		e.client.ObserveFeedback(now, backpressure.Report{Endpoint: "e", Request: a.id, Word: feedback})
+		gate.Observe(now, response.sent, "e", feedback, !response.isDegraded)
+		e.client.ObserveFeedback(now, backpressure.Report{Endpoint: "e", Request: response.id, Word: feedback})
 	}
 	l.responses = pending
 }
--- a/cluster/poison_sim_test.go
+++ b/cluster/poison_sim_test.go
@@ -29,8 +29,8 @@
 	// crash.
 	settleTime        = 3 * event.Second
 	maxLatePoisonRuns = 3
-	// requestRate is the rate of other requests at each entry, per second; a third of them are one hot
-	// request.
+	// requestRate is the rate of other requests at each entry, per second. A third of them are the same, hot
+	// request; all others differ.
 	requestRate = 40
 )
 
@@ -38,6 +38,7 @@
 // owner that drops the recorded crashes of a rare request.
 var poisonIntervals = []event.Duration{250 * event.Millisecond, 2 * event.Second, 6 * event.Second}
 
+// hotFingerprint is that of a request that all entries send often.
 const hotFingerprint = poison.Fingerprint("hot")
 
 // crashingEndpoint is an address at which instances of an endpoint run, one after the other.
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestOwnerLosesLeaseWhileSuspended: the first event of an owner after its process was suspended is a read; it must
-// not be answered.
+// TestOwnerLosesLeaseWhileSuspended: the first event of an owner after its process was suspended is a read;
+// it must not be answered.
 func TestOwnerLosesLeaseWhileSuspended(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
--- a/cluster/suspended_test.go
+++ b/cluster/suspended_test.go
@@ -12,8 +12,8 @@
 	"lynxramp.org/internal/uptime"
 )
 
-// TestLeaseExpiresWhileMachineIsSuspended: the lease must expire while the machine is suspended, which a monotonic
-// clock may not count, or the box would answer a read with an outdated configuration.
+// TestLeaseExpiresWhileMachineIsSuspended: the lease must expire while the machine is suspended, which a
+// monotonic clock may not count, or the box would answer a read with an outdated configuration.
 func TestLeaseExpiresWhileMachineIsSuspended(t *testing.T) {
 	const boxes = 3
 	var suspendedTime [boxes]atomic.Int64
--- a/cluster/upgrade_sim_test.go
+++ b/cluster/upgrade_sim_test.go
@@ -280,13 +280,13 @@
 }
 
 // TestRollingRestartTransfersLeadershipTwiceAtMost: leadership must be transferred to a box that was
-// already restarted, or it moves with each restart.
+// already restarted, or it would be transferred at each restart.
 func TestRollingRestartTransfersLeadershipTwiceAtMost(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newSim(t, rapid.SampledFrom([]int{3, 5}).Draw(rt, "boxes"), 0)
 		s.run(2 * event.Second)
 		order := rapid.Permutation(s.order).Draw(rt, "order")
-		lead, moves := s.mustOwner().name, 0
+		leader, transfers := s.mustOwner().name, 0
 		for _, name := range order {
 			s.step(s.boxes[name], &StopRequested{})
 			s.run(600 * event.Millisecond)
@@ -294,13 +294,13 @@
 			s.run(event.Duration(rapid.IntRange(1, 100).Draw(rt, "off")) * simStep)
 			s.restart(name)
 			s.run(event.Duration(rapid.IntRange(50, 300).Draw(rt, "gap")) * simStep)
-			if now := s.mustOwner().name; now != lead {
-				lead = now
-				moves++
+			if now := s.mustOwner().name; now != leader {
+				leader = now
+				transfers++
 			}
 		}
-		if moves > 2 {
-			rt.Fatalf("leadership was transferred %d times while %v were restarted in this order", moves, order)
+		if transfers > 2 {
+			rt.Fatalf("leadership was transferred %d times while %v were restarted in this order", transfers, order)
 		}
 	})
 }
--- a/gateway/asked_test.go
+++ b/gateway/asked_test.go
@@ -32,7 +32,7 @@
 }
 
 // TestGateChecksEverySend: a grant by an owner that lacks the endpoint's feedback is not used, for a first attempt,
-// a retry or a resumed stream. The feedback is reported and the owner asked again.
+// a retry or a resumed stream. The feedback is reported, and the request submitted to the owner again.
 func TestGateChecksEverySend(t *testing.T) {
 	for header, status := range map[string]int{"X-Limit: 2": 200, "X-Leaving: 1": 200, "X-Rest: 3s": 503} {
 		for _, attempt := range []struct {
@@ -127,7 +127,7 @@
 			r := newTestGateway(t, e1)
 			r.do(t, r.request("POST", "/once/x", "q"))
 			r.owner.mu.Lock()
-			r.owner.silent = true
+			r.owner.unresponsive = true
 			r.owner.mu.Unlock()
 			started := time.Now()
 			waitFor(t, "the entry is degraded", func() bool { return time.Since(started) > time.Second })
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -136,10 +136,10 @@
 		return false
 	}
 	for _, c := range []struct {
-		name, path  string
-		first       responder
-		status      int
-		runs, total int // at the first endpoint, and at both together
+		name, path       string
+		first            responder
+		status           int
+		firstRuns, total int // at the first endpoint, and at both together
 	}{
 		{"not run, once", "/once/x", notRun, 200, 1, 2},
 		{"not run, safe", "/safe/x", notRun, 200, 1, 2},
@@ -166,8 +166,8 @@
 			if status != c.status {
 				t.Errorf("status %d (%q), want %d", status, body, c.status)
 			}
-			if one.runs() != c.runs || one.runs()+two.runs() != c.total {
-				t.Errorf("%d runs at the first endpoint and %d at the second, want %d at the first and %d in all", one.runs(), two.runs(), c.runs, c.total)
+			if one.runs() != c.firstRuns || one.runs()+two.runs() != c.total {
+				t.Errorf("%d runs at the first endpoint and %d at the second, want %d at the first and %d in all", one.runs(), two.runs(), c.firstRuns, c.total)
 			}
 		})
 	}
@@ -249,7 +249,7 @@
 		t.Errorf("status %d, complete %v, body %q, want all events once", status, all, body)
 	}
 	if got := two.requests[0].Header.Get("X-Last"); got != "3" {
-		t.Errorf("the second endpoint was asked from event %q, want 3", got)
+		t.Errorf("the second endpoint was asked to resume after event %q, want 3", got)
 	}
 	// The retry has no limit on its expected wait: a stream that was started is not refused for its wait.
 	r.owner.mu.Lock()
@@ -357,7 +357,7 @@
 	e := newFakeEndpoint(t, whole(200, "answer"))
 	r := newTestGateway(t, e)
 	r.owner.mu.Lock()
-	r.owner.silent = true
+	r.owner.unresponsive = true
 	r.owner.mu.Unlock()
 	waitFor(t, "the entry is degraded", func() bool {
 		status, _, _ := r.do(t, r.request("POST", "/safe/x", "q"))
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -166,11 +166,11 @@
 
 // fakeOwner is the owner at the other end of an agent's link.
 type fakeOwner struct {
-	mu        sync.Mutex
-	endpoints []registry.Endpoint
-	next      int
-	refuse    event.Reason
-	silent    bool // ignores all messages
+	mu           sync.Mutex
+	endpoints    []registry.Endpoint
+	next         int
+	refuse       event.Reason
+	unresponsive bool // ignores all messages
 	// beforeRetry is called before a decision on a retry.
 	beforeRetry func()
 	hold        bool // decides nothing
@@ -214,7 +214,7 @@
 	_ = c.Serve(func(m *message.Envelope) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		if o.silent {
+		if o.unresponsive {
 			return
 		}
 		switch {
--- a/gateway/view_test.go
+++ b/gateway/view_test.go
@@ -28,17 +28,17 @@
 // Changes between the parts do not end the list.
 func TestEndpointListIsReceivedInParts(t *testing.T) {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", ControlAddresses: []string{"box"}, ConfigValidity: 5 * event.Second, Log: zap.NewNop()})
-	receive := func(v message.View) (asked bool) {
+	receive := func(v message.View) (pinged bool) {
 		a.Received(0, a.link, &message.Envelope{View: &v})
 		for _, s := range a.TakeEffects().Sends {
-			asked = asked || (s.Message.Ping != nil && s.Message.Ping.Revision == a.revision)
+			pinged = pinged || (s.Message.Ping != nil && s.Message.Ping.Revision == a.revision)
 		}
-		return asked
+		return pinged
 	}
 	check := func(revision uint64, want ...event.EndpointID) {
 		t.Helper()
 		if diff := cmp.Diff(want, slices.Sorted(maps.Keys(a.endpoints))); diff != "" || a.revision != revision {
-			t.Errorf("revision %d, want %d: %s", a.revision, revision, diff)
+			t.Errorf("revision %d, want %d; endpoints (-want +got):\n%s", a.revision, revision, diff)
 		}
 	}
 	a.Connected(0, 1, "box")
--- a/store/doc.go
+++ b/store/doc.go
@@ -10,6 +10,6 @@
 // Each record has a checksum. Save returns once the data is synced; nothing counts as written
 // before. A torn record at the end of the log was never acknowledged and is cut off. Damage
 // anywhere else is an error and the box does not start: without the damaged records it could break
-// votes and acknowledgements that it has sent to other members. An intact record of an unknown kind was written by a newer build: that is a
-// level.UnsupportedError, and the files stay as they are.
+// votes and acknowledgements that it has sent to other members. An intact record of an unknown kind
+// was written by a newer build: that is a level.UnsupportedError, and the files stay as they are.
 package store
