--- a/cluster/fleet_sim_test.go
+++ b/cluster/fleet_sim_test.go
@@ -434,14 +434,14 @@
 }
 
 func (f *fleetSim) dispatch(e *fleetEntry, now event.Time, c *fleetCall, d gateway.Decision) {
-	finish := message.Finish{Finished: event.Finished{ID: c.id, Pool: "s"}, Endpoint: "e"}
+	result := message.Finish{Finished: event.Finished{ID: c.id, Pool: "s"}, Endpoint: "e"}
 	if f.limited != nil {
 		f.limited.dispatch(f, e, now, c, d)
 		return
 	}
 	if f.random.IntN(40) == 0 || e.client.Table(now) == nil {
-		finish.Void, finish.Unused, finish.Unsent = true, true, true
-		e.client.Finish(now, finish)
+		result.Void, result.Unused, result.Unsent = true, true, true
+		e.client.Finish(now, result)
 		return
 	}
 	arrived := f.now
@@ -449,10 +449,10 @@
 		arrived = arrived.Add(event.Duration(f.random.IntN(3000)) * event.Millisecond)
 	}
 	if c.repeat && arrived.Sub(c.sent) > message.RetryWindow {
-		finish.Void, finish.Unused, finish.Unsent = true, true, true
-		e.client.Finish(now, finish)
+		result.Void, result.Unused, result.Unsent = true, true, true
+		e.client.Finish(now, result)
 		return
 	}
 	f.arrivals = append(f.arrivals, fleetArrival{sent: c.sent, arrived: arrived, amount: c.amount, repeat: c.repeat})
-	e.finishes = append(e.finishes, fleetFinish{at: arrived.Add(event.Duration(f.random.IntN(800)) * event.Millisecond), finish: finish})
+	e.finishes = append(e.finishes, fleetFinish{at: arrived.Add(event.Duration(f.random.IntN(800)) * event.Millisecond), finish: result})
 }
--- a/cluster/limit_sim_test.go
+++ b/cluster/limit_sim_test.go
@@ -56,25 +56,25 @@
 // dispatch sends a granted request to the endpoint, unless the entry's gate blocks it.
 func (l *limitedEndpoint) dispatch(f *fleetSim, e *fleetEntry, now event.Time, c *fleetCall, d gateway.Decision) {
 	gate := e.client.Gate()
-	finish := message.Finish{Finished: event.Finished{ID: c.id, Pool: "s", Void: true, Unused: true}, Endpoint: "e", Unsent: true}
+	result := message.Finish{Finished: event.Finished{ID: c.id, Pool: "s", Void: true, Unused: true}, Endpoint: "e", Unsent: true}
 	if l.random.IntN(40) == 0 {
-		e.client.Finish(now, finish) // the caller cancelled the request
+		e.client.Finish(now, result) // the caller cancelled the request
 		return
 	}
 	if gate.Check(now, d.Endpoint, d.Permit) != backpressure.NotStopped {
 		l.blocked++
 		e.client.ObserveFeedback(now, gate.LastReport(now, d.Endpoint))
-		e.client.Finish(now, finish)
+		e.client.Finish(now, result)
 		return
 	}
 	l.total++
 	if at, ok := l.limitReceivedAt[e.client]; l.limitedSince == 0 || ok && f.now.Sub(at) >= limitPropagation {
 		l.arrivals = append(l.arrivals, f.now)
 	}
-	finish.Void, finish.Unused, finish.Unsent = false, false, false
+	result.Void, result.Unused, result.Unsent = false, false, false
 	longest := cmp.Or(l.maxResponseTime, 800*event.Millisecond)
 	run := event.Duration(l.random.IntN(int(longest/event.Millisecond))) * event.Millisecond
-	e.finishes = append(e.finishes, fleetFinish{at: f.now.Add(run), finish: finish})
+	e.finishes = append(e.finishes, fleetFinish{at: f.now.Add(run), finish: result})
 	response := limitedResponse{at: f.now.Add(run * event.Duration(l.random.IntN(100)) / 100), sent: now, entry: e, client: e.client, id: c.id, isDegraded: d.Degraded}
 	if feedback := l.feedback; l.random.IntN(2) == 0 {
 		response.feedbackAtStart = &feedback
--- a/gateway/gone_test.go
+++ b/gateway/gone_test.go
@@ -195,7 +195,7 @@
 	return len(o.submits)
 }
 
-// TestDisconnectDuringResponse: the connection to the endpoint is closed, so that it stops the run.
+// TestDisconnectDuringResponse guards against an endpoint that keeps running a request whose caller has disconnected.
 func TestDisconnectDuringResponse(t *testing.T) {
 	for name, one := range map[string]struct {
 		path  string
