--- a/cluster/limit_sim_test.go
+++ b/cluster/limit_sim_test.go
@@ -37,7 +37,7 @@
 	total           int // arrivals, including those from entries that have not received the limit yet
 	limitReceivedAt map[*gateway.OwnerClient]event.Time
 	responses       []limitedResponse
-	blocked         int
+	blocked         int            // granted requests that the gate of their entry blocked
 	maxResponseTime event.Duration // largest delay of a response's headers; 0 means 0.8 s
 }
 
@@ -56,46 +56,46 @@
 // dispatch sends a granted request to the endpoint, unless the entry's gate blocks it.
 func (l *limitedEndpoint) dispatch(f *fleetSim, e *fleetEntry, now event.Time, c *fleetCall, d gateway.Decision) {
 	gate := e.client.Gate()
-	end := message.Finish{Finished: event.Finished{ID: c.id, Pool: "s", Void: true, Unused: true}, Endpoint: "e", Unsent: true}
+	result := message.Finish{Finished: event.Finished{ID: c.id, Pool: "s", Void: true, Unused: true}, Endpoint: "e", Unsent: true}
 	if l.random.IntN(40) == 0 {
-		e.client.Finish(now, end) // the caller cancelled the request
+		e.client.Finish(now, result) // the caller cancelled the request
 		return
 	}
 	if gate.Check(now, d.Endpoint, d.Permit) != backpressure.NotStopped {
 		l.blocked++
 		e.client.ObserveFeedback(now, gate.LastReport(now, d.Endpoint))
-		e.client.Finish(now, end)
+		e.client.Finish(now, result)
 		return
 	}
 	l.total++
 	if at, ok := l.limitReceivedAt[e.client]; l.limitedSince == 0 || ok && f.now.Sub(at) >= limitPropagation {
 		l.arrivals = append(l.arrivals, f.now)
 	}
-	end.Void, end.Unused, end.Unsent = false, false, false
+	result.Void, result.Unused, result.Unsent = false, false, false
 	longest := cmp.Or(l.maxResponseTime, 800*event.Millisecond)
 	run := event.Duration(l.random.IntN(int(longest/event.Millisecond))) * event.Millisecond
-	e.finishes = append(e.finishes, fleetFinish{at: f.now.Add(run), finish: end})
-	a := limitedResponse{at: f.now.Add(run * event.Duration(l.random.IntN(100)) / 100), sent: now, entry: e, client: e.client, id: c.id, isDegraded: d.Degraded}
+	e.finishes = append(e.finishes, fleetFinish{at: f.now.Add(run), finish: result})
+	response := limitedResponse{at: f.now.Add(run * event.Duration(l.random.IntN(100)) / 100), sent: now, entry: e, client: e.client, id: c.id, isDegraded: d.Degraded}
 	if feedback := l.feedback; l.random.IntN(2) == 0 {
-		a.feedbackAtStart = &feedback
+		response.feedbackAtStart = &feedback
 	}
-	l.responses = append(l.responses, a)
+	l.responses = append(l.responses, response)
 }
 
 // deliverResponses delivers the responses that are due to an entry.
 func (l *limitedEndpoint) deliverResponses(f *fleetSim, e *fleetEntry, now event.Time) {
 	var pending []limitedResponse
-	for _, a := range l.responses {
-		if a.entry != e || f.now < a.at {
-			pending = append(pending, a)
+	for _, response := range l.responses {
+		if response.entry != e || f.now < response.at {
+			pending = append(pending, response)
 			continue
 		}
-		if a.client != e.client {
+		if response.client != e.client {
 			continue // the entry was restarted
 		}
 		gate, feedback := e.client.Gate(), l.feedback
-		if a.feedbackAtStart != nil {
-			feedback = *a.feedbackAtStart
+		if response.feedbackAtStart != nil {
+			feedback = *response.feedbackAtStart
 		}
 		if !feedback.Restricts() && !gate.IsLimited("e") {
 			continue
@@ -108,8 +108,8 @@
 				l.limitReceivedAt[e.client] = f.now
 			}
 		}
-		gate.Observe(now, a.sent, "e", feedback, !a.isDegraded)
-		e.client.ObserveFeedback(now, backpressure.Report{Endpoint: "e", Request: a.id, Word: feedback})
+		gate.Observe(now, response.sent, "e", feedback, !response.isDegraded)
+		e.client.ObserveFeedback(now, backpressure.Report{Endpoint: "e", Request: response.id, Word: feedback})
 	}
 	l.responses = pending
 }
@@ -162,9 +162,9 @@
 	f.runFleet(4 * event.Second)
 	rate := 0.5 * math.Exp2(6*l.random.Float64())
 	l.feedback = backpressure.Feedback{Limited: true, Rate: rate}
-	between := []int{1800, 6000}[(c.seed-1)%2] // ms between faults at most: frequent faults, or time to use the whole limit
+	maxInterval := []int{1800, 6000}[(c.seed-1)%2] // ms between faults: frequent faults, or time to use the whole limit
 	for range 25 {
-		f.runFleet(event.Duration(f.random.IntN(between)) * event.Millisecond / 10 * 10)
+		f.runFleet(event.Duration(f.random.IntN(maxInterval)) * event.Millisecond / 10 * 10)
 		f.injectFault()
 		f.demand = 1000 * (20 + 4*rate) // 20 + 4*rate requests per second
 	}
@@ -180,12 +180,12 @@
 	before := l.total
 	f.runFleet(4 * event.Second)
 	if n := l.total - before; float64(n) < 4*10 {
-		t.Errorf("%d requests in 4 s, 12 s after the limit was withdrawn", n)
+		t.Errorf("only %d requests in 4 s, 12 s after the limit was withdrawn: it still applies", n)
 	}
 }
 
-// TestWithdrawnRateLimitEnds: without faults, but with slow responses, so that those with and without the
-// limit arrive in any order.
+// TestWithdrawnRateLimitEnds guards against a withdrawn limit that stays in force: slow responses with and
+// without the limit arrive in any order, without faults.
 func TestWithdrawnRateLimitEnds(t *testing.T) {
 	for entries, seeds := range map[int]uint64{1: 40, 4: 24, 22: 4} {
 		for seed := range seeds {
@@ -203,7 +203,7 @@
 					before := l.total
 					f.runFleet(4 * event.Second)
 					if n := l.total - before; float64(n) < 4*40 {
-						t.Errorf("%d requests in 4 s, 6 s after the limit was withdrawn", n)
+						t.Errorf("only %d requests in 4 s, 6 s after the limit was withdrawn: it still applies", n)
 					}
 				}
 			})
--- a/cluster/upgrade_sim_test.go
+++ b/cluster/upgrade_sim_test.go
@@ -20,8 +20,8 @@
 type upgradeSim struct {
 	*sim
 	from      level.Level
-	states    map[uint64]string // state of the members by the last applied entry
-	applied   map[*State]uint64
+	states    map[uint64]string // state of the members by the index of the last applied entry
+	applied   map[*State]uint64 // index of the last entry that check has seen
 	submitted map[CallID]uint64 // versions by call
 	stopped   *simBox
 	isolated  string
@@ -181,6 +181,7 @@
 		}()
 		u.run(2 * event.Second)
 		order := rapid.Permutation(u.order).Draw(rt, "order")
+		// wiped is the index of the box that loses its disk, negative for none; at stopsAt the upgrade stops.
 		wiped := rapid.IntRange(-len(order), len(order)-1).Draw(rt, "wiped")
 		stopsAt := rapid.IntRange(0, len(order)).Draw(rt, "stops")
 		for i, name := range order {
@@ -247,7 +248,7 @@
 	before := simDisk{member: rolledBack.disk.member, restored: rolledBack.disk.restored}
 	rolledBack.formatVersion = level.Suspects
 	if _, err := NewState(s.now, rolledBack.disk.member.ID, rolledBack.disk.restored, Settings{FormatVersion: level.Suspects}); !level.IsUnsupported(err) {
-		t.Errorf("the folder of a later build: %v", err)
+		t.Errorf("opening the folder of a later build: error %v, want an UnsupportedError", err)
 	}
 	rolledBack.disk.restored.Snapshot.Data = nil // a build before level.Negotiated does not check it
 	s.restart(rolledBack.name)
@@ -279,13 +280,13 @@
 }
 
 // TestRollingRestartTransfersLeadershipTwiceAtMost: leadership must be transferred to a box that was
-// already restarted, or it moves with each restart.
+// already restarted, or it would be transferred at each restart.
 func TestRollingRestartTransfersLeadershipTwiceAtMost(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newSim(t, rapid.SampledFrom([]int{3, 5}).Draw(rt, "boxes"), 0)
 		s.run(2 * event.Second)
 		order := rapid.Permutation(s.order).Draw(rt, "order")
-		leader, moves := s.mustOwner().name, 0
+		leader, transfers := s.mustOwner().name, 0
 		for _, name := range order {
 			s.step(s.boxes[name], &StopRequested{})
 			s.run(600 * event.Millisecond)
@@ -295,11 +296,11 @@
 			s.run(event.Duration(rapid.IntRange(50, 300).Draw(rt, "gap")) * simStep)
 			if now := s.mustOwner().name; now != leader {
 				leader = now
-				moves++
+				transfers++
 			}
 		}
-		if moves > 2 {
-			rt.Fatalf("leadership moved %d times while %v were restarted", moves, order)
+		if transfers > 2 {
+			rt.Fatalf("leadership was transferred %d times while %v were restarted in this order", transfers, order)
 		}
 	})
 }
--- a/gateway/longest_test.go
+++ b/gateway/longest_test.go
@@ -27,11 +27,11 @@
 		{23 * time.Second, "a", 2 * time.Second, true},
 	} {
 		if got := l.observe(at.Add(step.after), step.route, step.timeout); got != step.want {
-			t.Errorf("after %v on %s with timeout %v: %v", step.after, step.route, step.timeout, got)
+			t.Errorf("after %v on route %s a timeout of %v counts as shorter: %v", step.after, step.route, step.timeout, got)
 		}
 	}
 	l.sweep(at.Add(24 * time.Second)) // b was not requested since the first second
 	if _, ok := l.routes["a"]; len(l.routes) != 1 || !ok {
-		t.Errorf("%d routes are kept, want a alone", len(l.routes))
+		t.Errorf("%d routes are kept, want only a", len(l.routes))
 	}
 }
--- a/gateway/owner_client_test.go
+++ b/gateway/owner_client_test.go
@@ -35,7 +35,7 @@
 		a.Connected(event.Time(away), 2, "box")
 		held := a.TakeEffects().Sends[0].Message.Hello.Held
 		if len(held) != 1 || held[0].UpTo-held[0].Spent != want {
-			t.Errorf("after %v its leases are %+v, want %d left", away, held, want)
+			t.Errorf("reported leases after %v without an owner: %+v, want %d left", away, held, want)
 		}
 	}
 }
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -166,22 +166,22 @@
 
 // fakeOwner is the owner at the other end of an agent's link.
 type fakeOwner struct {
-	mu        sync.Mutex
-	endpoints []registry.Endpoint
-	next      int
-	refuse    event.Reason
-	silent    bool // ignores all messages
-	// beforeRepeat is called before a decision on a retry.
-	beforeRepeat func()
-	hold         bool // decides nothing
-	finished     []message.Finish
-	ends         []poison.End
-	feedback     []backpressure.Report
-	submits      []message.Submission
-	withdrawn    []message.Withdrawal
-	conn         *link.Conn[message.Envelope]
-	version      uint64
-	trees        map[uint64]*hashtree.Tree
+	mu           sync.Mutex
+	endpoints    []registry.Endpoint
+	next         int
+	refuse       event.Reason
+	unresponsive bool // ignores all messages
+	// beforeRetry is called before a decision on a retry.
+	beforeRetry func()
+	hold        bool // decides nothing
+	finished    []message.Finish
+	ends        []poison.End
+	feedback    []backpressure.Report
+	submits     []message.Submission
+	withdrawn   []message.Withdrawal
+	conn        *link.Conn[message.Envelope]
+	version     uint64
+	trees       map[uint64]*hashtree.Tree
 }
 
 // publish puts a configuration in force at the owner and announces it.
@@ -214,7 +214,7 @@
 	_ = c.Serve(func(m *message.Envelope) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		if o.silent {
+		if o.unresponsive {
 			return
 		}
 		switch {
@@ -249,8 +249,8 @@
 	d := &message.Decisions{}
 	for _, s := range b.Submit {
 		o.submits = append(o.submits, s)
-		if s.Repeat && o.beforeRepeat != nil {
-			o.beforeRepeat()
+		if s.Repeat && o.beforeRetry != nil {
+			o.beforeRetry()
 		}
 		if o.refuse != event.ReasonNone || o.next >= len(o.endpoints) {
 			d.Refusals = append(d.Refusals, event.Refused{ID: s.Ticket.ID, Reason: max(o.refuse, event.ReasonShed), RetryAfter: event.Second})
--- a/gateway/view_test.go
+++ b/gateway/view_test.go
@@ -38,7 +38,7 @@
 	check := func(revision uint64, want ...event.EndpointID) {
 		t.Helper()
 		if diff := cmp.Diff(want, slices.Sorted(maps.Keys(a.endpoints))); diff != "" || a.revision != revision {
-			t.Errorf("revision %d, want %d: %s", a.revision, revision, diff)
+			t.Errorf("revision %d, want %d; endpoints (-want +got):\n%s", a.revision, revision, diff)
 		}
 	}
 	a.Connected(0, 1, "box")
