--- a/admission/poison.go
+++ b/admission/poison.go
@@ -27,7 +27,7 @@
 		s.separateTrial(m)
 		return true
 	case verdict == poison.Wait && len(s.held) < maxHeld:
-		s.held = append(s.held, parked{entry: entry, submission: *m, queuedAt: now, until: now.Add(max(waitTimeout(t), recordTimeout))})
+		s.held = append(s.held, deferredRequest{entry: entry, submission: *m, queuedAt: now, until: now.Add(max(remainingQueueTimeout(t), recordTimeout))})
 	case verdict == poison.Wait:
 		s.refusePoison(entry, t.ID, heldRetryAfter, out)
 	default:
@@ -62,11 +62,11 @@
 	}
 }
 
-// RecordEnds records endpoints that terminated during runs.
-func (s *State) RecordEnds(now event.Time, ends []poison.End, out *event.Effects) {
+// RecordTerminations records endpoints that terminated during runs.
+func (s *State) RecordTerminations(now event.Time, ends []poison.Termination, out *event.Effects) {
 	for i := range ends {
 		delete(s.runs, ends[i].Request)
-		s.poison.RecordEnd(now, &ends[i])
+		s.poison.RecordTermination(now, &ends[i])
 	}
 	s.holdQueued(now, out)
 }
--- a/admission/poison_test.go
+++ b/admission/poison_test.go
@@ -74,10 +74,10 @@
 	return nil
 }
 
-// endRun reports that the endpoint of a call terminated.
-func (r *poisonRig) endRun(id int, p poison.Fingerprint) {
+// reportTermination reports that the endpoint of a call terminated.
+func (r *poisonRig) reportTermination(id int, p poison.Fingerprint) {
 	request, endpoint := event.RequestID(fmt.Sprint(id)), r.granted(id)
-	r.RecordEnds(r.now, []poison.End{{Print: p, Endpoint: endpoint, Request: request, Ran: event.Millisecond}}, &r.out)
+	r.RecordTerminations(r.now, []poison.Termination{{Print: p, Endpoint: endpoint, Request: request, Ran: event.Millisecond}}, &r.out)
 	r.Finish(r.now, &message.Finish{Finished: event.Finished{ID: request, Pool: "s", Failed: true}, Endpoint: endpoint, Print: p}, &r.out)
 }
 
@@ -92,7 +92,7 @@
 func TestHeldCallsWaitForRunningCall(t *testing.T) {
 	r := newPoisonRig(t, 6, 4)
 	r.submit(1, badPrint)
-	r.endRun(1, badPrint)
+	r.reportTermination(1, badPrint)
 	before := spentOf(r.State, r.now, budget.Team("t"))
 	for id := 2; id < 6; id++ {
 		r.submit(id, badPrint)
@@ -126,7 +126,7 @@
 	for id := range 2 {
 		r.submit(id, badPrint)
 		r.save()
-		r.endRun(id, badPrint)
+		r.reportTermination(id, badPrint)
 		r.RemoveEndpoint(r.now, r.granted(id), &r.out)
 	}
 	r.submit(2, badPrint)
@@ -137,7 +137,7 @@
 	if one := r.refused(3); one == nil || one.Reason != event.ReasonPoison || one.RetryAfter <= 0 {
 		t.Errorf("a held call after its timeout: %+v", one)
 	}
-	r.endRun(2, badPrint)
+	r.reportTermination(2, badPrint)
 	r.submit(4, badPrint)
 	if one := r.refused(4); one == nil || one.Reason != event.ReasonPoison || one.RetryAfter <= event.Second {
 		t.Errorf("a call of a quarantined request: %+v", one)
@@ -157,7 +157,7 @@
 	if r.granted(3) != "" || r.granted(4) != "" {
 		t.Fatal("calls 3 and 4 are not queued")
 	}
-	r.endRun(2, badPrint)
+	r.reportTermination(2, badPrint)
 	r.succeed(1, "busy")
 	r.save()
 	if r.granted(3) == "" || r.granted(4) != "" {
@@ -187,7 +187,7 @@
 	if len(r.parked) != 3 {
 		t.Fatalf("%d calls wait for the quota", len(r.parked))
 	}
-	r.endRun(1, badPrint)
+	r.reportTermination(1, badPrint)
 	for range 40 {
 		r.now = r.now.Add(50 * event.Millisecond)
 		r.Tick(r.now, &r.out)
@@ -226,7 +226,7 @@
 		r := newPoisonRig(t, endpoints, 4)
 		for _, p := range []poison.Fingerprint{badPrint, "another"} {
 			for _, endpoint := range []event.EndpointID{"x1", "x2"} {
-				r.RecordEnds(r.now, []poison.End{{Print: p, Endpoint: endpoint, Ran: event.Millisecond}}, &r.out)
+				r.RecordTerminations(r.now, []poison.Termination{{Print: p, Endpoint: endpoint, Ran: event.Millisecond}}, &r.out)
 			}
 		}
 		r.submit(1, badPrint)
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -24,8 +24,8 @@
 	// IsLeased reports whether the budget was leased by an owner that is lost: a new owner may have more
 	// available at any time.
 	IsLeased() bool
-	// State returns the amount spent from an account and its limit, for the log.
-	State(now event.Time, a budget.Account) (spent, limit int)
+	// Usage returns the amount spent from an account and its limit, for the log.
+	Usage(now event.Time, a budget.Account) (spent, limit int)
 }
 
 // requestWindowRatio is the part of a retry window whose requests bound a service's retries. The
@@ -56,11 +56,11 @@
 }
 
 // setRetryLimit limits a service's retries by its recent requests. A retry may arrive up to
-// message.RetryWindow after its decision, so the window is extended by that.
+// message.MaxRetryAge after its decision, so the window is extended by that.
 func (s *State) setRetryLimit(now event.Time, name string, v *service) {
 	most := s.limits.RetryMin + int(s.limits.RetryRatio*float64(v.requests.Total(now)))
 	s.budget.SetLimit(now, budget.Retries(name), budget.Limit{
-		Window: s.limits.RetryWindow + message.RetryWindow, Max: most, Base: s.limits.RetryMin,
+		Window: s.limits.RetryWindow + message.MaxRetryAge, Max: most, Base: s.limits.RetryMin,
 	})
 }
 
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -66,12 +66,12 @@
 		}
 	}
 	slices.Sort(ids)
-	var ends []poison.End
+	var ends []poison.Termination
 	for _, id := range ids {
 		r := s.runs[id]
-		ends = append(ends, poison.End{Print: r.fingerprint, Endpoint: r.endpoint, Request: id, Attempt: r.attempt, Ran: now.Sub(r.startedAt)})
+		ends = append(ends, poison.Termination{Print: r.fingerprint, Endpoint: r.endpoint, Request: id, Attempt: r.attempt, Ran: now.Sub(r.startedAt)})
 	}
-	s.RecordEnds(now, ends, out)
+	s.RecordTerminations(now, ends, out)
 }
 
 // sweepRuns removes expired runs.
--- a/budget/book.go
+++ b/budget/book.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// InheritLedger returns the Allocator of an owner that succeeds others, with the state in
+// RestoreAllocator returns the Allocator of an owner that succeeds others, with the state in
 // the log. Every earlier owner must have stopped by now.
-func InheritLedger(now event.Time, leaseTTL event.Duration, l *Ledger) *Allocator {
+func RestoreAllocator(now event.Time, leaseTTL event.Duration, l *Ledger) *Allocator {
 	b := NewAllocator(now, leaseTTL)
 	b.isFirst = false
 	b.prior = l.copy()
@@ -182,8 +182,8 @@
 	return a.spent.TimeUntilAtMost(now, float64(a.limit.Max-a.reserved()-amount))
 }
 
-// State returns what counts as spent of an account and how much may be, for the log.
-func (b *Allocator) State(now event.Time, name Account) (spent, limit int) {
+// Usage returns what counts as spent of an account and how much may be, for the log.
+func (b *Allocator) Usage(now event.Time, name Account) (spent, limit int) {
 	a := b.account(now, name)
 	if a == nil {
 		return 0, 0
--- a/budget/book_test.go
+++ b/budget/book_test.go
@@ -298,7 +298,7 @@
 	e.Apply(LeaseUpdate{Number: 1, Whole: true, UpTo: []Lease{{Account: testAccount, UpTo: 300}}})
 	e.Spend(0, "", testAccount, 100)
 	e.Refund(0, testAccount, 0, 100)
-	if spent, _ := e.State(0, testAccount); spent != 0 {
+	if spent, _ := e.Usage(0, testAccount); spent != 0 {
 		t.Errorf("%d spent after all unreported spending was refunded", spent)
 	}
 	e.Spend(0, "", testAccount, 100)
@@ -366,5 +366,5 @@
 	var l Ledger
 	l.Apply(last)
 	l.MarkReceived(received)
-	return InheritLedger(now, leaseTTL, &l)
+	return RestoreAllocator(now, leaseTTL, &l)
 }
--- a/budget/property_test.go
+++ b/budget/property_test.go
@@ -304,7 +304,7 @@
 			w.advance()
 		}
 	}
-	w.allocator = InheritLedger(w.now, simLeaseTTL, &w.log)
+	w.allocator = RestoreAllocator(w.now, simLeaseTTL, &w.log)
 	w.setLimits()
 }
 
--- a/budget/size_test.go
+++ b/budget/size_test.go
@@ -207,7 +207,7 @@
 		now := at(event.Second)
 		var b *Allocator
 		inherit = min(inherit, cputime.Of(func() {
-			b = InheritLedger(now, testLeaseTTL, l)
+			b = RestoreAllocator(now, testLeaseTTL, l)
 			for i := range manyTeams {
 				b.SetLimit(now, manyTeam(i), testLimit)
 			}
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -37,7 +37,7 @@
 	startedAt        event.Time
 	entryRetention   event.Duration
 	budgets          *budget.Allocator
-	recordIndex      consensus.Index          // of the last budget record in the log
+	budgetIndex      consensus.Index          // of the last budget record in the log
 	poison           *poison.Tracker          // poison requests
 	changedEndpoints map[string]bool          // ids of endpoints whose change is not yet sent to the entries
 	pages            map[uint64]registry.Page // by the preceding revision, valid at piecesRevision
@@ -98,7 +98,7 @@
 	if s.machine.document.Version == 0 {
 		return budget.NewAllocator(now, s.settings.ConfigValidity) // nothing was served without a configuration
 	}
-	return budget.InheritLedger(now, s.settings.ConfigValidity, &s.machine.spending)
+	return budget.RestoreAllocator(now, s.settings.ConfigValidity, &s.machine.budgets)
 }
 
 // leaseGracePeriod is how long the lease may lapse before the owner ends. It exceeds
@@ -145,34 +145,34 @@
 	case *SessionClosed:
 		o.closeSession(now, e.Session)
 	}
-	o.recordBudgets(now, s, out)
-	o.recordPoison(now, s, out)
+	o.proposeBudgetRecord(now, s, out)
+	o.proposePoisonRecord(now, s, out)
 	o.sendDecisions(now, s, out)
 }
 
-// recordBudgets proposes a budget record when one is due.
-func (o *owner) recordBudgets(now event.Time, s *State, out *Effects) {
+// proposeBudgetRecord proposes a budget record when one is due.
+func (o *owner) proposeBudgetRecord(now event.Time, s *State, out *Effects) {
 	if !o.budgets.Due() || !s.owns(now) {
 		return
 	}
-	index, err := s.node.Propose(now, encodeSpending(o.budgets.MakeRecord(now)), &out.Ready)
+	index, err := s.node.Propose(now, encodeBudgets(o.budgets.MakeRecord(now)), &out.Ready)
 	if err != nil {
 		// No longer the leader. Until this owner ends, nothing is spent beyond what the
 		// previous record covers.
 		out.logInfo("budget record not proposed: no longer the leader", Field{"error", err.Error()})
 		return
 	}
-	o.recordIndex = index
+	o.budgetIndex = index
 }
 
-// recordCommitted records that an entry of this term is committed. If it is the last budget
+// entryCommitted records that an entry of this term is committed. If it is the last budget
 // record, requests that waited for it can go on.
-func (o *owner) recordCommitted(now event.Time, index consensus.Index, s *State, out *Effects) {
+func (o *owner) entryCommitted(now event.Time, index consensus.Index, s *State, out *Effects) {
 	if index == o.poisonIndex {
-		o.poisonCommitted(now, s, out)
+		o.poisonRecordCommitted(now, s, out)
 		return
 	}
-	if index != o.recordIndex {
+	if index != o.budgetIndex {
 		return
 	}
 	o.budgets.Committed()
--- a/cluster/poison_sim_test.go
+++ b/cluster/poison_sim_test.go
@@ -205,7 +205,7 @@
 		}
 	}
 	for _, r := range runs {
-		g.finish(r, f.now, message.OutcomeUnknown, &poison.End{
+		g.finish(r, f.now, message.OutcomeUnknown, &poison.Termination{
 			Print: r.call.fingerprint, Endpoint: e.id, Request: r.call.id, Attempt: r.call.attempt, Ran: f.now.Sub(r.startedAt),
 		}, e)
 		// Some requests are retried at once.
@@ -216,7 +216,7 @@
 }
 
 // finish reports the end of a run to its entry if that was not restarted.
-func (g *crashSim) finish(r *requestRun, at event.Time, ran message.Outcome, end *poison.End, e *crashingEndpoint) {
+func (g *crashSim) finish(r *requestRun, at event.Time, ran message.Outcome, end *poison.Termination, e *crashingEndpoint) {
 	if r.entry.client != r.client || r.client == nil {
 		return
 	}
--- a/cluster/sim_test.go
+++ b/cluster/sim_test.go
@@ -124,7 +124,7 @@
 	var members []consensus.Member
 	for i := range founders {
 		name := fmt.Sprintf("box%d", i+1)
-		members = append(members, consensus.Member{ID: consensus.MakeID(event.BoxID(name), founderIncarnation), Address: name + ":operators"})
+		members = append(members, consensus.Member{ID: consensus.MakeID(event.BoxID(name), initialIncarnation), Address: name + ":operators"})
 	}
 	for _, m := range members {
 		disk := &simDisk{member: m, restored: consensus.PersistentState{Snapshot: consensus.Snapshot{
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// answerVote answers a vote request of the current term.
-func (n *Node) answerVote(now event.Time, m Message, out *Ready) {
+// replyToVote answers a vote request of the current term.
+func (n *Node) replyToVote(now event.Time, m Message, out *Ready) {
 	ok := n.hard.Vote == "" || n.hard.Vote == m.From
 	ok = ok && n.role == follower && n.leader == "" && m.Term == n.hard.Term
 	ok = ok && n.log.isUpToDate(m.Index, m.LogTerm)
@@ -159,14 +159,14 @@
 // encoding.
 func (n *Node) isTransferCandidate(id ID) bool {
 	p := n.progress[id]
-	return p != nil && p.hasAnswered && !p.isExcluded
+	return p != nil && p.hasReplied && !p.isExcluded
 }
 
 // isBetterTransferee reports whether id should lead rather than other: by reachability, then rank,
 // then length of the matching log.
 func (n *Node) isBetterTransferee(now event.Time, id, other ID, rank func(ID) int) bool {
 	p, q := n.progress[id], n.progress[other]
-	answers, otherAnswers := now.Sub(p.lastAnswered) < MinElectionTimeout, now.Sub(q.lastAnswered) < MinElectionTimeout
+	answers, otherAnswers := now.Sub(p.lastRepliedSentAt) < MinElectionTimeout, now.Sub(q.lastRepliedSentAt) < MinElectionTimeout
 	if answers != otherAnswers {
 		return answers
 	}
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -200,8 +200,8 @@
 		switch p := n.progress[m.ID]; {
 		case m.ID == n.id:
 			times = append(times, now)
-		case p != nil && p.hasAnswered:
-			times = append(times, p.lastAnswered)
+		case p != nil && p.hasReplied:
+			times = append(times, p.lastRepliedSentAt)
 		default:
 			times = append(times, n.leaderSince-event.Time(MinElectionTimeout))
 		}
@@ -278,7 +278,7 @@
 		ok := m.Term > n.hard.Term && !n.hasRecentLeader(now) && n.log.isUpToDate(m.Index, m.LogTerm)
 		n.reply(m, Message{Granted: ok}, out)
 	case KindVote:
-		n.answerVote(now, m, out)
+		n.replyToVote(now, m, out)
 	case KindAppend:
 		n.becomeFollower(now, m.Term, m.From)
 		n.append(m, out)
--- a/consensus/replicate.go
+++ b/consensus/replicate.go
@@ -102,7 +102,7 @@
 func (n *Node) hasCapacity(now event.Time, p *progress) bool {
 	inFlightBytes := 0
 	for _, other := range n.progress {
-		if other != p && other.isInFlight() && now.Sub(other.lastAnswered) < unreachableAfter {
+		if other != p && other.isInFlight() && now.Sub(other.lastRepliedSentAt) < unreachableAfter {
 			inFlightBytes += other.inFlightBytes
 		}
 	}
@@ -142,7 +142,7 @@
 		p.startSnapshot(n.snapshot)
 	}
 	switch {
-	case p.snapshot != nil && (!p.hasAnswered || p.heartbeatsOnly):
+	case p.snapshot != nil && (!p.hasReplied || p.heartbeatsOnly):
 		m.Kind = KindAppend // until it is known how the member takes snapshots
 		return false
 	case p.snapshot != nil && p.takesWholeSnapshots:
@@ -263,9 +263,9 @@
 	if p == nil {
 		return
 	}
-	p.hasAnswered = true
-	p.lastAnswered = max(p.lastAnswered, m.SentAt)
-	p.answeredSeq = max(p.answeredSeq, m.replyNumber())
+	p.hasReplied = true
+	p.lastRepliedSentAt = max(p.lastRepliedSentAt, m.SentAt)
+	p.repliedSeq = max(p.repliedSeq, m.replyNumber())
 	// Connections keep the order: a reply to the last payload or to a later heartbeat says what
 	// became of all payloads. An earlier reply does not.
 	isCurrent := m.replyNumber() >= p.payloadSeq
--- a/control/founding.go
+++ b/control/founding.go
@@ -126,7 +126,7 @@
 	identity := p.identity
 	p.mu.Unlock()
 	identity.Group = group
-	identity.Founders = founders
+	identity.InitialMembers = founders
 	if err := disk.SetIdentity(identity); err != nil {
 		return err
 	}
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -83,10 +83,10 @@
 			}
 			r.owner.mu.Lock()
 			defer r.owner.mu.Unlock()
-			if got := len(r.owner.ends); (got == 1) != one.isEnd {
+			if got := len(r.owner.terminations); (got == 1) != one.isEnd {
 				t.Errorf("%d ends reported, want one: %v", got, one.isEnd)
 			}
-			for _, e := range r.owner.ends {
+			for _, e := range r.owner.terminations {
 				if e.Print != want.Sum() || e.Endpoint != "e1" || e.Request != f.ID || e.Number != 1 {
 					t.Errorf("the reported end has wrong fields: %+v", e)
 				}
@@ -108,8 +108,8 @@
 	return a
 }
 
-// sentEnds returns the ends of endpoints and the fingerprints of successful requests that a client sends.
-func sentEnds(a *OwnerClient) (ends []poison.End, successes []poison.Fingerprint) {
+// sentTerminations returns the ends of endpoints and the fingerprints of successful requests that a client sends.
+func sentTerminations(a *OwnerClient) (ends []poison.Termination, successes []poison.Fingerprint) {
 	for _, s := range a.TakeEffects().Sends {
 		if b := s.Message.Batch; b != nil {
 			ends, successes = append(ends, b.Ends...), append(successes, b.Well...)
@@ -118,13 +118,13 @@
 	return ends, successes
 }
 
-// TestEndsAreReportedUntilSaved: the end of an endpoint is reported at once, and again to each new owner until one has
+// TestTerminationsAreReportedUntilSaved: the end of an endpoint is reported at once, and again to each new owner until one has
 // it in its log. Successes without an owner are reported to the next one.
-func TestEndsAreReportedUntilSaved(t *testing.T) {
+func TestTerminationsAreReportedUntilSaved(t *testing.T) {
 	a := ownedClient()
-	a.RecordEnd(0, poison.End{Print: "p", Endpoint: "e1"})
-	a.RecordEnd(0, poison.End{Print: "q", Endpoint: "e2"})
-	if ends, _ := sentEnds(a); len(ends) != 2 || ends[0].Number != 1 || ends[1].Number != 2 {
+	a.RecordTermination(0, poison.Termination{Print: "p", Endpoint: "e1"})
+	a.RecordTermination(0, poison.Termination{Print: "q", Endpoint: "e2"})
+	if ends, _ := sentTerminations(a); len(ends) != 2 || ends[0].Number != 1 || ends[1].Number != 2 {
 		t.Fatalf("reported at once: %+v, want ends 1 and 2", ends)
 	}
 	a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Ends: 1}})
@@ -133,7 +133,7 @@
 	later := event.Time(event.Second)
 	a.Connected(later, 2, "box")
 	a.Received(later, 2, &message.Envelope{Pong: &message.Pong{}})
-	ends, successes := sentEnds(a)
+	ends, successes := sentTerminations(a)
 	if len(ends) != 1 || ends[0].Print != "q" || ends[0].Number != 2 || ends[0].Ago != event.Second {
 		t.Errorf("reported to the next owner: %+v, want only end 2 with its age", ends)
 	}
@@ -141,14 +141,14 @@
 		t.Errorf("reported successes: %v, want w", successes)
 	}
 	a.Received(later, 2, &message.Envelope{Pong: &message.Pong{Ends: 2}})
-	if len(a.unsavedEnds) != 0 {
-		t.Errorf("%d ends are kept although the owner has saved them", len(a.unsavedEnds))
+	if len(a.unsavedTerminations) != 0 {
+		t.Errorf("%d ends are kept although the owner has saved them", len(a.unsavedTerminations))
 	}
-	for i := range 5 * maxUnsavedEnds {
-		a.RecordEnd(later, poison.End{Print: poison.Fingerprint(fmt.Sprint(i)), Endpoint: "e"})
+	for i := range 5 * maxUnsavedTerminations {
+		a.RecordTermination(later, poison.Termination{Print: poison.Fingerprint(fmt.Sprint(i)), Endpoint: "e"})
 	}
-	if len(a.unsavedEnds) > maxUnsavedEnds {
-		t.Errorf("%d ends are kept, more than maxUnsavedEnds", len(a.unsavedEnds))
+	if len(a.unsavedTerminations) > maxUnsavedTerminations {
+		t.Errorf("%d ends are kept, more than maxUnsavedEnds", len(a.unsavedTerminations))
 	}
 }
 
--- a/gateway/owner_session.go
+++ b/gateway/owner_session.go
@@ -59,7 +59,7 @@
 func (a *OwnerClient) Connected(now event.Time, link LinkID, address string) {
 	a.dialing = false
 	a.dialAt = now.Add(redialDelay)
-	a.link, a.address, a.ownerLevel = link, address, 0
+	a.link, a.address, a.ownerFormatVersion = link, address, 0
 	if int64(now) >= a.validUntil.Load() {
 		// The entry was without contact for longer than leases are valid.
 		a.leases.Expire()
@@ -72,16 +72,16 @@
 	hello.More = a.leases.HasMore()
 	a.lastPong = now
 	a.receivedBytes = 0
-	a.send((&message.Envelope{Hello: hello}).WithLevel())
+	a.send((&message.Envelope{Hello: hello}).WithFormatVersion())
 	a.sendPing(now)
 	a.batch = message.Batch{}
 	a.log.Debug("connected to control box, session started", zap.String("address", address), zap.Int("waiting", len(a.waiting)), zap.Int("running", len(a.running)))
 }
 
-// SetPeerLevel sets the format version that the peer of a connection supports.
-func (a *OwnerClient) SetPeerLevel(link LinkID, l level.Level) {
+// SetPeerFormatVersion sets the format version that the peer of a connection supports.
+func (a *OwnerClient) SetPeerFormatVersion(link LinkID, l level.Level) {
 	if link == a.link {
-		a.ownerLevel = l
+		a.ownerFormatVersion = l
 	}
 }
 
@@ -157,7 +157,7 @@
 	a.lastPong = now
 	a.entryCount.Store(int64(max(1, p.Entries)))
 	a.leases.Apply(p.Lent)
-	a.dropSavedEnds(p.Ends)
+	a.dropSavedTerminations(p.Ends)
 	if !a.hasOwner {
 		a.ownerFound(now)
 	}
@@ -170,7 +170,7 @@
 	a.hasOwner = true
 	a.degraded = nil
 	a.unsubmitted = a.waitingByArrival()
-	a.reportEnds(now)
+	a.reportTerminations(now)
 	a.reportFeedback(now)
 	a.log.Info("owner found", zap.String("address", a.address), zap.Int("waiting", len(a.waiting)), zap.Int("entries", int(a.entryCount.Load())))
 }
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -172,16 +172,16 @@
 	refuse       event.Reason
 	unresponsive bool // ignores all messages
 	// beforeRetry is called before a decision on a retry.
-	beforeRetry func()
-	hold        bool // decides nothing
-	finished    []message.Finish
-	ends        []poison.End
-	feedback    []backpressure.Report
-	submits     []message.Submission
-	withdrawn   []message.Withdrawal
-	conn        *link.Conn[message.Envelope]
-	version     uint64
-	trees       map[uint64]*hashtree.Tree
+	beforeRetry  func()
+	hold         bool // decides nothing
+	finished     []message.Finish
+	terminations []poison.Termination
+	feedback     []backpressure.Report
+	submits      []message.Submission
+	withdrawn    []message.Withdrawal
+	conn         *link.Conn[message.Envelope]
+	version      uint64
+	trees        map[uint64]*hashtree.Tree
 }
 
 // publish puts a configuration in force at the owner and announces it.
@@ -239,7 +239,7 @@
 
 func (o *fakeOwner) decide(c *link.Conn[message.Envelope], b *message.Batch) {
 	o.finished = append(o.finished, b.Finish...)
-	o.ends = append(o.ends, b.Ends...)
+	o.terminations = append(o.terminations, b.Ends...)
 	o.feedback = append(o.feedback, b.Heard...)
 	o.withdrawn = append(o.withdrawn, b.Withdraw...)
 	if o.hold {
--- a/message/forms.go
+++ b/message/forms.go
@@ -15,9 +15,9 @@
 
 // This file encodes messages for boxes of other builds, and detects the format version that a peer reads.
 
-// WithLevel returns a copy of the message with the format version and build of this box, as sent first on
+// WithFormatVersion returns a copy of the message with the format version and build of this box, as sent first on
 // a connection.
-func (e *Envelope) WithLevel() *Envelope {
+func (e *Envelope) WithFormatVersion() *Envelope {
 	m := *e
 	m.Level, m.Build = level.Newest, level.Build()
 	return &m
@@ -25,14 +25,14 @@
 
 // Peer is the other side of a connection and the format version that it reads. The zero Peer has sent
 // nothing yet. It is safe for concurrent use.
-type Peer struct{ formatLevel atomic.Uint32 }
+type Peer struct{ formatVersion atomic.Uint32 }
 
-// Level returns the format version that the peer reads; 0 before its first bytes.
-func (p *Peer) Level() level.Level { return level.Level(p.formatLevel.Load()) }
+// FormatVersion returns the format version that the peer reads; 0 before its first bytes.
+func (p *Peer) FormatVersion() level.Level { return level.Level(p.formatVersion.Load()) }
 
-// levelFields are names of fields that messages have from a level on, each with its length as in gob's type
+// formatVersionFields are names of fields that messages have from a level on, each with its length as in gob's type
 // definitions. The newest level comes first.
-var levelFields = []struct {
+var formatVersionFields = []struct {
 	level level.Level
 	field string
 }{
@@ -43,21 +43,21 @@
 	{level.Compressed, "\x08Revision"},
 }
 
-// detectLevel sets the level by a peer's first bytes, which hold the gob type definitions of its messages.
-// From level.Negotiated on the first message has the exact level (updateLevel).
-func (p *Peer) detectLevel(definitions []byte) {
-	for _, m := range levelFields {
+// detectFormatVersion sets the level by a peer's first bytes, which hold the gob type definitions of its messages.
+// From level.Negotiated on the first message has the exact level (updateFormatVersion).
+func (p *Peer) detectFormatVersion(definitions []byte) {
+	for _, m := range formatVersionFields {
 		if bytes.Contains(definitions, []byte(m.field)) {
-			p.formatLevel.Store(uint32(m.level))
+			p.formatVersion.Store(uint32(m.level))
 			return
 		}
 	}
-	p.formatLevel.Store(uint32(level.Listed))
+	p.formatVersion.Store(uint32(level.Listed))
 }
 
-func (p *Peer) updateLevel(m *Envelope) {
+func (p *Peer) updateFormatVersion(m *Envelope) {
 	if m != nil && m.Level > 0 {
-		p.formatLevel.Store(uint32(m.Level))
+		p.formatVersion.Store(uint32(m.Level))
 	}
 }
 
@@ -75,14 +75,14 @@
 // View has other types.
 func (p *Peer) readerOf(older link.Reader[Envelope]) func([]byte) link.Reader[Envelope] {
 	return func(definitions []byte) link.Reader[Envelope] {
-		p.detectLevel(definitions)
+		p.detectFormatVersion(definitions)
 		read := readCurrent
-		if p.Level() < level.Compressed {
+		if p.FormatVersion() < level.Compressed {
 			read = older
 		}
 		return func(in *gob.Decoder) (*Envelope, error) {
 			m, err := read(in)
-			p.updateLevel(m)
+			p.updateFormatVersion(m)
 			return m, err
 		}
 	}
@@ -138,7 +138,7 @@
 // frameReply returns the frame of a message to a box that connected to this one. Until the peer's level is
 // known only empty messages are sent.
 func (p *Peer) frameReply(m *Envelope) any {
-	switch peerLevel := p.Level(); {
+	switch peerLevel := p.FormatVersion(); {
 	case peerLevel == 0:
 		return frameToControl(m)
 	case peerLevel < level.Compressed:
--- a/message/forms_test.go
+++ b/message/forms_test.go
@@ -19,9 +19,9 @@
 	"lynxramp.org/registry"
 )
 
-// recordedLevels has the level of each build recorded in testdata, by commit. A file has the bytes that a
+// recordedVersions has the level of each build recorded in testdata, by commit. A file has the bytes that a
 // control box or an entry of that build sends after dialling, or an owner to an entry: one message.
-var recordedLevels = map[string]level.Level{
+var recordedVersions = map[string]level.Level{
 	"d61e540": level.Listed, "50d3523": level.Compressed, "e994de1": level.Chunked, "53e223b": level.Chunked, "de049ca": level.Suspects,
 	"9c63b0b": level.Negotiated, "a229638": level.Instances,
 }
@@ -69,16 +69,16 @@
 // TestReadsMessagesOfEarlierBuilds: messages of earlier builds must be decoded, also where a field's type has changed
 // since, and must reveal the format version that the sender reads.
 func TestReadsMessagesOfEarlierBuilds(t *testing.T) {
-	for commit, want := range recordedLevels {
+	for commit, want := range recordedVersions {
 		var peer Peer
 		list := replay(t, commit+"-control.bytes", peer.ServerEncodings())
-		if len(list) != 1 || list[0].Consensus == nil || string(list[0].Consensus.Entries[0].Data) != "data" || peer.Level() != want {
-			t.Errorf("%s: a control box reads level %d, want %d; received %+v", commit, peer.Level(), want, list)
+		if len(list) != 1 || list[0].Consensus == nil || string(list[0].Consensus.Entries[0].Data) != "data" || peer.FormatVersion() != want {
+			t.Errorf("%s: a control box reads level %d, want %d; received %+v", commit, peer.FormatVersion(), want, list)
 		}
 		peer = Peer{}
 		list = replay(t, commit+"-entry.bytes", peer.ServerEncodings())
-		if len(list) != 1 || list[0].Hello == nil || list[0].Hello.Entry != "entry-1" || peer.Level() != want {
-			t.Errorf("%s: an entry reads level %d, want %d; received %+v", commit, peer.Level(), want, list)
+		if len(list) != 1 || list[0].Hello == nil || list[0].Hello.Entry != "entry-1" || peer.FormatVersion() != want {
+			t.Errorf("%s: an entry reads level %d, want %d; received %+v", commit, peer.FormatVersion(), want, list)
 		}
 		peer = Peer{}
 		list = replay(t, commit+"-owner.bytes", peer.ClientEncodings())
@@ -142,11 +142,11 @@
 func TestEarlierBuildsReadOurMessages(t *testing.T) {
 	list := []Endpoint{{Endpoint: registry.Endpoint{ID: "i-1", Address: "a"}, Down: true}}
 	view := &Envelope{View: &View{Version: 4, Document: []byte("{}"), Endpoints: Pack(list), Revision: 5, Silent: []event.EndpointID{"i-1"}}}
-	hello := (&Envelope{Consensus: &consensus.Message{From: "a", To: "b"}}).WithLevel()
+	hello := (&Envelope{Consensus: &consensus.Message{From: "a", To: "b"}}).WithFormatVersion()
 
 	listedPeer := &Peer{}
 	first := listedPeer.frameReply(nil)
-	listedPeer.formatLevel.Store(uint32(level.Listed))
+	listedPeer.formatVersion.Store(uint32(level.Listed))
 	in := encodeFrames(t, first, frameToControl(hello), listedPeer.frameReply(nil), listedPeer.frameReply(view))
 	var f frameOfListed
 	for range 4 {
@@ -161,7 +161,7 @@
 
 	packedPeer := &Peer{}
 	first = packedPeer.frameReply(nil)
-	packedPeer.formatLevel.Store(uint32(level.Compressed))
+	packedPeer.formatVersion.Store(uint32(level.Compressed))
 	in = encodeFrames(t, first, frameToControl(hello), packedPeer.frameReply(view))
 	var p frameOfPacked
 	for range 3 {
@@ -175,12 +175,12 @@
 	}
 }
 
-// TestFirstMessageCarriesLevel: the first message of a box must have its level and build, in few bytes.
-func TestFirstMessageCarriesLevel(t *testing.T) {
+// TestFirstMessageCarriesFormatVersion: the first message of a box must have its level and build, in few bytes.
+func TestFirstMessageCarriesFormatVersion(t *testing.T) {
 	var wire bytes.Buffer
 	out := gob.NewEncoder(&wire)
 	hello := &Envelope{Hello: &Hello{Entry: "e", Life: 1}}
-	if err := out.Encode(frameToControl(hello.WithLevel())); err != nil {
+	if err := out.Encode(frameToControl(hello.WithFormatVersion())); err != nil {
 		t.Fatal(err)
 	}
 	var peer Peer
@@ -191,8 +191,8 @@
 			t.Errorf("%+v", m)
 		}
 	})
-	if received != 1 || peer.Level() != level.Newest {
-		t.Errorf("%d messages, level %d", received, peer.Level())
+	if received != 1 || peer.FormatVersion() != level.Newest {
+		t.Errorf("%d messages, level %d", received, peer.FormatVersion())
 	}
 	var without bytes.Buffer
 	if err := gob.NewEncoder(&without).Encode(frameToControl(hello)); err != nil {
@@ -207,7 +207,7 @@
 
 // FuzzPeer: no bytes of a peer may cause a panic or keep the connection open.
 func FuzzPeer(f *testing.F) {
-	for commit := range recordedLevels {
+	for commit := range recordedVersions {
 		for _, who := range []string{"control", "entry", "owner"} {
 			data, err := os.ReadFile("testdata/" + commit + "-" + who + ".bytes")
 			if err != nil {
--- a/message/message.go
+++ b/message/message.go
@@ -16,10 +16,10 @@
 	"lynxramp.org/registry"
 )
 
-// RetryWindow is how long after its submission a request may be retried. An entry drops it
+// MaxRetryAge is how long after its submission a request may be retried. An entry drops it
 // afterwards, so that no retry arrives after the retry budget has stopped counting it. It is
 // shorter than the time after which callers abandon a stream without output.
-const RetryWindow = 2 * event.Second
+const MaxRetryAge = 2 * event.Second
 
 // Envelope is one message. Exactly one of its pointers is set.
 type Envelope struct {
@@ -172,7 +172,7 @@
 	// Heard has the feedback of endpoints, for owners that read level.Feedback.
 	Heard []backpressure.Report
 	// Ends are sent again in each session until a Pong confirms that they are committed.
-	Ends []poison.End
+	Ends []poison.Termination
 	// Well has the requests of which a run succeeded while the entry was degraded.
 	Well []poison.Fingerprint
 }
--- a/sched/discover.go
+++ b/sched/discover.go
@@ -37,10 +37,10 @@
 	for request := range e.grants {
 		s.release(now, request)
 	}
-	for mark := range e.cachedMarks.young {
+	for mark := range e.cachedHashes.young {
 		s.prefix.remove(mark, e)
 	}
-	for mark := range e.cachedMarks.old {
+	for mark := range e.cachedHashes.old {
 		s.prefix.remove(mark, e)
 	}
 	s.dropEndpoint(e)
--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -10,8 +10,8 @@
 
 // Bounds of the prefix index.
 const (
-	// maxEndpointMarks is how many marks are kept per endpoint.
-	maxEndpointMarks = 384
+	// maxEndpointHashes is how many marks are kept per endpoint.
+	maxEndpointHashes = 384
 	// maxHolders is how many holders of a prompt a search returns.
 	maxHolders = 16
 	// commonHolders is the number of holders from which a mark is treated as
@@ -34,21 +34,21 @@
 	cached   int // tokens
 }
 
-// cachedMarks has the marks that one endpoint probably has in its cache. Two
+// cachedHashes has the marks that one endpoint probably has in its cache. Two
 // generations approximate an LRU order: when the young one is full it becomes
 // the old one, and the previous old one is discarded.
-type cachedMarks struct {
+type cachedHashes struct {
 	young, old map[uint64]struct{}
 }
 
 // add records that e was granted a request with these marks.
 func (p *prefixIndex) add(e *endpoint, marks []uint64) {
-	m := &e.cachedMarks
+	m := &e.cachedHashes
 	for _, mark := range marks {
 		if _, ok := m.young[mark]; ok {
 			continue
 		}
-		if m.young == nil || len(m.young) >= maxEndpointMarks/2 {
+		if m.young == nil || len(m.young) >= maxEndpointHashes/2 {
 			p.rotate(e)
 		}
 		if _, ok := m.old[mark]; !ok {
@@ -60,7 +60,7 @@
 
 // rotate discards the endpoint's old generation and starts a new young one.
 func (p *prefixIndex) rotate(e *endpoint) {
-	m := &e.cachedMarks
+	m := &e.cachedHashes
 	for mark := range m.old {
 		if _, ok := m.young[mark]; !ok {
 			p.remove(mark, e)
@@ -68,7 +68,7 @@
 	}
 	recycled := m.old
 	if recycled == nil {
-		recycled = make(map[uint64]struct{}, maxEndpointMarks/2)
+		recycled = make(map[uint64]struct{}, maxEndpointHashes/2)
 	}
 	clear(recycled)
 	m.young, m.old = recycled, m.young
