--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -27,10 +27,10 @@
 	return t
 }
 
-// recordedBook is an owner's Allocator whose records are committed at once.
-type recordedBook struct{ *budget.Allocator }
+// recordedAllocator is an owner's Allocator whose records are committed at once.
+type recordedAllocator struct{ *budget.Allocator }
 
-func (b recordedBook) Spend(now event.Time, entry event.BoxID, a budget.Account, amount int) bool {
+func (b recordedAllocator) Spend(now event.Time, entry event.BoxID, a budget.Account, amount int) bool {
 	if b.Allocator.Spend(now, entry, a, amount) {
 		return true
 	}
@@ -44,7 +44,7 @@
 
 // newTestState returns a State with one endpoint that has a large capacity.
 func newTestState(now event.Time) *State {
-	s := New(testLimits, 1, recordedBook{budget.NewAllocator(now, 5*event.Second)}, emptyPoisonTracker())
+	s := New(testLimits, 1, recordedAllocator{budget.NewAllocator(now, 5*event.Second)}, emptyPoisonTracker())
 	s.SetTable(now, testTable())
 	var out event.Effects
 	s.SetEndpoint(now, message.Endpoint{Endpoint: registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 1 << 20, Sequence: 1}}, &out)
@@ -278,8 +278,8 @@
 // TestRequestsWaitForBudgetRecord: a new owner receives waiting requests before its first record is
 // committed; they must not be refused for their quota, however long they have waited.
 func TestRequestsWaitForBudgetRecord(t *testing.T) {
-	book := budget.NewAllocator(0, 5*event.Second)
-	s := New(testLimits, 1, book, emptyPoisonTracker())
+	allocator := budget.NewAllocator(0, 5*event.Second)
+	s := New(testLimits, 1, allocator, emptyPoisonTracker())
 	s.SetTable(0, testTable())
 	var out event.Effects
 	s.SetEndpoint(0, message.Endpoint{Endpoint: registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 9, Sequence: 1}}, &out)
@@ -290,8 +290,8 @@
 	if len(out.Refusals) != 0 {
 		t.Fatalf("refused before the record is committed: %+v", out.Refusals)
 	}
-	book.MakeRecord(event.Time(6 * event.Millisecond))
-	book.Committed()
+	allocator.MakeRecord(event.Time(6 * event.Millisecond))
+	allocator.Committed()
 	s.Unpark(event.Time(6*event.Millisecond), &out)
 	if len(out.Grants) != 1 {
 		t.Errorf("not granted after the record is committed: %+v", out)
--- a/admission/asked_test.go
+++ b/admission/asked_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// TestLimitIsRaisedLoweredAndRevoked: each change takes effect with the answer to a request that was granted after the
+// TestLimitIsRaisedLoweredAndRevoked: each change takes effect with the response to a request that was granted after the
 // previous change.
 func TestLimitIsRaisedLoweredAndRevoked(t *testing.T) {
 	s := twoEndpointState()
--- a/admission/poison.go
+++ b/admission/poison.go
@@ -13,8 +13,8 @@
 // maxHeld bounds the calls that wait for the outcome of another run of their requests.
 const maxHeld = 1000
 
-// heldRetryAfter is the retry-after time for a caller whose call waited in vain for another run: about
-// the duration of a run.
+// heldRetryAfter is the retry-after time for a caller whose call was held until its timeout: about the
+// duration of a run.
 const heldRetryAfter = event.Second
 
 // checkPoison reports whether a call may run, given the terminations under earlier runs of its request.
@@ -62,11 +62,11 @@
 	}
 }
 
-// RecordEnds records endpoints that terminated during runs.
-func (s *State) RecordEnds(now event.Time, ends []poison.End, out *event.Effects) {
-	for i := range ends {
-		delete(s.runs, ends[i].Request)
-		s.poison.RecordEnd(now, &ends[i])
+// RecordTerminations records endpoints that terminated during runs.
+func (s *State) RecordTerminations(now event.Time, list []poison.Termination, out *event.Effects) {
+	for i := range list {
+		delete(s.runs, list[i].Request)
+		s.poison.RecordTermination(now, &list[i])
 	}
 	s.holdQueued(now, out)
 }
--- a/admission/poison_test.go
+++ b/admission/poison_test.go
@@ -18,17 +18,17 @@
 // poisonRig is a State with some endpoints, and the log of its tracker.
 type poisonRig struct {
 	*State
-	t      *testing.T
-	book   *poison.Tracker
-	ledger poison.Ledger
-	now    event.Time
-	out    event.Effects
+	t       *testing.T
+	tracker *poison.Tracker
+	ledger  poison.Ledger
+	now     event.Time
+	out     event.Effects
 }
 
 func newPoisonRig(t *testing.T, endpoints, slots int) *poisonRig {
 	r := &poisonRig{t: t, now: event.Time(event.Second)}
-	r.book = poison.NewTracker(r.now, &r.ledger)
-	r.State = New(testLimits, 1, recordedBook{budget.NewAllocator(r.now, 5*event.Second)}, r.book)
+	r.tracker = poison.NewTracker(r.now, &r.ledger)
+	r.State = New(testLimits, 1, recordedAllocator{budget.NewAllocator(r.now, 5*event.Second)}, r.tracker)
 	r.SetTable(r.now, testTable())
 	for i := range endpoints {
 		r.SetEndpoint(r.now, message.Endpoint{Endpoint: registry.Endpoint{
@@ -40,10 +40,10 @@
 
 // save commits the state of the tracker and checks held calls again.
 func (r *poisonRig) save() {
-	for r.book.Due() {
-		record, _ := r.book.MakeRecord()
+	for r.tracker.Due() {
+		record, _ := r.tracker.MakeRecord()
 		r.ledger.Apply(record)
-		r.book.Committed()
+		r.tracker.Committed()
 	}
 	r.ReleaseHeld(r.now, &r.out)
 }
@@ -77,7 +77,7 @@
 // endRun reports that the endpoint of a call terminated.
 func (r *poisonRig) endRun(id int, p poison.Fingerprint) {
 	request, endpoint := event.RequestID(fmt.Sprint(id)), r.granted(id)
-	r.RecordEnds(r.now, []poison.End{{Print: p, Endpoint: endpoint, Request: request, Ran: event.Millisecond}}, &r.out)
+	r.RecordTerminations(r.now, []poison.Termination{{Print: p, Endpoint: endpoint, Request: request, Ran: event.Millisecond}}, &r.out)
 	r.Finish(r.now, &message.Finish{Finished: event.Finished{ID: request, Pool: "s", Failed: true}, Endpoint: endpoint, Print: p}, &r.out)
 }
 
@@ -199,7 +199,7 @@
 }
 
 // TestUnreportedTerminationIsDetected: if the entry of a run terminates too, the run counts when the
-// endpoint becomes unreachable; a run that finished before the endpoint was last heard from does not.
+// endpoint becomes unreachable; a run that finished before the last heartbeat of the endpoint does not.
 func TestUnreportedTerminationIsDetected(t *testing.T) {
 	r := newPoisonRig(t, 3, 4)
 	r.submit(1, badPrint)
@@ -226,7 +226,7 @@
 		r := newPoisonRig(t, endpoints, 4)
 		for _, p := range []poison.Fingerprint{badPrint, "another"} {
 			for _, endpoint := range []event.EndpointID{"x1", "x2"} {
-				r.RecordEnds(r.now, []poison.End{{Print: p, Endpoint: endpoint, Ran: event.Millisecond}}, &r.out)
+				r.RecordTerminations(r.now, []poison.Termination{{Print: p, Endpoint: endpoint, Ran: event.Millisecond}}, &r.out)
 			}
 		}
 		r.submit(1, badPrint)
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -60,7 +60,7 @@
 func (s *State) setRetryLimit(now event.Time, name string, v *service) {
 	most := s.limits.RetryMin + int(s.limits.RetryRatio*float64(v.requests.Total(now)))
 	s.budget.SetLimit(now, budget.Retries(name), budget.Limit{
-		Window: s.limits.RetryWindow + message.RetryWindow, Max: most, Base: s.limits.RetryMin,
+		Window: s.limits.RetryWindow + message.MaxRetryAge, Max: most, Base: s.limits.RetryMin,
 	})
 }
 
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -56,22 +56,22 @@
 	}
 }
 
-// EndpointsLost records that endpoints terminated or became unreachable, with the time when each was
-// last heard from. Runs that were in progress then, or started since, count as terminations.
-func (s *State) EndpointsLost(now event.Time, lastHeard map[event.EndpointID]event.Time, out *event.Effects) {
+// EndpointsLost records that endpoints terminated or became unreachable, with the time of the last
+// heartbeat of each. Runs that were in progress then, or started since, count as terminations.
+func (s *State) EndpointsLost(now event.Time, lastHeartbeat map[event.EndpointID]event.Time, out *event.Effects) {
 	var ids []event.RequestID
 	for id, r := range s.runs {
-		if at, ok := lastHeard[r.endpoint]; ok && (r.finishedAt == 0 || r.finishedAt >= at) {
+		if at, ok := lastHeartbeat[r.endpoint]; ok && (r.finishedAt == 0 || r.finishedAt >= at) {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
-	var ends []poison.End
+	var terminations []poison.Termination
 	for _, id := range ids {
 		r := s.runs[id]
-		ends = append(ends, poison.End{Print: r.fingerprint, Endpoint: r.endpoint, Request: id, Attempt: r.attempt, Ran: now.Sub(r.startedAt)})
+		terminations = append(terminations, poison.Termination{Print: r.fingerprint, Endpoint: r.endpoint, Request: id, Attempt: r.attempt, Ran: now.Sub(r.startedAt)})
 	}
-	s.RecordEnds(now, ends, out)
+	s.RecordTerminations(now, terminations, out)
 }
 
 // sweepRuns removes expired runs.
--- a/admission/state.go
+++ b/admission/state.go
@@ -206,7 +206,7 @@
 	s.step(now, s.service(now, w.Service), &event.Withdrawn{Entry: entry, ID: w.ID}, out)
 }
 
-// Begin records that the answer of a granted request began.
+// Begin records that the response to a granted request began.
 func (s *State) Begin(now event.Time, b *event.Begun, out *event.Effects) {
 	s.step(now, s.service(now, b.Pool), b, out)
 }
--- a/budget/bench_test.go
+++ b/budget/bench_test.go
@@ -42,23 +42,23 @@
 func BenchmarkRecord(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("%d teams", size.accounts), func(b *testing.B) {
-			book, now := benchAllocator(size.accounts, size.entries)
+			allocator, now := benchAllocator(size.accounts, size.entries)
 			bytes, largest := 0, 0
 			for b.Loop() {
 				for range 20 {
 					now = now.Add(50 * event.Millisecond)
-					book.Tick(now)
+					allocator.Tick(now)
 					for i := range size.accounts {
-						book.Spend(now, "0", Team(fmt.Sprintf("team-%d", i)), 4000)
+						allocator.Spend(now, "0", Team(fmt.Sprintf("team-%d", i)), 4000)
 					}
-					if !book.Due() {
+					if !allocator.Due() {
 						continue
 					}
-					data, err := json.Marshal(book.MakeRecord(now))
+					data, err := json.Marshal(allocator.MakeRecord(now))
 					if err != nil {
 						b.Fatal(err)
 					}
-					book.Committed()
+					allocator.Committed()
 					bytes += len(data)
 					largest = max(largest, len(data))
 				}
@@ -73,14 +73,14 @@
 func BenchmarkUpdateLeases(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("%d teams, %d entries", size.accounts, size.entries), func(b *testing.B) {
-			book, now := benchAllocator(size.accounts, size.entries)
+			allocator, now := benchAllocator(size.accounts, size.entries)
 			sent := 0
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(time200ms / event.Duration(size.entries))
 				name := event.BoxID(fmt.Sprint(i % size.entries))
-				update := book.UpdateLeases(now, name, size.entries)
+				update := allocator.UpdateLeases(now, name, size.entries)
 				sent += len(update.UpTo)
-				book.ApplyReport(now, name, update.Number, nil)
+				allocator.ApplyReport(now, name, update.Number, nil)
 			}
 			b.ReportMetric(float64(sent)/float64(b.N), "accounts/op")
 		})
@@ -92,11 +92,11 @@
 
 // BenchmarkSpend measures the spending of one request.
 func BenchmarkSpend(b *testing.B) {
-	book, now := benchAllocator(40, 103)
+	allocator, now := benchAllocator(40, 103)
 	for i := 0; b.Loop(); i++ {
-		if !book.Spend(now, "7", "team/team-3", 1) {
-			book.MakeRecord(now)
-			book.Committed()
+		if !allocator.Spend(now, "7", "team/team-3", 1) {
+			allocator.MakeRecord(now)
+			allocator.Committed()
 			now = now.Add(event.Second)
 		}
 	}
--- a/budget/book.go
+++ b/budget/book.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// InheritLedger returns the Allocator of an owner that succeeds others, with the state in
+// RestoreAllocator returns the Allocator of an owner that succeeds others, with the state in
 // the log. Every earlier owner must have ceased by now.
-func InheritLedger(now event.Time, leaseTTL event.Duration, l *Ledger) *Allocator {
+func RestoreAllocator(now event.Time, leaseTTL event.Duration, l *Ledger) *Allocator {
 	b := NewAllocator(now, leaseTTL)
 	b.isFirst = false
 	b.prior = l.copy()
--- a/budget/book_test.go
+++ b/budget/book_test.go
@@ -366,5 +366,5 @@
 	var l Ledger
 	l.Apply(last)
 	l.MarkReceived(received)
-	return InheritLedger(now, leaseTTL, &l)
+	return RestoreAllocator(now, leaseTTL, &l)
 }
--- a/budget/bounds.go
+++ b/budget/bounds.go
@@ -21,8 +21,8 @@
 }
 
 // defaultBounds are used in production. A message of 15 kB and a Record of 48 kB occupy a
-// link of 1.25 MB/s for a small part of the 0.5 s after which an entry considers a silent
-// owner lost.
+// link of 1.25 MB/s for a small part of the 0.5 s after which an entry considers an
+// owner that does not reply lost.
 var defaultBounds = bounds{
 	scans:        512,
 	maxLeases:    1 << 18,       // about 0.2 kB each
--- a/budget/doc.go
+++ b/budget/doc.go
@@ -28,6 +28,6 @@
 // is partial, and the log keeps the last line of each other account (Ledger); a message to
 // an entry lists some of its accounts, and the next one others; an entry reports some of
 // its accounts, and is leased nothing until it has reported all. Where there are many
-// accounts, an entry is leased shares of those that it used lately, and forgets the others
-// once the owner knows what it spent of them.
+// accounts, an entry is leased shares of those that it used lately, and drops the others
+// once it has reported to the owner what it spent of them.
 package budget
--- a/budget/lend.go
+++ b/budget/lend.go
@@ -41,7 +41,7 @@
 	renewedAt     event.Time    // when its leases were last renewed
 	// isSettled is true if all its leases were counted as spent since then.
 	isSettled bool
-	// keepsAll is true if the entry never forgets an account.
+	// keepsAll is true if the entry never drops an account.
 	keepsAll bool
 	// isReporting is true until the entry has reported all that it held when the session
 	// began.
@@ -70,7 +70,7 @@
 	// wantedUntil is until when the account is leased because the entry used it.
 	wantedUntil event.Time
 	// isRevoking is true while the update with that number, which revokes the lease, is not
-	// acknowledged. isRevoked is true once it is, and the entry has forgotten the account.
+	// acknowledged. isRevoked is true once it is, and the entry has dropped the account.
 	isRevoking, isRevoked bool
 }
 
@@ -93,8 +93,7 @@
 // outstanding is what the entry may still spend.
 func (l *leaseState) outstanding() int { return max(0, max(l.acked, l.offered)-l.spent) }
 
-// BeginSession takes in an entry at the beginning of a session, with the leases that it
-// reports. A new instance of the entry has lost the leases of the one before, which then
+// BeginSession begins a session of an entry, with the leases that the entry reports. A new instance of the entry has lost the leases of the one before, which then
 // count as spent.
 func (b *Allocator) BeginSession(now event.Time, entry event.BoxID, instance uint64, reported []Lease) {
 	h, ok := b.holders[entry]
@@ -118,7 +117,7 @@
 	}
 }
 
-// KeepAllLeases must be called for an entry of an earlier build, which never forgets an
+// KeepAllLeases must be called for an entry of an earlier build, which never drops an
 // account. Its leases are not revoked: when an account was leased again, its earlier
 // spending would count a second time.
 func (b *Allocator) KeepAllLeases(entry event.BoxID) {
@@ -381,8 +380,8 @@
 	return ok
 }
 
-// revoke revokes a lease. The entry forgets the account if it has spent no more than the
-// owner knows.
+// revoke revokes a lease. The entry drops the account if it has spent no more than it has
+// reported to the owner.
 func (b *Allocator) revoke(h *holder, l *leaseState) Lease {
 	b.update(l, func() { l.offered = l.spent })
 	l.isRevoking = true
--- a/budget/pieces_test.go
+++ b/budget/pieces_test.go
@@ -67,10 +67,10 @@
 	}
 }
 
-// TestForgottenSpendingIsNotReturned: an account that is leased again after the entry
-// forgot it starts with what the owner knows as spent. If that were returned, it could be
+// TestSpendingOfDroppedAccountIsNotReturned: an account that is leased again after the entry
+// dropped it starts with what was reported to the owner as spent. If that were returned, it could be
 // spent twice.
-func TestForgottenSpendingIsNotReturned(t *testing.T) {
+func TestSpendingOfDroppedAccountIsNotReturned(t *testing.T) {
 	var s Leases
 	s.Apply(LeaseUpdate{Number: 1, UpTo: []Lease{{Account: worldAccount, UpTo: 50}}})
 	s.Spend(0, "", worldAccount, 50)
--- a/budget/property_test.go
+++ b/budget/property_test.go
@@ -39,7 +39,7 @@
 	amount  int
 }
 
-// worldReply is a reply on its way to an entry, with the time when its ping was sent.
+// worldReply is a reply in transit to an entry, with the time when its ping was sent.
 type worldReply struct {
 	sentAt event.Time
 	leases LeaseUpdate
@@ -64,7 +64,7 @@
 	random    *rand.Rand
 	faultRate float64 // probability of a fault
 	now       event.Time
-	book      *Allocator // nil while there is no owner
+	allocator *Allocator // nil while there is no owner
 	log       Ledger
 	entries   []*worldEntry
 	spent     []worldSpent
@@ -96,17 +96,17 @@
 		w.restart(e)
 		w.entries = append(w.entries, e)
 	}
-	w.book = NewAllocator(w.now, worldLeaseTTL)
+	w.allocator = NewAllocator(w.now, worldLeaseTTL)
 	w.setLimits()
 	return w
 }
 
 func (w *world) setLimits() {
 	if w.isTight {
-		w.book.bounds = w.bounds
+		w.allocator.bounds = w.bounds
 	}
 	for _, name := range w.accounts {
-		w.book.SetLimit(w.now, name, Limit{Window: worldWindow, Max: worldMax, Base: worldMax})
+		w.allocator.SetLimit(w.now, name, Limit{Window: worldWindow, Max: worldMax, Base: worldMax})
 	}
 }
 
@@ -152,9 +152,9 @@
 		w.changeOwner()
 	case w.random.IntN(3) == 0:
 		w.restart(e)
-	case w.isTight && w.book != nil && w.random.IntN(3) == 0: // a team is removed and added again
+	case w.isTight && w.allocator != nil && w.random.IntN(3) == 0: // a team is removed and added again
 		name := w.randomAccount()
-		w.book.DropLimit(name)
+		w.allocator.DropLimit(name)
 		w.ping(e, true)
 		w.setLimits()
 	default: // the session ends
@@ -169,20 +169,20 @@
 		step = 4 * event.Second
 	}
 	w.now = w.now.Add(event.Duration(w.random.Int64N(int64(step))))
-	if w.book != nil {
-		w.book.Tick(w.now)
+	if w.allocator != nil {
+		w.allocator.Tick(w.now)
 	}
 }
 
 // spendWithOwner spends repeatedly through the owner.
 func (w *world) spendWithOwner(e *worldEntry) {
-	if w.book == nil || !e.isConnected {
+	if w.allocator == nil || !e.isConnected {
 		return
 	}
 	name := w.randomAccount()
-	for amount := 1 + w.random.IntN(worldMax/10); w.random.IntN(30) > 0 && w.book.Spend(w.now, e.name, name, amount); {
+	for amount := 1 + w.random.IntN(worldMax/10); w.random.IntN(30) > 0 && w.allocator.Spend(w.now, e.name, name, amount); {
 		if w.random.IntN(20) == 0 { // reached no endpoint
-			w.book.Refund(w.now, name, w.now, amount)
+			w.allocator.Refund(w.now, name, w.now, amount)
 			continue
 		}
 		w.count(name, amount)
@@ -209,7 +209,7 @@
 
 // ping sends an entry's ping to the owner. The ping or its reply may be lost.
 func (w *world) ping(e *worldEntry, isAnswered bool) {
-	if w.book == nil {
+	if w.allocator == nil {
 		return
 	}
 	sent := w.now
@@ -221,9 +221,9 @@
 		if w.random.IntN(3) == 0 { // it spends on until the owner replies
 			w.spendDegraded(e)
 		}
-		w.book.BeginSession(w.now, e.name, e.instance, reported)
+		w.allocator.BeginSession(w.now, e.name, e.instance, reported)
 		if e.leases.HasMore() {
-			w.book.AwaitReport(e.name)
+			w.allocator.AwaitReport(e.name)
 		}
 		e.isConnected = true
 	}
@@ -232,11 +232,11 @@
 		e.disconnect()
 		return
 	}
-	w.book.ApplyReport(w.now, e.name, acked, changes)
+	w.allocator.ApplyReport(w.now, e.name, acked, changes)
 	if !e.leases.HasMore() {
-		w.book.CompleteReport(e.name)
+		w.allocator.CompleteReport(e.name)
 	}
-	leases := w.book.UpdateLeases(w.now, e.name, len(w.entries))
+	leases := w.allocator.UpdateLeases(w.now, e.name, len(w.entries))
 	if w.random.IntN(4) == 0 {
 		w.spendDegraded(e)
 	}
@@ -259,14 +259,14 @@
 	}
 }
 
-// commitRecord commits a Record. The owner may terminate before it knows that the Record is
+// commitRecord commits a Record. The owner may terminate before it observes that the Record is
 // committed, or before it is committed.
 func (w *world) commitRecord(isKnown bool) {
-	if w.book == nil || !w.book.Due() {
+	if w.allocator == nil || !w.allocator.Due() {
 		return
 	}
-	r := w.book.MakeRecord(w.now)
-	for range 3 { // spending goes on while the Record is pending
+	r := w.allocator.MakeRecord(w.now)
+	for range 3 { // spending continues while the Record is pending
 		w.spendWithOwner(w.entries[w.random.IntN(len(w.entries))])
 	}
 	late := !isKnown && w.isTight && w.random.IntN(3) == 0
@@ -274,13 +274,13 @@
 		w.applyRecord(r)
 	}
 	if isKnown {
-		w.book.Committed()
+		w.allocator.Committed()
 		return
 	}
 	w.changeOwner()
 	if late { // it is committed after the owner has restarted
 		w.applyRecord(r)
-		w.book.ApplyForeign(w.now, r)
+		w.allocator.ApplyForeign(w.now, r)
 	}
 }
 
@@ -292,7 +292,7 @@
 
 // changeOwner terminates the owner; another starts at once or later.
 func (w *world) changeOwner() {
-	w.book = nil
+	w.allocator = nil
 	for _, e := range w.entries {
 		if e.isConnected {
 			e.disconnect()
@@ -304,7 +304,7 @@
 			w.advance()
 		}
 	}
-	w.book = InheritLedger(w.now, worldLeaseTTL, &w.log)
+	w.allocator = RestoreAllocator(w.now, worldLeaseTTL, &w.log)
 	w.setLimits()
 }
 
@@ -336,7 +336,7 @@
 }
 
 // TestNoWindowExceedsLimitWithPartialMessages is the same where Records, updates and
-// reports have no room for all accounts, and entries forget accounts and are leased them
+// reports have no room for all accounts, and entries drop accounts and are leased them
 // again.
 func TestNoWindowExceedsLimitWithPartialMessages(t *testing.T) {
 	for entries, worlds := range map[int]uint64{1: 200, 4: 400, 22: 160} {
--- a/budget/size_test.go
+++ b/budget/size_test.go
@@ -15,8 +15,8 @@
 )
 
 // The tests of this file bound the size of messages and Records and the work of an owner
-// with many teams and entries. An entry considers an owner lost that is silent for half a
-// second, its link carries 1.25 MB/s, and an owner's lease is 340 ms.
+// with many teams and entries. An entry considers an owner lost that does not reply for
+// half a second, its link carries 1.25 MB/s, and an owner's lease is 340 ms.
 
 const (
 	manyTeams = 14000
@@ -207,7 +207,7 @@
 		now := at(event.Second)
 		var b *Allocator
 		inherit = min(inherit, cputime.Of(func() {
-			b = InheritLedger(now, testLeaseTTL, l)
+			b = RestoreAllocator(now, testLeaseTTL, l)
 			for i := range manyTeams {
 				b.SetLimit(now, manyTeam(i), testLimit)
 			}
--- a/budget/unclaimed_test.go
+++ b/budget/unclaimed_test.go
@@ -38,11 +38,11 @@
 		first.Tick(now)
 	}
 
-	second := InheritLedger(now, leaseTTL, &log) // has no limit of the team
+	second := RestoreAllocator(now, leaseTTL, &log) // has no limit of the team
 	commitRecord(now, second)
 
 	now = now.Add(100 * event.Millisecond)
-	third := InheritLedger(now, leaseTTL, &log)
+	third := RestoreAllocator(now, leaseTTL, &log)
 	third.SetLimit(now, team, limit)
 	commitRecord(now, third)
 	for ; now < event.Time(7*event.Second); now = now.Add(10 * event.Millisecond) {
--- a/cluster/absent_test.go
+++ b/cluster/absent_test.go
@@ -41,8 +41,8 @@
 	now := s.now.Add(entryTimeout + second)
 	var out Effects
 	owner.state.owner.tick(now, owner.state, &out)
-	if got := forgottenEntries(owner.state.owner); got == 0 || got > maxForgetPerTick {
-		t.Errorf("%d entries forgotten in one tick, want 1 to %d", got, maxForgetPerTick)
+	if got := expiredEntries(owner.state.owner); got == 0 || got > maxExpiredPerTick {
+		t.Errorf("%d entries expired in one tick, want 1 to %d", got, maxExpiredPerTick)
 	}
 	best := time.Hour
 	for range 3 {
@@ -54,16 +54,16 @@
 		best = min(best, time.Since(began))
 	}
 	t.Logf("the ticks of one second take %v", best)
-	if got := forgottenEntries(owner.state.owner); got != absent {
-		t.Errorf("%d of %d absent entries forgotten after one more second", got, absent)
+	if got := expiredEntries(owner.state.owner); got != absent {
+		t.Errorf("%d of %d absent entries expired after one more second", got, absent)
 	}
 	if best > maxTickTime {
 		t.Errorf("the ticks of one second with %d of %d entries absent and %d requests take %v, want at most %v", absent, entries, requests, best, maxTickTime)
 	}
 }
 
-// forgottenEntries returns the number of entries whose requests an owner has taken as terminated.
-func forgottenEntries(o *owner) int {
+// expiredEntries returns the number of entries whose requests an owner has taken as terminated.
+func expiredEntries(o *owner) int {
 	n := 0
 	for _, e := range o.entries {
 		if e.isForgotten {
--- a/cluster/doc.go
+++ b/cluster/doc.go
@@ -13,5 +13,6 @@
 //
 // A group is bootstrapped once, from the seeds in the settings (Config.Bootstrap). Any other
 // box joins as a learner. Once it has saved all committed entries it becomes a voter if there
-// are fewer than the limit; otherwise it stays a learner until it can replace a dead voter.
+// are fewer than the limit; otherwise it stays a learner until it can replace an unreachable
+// voter.
 package cluster
--- a/cluster/endpoints.go
+++ b/cluster/endpoints.go
@@ -30,7 +30,7 @@
 	isNoop := !valid || !s.machine.registry.Accepts(e) || !s.machine.registry.WouldChange(e) ||
 		(s.owner != nil && s.owner.isAddressTaken(now, e, s))
 	switch {
-	case isNoop && s.sawLeaderRecently(now):
+	case isNoop && s.hadLeaderRecently(now):
 		// It changes nothing: the leader only has to know that the endpoint is alive.
 		if valid {
 			s.pendingHeartbeats[e.ID] = true
--- a/cluster/fleet_sim_test.go
+++ b/cluster/fleet_sim_test.go
@@ -78,7 +78,7 @@
 type fleetFinish struct {
 	at     event.Time
 	finish message.Finish
-	crash  *poison.End
+	crash  *poison.Termination
 }
 
 // fleetEntry is a simulated entry.
@@ -274,7 +274,7 @@
 	e.link = &fleetLink{id: gateway.LinkID(f.sessions), session: f.sessions, box: e.dialAddress, size: newWireSize()}
 	e.linkFreeAt = f.now // messages of the previous connection are lost
 	e.client.Connected(now, e.link.id, e.dialAddress)
-	e.client.SetPeerLevel(e.link.id, level.Newest)
+	e.client.SetPeerFormatVersion(e.link.id, level.Newest)
 }
 
 // applyEffects applies the effects of an entry's owner client.
@@ -383,7 +383,7 @@
 			return false
 		}
 		if end.crash != nil {
-			e.client.RecordEnd(now, *end.crash)
+			e.client.RecordTermination(now, *end.crash)
 		}
 		e.client.Finish(now, end.finish)
 		return true
@@ -448,7 +448,7 @@
 	if f.random.IntN(50) == 0 {
 		arrived = arrived.Add(event.Duration(f.random.IntN(3000)) * event.Millisecond)
 	}
-	if c.repeat && arrived.Sub(c.sent) > message.RetryWindow {
+	if c.repeat && arrived.Sub(c.sent) > message.MaxRetryAge {
 		end.Void, end.Unused, end.Unsent = true, true, true
 		e.client.Finish(now, end)
 		return
--- a/cluster/incoming.go
+++ b/cluster/incoming.go
@@ -52,7 +52,7 @@
 	switch {
 	case m.Hello != nil && m.Hello.Entry != "":
 		in.session = s.addSession(in.conn)
-		s.events <- &SessionOpened{Session: in.session, Hello: *m.Hello, FormatVersion: in.peer.Level(), Build: in.build}
+		s.events <- &SessionOpened{Session: in.session, Hello: *m.Hello, FormatVersion: in.peer.FormatVersion(), Build: in.build}
 	case m.Ping != nil && in.session != 0:
 		s.events <- &PingReceived{Session: in.session, Ping: *m.Ping}
 	case m.Batch != nil && in.session != 0:
@@ -76,7 +76,7 @@
 // reportPeer sends the loop the box of the connection and its format version, before any log message
 // of that box.
 func (in *inboundConn) reportPeer(box event.BoxID) {
-	if version := in.peer.Level(); in.box != box || in.reportedVersion != version {
+	if version := in.peer.FormatVersion(); in.box != box || in.reportedVersion != version {
 		in.box, in.reportedVersion = box, version
 		in.server.logEvents <- &PeerConnected{Box: box, Connection: in.id, FormatVersion: version, Build: in.build}
 	}
--- a/cluster/levels.go
+++ b/cluster/levels.go
@@ -47,7 +47,7 @@
 func (s *State) peerConnected(e *PeerConnected, out *Effects) {
 	p, ok := s.formats.peers[e.Box]
 	if !ok {
-		if !s.makeRoomFor(e.Box) {
+		if !s.ensurePeerCapacity(e.Box) {
 			out.logInfo("too many control boxes connected; ignoring one", Field{"peer", string(e.Box)}, Field{"most", maxPeers})
 			return
 		}
@@ -71,9 +71,9 @@
 	}
 }
 
-// makeRoomFor reports whether another control box may be tracked. Peers choose their own names, so the number
-// of names is bounded. It evicts a disconnected box that is no member; members always have room.
-func (s *State) makeRoomFor(box event.BoxID) bool {
+// ensurePeerCapacity reports whether another control box may be tracked. Peers choose their own names, so the number
+// of names is bounded. It evicts a disconnected box that is not a member; members are always tracked.
+func (s *State) ensurePeerCapacity(box event.BoxID) bool {
 	if len(s.formats.peers) < maxPeers {
 		return true
 	}
@@ -221,7 +221,7 @@
 		limit("entry "+string(name)+" of build "+o.entries[name].build, o.entries[name].formatVersion)
 	}
 	if now.Sub(o.startedAt) <= o.entryRetention {
-		limit("entries that may not have been heard yet", s.machine.formatVersion)
+		limit("entries that may not have connected yet", s.machine.formatVersion)
 	}
 	return next, blockedBy
 }
--- a/cluster/levels_test.go
+++ b/cluster/levels_test.go
@@ -27,16 +27,16 @@
 		encodeEndpoint(registry.Endpoint{ID: "e", Service: "s", Address: "127.0.0.1:1", Sequence: 1}),
 		encodeEndpoint(registry.Endpoint{ID: "f", Service: "s", Address: "127.0.0.1:2", Sequence: 1}),
 		encodeRemove("f"),
-		encodeSpending(budget.Record{Lines: []budget.Line{{Account: "team/t", Spent: []int{1, 2}, Headroom: 7, Leased: 8}}}),
+		encodeBudgets(budget.Record{Lines: []budget.Line{{Account: "team/t", Spent: []int{1, 2}, Headroom: 7, Leased: 8}}}),
 		d.encodeWhole(),
 	}
 	if l >= level.Chunked {
 		d.pack()
 		commands[len(commands)-1] = d.packed.encodePart(0)
-		commands = append(commands, encodeSpending(budget.Record{Partial: true, Lines: []budget.Line{{Account: "team/u", Headroom: 1}}}))
+		commands = append(commands, encodeBudgets(budget.Record{Partial: true, Lines: []budget.Line{{Account: "team/u", Headroom: 1}}}))
 	}
 	if l >= level.Suspects {
-		commands = append(commands, encodePoison(poison.Record{Lines: []poison.Line{{Fingerprint: "0123456789abcdef", Ends: []uint64{7}}}}))
+		commands = append(commands, encodePoison(poison.Record{Lines: []poison.Line{{Fingerprint: "0123456789abcdef", Terminations: []uint64{7}}}}))
 	}
 	if l >= level.Negotiated {
 		commands = append(commands, encodeFormatVersion(l))
@@ -57,7 +57,7 @@
 	t.Helper()
 	m.registry.IsRemoved("") // builds the derived fields, which a restored state may lack
 	data, err := json.Marshal([]any{
-		m.formatVersion, m.document.Version, m.document.Data, m.upload.key, m.upload.parts, m.registry, m.spending.Record(), m.poison.Record(),
+		m.formatVersion, m.document.Version, m.document.Data, m.upload.key, m.upload.parts, m.registry, m.budgets.Record(), m.poison.Record(),
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -23,8 +23,8 @@
 	document      Document
 	upload        upload
 	registry      registry.State
-	// spending holds the budget records of the log.
-	spending budget.Ledger
+	// budgets holds the budget records of the log.
+	budgets budget.Ledger
 	// poison holds the records of poison requests in the log.
 	poison poison.Ledger
 }
@@ -34,7 +34,7 @@
 	commandDocument byte = iota + 1
 	commandEndpoint
 	commandRemoveEndpoint
-	commandSpending
+	commandBudgets
 	commandPoison
 	commandFormatVersion
 	commandEndpointInstance // commandEndpoint with the endpoint's start time
@@ -97,12 +97,12 @@
 	return append([]byte{kind}, data...)
 }
 
-func encodeSpending(r budget.Record) []byte {
+func encodeBudgets(r budget.Record) []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
 		panic(err) // texts and numbers always encode
 	}
-	return append([]byte{commandSpending}, data...)
+	return append([]byte{commandBudgets}, data...)
 }
 
 func encodePoison(r poison.Record) []byte {
@@ -121,7 +121,7 @@
 type change struct {
 	document      bool
 	formatVersion bool
-	spending      *budget.Record
+	budgets       *budget.Record
 	poison        *poison.Record
 	updated       []registry.Endpoint
 	removed       []string
@@ -149,7 +149,7 @@
 		id := m.registry.ResolveTermination(registry.ParseID(string(body)))
 		m.registry.Remove(id, uint64(index))
 		return change{removed: []string{id}}, nil
-	case commandSpending:
+	case commandBudgets:
 		var r budget.Record
 		if err := json.Unmarshal(body, &r); err != nil {
 			return change{}, errors.Wrap(err, "decode budget record")
@@ -157,8 +157,8 @@
 		if r.Partial {
 			m.observeFormat(level.Chunked)
 		}
-		m.spending.Apply(r)
-		return change{spending: &r}, nil
+		m.budgets.Apply(r)
+		return change{budgets: &r}, nil
 	case commandPoison:
 		var r poison.Record
 		if err := json.Unmarshal(body, &r); err != nil {
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -15,8 +15,8 @@
 	"lynxramp.org/registry"
 )
 
-// entryTimeout is how long an entry may be disconnected before its running requests are taken as
-// terminated.
+// entryTimeout is how long an entry may be disconnected before its running requests are treated
+// as terminated.
 const entryTimeout = 4 * event.Second
 
 // owner is the state that the owner keeps beside the replicated state. A new owner rebuilds it from
@@ -37,12 +37,12 @@
 	startedAt        event.Time
 	entryRetention   event.Duration
 	budgets          *budget.Allocator
-	recordIndex      consensus.Index          // of the last budget record in the log
+	budgetIndex      consensus.Index          // of the last budget record in the log
 	poison           *poison.Tracker          // poison requests
 	changedEndpoints map[string]bool          // ids of endpoints whose change is not yet sent to the entries
-	pieces           map[uint64]registry.Page // by the preceding revision, valid at piecesRevision
-	piecesRevision   uint64
-	packed           map[pieceKey]packedPiece
+	pages            map[uint64]registry.Page // by the preceding revision, valid at piecesRevision
+	pagesRevision    uint64
+	packed           map[pageKey]packedPage
 	budgetsLoggedAt  event.Time // when high budgets were last logged
 	// poisonIndex is the index of the last poison record in the log.
 	poisonIndex consensus.Index
@@ -53,8 +53,8 @@
 	feedback         feedbackTracker // of endpoints
 }
 
-// maxForgetPerTick bounds the disconnected entries whose requests one tick takes as terminated.
-const maxForgetPerTick = 16
+// maxExpiredPerTick bounds the disconnected entries whose requests one tick treats as terminated.
+const maxExpiredPerTick = 16
 
 // reclaimAfterHeartbeats is the number of heartbeat intervals without a heartbeat of an endpoint after
 // which the previous endpoint at its address may take it back: two intervals and some jitter.
@@ -75,8 +75,8 @@
 		startedAt:        now,
 		entryRetention:   s.settings.ConfigValidity + s.settings.Limits.QuotaWindow,
 		changedEndpoints: make(map[string]bool),
-		pieces:           make(map[uint64]registry.Page),
-		packed:           make(map[pieceKey]packedPiece),
+		pages:            make(map[uint64]registry.Page),
+		packed:           make(map[pageKey]packedPage),
 	}
 	o.poison = poison.NewTracker(now, &s.machine.poison)
 	o.suspects, o.suspectsRevision = o.poison.Suspects()
@@ -93,15 +93,15 @@
 	return o
 }
 
-// newBudgets returns the budget book of a new owner, with the spending recorded in the log.
+// newBudgets returns the budget allocator of a new owner, with the spending recorded in the log.
 func (s *State) newBudgets(now event.Time) *budget.Allocator {
 	if s.machine.document.Version == 0 {
 		return budget.NewAllocator(now, s.settings.ConfigValidity) // nothing was served without a configuration
 	}
-	return budget.InheritLedger(now, s.settings.ConfigValidity, &s.machine.spending)
+	return budget.RestoreAllocator(now, s.settings.ConfigValidity, &s.machine.budgets)
 }
 
-// leaseGracePeriod is how long the lease may lapse before the owner ends. It exceeds
+// leaseGracePeriod is how long the lease may lapse before the owner stops. It exceeds
 // the heartbeat interval of the log, so that a slow leader can receive the next responses.
 const leaseGracePeriod = 150 * event.Millisecond
 
@@ -145,34 +145,34 @@
 	case *SessionClosed:
 		o.closeSession(now, e.Session)
 	}
-	o.recordBudgets(now, s, out)
-	o.recordPoison(now, s, out)
+	o.proposeBudgetRecord(now, s, out)
+	o.proposePoisonRecord(now, s, out)
 	o.sendDecisions(now, s, out)
 }
 
-// recordBudgets proposes a budget record when one is due.
-func (o *owner) recordBudgets(now event.Time, s *State, out *Effects) {
+// proposeBudgetRecord proposes a budget record when one is due.
+func (o *owner) proposeBudgetRecord(now event.Time, s *State, out *Effects) {
 	if !o.budgets.Due() || !s.owns(now) {
 		return
 	}
-	index, err := s.node.Propose(now, encodeSpending(o.budgets.MakeRecord(now)), &out.Ready)
+	index, err := s.node.Propose(now, encodeBudgets(o.budgets.MakeRecord(now)), &out.Ready)
 	if err != nil {
-		// No longer the leader. Until this owner ends, nothing is spent beyond what the
+		// No longer the leader. Until this owner stops, nothing is spent beyond what the
 		// previous record covers.
 		out.logInfo("budget record not proposed: no longer the leader", Field{"error", err.Error()})
 		return
 	}
-	o.recordIndex = index
+	o.budgetIndex = index
 }
 
-// recordCommitted records that an entry of this term is committed. If it is the last budget
-// record, requests that waited for it can go on.
-func (o *owner) recordCommitted(now event.Time, index consensus.Index, s *State, out *Effects) {
+// entryCommitted records that a log entry of this term is committed. If it is the last budget
+// record, requests that waited for it can proceed.
+func (o *owner) entryCommitted(now event.Time, index consensus.Index, s *State, out *Effects) {
 	if index == o.poisonIndex {
-		o.poisonCommitted(now, s, out)
+		o.poisonRecordCommitted(now, s, out)
 		return
 	}
-	if index != o.recordIndex {
+	if index != o.budgetIndex {
 		return
 	}
 	o.budgets.Committed()
@@ -181,7 +181,7 @@
 }
 
 func (o *owner) tick(now event.Time, s *State, out *Effects) {
-	o.forgetAbsentEntries(now)
+	o.expireAbsentEntries(now)
 	o.budgets.Tick(now)
 	limit := downAfterHeartbeats * s.settings.HeartbeatInterval
 	lost := make(map[event.EndpointID]event.Time)
@@ -205,9 +205,9 @@
 	o.raiseFormatVersion(now, s, out)
 }
 
-// forgetAbsentEntries takes the requests of long disconnected entries as terminated. The number of
+// expireAbsentEntries treats the requests of long disconnected entries as terminated. The number of
 // entries per tick is bounded to keep the step short: each scans all requests.
-func (o *owner) forgetAbsentEntries(now event.Time) {
+func (o *owner) expireAbsentEntries(now event.Time) {
 	var expired []event.BoxID
 	for name, e := range o.entries {
 		if e.session != 0 {
@@ -220,7 +220,7 @@
 		}
 	}
 	slices.Sort(expired)
-	for _, name := range expired[:min(len(expired), maxForgetPerTick)] {
+	for _, name := range expired[:min(len(expired), maxExpiredPerTick)] {
 		o.entries[name].isForgotten = true
 		o.admission.EntryRemoved(now, name, &o.effects)
 		o.admission.EntryTerminated(now, name, &o.effects)
@@ -249,8 +249,8 @@
 }
 
 // isAddressTaken reports whether a heartbeat is from an endpoint whose address was taken by another
-// that is alive: then it was delayed and its sender is dead. If the other is overdue the heartbeat
-// counts; otherwise an endpoint whose address was taken by a delayed message of a dead one would
+// that is alive: then it was delayed and its sender has terminated. If the other is overdue the heartbeat
+// counts; otherwise an endpoint whose address was taken by a delayed message of a terminated one would
 // never get requests again.
 func (o *owner) isAddressTaken(now event.Time, e registry.Endpoint, s *State) bool {
 	other := s.machine.registry.AddressConflict(e)
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -94,7 +94,7 @@
 	var other message.Peer
 	if err == nil {
 		conn.SetForms(other.ClientEncodings())
-		conn.Send(first.WithLevel())
+		conn.Send(first.WithFormatVersion())
 	}
 	p.mu.Lock()
 	remote.dialing = false
--- a/cluster/peers_test.go
+++ b/cluster/peers_test.go
@@ -36,7 +36,7 @@
 	served := make(chan error, 1)
 	go func() { served <- c.Serve(func(*message.Envelope) {}) }()
 	join := &message.Envelope{Join: &consensus.Member{ID: consensus.MakeID("127.0.0.2:1", 7), Address: "127.0.0.2:2"}}
-	c.Send(join.WithLevel())
+	c.Send(join.WithFormatVersion())
 	first := nextEvent(t, s.logEvents)
 	if connected, ok := first.(*PeerConnected); !ok || connected.Box != "127.0.0.2:1" || connected.FormatVersion != level.Newest {
 		t.Fatalf("first event is %T %+v, want PeerConnected", first, first)
--- a/cluster/poison.go
+++ b/cluster/poison.go
@@ -20,24 +20,24 @@
 
 // receiveTerminations applies the terminations that an entry reports, and skips repeated ones.
 func (o *owner) receiveTerminations(now event.Time, e *entry, b *message.Batch) {
-	var added []poison.End
-	for _, end := range b.Ends {
-		if end.Number > e.terminations.received {
-			e.terminations.received = end.Number
-			added = append(added, end)
+	var added []poison.Termination
+	for _, t := range b.Ends {
+		if t.Number > e.terminations.received {
+			e.terminations.received = t.Number
+			added = append(added, t)
 		}
 	}
-	o.admission.RecordEnds(now, added, &o.effects)
+	o.admission.RecordTerminations(now, added, &o.effects)
 	for _, p := range b.Well {
 		o.poison.RecordSuccess(now, p)
 	}
 }
 
-// recordPoison proposes a record of poison requests when one is due.
-func (o *owner) recordPoison(now event.Time, s *State, out *Effects) {
+// proposePoisonRecord proposes a record of poison requests when one is due.
+func (o *owner) proposePoisonRecord(now event.Time, s *State, out *Effects) {
 	for _, c := range o.poison.TakeChanges() {
 		out.logInfo("suspected poison request changed state", Field{"what", c.Kind.String()}, Field{"print", c.Fingerprint.String()},
-			Field{"ends", c.Ends}, Field{"trials", c.Trials}, Field{"id", string(c.Request)})
+			Field{"ends", c.Terminations}, Field{"trials", c.Trials}, Field{"id", string(c.Request)})
 	}
 	if !o.poison.Due() || !s.owns(now) {
 		return
@@ -51,7 +51,7 @@
 	if !o.poisonLogged {
 		// Members that can't read the record would skip it and diverge, so it is kept by this
 		// owner only.
-		o.poisonCommitted(now, s, out)
+		o.poisonRecordCommitted(now, s, out)
 		return
 	}
 	index, err := s.node.Propose(now, encodePoison(record), &out.Ready)
@@ -63,8 +63,8 @@
 	o.poisonIndex = index
 }
 
-// poisonCommitted releases the trials that waited for the last record to be committed.
-func (o *owner) poisonCommitted(now event.Time, s *State, out *Effects) {
+// poisonRecordCommitted releases the trials that waited for the last record to be committed.
+func (o *owner) poisonRecordCommitted(now event.Time, s *State, out *Effects) {
 	o.poison.Committed()
 	for _, e := range o.entries {
 		e.terminations.saved = e.terminations.pending
--- a/cluster/poison_sim_test.go
+++ b/cluster/poison_sim_test.go
@@ -34,8 +34,8 @@
 	requestRate = 40
 )
 
-// poisonIntervals are the intervals of the requests that crash endpoints. An owner that forgets crashes
-// would learn of a rare one anew each time.
+// poisonIntervals are the intervals of the requests that crash endpoints. An owner that loses its record of
+// crashes would detect a rare one anew each time.
 var poisonIntervals = []event.Duration{250 * event.Millisecond, 2 * event.Second, 6 * event.Second}
 
 const hotFingerprint = poison.Fingerprint("hot")
@@ -204,7 +204,7 @@
 		}
 	}
 	for _, r := range runs {
-		g.finish(r, f.now, message.OutcomeUnknown, &poison.End{
+		g.finish(r, f.now, message.OutcomeUnknown, &poison.Termination{
 			Print: r.call.fingerprint, Endpoint: e.id, Request: r.call.id, Attempt: r.call.attempt, Ran: f.now.Sub(r.startedAt),
 		}, e)
 		// Some requests are retried at once.
@@ -215,7 +215,7 @@
 }
 
 // finish reports the end of a run to its entry if that was not restarted.
-func (g *crashSim) finish(r *requestRun, at event.Time, ran message.Outcome, end *poison.End, e *crashingEndpoint) {
+func (g *crashSim) finish(r *requestRun, at event.Time, ran message.Outcome, end *poison.Termination, e *crashingEndpoint) {
 	if r.entry.client != r.client || r.client == nil {
 		return
 	}
--- a/cluster/poison_test.go
+++ b/cluster/poison_test.go
@@ -34,7 +34,7 @@
 	}
 	connected := func(string, string) bool { return false }
 	s.isCut = func(from, to string) bool { return from == b.name || to == b.name }
-	s.step(b, &BatchReceived{Session: 1, Batch: &message.Batch{Ends: []poison.End{
+	s.step(b, &BatchReceived{Session: 1, Batch: &message.Batch{Ends: []poison.Termination{
 		{Number: 1, Print: "p", Endpoint: "e1"}, {Number: 2, Print: "p", Endpoint: "e2"},
 	}}})
 	if n := acked(); n != 0 {
@@ -87,7 +87,7 @@
 			s.step(b, &SessionOpened{FormatVersion: level.Newest, Session: 2, Hello: message.Hello{Entry: "other", Life: 1}})
 			ticket := event.Ticket{ID: "1", Service: "s", Pool: "s", Deadline: 20 * event.Second, Target: event.Second}
 			s.step(b, &BatchReceived{Session: 1, Batch: &message.Batch{
-				Ends:   []poison.End{{Number: 1, Print: "p", Endpoint: "gone"}},
+				Ends:   []poison.Termination{{Number: 1, Print: "p", Endpoint: "gone"}},
 				Submit: []message.Submission{{Ticket: ticket, Print: "p"}},
 			}})
 			s.run(200 * event.Millisecond)
@@ -98,12 +98,12 @@
 			ticket.ID = "2"
 			s.step(b, &BatchReceived{Session: 2, Batch: &message.Batch{Submit: []message.Submission{{Ticket: ticket, Print: "p"}}}})
 			for _, c := range b.state.owner.poison.TakeChanges() {
-				if c.Kind == poison.TrialStarted && c.Ends == 2 {
+				if c.Kind == poison.TrialStarted && c.Terminations == 2 {
 					return
 				}
 			}
 			s.run(200 * event.Millisecond)
-			if lines := b.state.machine.poison.Record().Lines; len(lines) != 1 || len(lines[0].Ends) != 2 || lines[0].Trials != 1 {
+			if lines := b.state.machine.poison.Record().Lines; len(lines) != 1 || len(lines[0].Terminations) != 2 || lines[0].Trials != 1 {
 				t.Errorf("the log has %+v, want two crashes and a trial", lines)
 			}
 		})
--- a/cluster/server.go
+++ b/cluster/server.go
@@ -122,21 +122,21 @@
 
 // bootstrap writes the first membership, all seeds, to an empty disk.
 func bootstrap(c Config, disk *store.Store, identity store.Identity) (consensus.PersistentState, error) {
-	var founders []consensus.Member
+	var initialMembers []consensus.Member
 	for _, seed := range c.Seeds {
-		founders = append(founders, consensus.Member{
+		initialMembers = append(initialMembers, consensus.Member{
 			ID: consensus.MakeID(event.BoxID(LinkAddress(seed, c.LinkAddress)), founderIncarnation), Address: seed,
 		})
 	}
-	slices.SortFunc(founders, func(a, b consensus.Member) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(initialMembers, func(a, b consensus.Member) int { return cmp.Compare(a.ID, b.ID) })
 	r := consensus.PersistentState{Snapshot: consensus.Snapshot{
-		Index: 1, Members: consensus.Membership{Voters: founders}, Data: bootstrapState(),
+		Index: 1, Members: consensus.Membership{Voters: initialMembers}, Data: bootstrapState(),
 	}}
 	if err := disk.Save(&consensus.Ready{Snapshot: &r.Snapshot}); err != nil {
 		return r, err
 	}
-	identity.Group = string(founders[0].ID)
-	identity.Founders = founders
+	identity.Group = string(initialMembers[0].ID)
+	identity.InitialMembers = initialMembers
 	return r, disk.SetIdentity(identity)
 }
 
@@ -300,7 +300,7 @@
 	delete(s.sessions, id)
 }
 
-// maintainMembership asks the group to add this box while it is no voter or hears no leader.
+// maintainMembership asks the group to add this box while it is not a voter or has no contact with a leader.
 func (s *Server) maintainMembership(ctx context.Context) {
 	s.AddSeeds(s.config.Seeds)
 	ticker := time.NewTicker(joinInterval)
--- a/cluster/sim_test.go
+++ b/cluster/sim_test.go
@@ -114,15 +114,15 @@
 	}
 }
 
-// newSim starts a group of founders, and boxes with empty disks that join it.
-func newSim(t testing.TB, founders, joining int) *sim {
+// newSim starts a group of initialMembers, and boxes with empty disks that join it.
+func newSim(t testing.TB, initialMembers, joining int) *sim {
 	s := &sim{
 		t: t, boxes: make(map[string]*simBox), answers: make(map[CallID]Answer), closed: make(map[SessionID]bool),
 		sends: make(map[SessionID][]*message.Envelope), random: rand.New(rand.NewPCG(1, 2)),
 		isCut: func(string, string) bool { return false }, settings: simSettings,
 	}
 	var members []consensus.Member
-	for i := range founders {
+	for i := range initialMembers {
 		name := fmt.Sprintf("box%d", i+1)
 		members = append(members, consensus.Member{ID: consensus.MakeID(event.BoxID(name), founderIncarnation), Address: name + ":operators"})
 	}
@@ -133,7 +133,7 @@
 		s.add(string(m.ID.Box()), disk)
 	}
 	for i := range joining {
-		s.addEmpty(fmt.Sprintf("box%d", founders+i+1))
+		s.addEmpty(fmt.Sprintf("box%d", initialMembers+i+1))
 	}
 	return s
 }
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -33,7 +33,7 @@
 	Version  uint64         `json:"version"`
 	Data     []byte         `json:"data"`
 	Registry registry.State `json:"registry"`
-	Spending budget.Record  `json:"spending"`
+	Budgets  budget.Record  `json:"spending"`
 }
 
 // snapshot encodes the state in the newest encoding of its format version. Documents are compressed, as
@@ -59,7 +59,7 @@
 	}
 	data = appendParts(data, m.upload.key, m.upload.parts)
 	data = appendJSON(data, m.registry)
-	data = appendJSON(data, m.spending.Record())
+	data = appendJSON(data, m.budgets.Record())
 	if m.formatVersion < level.Suspects {
 		return data
 	}
@@ -68,7 +68,7 @@
 
 func (m *stateMachine) jsonSnapshot() []byte {
 	data, err := json.Marshal(jsonState{
-		Version: m.document.Version, Data: m.document.Data, Registry: m.registry, Spending: m.spending.Record(),
+		Version: m.document.Version, Data: m.document.Data, Registry: m.registry, Budgets: m.budgets.Record(),
 	})
 	if err != nil {
 		panic(err) // texts and numbers always encode
@@ -150,7 +150,7 @@
 	m.formatVersion = level.Listed
 	m.document = Document{Version: s.Version, Data: s.Data}
 	m.registry = s.Registry
-	m.spending.Apply(s.Spending)
+	m.budgets.Apply(s.Budgets)
 	return nil
 }
 
@@ -160,7 +160,7 @@
 	r.json(&m.registry)
 	var spending budget.Record
 	r.json(&spending)
-	m.spending.Apply(spending)
+	m.budgets.Apply(spending)
 	if m.formatVersion >= level.Suspects {
 		var known poison.Record
 		r.json(&known)
--- a/cluster/state.go
+++ b/cluster/state.go
@@ -102,7 +102,7 @@
 	if err := s.restore(r.Snapshot.Data); err != nil {
 		return nil, err
 	}
-	s.machine.spending.MarkReceived(now)
+	s.machine.budgets.MarkReceived(now)
 	return s, nil
 }
 
@@ -207,19 +207,19 @@
 	s.pendingCalls[index] = pendingCall{call: call, term: s.node.Term()}
 }
 
-// isLeaderActive reports whether another box leads and was heard within the election timeout.
+// isLeaderActive reports whether another box leads and was in contact within the election timeout.
 func (s *State) isLeaderActive(now event.Time) bool {
 	leader := s.node.Leader()
 	return leader != "" && leader != s.node.ID() && now.Sub(s.node.LastLeaderContact()) < consensus.MinElectionTimeout
 }
 
-// leaderGracePeriod is how long a box without a leader goes on accepting heartbeats that change
+// leaderGracePeriod is how long a box without a leader continues to accept heartbeats that change
 // nothing. It covers an election, as a rejected endpoint would retry at all boxes in turn, and is
 // shorter than the time after which an owner marks an endpoint down.
 const leaderGracePeriod = 2 * event.Second
 
-// sawLeaderRecently reports whether another box leads, or did within leaderGracePeriod.
-func (s *State) sawLeaderRecently(now event.Time) bool {
+// hadLeaderRecently reports whether another box leads, or did within leaderGracePeriod.
+func (s *State) hadLeaderRecently(now event.Time) bool {
 	return s.node.Leader() != s.node.ID() && now.Sub(s.node.LastLeaderContact()) < leaderGracePeriod
 }
 
@@ -231,7 +231,7 @@
 		out.Leader = s.node.Leader()
 		out.Heartbeats = slices.Sorted(maps.Keys(s.pendingHeartbeats))
 		clear(s.pendingHeartbeats)
-	case !s.sawLeaderRecently(now):
+	case !s.hadLeaderRecently(now):
 		clear(s.pendingHeartbeats)
 	}
 }
@@ -277,7 +277,7 @@
 			out.Fatal = err
 			return
 		}
-		s.machine.spending.MarkReceived(now)
+		s.machine.budgets.MarkReceived(now)
 	}
 	for len(out.Ready.Committed) > 0 {
 		committed := out.Ready.Committed
@@ -318,7 +318,7 @@
 		s.applyCommand(now, entry, out)
 	}
 	if s.owner != nil && entry.Term == s.owner.term {
-		s.owner.recordCommitted(now, entry.Index, s, out)
+		s.owner.entryCommitted(now, entry.Index, s, out)
 	}
 	s.uploadApplied(entry, out)
 	p, ok := s.pendingCalls[entry.Index]
@@ -344,10 +344,10 @@
 		out.logInfo("skipped a command that can't be decoded", Field{"error", err.Error()})
 		return
 	}
-	if c.spending != nil {
-		s.machine.spending.MarkReceived(now)
-		if s.owner != nil && s.owner.recordIndex != entry.Index {
-			s.owner.budgets.ApplyForeign(now, *c.spending)
+	if c.budgets != nil {
+		s.machine.budgets.MarkReceived(now)
+		if s.owner != nil && s.owner.budgetIndex != entry.Index {
+			s.owner.budgets.ApplyForeign(now, *c.budgets)
 		}
 	}
 	if c.poison != nil && s.owner != nil && s.owner.poisonIndex != entry.Index {
--- a/cluster/upgrade_sim_test.go
+++ b/cluster/upgrade_sim_test.go
@@ -89,7 +89,7 @@
 	u.session++
 	u.number++
 	u.step(owner, &SessionOpened{Session: u.session, Hello: message.Hello{Entry: "entry", Life: 1}, FormatVersion: level.Newest})
-	u.step(owner, &BatchReceived{Session: u.session, Batch: &message.Batch{Ends: []poison.End{{
+	u.step(owner, &BatchReceived{Session: u.session, Batch: &message.Batch{Ends: []poison.Termination{{
 		Number: u.number, Print: poison.Fingerprint(fmt.Sprintf("%016x", u.random.IntN(5))),
 		Endpoint: event.EndpointID(fmt.Sprint("e", u.random.IntN(99))), Request: event.RequestID(fmt.Sprint(u.number)),
 	}}}})
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -14,7 +14,7 @@
 )
 
 // This file sends entries the registry of endpoints: the changes since the revision that an entry has, in
-// bounded pieces, so that a pong of the owner waits for one piece at most.
+// bounded pages, so that a pong of the owner waits for one page at most.
 
 const (
 	// maxViewBytes bounds the endpoints in one message, in bytes before compression, which about halves
@@ -22,8 +22,8 @@
 	maxViewBytes = 48 << 10
 	// maxUnreachablePerMessage bounds the unreachable endpoints in one message, to about 14 kB of ids.
 	maxUnreachablePerMessage = 1000
-	// maxPackedPieces bounds the packed pieces that are cached for new sessions.
-	maxPackedPieces = 64
+	// maxPackedPages bounds the packed pages that are cached for new sessions.
+	maxPackedPages = 64
 )
 
 // viewProgress tracks how much of the initial view a session was sent.
@@ -35,31 +35,31 @@
 	unreachable         []string
 }
 
-// pieceKey identifies a piece of the registry. A later change can only remove endpoints from past
-// revisions, so the count distinguishes the versions of a piece.
-type pieceKey struct {
+// pageKey identifies a page of the registry. A later change can only remove endpoints from past
+// revisions, so the count distinguishes the versions of a page.
+type pageKey struct {
 	after, upTo uint64
 	count       int
 }
 
-// packedPiece has the encoded endpoints of a message: one field is set.
-type packedPiece struct {
+// packedPage has the encoded endpoints of a message: one field is set.
+type packedPage struct {
 	packed message.Packed
 	listed message.Listing
 }
 
 // packEndpoints encodes endpoints in the format of the group.
-func (s *State) packEndpoints(list []message.Endpoint) packedPiece {
+func (s *State) packEndpoints(list []message.Endpoint) packedPage {
 	switch {
 	case len(list) == 0:
-		return packedPiece{}
+		return packedPage{}
 	case s.machine.formatVersion >= level.Instances:
-		return packedPiece{listed: message.NewListing(list)}
+		return packedPage{listed: message.NewListing(list)}
 	}
-	return packedPiece{packed: message.Pack(list)}
+	return packedPage{packed: message.Pack(list)}
 }
 
-func (p packedPiece) addTo(v *message.View) { v.Endpoints, v.Listed = p.packed, p.listed }
+func (p packedPage) addTo(v *message.View) { v.Endpoints, v.Listed = p.packed, p.listed }
 
 // publishEndpoint passes a changed endpoint to the scheduler, and to all entries with the next tick.
 func (o *owner) publishEndpoint(now event.Time, e registry.Endpoint) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// firstView returns the first piece of a session's initial view: the endpoints that changed since the
+// firstView returns the first page of a session's initial view: the endpoints that changed since the
 // revision that the entry has, and the unreachable endpoints.
 func (o *owner) firstView(sess *session, revision uint64, s *State) *message.View {
 	if sess.formatVersion < level.Chunked {
@@ -127,7 +127,7 @@
 	return view
 }
 
-// wholeView returns the initial view in one message, for an entry that does not support pieces.
+// wholeView returns the initial view in one message, for an entry that does not support pages.
 func (o *owner) wholeView(sess *session, revision uint64, s *State) *message.View {
 	if sess.formatVersion < level.Compressed || !s.machine.registry.CanResumeFrom(revision) {
 		revision = 0
@@ -152,7 +152,7 @@
 	return view
 }
 
-// sendView sends the next piece of the initial view once the entry has received the previous one.
+// sendView sends the next page of the initial view once the entry has received the previous one.
 func (o *owner) sendView(p *PingReceived, sess *session, s *State, out *Effects) {
 	if !sess.view.isIncomplete || p.Ping.Revision < sess.view.revision {
 		return
@@ -160,10 +160,10 @@
 	out.Sends = append(out.Sends, Send{p.Session, &message.Envelope{View: o.nextView(sess, s)}})
 }
 
-// nextView returns the next piece of a session's initial view.
+// nextView returns the next page of a session's initial view.
 func (o *owner) nextView(sess *session, s *State) *message.View {
 	v := &sess.view
-	p := o.pieceAfter(v.revision, s)
+	p := o.pageAfter(v.revision, s)
 	view := &message.View{Revision: p.Revision}
 	o.pack(v.revision, p, s).addTo(view)
 	for _, id := range p.Removed {
@@ -193,27 +193,27 @@
 	return list
 }
 
-// pieceAfter returns the piece of the registry after a revision. It is cached, as all sessions need the
-// same pieces after a change of owner.
-func (o *owner) pieceAfter(revision uint64, s *State) registry.Page {
-	if at := s.machine.registry.Revision; o.piecesRevision != at {
-		clear(o.pieces)
-		o.piecesRevision = at
+// pageAfter returns the page of the registry after a revision. It is cached, as all sessions need the
+// same pages after a change of owner.
+func (o *owner) pageAfter(revision uint64, s *State) registry.Page {
+	if at := s.machine.registry.Revision; o.pagesRevision != at {
+		clear(o.pages)
+		o.pagesRevision = at
 	}
-	p, ok := o.pieces[revision]
+	p, ok := o.pages[revision]
 	if !ok {
 		p = s.machine.registry.ChangesAfter(revision, maxViewBytes)
-		o.pieces[revision] = p
+		o.pages[revision] = p
 	}
 	return p
 }
 
-// pack returns the endpoints of a piece, encoded once for all sessions that need it.
-func (o *owner) pack(after uint64, p registry.Page, s *State) packedPiece {
-	key := pieceKey{after, p.Revision, len(p.Endpoints)}
+// pack returns the endpoints of a page, encoded once for all sessions that need it.
+func (o *owner) pack(after uint64, p registry.Page, s *State) packedPage {
+	key := pageKey{after, p.Revision, len(p.Endpoints)}
 	packed, ok := o.packed[key]
 	if !ok {
-		if len(o.packed) >= maxPackedPieces {
+		if len(o.packed) >= maxPackedPages {
 			clear(o.packed)
 		}
 		packed = s.packEndpoints(toMessageEndpoints(p.Endpoints))
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// answerVote answers a vote request of the current term.
-func (n *Node) answerVote(now event.Time, m Message, out *Ready) {
+// replyToVote replies to a vote request of the current term.
+func (n *Node) replyToVote(now event.Time, m Message, out *Ready) {
 	ok := n.hard.Vote == "" || n.hard.Vote == m.From
 	ok = ok && n.role == follower && n.leader == "" && m.Term == n.hard.Term
 	ok = ok && n.log.isUpToDate(m.Index, m.LogTerm)
@@ -124,7 +124,7 @@
 	n.sendAll(now, out)
 }
 
-// checkQuorum makes a leader step down once no quorum has answered it for MinElectionTimeout after
+// checkQuorum makes a leader step down once no quorum has replied to it for MinElectionTimeout after
 // its lease ended.
 func (n *Node) checkQuorum(now event.Time) {
 	if n.role == leader && now > n.leaseEnd(now).Add(MinElectionTimeout) {
@@ -155,20 +155,20 @@
 	n.tryTransfer(now, out)
 }
 
-// isTransferCandidate reports whether a member has answered in this term and reads the log's
+// isTransferCandidate reports whether a member has replied in this term and reads the log's
 // encoding.
 func (n *Node) isTransferCandidate(id ID) bool {
 	p := n.progress[id]
-	return p != nil && p.hasAnswered && !p.isExcluded
+	return p != nil && p.hasReplied && !p.isExcluded
 }
 
 // isBetterTransferee reports whether id should lead rather than other: by reachability, then rank,
 // then length of the matching log.
 func (n *Node) isBetterTransferee(now event.Time, id, other ID, rank func(ID) int) bool {
 	p, q := n.progress[id], n.progress[other]
-	answers, otherAnswers := now.Sub(p.lastAnswered) < MinElectionTimeout, now.Sub(q.lastAnswered) < MinElectionTimeout
-	if answers != otherAnswers {
-		return answers
+	replies, otherReplies := now.Sub(p.lastRepliedSentAt) < MinElectionTimeout, now.Sub(q.lastRepliedSentAt) < MinElectionTimeout
+	if replies != otherReplies {
+		return replies
 	}
 	if rank != nil && rank(id) != rank(other) {
 		return rank(id) > rank(other)
--- a/consensus/members.go
+++ b/consensus/members.go
@@ -76,10 +76,10 @@
 // isCaughtUp reports whether a learner is reachable and has saved all that is committed.
 func (n *Node) isCaughtUp(now event.Time, id ID) bool {
 	p := n.progress[id]
-	return p != nil && p.match >= n.commit && p.hasAnswered && now.Sub(p.lastAnswered) < MinElectionTimeout
+	return p != nil && p.match >= n.commit && p.hasReplied && now.Sub(p.lastRepliedSentAt) < MinElectionTimeout
 }
 
-// unreachableVoter returns a voter that has not answered for ReplaceAfter; empty if there is none
+// unreachableVoter returns a voter that has not replied for ReplaceAfter; empty if there is none
 // or replacement is off.
 func (n *Node) unreachableVoter(now event.Time) ID {
 	if n.limits.ReplaceAfter == 0 || now.Sub(n.leaderSince) < n.limits.ReplaceAfter {
@@ -90,7 +90,7 @@
 		if v.ID == n.id || p == nil {
 			continue
 		}
-		if now.Sub(max(p.lastAnswered, n.leaderSince)) > n.limits.ReplaceAfter {
+		if now.Sub(max(p.lastRepliedSentAt, n.leaderSince)) > n.limits.ReplaceAfter {
 			return v.ID
 		}
 	}
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -121,11 +121,11 @@
 // LastLeaderContact returns when the last message from a leader arrived, or the time of the start.
 func (n *Node) LastLeaderContact() event.Time { return n.lastContact }
 
-// IsVoter reports whether this member has a vote, by the newest membership that it knows.
+// IsVoter reports whether this member has a vote, by the newest membership in its log.
 func (n *Node) IsVoter() bool { return n.members.isVoter(n.id) }
 
 // New returns a member that starts from its saved state. It refuses votes for MinElectionTimeout
-// after the start: it may have answered a heartbeat just before, and a lease may rely on that.
+// after the start: it may have replied to a heartbeat just before, and a lease may rely on that.
 func New(now event.Time, id ID, r PersistentState, seed uint64) *Node {
 	n := &Node{
 		id:          id,
@@ -193,15 +193,15 @@
 // LeaseEnd returns when the leader's lease ends, as known at now.
 func (n *Node) LeaseEnd(now event.Time) event.Time { return n.leaseEnd(now) }
 
-// leaseEnd returns when the lease ends, based on the heartbeats that a quorum answered.
+// leaseEnd returns when the lease ends, based on the heartbeats that a quorum replied to.
 func (n *Node) leaseEnd(now event.Time) event.Time {
 	times := make([]event.Time, 0, len(n.members.Voters))
 	for _, m := range n.members.Voters {
 		switch p := n.progress[m.ID]; {
 		case m.ID == n.id:
 			times = append(times, now)
-		case p != nil && p.hasAnswered:
-			times = append(times, p.lastAnswered)
+		case p != nil && p.hasReplied:
+			times = append(times, p.lastRepliedSentAt)
 		default:
 			times = append(times, n.leaderSince-event.Time(MinElectionTimeout))
 		}
@@ -278,7 +278,7 @@
 		ok := m.Term > n.hard.Term && !n.hasRecentLeader(now) && n.log.isUpToDate(m.Index, m.LogTerm)
 		n.reply(m, Message{Granted: ok}, out)
 	case KindVote:
-		n.answerVote(now, m, out)
+		n.replyToVote(now, m, out)
 	case KindAppend:
 		n.becomeFollower(now, m.Term, m.From)
 		n.append(m, out)
@@ -304,7 +304,7 @@
 	}
 }
 
-// reply answers a request after the pending save.
+// reply sends the reply to a request after the pending save.
 func (n *Node) reply(to, with Message, out *Ready) {
 	out.Messages = append(out.Messages, n.makeReply(to, with))
 }
--- a/consensus/replicate.go
+++ b/consensus/replicate.go
@@ -30,8 +30,8 @@
 	WholeSnapshots bool
 	// Excluded: it cannot read the log's encoding, and is sent nothing.
 	Excluded bool
-	// HeartbeatsOnly: it is not known any more what it reads. Its answers to heartbeats will say
-	// that.
+	// HeartbeatsOnly: the encoding that it reads is no longer known; its replies to heartbeats
+	// will show it.
 	HeartbeatsOnly bool
 }
 
@@ -102,7 +102,7 @@
 func (n *Node) hasCapacity(now event.Time, p *progress) bool {
 	inFlightBytes := 0
 	for _, other := range n.progress {
-		if other != p && other.isInFlight() && now.Sub(other.lastAnswered) < unreachableAfter {
+		if other != p && other.isInFlight() && now.Sub(other.lastRepliedSentAt) < unreachableAfter {
 			inFlightBytes += other.inFlightBytes
 		}
 	}
@@ -142,7 +142,7 @@
 		p.startSnapshot(n.snapshot)
 	}
 	switch {
-	case p.snapshot != nil && (!p.hasAnswered || p.heartbeatsOnly):
+	case p.snapshot != nil && (!p.hasReplied || p.heartbeatsOnly):
 		m.Kind = KindAppend // until it is known how the member takes snapshots
 		return false
 	case p.snapshot != nil && p.takesWholeSnapshots:
@@ -222,7 +222,7 @@
 	n.matched = max(n.matched, last, n.commit)
 }
 
-// acknowledge answers a message whose log matches up to last. The immediate reply says what is on
+// acknowledge replies to a message whose log matches up to last. The immediate reply says what is on
 // disk now; it does not wait for the disk, so that a slow disk neither ends the lease nor stalls
 // the leader. A payload is acknowledged by a second reply once it is saved.
 func (n *Node) acknowledge(m Message, last Index, offset uint64, hasPayload bool, out *Ready) {
@@ -234,7 +234,7 @@
 	}
 }
 
-// replyImmediately answers a message without waiting for a save. If the sender takes only one
+// replyImmediately replies to a message without waiting for a save. If the sender takes only one
 // reply, it is sent in the usual order.
 func (n *Node) replyImmediately(m, with Message, out *Ready) {
 	if m.expectsSingleReply() {
@@ -263,9 +263,9 @@
 	if p == nil {
 		return
 	}
-	p.hasAnswered = true
-	p.lastAnswered = max(p.lastAnswered, m.SentAt)
-	p.answeredSeq = max(p.answeredSeq, m.replyNumber())
+	p.hasReplied = true
+	p.lastRepliedSentAt = max(p.lastRepliedSentAt, m.SentAt)
+	p.repliedSeq = max(p.repliedSeq, m.replyNumber())
 	// Connections keep the order: a reply to the last payload or to a later heartbeat says what
 	// became of all payloads. An earlier reply does not.
 	isCurrent := m.replyNumber() >= p.payloadSeq
--- a/consensus/transfer.go
+++ b/consensus/transfer.go
@@ -15,13 +15,13 @@
 	match Index // last entry known to match and be saved
 	next  Index // first entry not sent yet
 	// Sequence numbers: of the last message, of the last one with a payload (entries or a snapshot
-	// chunk), and of the newest one that was answered.
-	seq, payloadSeq, answeredSeq uint64
-	inFlightBytes                int        // payload bytes of message payloadSeq
-	lastSent                     event.Time // time of the last message
-	// lastAnswered is the send time of the newest message that was answered.
-	lastAnswered event.Time
-	hasAnswered  bool
+	// chunk), and of the newest one that was replied to.
+	seq, payloadSeq, repliedSeq uint64
+	inFlightBytes               int        // payload bytes of message payloadSeq
+	lastSent                    event.Time // time of the last message
+	// lastRepliedSentAt is the send time of the newest message that was replied to.
+	lastRepliedSentAt event.Time
+	hasReplied        bool
 	// probing is set while the point where the member's log diverges is unknown; no entries are
 	// sent, as they might be rejected.
 	probing bool
@@ -40,7 +40,7 @@
 
 // isInFlight reports whether a payload is in flight. No other payload is sent until then, as
 // heartbeats would queue behind all of them, and nothing is resent.
-func (p *progress) isInFlight() bool { return p.answeredSeq < p.payloadSeq }
+func (p *progress) isInFlight() bool { return p.repliedSeq < p.payloadSeq }
 
 // startSnapshot starts sending snapshot s.
 func (p *progress) startSnapshot(s Snapshot) {
--- a/consensus/types.go
+++ b/consensus/types.go
@@ -222,7 +222,7 @@
 // expectsSingleReply reports whether the sender takes only one reply to the message.
 func (m *Message) expectsSingleReply() bool { return m.Token != 0 || m.isUnnumbered() }
 
-// replyNumber returns the number of the message that a reply answers. Members that do not know Seq
+// replyNumber returns the number of the message that a reply belongs to. Members that do not know Seq
 // echo only Token.
 func (m *Message) replyNumber() uint64 {
 	if m.Seq > 0 {
--- a/control/founding.go
+++ b/control/founding.go
@@ -34,7 +34,7 @@
 	// actionCreate: all boxes are reachable and without a group, and this one is
 	// the first by name.
 	actionCreate
-	// actionAdopt: the group has this box with its present disk among its founders.
+	// actionAdopt: the group has this box with its present disk among its initial members.
 	actionAdopt
 	// actionJoin: there is a group that doesn't have this box with its present disk
 	// as a founder.
@@ -46,7 +46,7 @@
 // settings is reachable and without a group, so that a box that lost its disk
 // finds the group of the others or waits for them.
 func chooseAction(self consensus.Member, boxes []event.BoxID, hellos map[event.BoxID]*rpc.HelloResponse) (bootstrapAction, string, []consensus.Member) {
-	founders := []consensus.Member{self}
+	initialMembers := []consensus.Member{self}
 	for _, box := range boxes {
 		if box == self.ID.Box() {
 			continue
@@ -62,14 +62,14 @@
 			}
 			return actionJoin, g.Group, nil
 		}
-		founders = append(founders, consensus.Member{
+		initialMembers = append(initialMembers, consensus.Member{
 			ID: consensus.MakeID(box, event.Incarnation(g.Disk)), Address: g.Address,
 		})
 	}
-	if len(founders) < len(boxes) || slices.Min(boxes) != self.ID.Box() {
+	if len(initialMembers) < len(boxes) || slices.Min(boxes) != self.ID.Box() {
 		return actionWait, "", nil
 	}
-	return actionCreate, rand.Text(), founders
+	return actionCreate, rand.Text(), initialMembers
 }
 
 // Bootstrap waits until the box belongs to a group: the one on its disk, one that
@@ -84,7 +84,7 @@
 	warned := time.Now()
 	for p.group() == "" {
 		hellos := p.helloAll(ctx)
-		action, group, founders := chooseAction(self, boxes, hellos)
+		action, group, initialMembers := chooseAction(self, boxes, hellos)
 		switch action {
 		case actionWait:
 			if time.Since(warned) > warnInterval {
@@ -100,13 +100,13 @@
 			}
 		case actionCreate, actionAdopt:
 			r = consensus.PersistentState{Snapshot: consensus.Snapshot{
-				Index: initialIndex, Members: consensus.Membership{Voters: founders},
+				Index: initialIndex, Members: consensus.Membership{Voters: initialMembers},
 			}}
 			if err := disk.Save(&consensus.Ready{Snapshot: &r.Snapshot}); err != nil {
 				return r, err
 			}
 		}
-		if err := p.saveGroup(disk, group, founders); err != nil {
+		if err := p.saveGroup(disk, group, initialMembers); err != nil {
 			return r, err
 		}
 		p.log.Info("joined a control group", zap.String("group", group), zap.Bool("founder", action != actionJoin))
@@ -121,12 +121,12 @@
 }
 
 // saveGroup stores the box's group on disk, then publishes it to other boxes.
-func (p *Peers) saveGroup(disk *store.Store, group string, founders []consensus.Member) error {
+func (p *Peers) saveGroup(disk *store.Store, group string, initialMembers []consensus.Member) error {
 	p.mu.Lock()
 	identity := p.identity
 	p.mu.Unlock()
 	identity.Group = group
-	identity.Founders = founders
+	identity.InitialMembers = initialMembers
 	if err := disk.SetIdentity(identity); err != nil {
 		return err
 	}
--- a/control/peers.go
+++ b/control/peers.go
@@ -155,7 +155,7 @@
 		Disk:     uint64(p.identity.Disk),
 		Address:  p.address,
 		Group:    p.identity.Group,
-		Founders: rpc.MemberMessages(p.identity.Founders),
+		Founders: rpc.MemberMessages(p.identity.InitialMembers),
 	}, nil
 }
 
--- a/control/service.go
+++ b/control/service.go
@@ -24,8 +24,8 @@
 	loop     *Loop
 	outboxes *Outboxes
 
-	mu       sync.Mutex
-	lastNews *rpc.CatalogNews // the last built
+	mu         sync.Mutex
+	lastUpdate *rpc.CatalogNews // the last built
 }
 
 // NewService returns the service of the box whose state loop owns.
@@ -58,7 +58,7 @@
 	}
 	answer.Decisions = s.await(ctx, entry, ack, wait)
 	if r.WaitMs > 0 {
-		answer.Catalog, err = s.catalogNews(ctx, r.Version)
+		answer.Catalog, err = s.catalogUpdate(ctx, r.Version)
 	}
 	return answer, err
 }
@@ -80,30 +80,30 @@
 	return decisions
 }
 
-// catalogNews returns the update from a version to the current one; nil if there is
+// catalogUpdate returns the update from a version to the current one; nil if there is
 // none.
-func (s *Service) catalogNews(ctx context.Context, since uint64) (*rpc.CatalogNews, error) {
-	var news *rpc.CatalogNews
+func (s *Service) catalogUpdate(ctx context.Context, since uint64) (*rpc.CatalogNews, error) {
+	var update *rpc.CatalogNews
 	err := s.loop.Inspect(ctx, func(now event.Time, state *State) {
 		if state.Status(now).Owner {
-			news = s.makeNews(state.Machine(), since)
+			update = s.makeUpdate(state.Machine(), since)
 		}
 	})
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
-	return news, nil
+	return update, nil
 }
 
-// makeNews builds an update of the catalog, or reuses the last one if it matches.
-func (s *Service) makeNews(m *machine.State, since uint64) *rpc.CatalogNews {
+// makeUpdate builds an update of the catalog, or reuses the last one if it matches.
+func (s *Service) makeUpdate(m *machine.State, since uint64) *rpc.CatalogNews {
 	c, version := m.Catalog()
 	if version == since {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n := s.lastNews; n != nil && n.Version == version && n.Since == since {
+	if n := s.lastUpdate; n != nil && n.Version == version && n.Since == since {
 		return n
 	}
 	n := &rpc.CatalogNews{Version: version, Since: since, Hash: machine.Hash(c)}
@@ -113,7 +113,7 @@
 		n.Since = 0
 		n.Whole = mustJSON(c)
 	}
-	s.lastNews = n
+	s.lastUpdate = n
 	return n
 }
 
--- a/event/event.go
+++ b/event/event.go
@@ -78,14 +78,14 @@
 	// it runs. Empty for none. Digest distinguishes requests with the same key.
 	Key    string
 	Digest uint64
-	// Target is the remaining time in which the answer should begin; 0 means that
+	// Target is the remaining time in which the response should begin; 0 means that
 	// only the deadline counts.
 	Target Duration
 	// Patience is the longest wait that may be expected for the request, else it
 	// is refused; 0 is no limit.
 	Patience Duration
 	// Placed is set when the request was granted before, but was not served or its
-	// answer broke off: it is not queued behind others again.
+	// response broke off: it is not queued behind others again.
 	Placed bool
 	// Returned is set when the caller was refused before and retries.
 	Returned bool
@@ -112,11 +112,11 @@
 	Pool  string
 }
 
-// Begun reports that the answer of a granted request began: its prefill is done.
+// Begun reports that the response to a granted request began: its prefill is done.
 type Begun struct {
 	ID   RequestID
 	Pool string
-	// After is the time from sending the request to the beginning of the answer.
+	// After is the time from sending the request to the beginning of the response.
 	After Duration
 }
 
@@ -133,9 +133,9 @@
 	Void   bool
 	Unused bool
 	// FirstAfter is the time from sending the request to the beginning of the
-	// answer; 0 if there was no answer.
+	// response; 0 if there was no response.
 	FirstAfter Duration
-	// TokenGap is the typical time between the answer's tokens; 0 if unknown.
+	// TokenGap is the typical time between the response's tokens; 0 if unknown.
 	TokenGap Duration
 }
 
@@ -222,7 +222,7 @@
 	Address     string // of the slot, IP:port
 	Incarnation Incarnation
 	Draining    bool
-	// Down is set while the endpoint does not answer its slot.
+	// Down is set while the endpoint does not respond to its slot.
 	Down bool
 	// Running lists the offers that the slot accepted and that have not finished.
 	Running []DispatchID
@@ -307,7 +307,7 @@
 	// Paced is set when the decision took the endpoint's rate limit, or its removal, into account.
 	Paced  bool
 	Inputs Inputs
-	// Attach, if set, is a dispatch at the endpoint whose answer is to be fetched;
+	// Attach, if set, is a dispatch at the endpoint whose response is to be fetched;
 	// nothing is offered.
 	Attach DispatchID
 }
@@ -325,7 +325,7 @@
 // Inputs are the figures that a decision on a request was based on, for the log.
 type Inputs struct {
 	Ahead   int      // requests queued before it
-	Wait    Duration // expected time in the queue or to the beginning of the answer
+	Wait    Duration // expected time in the queue or to the beginning of the response
 	Running int      // requests at the endpoint, including this one
 	Spent   int      // of the team's quota in its window
 	Limit   int      // of the team's quota
@@ -344,7 +344,7 @@
 	ReasonDeadline
 	// ReasonNoPool: the pool does not exist.
 	ReasonNoPool
-	// ReasonClaimed: another request claimed the idempotency key, and its answer
+	// ReasonClaimed: another request claimed the idempotency key, and its response
 	// cannot be fetched.
 	ReasonClaimed
 	// ReasonKeyReused: a request with different content claimed the idempotency key.
@@ -359,7 +359,7 @@
 	ReasonCooldown
 )
 
-// String returns the reason as written in logs and answers.
+// String returns the reason as written in logs and responses.
 func (r Reason) String() string {
 	switch r {
 	case ReasonShed:
--- a/gateway/agent.go
+++ b/gateway/agent.go
@@ -88,9 +88,9 @@
 	a.input <- func(now event.Time) { a.client.finish(now, f) }
 }
 
-// RecordEnd reports that an endpoint terminated while it ran a request.
-func (a *Agent) RecordEnd(e poison.End) {
-	a.input <- func(now event.Time) { a.client.recordEnd(now, e) }
+// RecordTermination reports that an endpoint terminated while it ran a request.
+func (a *Agent) RecordTermination(e poison.Termination) {
+	a.input <- func(now event.Time) { a.client.recordTermination(now, e) }
 }
 
 // ObserveFeedback reports feedback received from an endpoint.
@@ -170,9 +170,9 @@
 	var owner message.Peer
 	conn.SetForms(owner.ClientEncodings())
 	err = conn.Serve(func(m *message.Envelope) {
-		peerLevel := owner.Level()
+		formatVersion := owner.FormatVersion()
 		a.input <- func(now event.Time) {
-			a.client.SetPeerLevel(linkID, peerLevel)
+			a.client.SetPeerFormatVersion(linkID, formatVersion)
 			a.client.Received(now, linkID, m)
 		}
 	})
--- a/gateway/asked_test.go
+++ b/gateway/asked_test.go
@@ -126,7 +126,7 @@
 			r := newTestGateway(t, e1)
 			r.do(t, r.request("POST", "/once/x", "q"))
 			r.owner.mu.Lock()
-			r.owner.silent = true
+			r.owner.unresponsive = true
 			r.owner.mu.Unlock()
 			started := time.Now()
 			waitFor(t, "the entry is degraded", func() bool { return time.Since(started) > time.Second })
--- a/gateway/caller.go
+++ b/gateway/caller.go
@@ -22,8 +22,8 @@
 	timeout time.Duration
 }
 
-func newCallerWriter(w http.ResponseWriter, silence time.Duration) *callerWriter {
-	return &callerWriter{w, http.NewResponseController(w), silence}
+func newCallerWriter(w http.ResponseWriter, timeout time.Duration) *callerWriter {
+	return &callerWriter{w, http.NewResponseController(w), timeout}
 }
 
 // Unwrap lets http.ResponseController reach the connection.
--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -20,8 +20,8 @@
 // if the connection or the owner changes.
 
 const (
-	// maxUnsavedEnds limits the ends kept until the owner's log has them: 18 kB in one message.
-	maxUnsavedEnds = 120
+	// maxUnsavedTerminations limits the terminations kept until the owner's log has them: 18 kB in one message.
+	maxUnsavedTerminations = 120
 	// maxSuccesses limits the requests kept that succeeded without an owner, for a report to the next
 	// one: 9 kB.
 	maxSuccesses = 512
@@ -46,35 +46,35 @@
 	return false
 }
 
-// unsavedEnd is an end and the time at which it was observed.
-type unsavedEnd struct {
-	end poison.End
-	at  event.Time
+// unsavedTermination is a termination and the time at which it was observed.
+type unsavedTermination struct {
+	termination poison.Termination
+	at          event.Time
 }
 
-// RecordEnd records that an endpoint terminated while it ran a request.
-func (a *OwnerClient) RecordEnd(now event.Time, e poison.End) {
-	a.recordEnd(now, e)
+// RecordTermination records that an endpoint terminated while it ran a request.
+func (a *OwnerClient) RecordTermination(now event.Time, e poison.Termination) {
+	a.recordTermination(now, e)
 	a.deliverDecisions(now)
 }
 
-func (a *OwnerClient) recordEnd(now event.Time, e poison.End) {
-	a.lastEndNumber++
-	e.Number = a.lastEndNumber
-	if len(a.unsavedEnds) >= maxUnsavedEnds {
-		a.log.Warn("too many unsaved endpoint terminations, dropping the oldest", zap.Stringer("print", a.unsavedEnds[0].end.Print), zap.String("endpoint", string(a.unsavedEnds[0].end.Endpoint)))
-		a.unsavedEnds = a.unsavedEnds[1:]
+func (a *OwnerClient) recordTermination(now event.Time, e poison.Termination) {
+	a.lastTerminationNumber++
+	e.Number = a.lastTerminationNumber
+	if len(a.unsavedTerminations) >= maxUnsavedTerminations {
+		a.log.Warn("too many unsaved endpoint terminations; dropping the oldest", zap.Stringer("print", a.unsavedTerminations[0].termination.Print), zap.String("endpoint", string(a.unsavedTerminations[0].termination.Endpoint)))
+		a.unsavedTerminations = a.unsavedTerminations[1:]
 	}
-	a.unsavedEnds = append(a.unsavedEnds, unsavedEnd{e, now})
+	a.unsavedTerminations = append(a.unsavedTerminations, unsavedTermination{e, now})
 	if a.hasOwner {
 		a.batch.Ends = append(a.batch.Ends, e)
 	}
 	if a.degraded != nil {
-		a.degraded.RecordEnds(now, []poison.End{e}, &a.effects)
+		a.degraded.RecordTerminations(now, []poison.Termination{e}, &a.effects)
 	}
 }
 
-// recordSuccess records a successful run of a request without an owner. The next owner may know of ends
+// recordSuccess records a successful run of a request without an owner. The next owner may know of terminations
 // during this request, and needs the successes to judge it.
 func (a *OwnerClient) recordSuccess(f *message.Finish) {
 	if f.Ran != message.OutcomeSuccess || f.Print == "" || len(a.succeeded) >= maxSuccesses {
@@ -86,28 +86,28 @@
 	a.succeeded[f.Print] = true
 }
 
-// reportEnds reports to a new owner all ends that the log may lack and all successes.
-func (a *OwnerClient) reportEnds(now event.Time) {
+// reportTerminations reports to a new owner all terminations that the log may lack and all successes.
+func (a *OwnerClient) reportTerminations(now event.Time) {
 	a.batch.Well = slices.Sorted(maps.Keys(a.succeeded))
 	a.succeeded = nil
-	for _, u := range a.unsavedEnds {
-		e := u.end
+	for _, u := range a.unsavedTerminations {
+		e := u.termination
 		e.Ago = now.Sub(u.at)
 		a.batch.Ends = append(a.batch.Ends, e)
 	}
 }
 
-// dropSavedEnds drops the ends that the owner's log has, up to a number.
-func (a *OwnerClient) dropSavedEnds(number uint64) {
-	for len(a.unsavedEnds) > 0 && a.unsavedEnds[0].end.Number <= number {
-		a.unsavedEnds = a.unsavedEnds[1:]
+// dropSavedTerminations drops the terminations that the owner's log has, up to a number.
+func (a *OwnerClient) dropSavedTerminations(number uint64) {
+	for len(a.unsavedTerminations) > 0 && a.unsavedTerminations[0].termination.Number <= number {
+		a.unsavedTerminations = a.unsavedTerminations[1:]
 	}
 }
 
-// logSuspicions logs the changes in what is known of requests that terminate endpoints, while degraded.
-func (a *OwnerClient) logSuspicions() {
+// logPoisonChanges logs the changes in the state of poison requests while degraded.
+func (a *OwnerClient) logPoisonChanges() {
 	for _, c := range a.degradedPoison.TakeChanges() {
-		a.log.Info("request under which endpoints ended", zap.Stringer("what", c.Kind), zap.Stringer("print", c.Fingerprint),
-			zap.Int("ends", c.Ends), zap.Bool("alone", true))
+		a.log.Info("suspected poison request changed state", zap.Stringer("what", c.Kind), zap.Stringer("print", c.Fingerprint),
+			zap.Int("ends", c.Terminations), zap.Bool("alone", true))
 	}
 }
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -32,8 +32,8 @@
 	return whole(200, "x")(c, r)
 }
 
-// silent never responds.
-func silent(c net.Conn, _ *http.Request) bool {
+// unresponsive never responds.
+func unresponsive(c net.Conn, _ *http.Request) bool {
 	time.Sleep(4 * time.Second)
 	return false
 }
@@ -67,7 +67,7 @@
 		"cut in a stream":     {"/single/1", events(2, true), true, message.OutcomeUnknown},
 		"end that is no sign": {"/once/1", unframed, false, message.OutcomeUnknown},
 		"foreign":             {"/once/1", foreign, false, message.OutcomeUnknown},
-		"no answer in time":   {"/once/1", silent, false, message.OutcomeUnknown},
+		"no answer in time":   {"/once/1", unresponsive, false, message.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -83,10 +83,10 @@
 			}
 			r.owner.mu.Lock()
 			defer r.owner.mu.Unlock()
-			if got := len(r.owner.ends); (got == 1) != one.isEnd {
-				t.Errorf("%d ends reported, want one: %v", got, one.isEnd)
+			if got := len(r.owner.terminations); (got == 1) != one.isEnd {
+				t.Errorf("%d terminations reported, want one: %v", got, one.isEnd)
 			}
-			for _, e := range r.owner.ends {
+			for _, e := range r.owner.terminations {
 				if e.Print != want.Sum() || e.Endpoint != "e1" || e.Request != f.ID || e.Number != 1 {
 					t.Errorf("reported end: %+v", e)
 				}
@@ -108,24 +108,24 @@
 	return a
 }
 
-// sentEnds returns the ends and successes that a client sends.
-func sentEnds(a *OwnerClient) (ends []poison.End, well []poison.Fingerprint) {
+// sentTerminations returns the terminations and successes that a client sends.
+func sentTerminations(a *OwnerClient) (terminations []poison.Termination, well []poison.Fingerprint) {
 	for _, s := range a.TakeEffects().Sends {
 		if b := s.Message.Batch; b != nil {
-			ends, well = append(ends, b.Ends...), append(well, b.Well...)
+			terminations, well = append(terminations, b.Ends...), append(well, b.Well...)
 		}
 	}
-	return ends, well
+	return terminations, well
 }
 
-// TestEndsAreReportedUntilSaved: an end is reported at once, and again to each new owner until one has it in its log.
+// TestTerminationsAreReportedUntilSaved: a termination is reported at once, and again to each new owner until one has it in its log.
 // Successes without an owner are reported to the next one.
-func TestEndsAreReportedUntilSaved(t *testing.T) {
+func TestTerminationsAreReportedUntilSaved(t *testing.T) {
 	a := ownedClient()
-	a.RecordEnd(0, poison.End{Print: "p", Endpoint: "e1"})
-	a.RecordEnd(0, poison.End{Print: "q", Endpoint: "e2"})
-	if ends, _ := sentEnds(a); len(ends) != 2 || ends[0].Number != 1 || ends[1].Number != 2 {
-		t.Fatalf("reported at once: %+v", ends)
+	a.RecordTermination(0, poison.Termination{Print: "p", Endpoint: "e1"})
+	a.RecordTermination(0, poison.Termination{Print: "q", Endpoint: "e2"})
+	if terminations, _ := sentTerminations(a); len(terminations) != 2 || terminations[0].Number != 1 || terminations[1].Number != 2 {
+		t.Fatalf("reported at once: %+v", terminations)
 	}
 	a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Ends: 1}})
 	a.Disconnected(0, 1, nil)
@@ -133,22 +133,22 @@
 	later := event.Time(event.Second)
 	a.Connected(later, 2, "box")
 	a.Received(later, 2, &message.Envelope{Pong: &message.Pong{}})
-	ends, well := sentEnds(a)
-	if len(ends) != 1 || ends[0].Print != "q" || ends[0].Number != 2 || ends[0].Ago != event.Second {
-		t.Errorf("reported to the next owner: %+v", ends)
+	terminations, well := sentTerminations(a)
+	if len(terminations) != 1 || terminations[0].Print != "q" || terminations[0].Number != 2 || terminations[0].Ago != event.Second {
+		t.Errorf("reported to the next owner: %+v", terminations)
 	}
 	if len(well) != 1 || well[0] != "w" {
 		t.Errorf("reported successes: %v", well)
 	}
 	a.Received(later, 2, &message.Envelope{Pong: &message.Pong{Ends: 2}})
-	if len(a.unsavedEnds) != 0 {
-		t.Errorf("%d saved ends are kept", len(a.unsavedEnds))
+	if len(a.unsavedTerminations) != 0 {
+		t.Errorf("%d saved terminations are kept", len(a.unsavedTerminations))
 	}
-	for i := range 5 * maxUnsavedEnds {
-		a.RecordEnd(later, poison.End{Print: poison.Fingerprint(fmt.Sprint(i)), Endpoint: "e"})
+	for i := range 5 * maxUnsavedTerminations {
+		a.RecordTermination(later, poison.Termination{Print: poison.Fingerprint(fmt.Sprint(i)), Endpoint: "e"})
 	}
-	if len(a.unsavedEnds) > maxUnsavedEnds {
-		t.Errorf("%d ends are kept", len(a.unsavedEnds))
+	if len(a.unsavedTerminations) > maxUnsavedTerminations {
+		t.Errorf("%d terminations are kept", len(a.unsavedTerminations))
 	}
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -357,7 +357,7 @@
 	e := newFakeEndpoint(t, whole(200, "answer"))
 	r := newTestGateway(t, e)
 	r.owner.mu.Lock()
-	r.owner.silent = true
+	r.owner.unresponsive = true
 	r.owner.mu.Unlock()
 	waitFor(t, "the entry is degraded", func() bool {
 		status, _, _ := r.do(t, r.request("POST", "/safe/x", "q"))
@@ -404,7 +404,7 @@
 	a.withdraw(0, "2")
 	granted("2")
 	if len(a.batch.Finish) != 2 || len(a.batch.Withdraw) != 1 {
-		t.Fatalf("%d ends and %d withdrawals, want 2 and 1", len(a.batch.Finish), len(a.batch.Withdraw))
+		t.Fatalf("%d finishes and %d withdrawals, want 2 and 1", len(a.batch.Finish), len(a.batch.Withdraw))
 	}
 	for _, f := range a.batch.Finish {
 		if !f.Unsent || !f.Void || !f.Unused {
--- a/gateway/gone_test.go
+++ b/gateway/gone_test.go
@@ -266,7 +266,7 @@
 	})
 }
 
-// TestDisconnectWhileQueued: the request is withdrawn. A grant already on its way is returned and reaches no
+// TestDisconnectWhileQueued: the request is withdrawn. A grant in transit is returned and reaches no
 // endpoint.
 func TestDisconnectWhileQueued(t *testing.T) {
 	t.Parallel()
--- a/gateway/owner_asked.go
+++ b/gateway/owner_asked.go
@@ -21,7 +21,7 @@
 	switch {
 	case g.Paced:
 		return backpressure.PermitPaced
-	case !degraded && a.ownerLevel < level.Feedback:
+	case !degraded && a.ownerFormatVersion < level.Feedback:
 		return backpressure.PermitLegacy
 	default:
 		return backpressure.PermitNoLimit
@@ -38,7 +38,7 @@
 }
 
 func (a *OwnerClient) observeFeedback(now event.Time, h backpressure.Report) {
-	if a.hasOwner && a.ownerLevel >= level.Feedback {
+	if a.hasOwner && a.ownerFormatVersion >= level.Feedback {
 		a.batch.Heard = append(a.batch.Heard, h)
 	}
 	if a.degraded != nil {
@@ -48,7 +48,7 @@
 
 // reportFeedback reports recently received feedback to a new owner.
 func (a *OwnerClient) reportFeedback(now event.Time) {
-	if a.ownerLevel >= level.Feedback {
+	if a.ownerFormatVersion >= level.Feedback {
 		a.batch.Heard = a.gate.RecentReports(now, maxReportedFeedback)
 	}
 }
--- a/gateway/owner_client.go
+++ b/gateway/owner_client.go
@@ -112,13 +112,13 @@
 	revision      uint64 // of the registry that endpoints reflects
 	// listed are the endpoints received of a complete list that is still being received; nil if there
 	// is none.
-	listed        map[event.EndpointID]bool
-	leases        budget.Leases               // amounts that may be spent without an owner
-	unreported    []event.RequestID           // running when the session started, not reported yet
-	unsubmitted   []*waiter                   // waiting when the owner was found, not submitted to it yet
-	unsavedEnds   []unsavedEnd                // not known to be in the owner's log
-	lastEndNumber uint64                      // number of the newest end
-	succeeded     map[poison.Fingerprint]bool // requests that succeeded without an owner
+	listed                map[event.EndpointID]bool
+	leases                budget.Leases               // amounts that may be spent without an owner
+	unreported            []event.RequestID           // running when the session started, not reported yet
+	unsubmitted           []*waiter                   // waiting when the owner was found, not submitted to it yet
+	unsavedTerminations   []unsavedTermination        // not known to be in the owner's log
+	lastTerminationNumber uint64                      // number of the newest termination
+	succeeded             map[poison.Fingerprint]bool // requests that succeeded without an owner
 	// suspects are the requests that must not run without an owner, as the last owner sent them.
 	suspects []poison.Fingerprint
 	fetch    configFetch
@@ -126,12 +126,12 @@
 	// degradedPoison tracks requests that terminate endpoints, for degraded.
 	degradedPoison *poison.Tracker
 	// gate has the endpoints' feedback. Calls use it concurrently.
-	gate          backpressure.Gate
-	nextGateSweep event.Time  // time of the next sweep
-	ownerLevel    level.Level // highest format version that the owner supports
-	batch         message.Batch
-	effects       event.Effects
-	out           ClientEffects
+	gate               backpressure.Gate
+	nextGateSweep      event.Time  // time of the next sweep
+	ownerFormatVersion level.Level // highest format version that the owner supports
+	batch              message.Batch
+	effects            event.Effects
+	out                ClientEffects
 }
 
 // waiter is a request that awaits its decision.
@@ -340,7 +340,7 @@
 	if a.degraded != nil {
 		a.degraded.EntryHeartbeat(now, a.config.Entry, &a.effects)
 		a.degraded.Tick(now, &a.effects)
-		a.logSuspicions()
+		a.logPoisonChanges()
 	}
 	a.sweepGate(now)
 	a.deliverDecisions(now)
@@ -371,8 +371,8 @@
 	for _, h := range a.gate.Cooldowns(now) {
 		a.degraded.ObserveFeedback(now, a.config.Entry, &h, &a.effects)
 	}
-	for _, u := range a.unsavedEnds {
-		a.degraded.RecordEnds(now, []poison.End{u.end}, &a.effects)
+	for _, u := range a.unsavedTerminations {
+		a.degraded.RecordTerminations(now, []poison.Termination{u.termination}, &a.effects)
 	}
 	for _, r := range a.running {
 		a.degraded.Adopt(now, a.config.Entry, *r, &a.effects)
--- a/gateway/owner_config.go
+++ b/gateway/owner_config.go
@@ -50,7 +50,7 @@
 		return
 	}
 	if v.Root == (hashtree.Sum{}) {
-		a.log.Error("owner announced a configuration without a root hash, ignoring it", zap.Uint64("version", v.Version))
+		a.log.Error("owner announced a configuration without a root hash; ignoring it", zap.Uint64("version", v.Version))
 		return
 	}
 	a.fetch.hasOffer = true
@@ -70,7 +70,7 @@
 	}
 	table, err := a.config.Decode(v.Document)
 	if err != nil {
-		a.log.Error("cannot decode configuration, keeping the current one", zap.Uint64("version", v.Version), logx.Err(err))
+		a.log.Error("configuration can't be decoded; keeping the previous one", zap.Uint64("version", v.Version), logx.Err(err))
 		return
 	}
 	a.announcedVersion.Store(v.Version)
@@ -106,7 +106,7 @@
 func (a *OwnerClient) receiveNodes(now event.Time, m *message.Nodes) {
 	for _, n := range m.List {
 		if err := a.fetch.Receive(n.Sum, n.Packed); err != nil {
-			a.log.Error("cannot decode configuration node, reconnecting to the owner", zap.Uint64("version", a.fetch.Version()), logx.Err(err))
+			a.log.Error("configuration node can't be decoded; reconnecting to the owner", zap.Uint64("version", a.fetch.Version()), logx.Err(err))
 			a.disconnect(now, "invalid configuration node", err)
 			return
 		}
--- a/gateway/owner_session.go
+++ b/gateway/owner_session.go
@@ -52,14 +52,14 @@
 func (a *OwnerClient) DialFailed(now event.Time, address string, err error) {
 	a.dialing = false
 	a.dialAt = now.Add(redialDelay)
-	a.log.Debug("control box not reached", zap.String("address", address), logx.Err(err))
+	a.log.Debug("can't connect to control box; trying the next one", zap.String("address", address), logx.Err(err))
 }
 
 // Connected starts a session on a new connection to a control box.
 func (a *OwnerClient) Connected(now event.Time, link LinkID, address string) {
 	a.dialing = false
 	a.dialAt = now.Add(redialDelay)
-	a.link, a.address, a.ownerLevel = link, address, 0
+	a.link, a.address, a.ownerFormatVersion = link, address, 0
 	if int64(now) >= a.validUntil.Load() {
 		// The entry was without contact for longer than leases are valid.
 		a.leases.Expire()
@@ -72,16 +72,16 @@
 	hello.More = a.leases.HasMore()
 	a.lastPong = now
 	a.receivedBytes = 0
-	a.send((&message.Envelope{Hello: hello}).WithLevel())
+	a.send((&message.Envelope{Hello: hello}).WithFormatVersion())
 	a.sendPing(now)
 	a.batch = message.Batch{}
-	a.log.Debug("connected to control box, session started", zap.String("address", address), zap.Int("waiting", len(a.waiting)), zap.Int("running", len(a.running)))
+	a.log.Debug("connected to control box", zap.String("address", address), zap.Int("waiting", len(a.waiting)), zap.Int("running", len(a.running)))
 }
 
-// SetPeerLevel sets the format version that the peer of a connection supports.
-func (a *OwnerClient) SetPeerLevel(link LinkID, l level.Level) {
+// SetPeerFormatVersion sets the format version that the peer of a connection supports.
+func (a *OwnerClient) SetPeerFormatVersion(link LinkID, l level.Level) {
 	if link == a.link {
-		a.ownerLevel = l
+		a.ownerFormatVersion = l
 	}
 }
 
@@ -157,7 +157,7 @@
 	a.lastPong = now
 	a.entryCount.Store(int64(max(1, p.Entries)))
 	a.leases.Apply(p.Lent)
-	a.dropSavedEnds(p.Ends)
+	a.dropSavedTerminations(p.Ends)
 	if !a.hasOwner {
 		a.ownerFound(now)
 	}
@@ -165,12 +165,12 @@
 	a.confirmVersion(now, versionConfirmation{version: p.Version, asked: p.Sent})
 }
 
-// ownerFound starts the session with a found owner: waiting requests, ends and feedback go to it.
+// ownerFound starts the session with a found owner: waiting requests, terminations and feedback are sent to it.
 func (a *OwnerClient) ownerFound(now event.Time) {
 	a.hasOwner = true
 	a.degraded = nil
 	a.unsubmitted = a.waitingByArrival()
-	a.reportEnds(now)
+	a.reportTerminations(now)
 	a.reportFeedback(now)
 	a.log.Info("owner found", zap.String("address", a.address), zap.Int("waiting", len(a.waiting)), zap.Int("entries", int(a.entryCount.Load())))
 }
@@ -181,7 +181,7 @@
 	endpoints, err := v.DecodeEndpoints()
 	if err != nil {
 		// Without its endpoints the rest of the view is useless. The next session asks for all.
-		a.log.Error("cannot decode endpoints, reconnecting to the owner", logx.Err(err))
+		a.log.Error("endpoints can't be decoded; reconnecting to the owner", logx.Err(err))
 		a.revision = 0
 		a.disconnect(now, "invalid endpoint list", err)
 		return
@@ -255,8 +255,8 @@
 }
 
 // markDown marks endpoints without a heartbeat as down.
-func (a *OwnerClient) markDown(silent []event.EndpointID) {
-	for _, id := range silent {
+func (a *OwnerClient) markDown(unreachable []event.EndpointID) {
+	for _, id := range unreachable {
 		if e, ok := a.endpoints[id]; ok {
 			e.Down = true
 			a.endpoints[id] = e
--- a/gateway/record.go
+++ b/gateway/record.go
@@ -32,7 +32,7 @@
 	stepGranted    = "granted"
 	stepRefused    = "refused"
 	stepDispatched = "dispatched"
-	stepFeedback   = "endpoint asks"
+	stepFeedback   = "endpoint feedback received"
 	stepFailed     = "attempt failed"
 	stepRetried    = "retried"
 	stepResumed    = "resumed"
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -166,16 +166,16 @@
 
 // fakeOwner is the owner at the other end of an agent's link.
 type fakeOwner struct {
-	mu        sync.Mutex
-	endpoints []registry.Endpoint
-	next      int
-	refuse    event.Reason
-	silent    bool // ignores all messages
+	mu           sync.Mutex
+	endpoints    []registry.Endpoint
+	next         int
+	refuse       event.Reason
+	unresponsive bool // ignores all messages
 	// beforeRepeat is called before a decision on a retry.
 	beforeRepeat func()
 	hold         bool // decides nothing
 	finished     []message.Finish
-	ends         []poison.End
+	terminations []poison.Termination
 	feedback     []backpressure.Report
 	submits      []message.Submission
 	withdrawn    []message.Withdrawal
@@ -214,7 +214,7 @@
 	_ = c.Serve(func(m *message.Envelope) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		if o.silent {
+		if o.unresponsive {
 			return
 		}
 		switch {
@@ -239,7 +239,7 @@
 
 func (o *fakeOwner) decide(c *link.Conn[message.Envelope], b *message.Batch) {
 	o.finished = append(o.finished, b.Finish...)
-	o.ends = append(o.ends, b.Ends...)
+	o.terminations = append(o.terminations, b.Ends...)
 	o.feedback = append(o.feedback, b.Heard...)
 	o.withdrawn = append(o.withdrawn, b.Withdraw...)
 	if o.hold {
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -178,7 +178,7 @@
 			c.respondNotRun(http.StatusServiceUnavailable, retryAfterNoConfig, "the configuration changed")
 			return d, false
 		}
-		if d.Granted && isRetry && clock.Now().Sub(submitted) > message.RetryWindow {
+		if d.Granted && isRetry && clock.Now().Sub(submitted) > message.MaxRetryAge {
 			c.returnGrant(d)
 			c.giveUp(last)
 			return d, false
@@ -307,7 +307,7 @@
 	}
 	f.Print, f.Ran = c.fingerprint, a.runResult()
 	if !a.sent.IsZero() && a.err != nil && endsConnection(a.err) {
-		c.gateway.agent.RecordEnd(poison.End{
+		c.gateway.agent.RecordTermination(poison.Termination{
 			Print: c.fingerprint, Endpoint: a.decision.Endpoint, Request: c.id, Attempt: a.previousSends, Ran: time.Since(a.sent),
 		})
 	}
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -28,7 +28,7 @@
 	e := newFakeEndpoint(t, whole(200, "ok"))
 	r := newTestGatewayWithClock(t, event.NewClockFrom(clock.now), e)
 	r.owner.mu.Lock()
-	r.owner.silent = true
+	r.owner.unresponsive = true
 	r.owner.mu.Unlock()
 	clock.suspend(6 * event.Second)
 	if r.gateway.Ready() || r.agent.Table() != nil {
@@ -41,7 +41,7 @@
 		t.Error("a request was sent with an expired configuration")
 	}
 	r.owner.mu.Lock()
-	r.owner.silent = false
+	r.owner.unresponsive = false
 	r.owner.mu.Unlock()
 	waitFor(t, "it is ready again", r.gateway.Ready)
 	if status, body, _ := r.do(t, r.request("POST", "/safe/1", "")); status != http.StatusOK || body != "ok" {
--- a/gateway/ticket.go
+++ b/gateway/ticket.go
@@ -92,9 +92,9 @@
 	if c.mayHaveRun {
 		return 0
 	}
-	patience := event.Duration(float64(left) * maxWaitOfRemaining)
+	maxWait := event.Duration(float64(left) * maxWaitOfRemaining)
 	if c.route.Target > 0 {
-		patience = min(patience, event.Duration(float64(c.route.Target)*maxWaitOfTarget))
+		maxWait = min(maxWait, event.Duration(float64(c.route.Target)*maxWaitOfTarget))
 	}
-	return max(patience, event.Millisecond)
+	return max(maxWait, event.Millisecond)
 }
--- a/gateway/word_test.go
+++ b/gateway/word_test.go
@@ -25,11 +25,11 @@
 func newBusyClient() *OwnerClient {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", ControlAddresses: []string{"box"}, ConfigValidity: 5 * event.Second, Log: zap.NewNop()})
 	a.Connected(0, 1, "box")
-	lent := budget.LeaseUpdate{Number: 1, Whole: true}
+	update := budget.LeaseUpdate{Number: 1, Whole: true}
 	for i := range manyRunning {
-		lent.UpTo = append(lent.UpTo, budget.Lease{Account: budget.Team(fmt.Sprintf("team-%05d", i)), UpTo: 100})
+		update.UpTo = append(update.UpTo, budget.Lease{Account: budget.Team(fmt.Sprintf("team-%05d", i)), UpTo: 100})
 	}
-	a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Lent: lent}})
+	a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Lent: update}})
 	for i := range manyRunning {
 		id := event.RequestID(fmt.Sprintf("10.0.3.7-4f2a-%x", i))
 		t := event.Ticket{
--- a/hashtree/fetch.go
+++ b/hashtree/fetch.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// ConnectionLost forgets all requests in flight. Received nodes are kept.
+// ConnectionLost drops all requests in flight. Received nodes are kept.
 func (f *Fetcher) ConnectionLost() {
 	clear(f.requested)
 	f.inFlight = 0
--- a/machine/machine.go
+++ b/machine/machine.go
@@ -183,7 +183,7 @@
 }
 
 // expireClaims drops the claims older than ClaimTTL. A key that was released and
-// claimed again is in the list twice: the number tells its current claim.
+// claimed again is in the list twice: the number identifies its current claim.
 func (s *State) expireClaims() {
 	for len(s.claimAges) > 0 && s.clock-s.claimAges[0].time > ClaimTTL {
 		first := s.claimAges[0]
--- a/message/forms.go
+++ b/message/forms.go
@@ -15,9 +15,9 @@
 
 // This file encodes messages for boxes of other builds, and detects the format version that a peer reads.
 
-// WithLevel returns a copy of the message with the format version and build of this box, as sent first on
+// WithFormatVersion returns a copy of the message with the format version and build of this box, as sent first on
 // a connection.
-func (e *Envelope) WithLevel() *Envelope {
+func (e *Envelope) WithFormatVersion() *Envelope {
 	m := *e
 	m.Level, m.Build = level.Newest, level.Build()
 	return &m
@@ -25,10 +25,10 @@
 
 // Peer is the other side of a connection and the format version that it reads. The zero Peer has sent
 // nothing yet. It is safe for concurrent use.
-type Peer struct{ formatLevel atomic.Uint32 }
+type Peer struct{ formatVersion atomic.Uint32 }
 
-// Level returns the format version that the peer reads; 0 before its first bytes.
-func (p *Peer) Level() level.Level { return level.Level(p.formatLevel.Load()) }
+// FormatVersion returns the format version that the peer reads; 0 before its first bytes.
+func (p *Peer) FormatVersion() level.Level { return level.Level(p.formatVersion.Load()) }
 
 // levelFields are names of fields that messages have from a level on, each with its length as in gob's type
 // definitions. The newest level comes first.
@@ -48,16 +48,16 @@
 func (p *Peer) detectLevel(definitions []byte) {
 	for _, m := range levelFields {
 		if bytes.Contains(definitions, []byte(m.field)) {
-			p.formatLevel.Store(uint32(m.level))
+			p.formatVersion.Store(uint32(m.level))
 			return
 		}
 	}
-	p.formatLevel.Store(uint32(level.Listed))
+	p.formatVersion.Store(uint32(level.Listed))
 }
 
 func (p *Peer) updateLevel(m *Envelope) {
 	if m != nil && m.Level > 0 {
-		p.formatLevel.Store(uint32(m.Level))
+		p.formatVersion.Store(uint32(m.Level))
 	}
 }
 
@@ -77,7 +77,7 @@
 	return func(definitions []byte) link.Reader[Envelope] {
 		p.detectLevel(definitions)
 		read := readCurrent
-		if p.Level() < level.Compressed {
+		if p.FormatVersion() < level.Compressed {
 			read = older
 		}
 		return func(in *gob.Decoder) (*Envelope, error) {
@@ -138,10 +138,10 @@
 // frameReply returns the frame of a message to a box that connected to this one. Until the peer's level is
 // known only empty messages are sent.
 func (p *Peer) frameReply(m *Envelope) any {
-	switch peerLevel := p.Level(); {
-	case peerLevel == 0:
+	switch formatVersion := p.FormatVersion(); {
+	case formatVersion == 0:
 		return frameToControl(m)
-	case peerLevel < level.Compressed:
+	case formatVersion < level.Compressed:
 		return frameListed(m)
 	default:
 		return currentFrame{m}
--- a/message/forms_test.go
+++ b/message/forms_test.go
@@ -72,13 +72,13 @@
 	for commit, want := range recordedLevels {
 		var peer Peer
 		list := replay(t, commit+"-control.bytes", peer.ServerEncodings())
-		if len(list) != 1 || list[0].Consensus == nil || string(list[0].Consensus.Entries[0].Data) != "data" || peer.Level() != want {
-			t.Errorf("%s: a control box reads level %d, want %d; received %+v", commit, peer.Level(), want, list)
+		if len(list) != 1 || list[0].Consensus == nil || string(list[0].Consensus.Entries[0].Data) != "data" || peer.FormatVersion() != want {
+			t.Errorf("%s: a control box reads level %d, want %d; received %+v", commit, peer.FormatVersion(), want, list)
 		}
 		peer = Peer{}
 		list = replay(t, commit+"-entry.bytes", peer.ServerEncodings())
-		if len(list) != 1 || list[0].Hello == nil || list[0].Hello.Entry != "entry-1" || peer.Level() != want {
-			t.Errorf("%s: an entry reads level %d, want %d; received %+v", commit, peer.Level(), want, list)
+		if len(list) != 1 || list[0].Hello == nil || list[0].Hello.Entry != "entry-1" || peer.FormatVersion() != want {
+			t.Errorf("%s: an entry reads level %d, want %d; received %+v", commit, peer.FormatVersion(), want, list)
 		}
 		peer = Peer{}
 		list = replay(t, commit+"-owner.bytes", peer.ClientEncodings())
@@ -142,11 +142,11 @@
 func TestEarlierBuildsReadOurMessages(t *testing.T) {
 	list := []Endpoint{{Endpoint: registry.Endpoint{ID: "i-1", Address: "a"}, Down: true}}
 	view := &Envelope{View: &View{Version: 4, Document: []byte("{}"), Endpoints: Pack(list), Revision: 5, Silent: []event.EndpointID{"i-1"}}}
-	hello := (&Envelope{Consensus: &consensus.Message{From: "a", To: "b"}}).WithLevel()
+	hello := (&Envelope{Consensus: &consensus.Message{From: "a", To: "b"}}).WithFormatVersion()
 
 	listedPeer := &Peer{}
 	first := listedPeer.frameReply(nil)
-	listedPeer.formatLevel.Store(uint32(level.Listed))
+	listedPeer.formatVersion.Store(uint32(level.Listed))
 	in := encodeFrames(t, first, frameToControl(hello), listedPeer.frameReply(nil), listedPeer.frameReply(view))
 	var f frameOfListed
 	for range 4 {
@@ -161,7 +161,7 @@
 
 	packedPeer := &Peer{}
 	first = packedPeer.frameReply(nil)
-	packedPeer.formatLevel.Store(uint32(level.Compressed))
+	packedPeer.formatVersion.Store(uint32(level.Compressed))
 	in = encodeFrames(t, first, frameToControl(hello), packedPeer.frameReply(view))
 	var p frameOfPacked
 	for range 3 {
@@ -180,7 +180,7 @@
 	var wire bytes.Buffer
 	out := gob.NewEncoder(&wire)
 	hello := &Envelope{Hello: &Hello{Entry: "e", Life: 1}}
-	if err := out.Encode(frameToControl(hello.WithLevel())); err != nil {
+	if err := out.Encode(frameToControl(hello.WithFormatVersion())); err != nil {
 		t.Fatal(err)
 	}
 	var peer Peer
@@ -191,8 +191,8 @@
 			t.Errorf("%+v", m)
 		}
 	})
-	if received != 1 || peer.Level() != level.Newest {
-		t.Errorf("%d messages, level %d", received, peer.Level())
+	if received != 1 || peer.FormatVersion() != level.Newest {
+		t.Errorf("%d messages, level %d", received, peer.FormatVersion())
 	}
 	var without bytes.Buffer
 	if err := gob.NewEncoder(&without).Encode(frameToControl(hello)); err != nil {
--- a/message/message.go
+++ b/message/message.go
@@ -16,10 +16,10 @@
 	"lynxramp.org/registry"
 )
 
-// RetryWindow is how long after its submission a request may be retried. An entry drops it
+// MaxRetryAge is how long after its submission a request may be retried. An entry drops it
 // afterwards, so that no retry arrives after the retry budget has stopped counting it. It is
 // shorter than the time after which callers abandon a stream without output.
-const RetryWindow = 2 * event.Second
+const MaxRetryAge = 2 * event.Second
 
 // Envelope is one message. Exactly one of its pointers is set.
 type Envelope struct {
@@ -89,7 +89,7 @@
 	Owned bool
 }
 
-// Pong answers a Ping: the sender owned the pools at the time Sent of the Ping.
+// Pong is the reply to a Ping: the sender owned the pools at the time Sent of the Ping.
 type Pong struct {
 	Sent    event.Time // of the Ping
 	Version uint64     // newest configuration version
@@ -100,8 +100,8 @@
 	Ends uint64
 }
 
-// Heartbeats tells the leader from which endpoints another control box has received
-// heartbeats that change nothing else.
+// Heartbeats forwards to the leader the endpoints from which another control box has received
+// unchanged heartbeats.
 type Heartbeats struct{ Endpoints []string }
 
 // View sends an entry the state of the deployment, or changes of it.
@@ -149,7 +149,7 @@
 // Want asks the owner for nodes of the configuration's hash tree.
 type Want struct{ Sums []hashtree.Sum }
 
-// Nodes answers a Want. Unknown has the requested nodes that the owner doesn't have, as they belong to
+// Nodes is the reply to a Want. Unknown has the requested nodes that the owner doesn't have, as they belong to
 // another version than its newest.
 type Nodes struct {
 	List    []Node
@@ -172,7 +172,7 @@
 	// Heard has the feedback of endpoints, for owners that read level.Feedback.
 	Heard []backpressure.Report
 	// Ends are sent again in each session until a Pong confirms that they are committed.
-	Ends []poison.End
+	Ends []poison.Termination
 	// Well has the requests of which a run succeeded while the entry was degraded.
 	Well []poison.Fingerprint
 }
--- a/poison/book.go
+++ b/poison/book.go
@@ -11,17 +11,17 @@
 	"lynxramp.org/event"
 )
 
-// End reports that an endpoint terminated, or a connection to it broke, during a run of a request.
+// Termination reports that an endpoint terminated, or a connection to it broke, during a run of a request.
 // Its field names are part of the wire format.
-type End struct {
-	// Number is the sequence number of the End, from 1, within one instance of the entry.
+type Termination struct {
+	// Number is the sequence number of the Termination, from 1, within one instance of the entry.
 	Number   uint64
 	Print    Fingerprint
 	Endpoint event.EndpointID
 	// Request is the call that ran, and Attempt the number of times it was sent before.
 	Request event.RequestID
 	Attempt int
-	// Ran is how long it had run, and Ago the time from the End to the report of it.
+	// Ran is how long it had run, and Ago the time from the Termination to the report of it.
 	Ran, Ago event.Duration
 }
 
@@ -51,9 +51,9 @@
 
 // requestCase is the state of one request.
 type requestCase struct {
-	fingerprint Fingerprint
-	ends        []termination
-	trials      int // counted trials
+	fingerprint  Fingerprint
+	terminations []terminatedInstance
+	trials       int // counted trials
 	// isSerialized is set when it runs one call at a time, each recorded in the log first.
 	isSerialized bool
 	// isProven is set when a trial terminated its endpoint, or its outcome will not be reported.
@@ -62,9 +62,9 @@
 	trial      *trial     // in progress; nil for none
 }
 
-// termination is an endpoint instance that terminated: the hash of its name, 0 if unknown, and when.
+// terminatedInstance is an endpoint instance that terminated: the hash of its name, 0 if unknown, and when.
 // A run that started later was on another instance.
-type termination struct {
+type terminatedInstance struct {
 	endpoint uint64
 	at       event.Time
 }
@@ -75,8 +75,8 @@
 	b.listChanged = true
 	for p, line := range l.lines {
 		c := &requestCase{fingerprint: p, trials: line.Trials, isProven: line.Proven, lastChange: now}
-		for _, endpoint := range line.Ends {
-			c.ends = append(c.ends, termination{endpoint, now})
+		for _, endpoint := range line.Terminations {
+			c.terminations = append(c.terminations, terminatedInstance{endpoint, now})
 		}
 		c.isSerialized = true
 		b.cases[p] = c
@@ -100,7 +100,7 @@
 	return &Tracker{cases: make(map[Fingerprint]*requestCase), trials: make(map[event.RequestID]*requestCase), isDirty: make(map[Fingerprint]bool)}
 }
 
-func (c *requestCase) isSuspected() bool { return len(c.ends) >= suspectEnds }
+func (c *requestCase) isSuspected() bool { return len(c.terminations) >= suspectThreshold }
 
 // nextRunAt returns the earliest time of the next run.
 func (c *requestCase) nextRunAt() event.Time {
@@ -122,7 +122,7 @@
 	case c.trial != nil:
 		return c.trial.deadline
 	case !c.isSuspected():
-		return c.lastChange.Add(singleEndTTL)
+		return c.lastChange.Add(singleTerminationTTL)
 	case c.trials >= maxTrials && !c.isProven:
 		return c.lastChange.Add(unprovenQuarantine)
 	default:
@@ -130,8 +130,8 @@
 	}
 }
 
-// RecordEnd records a termination, unless that of the same endpoint instance is recorded.
-func (b *Tracker) RecordEnd(now event.Time, e *End) {
+// RecordTermination records a termination, unless that of the same endpoint instance is recorded.
+func (b *Tracker) RecordTermination(now event.Time, e *Termination) {
 	if e.Print == "" {
 		return
 	}
@@ -145,23 +145,23 @@
 		b.cases[e.Print] = c
 	}
 	isTrial := c.trial != nil && c.trial.request == e.Request && c.trial.attempt == e.Attempt
-	end := termination{endpoint: hashOf(e.Endpoint), at: now.Add(-e.Ago)}
-	if !isTrial && c.coversRun(end, end.at.Add(-e.Ran)) {
+	instance := terminatedInstance{endpoint: hashOf(e.Endpoint), at: now.Add(-e.Ago)}
+	if !isTrial && c.coversRun(instance, instance.at.Add(-e.Ran)) {
 		return
 	}
-	b.addTermination(now, c, end)
+	b.addTermination(now, c, instance)
 	if isTrial {
-		c.trial.endpointEnded = true
+		c.trial.endpointTerminated = true
 		c.isProven = c.isProven || c.trial.isCounted
-		b.addChange(TrialEndedEndpoint, c, e.Request)
+		b.addChange(TrialTerminatedEndpoint, c, e.Request)
 	}
 	b.serialize(now, c)
 }
 
-func (b *Tracker) addTermination(now event.Time, c *requestCase, end termination) {
+func (b *Tracker) addTermination(now event.Time, c *requestCase, instance terminatedInstance) {
 	wasSuspected := c.isSuspected()
-	c.ends = append(c.ends, end)
-	c.ends = c.ends[max(0, len(c.ends)-maxEnds):]
+	c.terminations = append(c.terminations, instance)
+	c.terminations = c.terminations[max(0, len(c.terminations)-maxTerminations):]
 	c.lastChange = now
 	b.markDirty(c.fingerprint)
 	if !wasSuspected && c.isSuspected() {
@@ -171,7 +171,7 @@
 
 // serialize starts to serialize a request with terminations, unless a run of it succeeded recently.
 func (b *Tracker) serialize(now event.Time, c *requestCase) {
-	if c.isSerialized || len(c.ends) < serializeEnds || b.successes.has(now, c.fingerprint) {
+	if c.isSerialized || len(c.terminations) < serializeThreshold || b.successes.has(now, c.fingerprint) {
 		return
 	}
 	c.isSerialized = true
@@ -187,8 +187,8 @@
 
 // coversRun reports whether a run that started at began was on an endpoint instance whose
 // termination is recorded; a new instance may have the same name.
-func (c *requestCase) coversRun(end termination, began event.Time) bool {
-	return slices.ContainsFunc(c.ends, func(t termination) bool { return t.endpoint == end.endpoint && began <= t.at })
+func (c *requestCase) coversRun(instance terminatedInstance, began event.Time) bool {
+	return slices.ContainsFunc(c.terminations, func(t terminatedInstance) bool { return t.endpoint == instance.endpoint && began <= t.at })
 }
 
 // ensureCapacity makes room for one more request by evicting the oldest one that is not suspected.
--- a/poison/book_test.go
+++ b/poison/book_test.go
@@ -33,7 +33,7 @@
 
 // reportEnd reports that an endpoint terminated during a call.
 func reportEnd(b *Tracker, now event.Time, id int, endpoint string) {
-	b.RecordEnd(now, &End{Print: bad, Endpoint: event.EndpointID(endpoint), Request: call(id).Request, Ran: event.Millisecond})
+	b.RecordTermination(now, &Termination{Print: bad, Endpoint: event.EndpointID(endpoint), Request: call(id).Request, Ran: event.Millisecond})
 }
 
 // tryRun checks a call, commits its trial if it has one, and reports whether the call may run.
@@ -136,12 +136,12 @@
 	b := NewTracker(0, &l)
 	reportEnd(b, at, 1, "e")
 	reportEnd(b, at.Add(event.Millisecond), 2, "e")
-	b.RecordEnd(at.Add(event.Second), &End{Print: bad, Endpoint: "e", Request: "1", Ran: event.Millisecond, Ago: event.Second})
-	if n := len(b.cases[bad].ends); n != 1 {
+	b.RecordTermination(at.Add(event.Second), &Termination{Print: bad, Endpoint: "e", Request: "1", Ran: event.Millisecond, Ago: event.Second})
+	if n := len(b.cases[bad].terminations); n != 1 {
 		t.Errorf("%d terminations, want 1", n)
 	}
 	reportEnd(b, at.Add(2*event.Second), 3, "e")
-	if n := len(b.cases[bad].ends); n != 2 {
+	if n := len(b.cases[bad].terminations); n != 2 {
 		t.Errorf("%d terminations of two instances of an endpoint, want 2", n)
 	}
 }
@@ -169,7 +169,7 @@
 				t.Fatal("the request does not run after one termination")
 			}
 			b = lose(b, &l)
-			if n := len(b.cases[bad].ends); n != 2 {
+			if n := len(b.cases[bad].terminations); n != 2 {
 				t.Errorf("%d terminations, want 2", n)
 			}
 			b = NewTracker(at, ledgerOf(b)) // a new owner that reads the log
@@ -213,7 +213,7 @@
 	other := Call{Fingerprint: "another", Request: "other", Remaining: left}
 	for _, p := range []Fingerprint{bad, other.Fingerprint} {
 		for _, endpoint := range []event.EndpointID{"e1", "e2"} {
-			b.RecordEnd(at, &End{Print: p, Endpoint: endpoint, Ran: event.Millisecond})
+			b.RecordTermination(at, &Termination{Print: p, Endpoint: endpoint, Ran: event.Millisecond})
 		}
 	}
 	if !tryRun(b, &l, at, 1, "e3") {
@@ -235,7 +235,7 @@
 	reportEnd(b, at, 1, "e1")
 	reportEnd(b, at, 2, "e2")
 	for i := range 5 * maxCases {
-		b.RecordEnd(at.Add(event.Duration(i)), &End{Print: Fingerprint(fmt.Sprint("p", i)), Endpoint: "e", Ran: event.Millisecond})
+		b.RecordTermination(at.Add(event.Duration(i)), &Termination{Print: Fingerprint(fmt.Sprint("p", i)), Endpoint: "e", Ran: event.Millisecond})
 		if b.Due() && i%7 == 0 {
 			r, _ := b.MakeRecord()
 			if len(r.Lines) > maxRecordLines {
@@ -275,7 +275,7 @@
 	for i := range 2 * maxListed {
 		p := Fingerprint(fmt.Sprint("p", i))
 		for _, endpoint := range []event.EndpointID{"e1", "e2"} {
-			b.RecordEnd(at.Add(event.Duration(i)), &End{Print: p, Endpoint: endpoint, Ran: event.Millisecond})
+			b.RecordTermination(at.Add(event.Duration(i)), &Termination{Print: p, Endpoint: endpoint, Ran: event.Millisecond})
 		}
 		b.Check(at.Add(event.Duration(i)), &Call{Fingerprint: p, Request: event.RequestID(p), Remaining: left})
 	}
@@ -287,11 +287,11 @@
 	if v, wait := degraded.Check(at, &Call{Fingerprint: list[0], Request: "1"}); v != Reject || wait <= 0 {
 		t.Errorf("a suspect at an entry without an owner: %v, retry after %v", v, wait)
 	}
-	degraded.RecordEnd(at, &End{Print: bad, Endpoint: "e1"})
+	degraded.RecordTermination(at, &Termination{Print: bad, Endpoint: "e1"})
 	if v, _ := degraded.Check(at, call(1)); v != Allow {
 		t.Errorf("after one termination: %v", v)
 	}
-	degraded.RecordEnd(at, &End{Print: bad, Endpoint: "e2"})
+	degraded.RecordTermination(at, &Termination{Print: bad, Endpoint: "e2"})
 	if v, _ := degraded.Check(at, call(1)); v != Reject {
 		t.Errorf("after two terminations: %v", v)
 	}
@@ -299,7 +299,7 @@
 
 // TestRunsAreBoundedAcrossOwners: owners change at any time and read the log; entries
 // terminate and records are lost. Of a request without a successful run, at most 1 + maxTrials runs
-// start after its first known termination until it is forgotten.
+// start after its first known termination until it is removed.
 func TestRunsAreBoundedAcrossOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l Ledger
--- a/poison/bounds.go
+++ b/poison/bounds.go
@@ -10,14 +10,14 @@
 
 // Thresholds of a Tracker.
 const (
-	// serializeEnds is the number of terminations after which a request runs one call at a time,
+	// serializeThreshold is the number of terminations after which a request runs one call at a time,
 	// each recorded in the log first, so that a termination that nobody survives to report counts.
-	serializeEnds = 1
-	// suspectEnds is the number of terminations after which only trials are run. One is no
+	serializeThreshold = 1
+	// suspectThreshold is the number of terminations after which only trials are run. One is no
 	// evidence: other requests run on the endpoint at the same time.
-	suspectEnds = 2
-	// provenEnds is the number of terminations from which on a trial counts whatever its outcome.
-	provenEnds = 3
+	suspectThreshold = 2
+	// provenThreshold is the number of terminations from which on a trial counts whatever its outcome.
+	provenThreshold = 3
 	// maxTrials is the number of trials before a suspected request is quarantined. With the two
 	// terminations before them, a request terminates four endpoints at the most.
 	maxTrials = 2
@@ -43,9 +43,9 @@
 	// its runs succeeds within this time. It must be below the 3 s within which all boxes are to
 	// know of a request that terminates endpoints.
 	successWindow = 2 * event.Second
-	// singleEndTTL is how long a single termination counts. It must be long enough to detect a
+	// singleTerminationTTL is how long a single termination counts. It must be long enough to detect a
 	// request that is made every few minutes.
-	singleEndTTL = event.Duration(10 * time.Minute)
+	singleTerminationTTL = event.Duration(10 * time.Minute)
 )
 
 // Sizes of a Tracker.
@@ -53,8 +53,8 @@
 	// maxCases bounds the requests with terminations. It exceeds the requests that run at once
 	// on 200 endpoints, which terminate together when a data centre fails.
 	maxCases = 2048
-	// maxEnds is the number of terminations kept for a request.
-	maxEnds = 4
+	// maxTerminations is the number of terminations kept for a request.
+	maxTerminations = 4
 	// maxSuccesses bounds each of the two generations of recentSuccesses, in requests.
 	maxSuccesses = 2048
 	// maxChanges bounds the changes kept between two calls of TakeChanges.
--- a/poison/change.go
+++ b/poison/change.go
@@ -6,11 +6,11 @@
 
 // Change is a change in the state of a request, for the operator's log.
 type Change struct {
-	Kind        ChangeKind
-	Fingerprint Fingerprint
-	Ends        int // terminations since a run last succeeded
-	Trials      int
-	Request     event.RequestID // of the trial; empty for other changes
+	Kind         ChangeKind
+	Fingerprint  Fingerprint
+	Terminations int // terminations since a run last succeeded
+	Trials       int
+	Request      event.RequestID // of the trial; empty for other changes
 }
 
 // ChangeKind is the kind of a Change.
@@ -20,11 +20,11 @@
 const (
 	Suspected ChangeKind = iota // it gets trials only from now on
 	TrialStarted
-	TrialInconclusive   // its outcome is unclear
-	TrialEndedEndpoint  // its endpoint terminated
-	TrialOutcomeUnknown // nobody will report it
-	Cleared             // a run of the request succeeded
-	Untracked           // the Tracker is full
+	TrialInconclusive       // its outcome is unclear
+	TrialTerminatedEndpoint // its endpoint terminated
+	TrialOutcomeUnknown     // nobody will report it
+	Cleared                 // a run of the request succeeded
+	Untracked               // the Tracker is full
 )
 
 // String returns the kind as written in logs.
@@ -36,7 +36,7 @@
 	if len(b.changes) >= maxChanges {
 		return
 	}
-	b.changes = append(b.changes, Change{Kind: kind, Fingerprint: c.fingerprint, Ends: len(c.ends), Trials: c.trials, Request: request})
+	b.changes = append(b.changes, Change{Kind: kind, Fingerprint: c.fingerprint, Terminations: len(c.terminations), Trials: c.trials, Request: request})
 }
 
 // TakeChanges returns the changes since the last call.
--- a/poison/doc.go
+++ b/poison/doc.go
@@ -12,7 +12,7 @@
 //     that ran on the same endpoint are serialized too, until one of their runs succeeds.
 //   - After two it is suspected. It gets maxTrials trial runs, each counted in the log before it
 //     starts, at endpoints without other trials, and with a pause after each.
-//   - Then it is quarantined for some time, and after that forgotten.
+//   - Then it is quarantined for some time, and after that removed.
 //   - A request that had a successful run within successWindow is not serialized.
 //
 // For a request none of whose runs succeeds, changes of the owner and unreachable entries
@@ -20,7 +20,7 @@
 //
 //	runs started after the first known termination <= 1 + maxTrials
 //
-// until it is forgotten. A run whose outcome nobody can report any more counts as a termination,
+// until it is removed. A run whose outcome nobody can report any more counts as a termination,
 // since the log has the run. Nothing is recorded before the first known termination. A
 // termination is known when the entry that ran the request reports it, or when the owner that
 // granted the run finds the endpoint unreachable; it stays unknown only if both terminate too.
--- a/poison/record.go
+++ b/poison/record.go
@@ -21,13 +21,13 @@
 	Lines []Line `json:"lines"`
 }
 
-// Line is the state of a request; one without Ends deletes it.
+// Line is the state of a request; one without Terminations deletes it.
 type Line struct {
 	Fingerprint Fingerprint `json:"print"`
-	// Ends are hashes of the names of the endpoints that terminated under it; 0 is a run in progress.
-	Ends   []uint64 `json:"ends,omitempty"`
-	Trials int      `json:"trials,omitempty"`
-	Proven bool     `json:"proven,omitempty"`
+	// Terminations are hashes of the names of the endpoints that terminated under it; 0 is a run in progress.
+	Terminations []uint64 `json:"ends,omitempty"`
+	Trials       int      `json:"trials,omitempty"`
+	Proven       bool     `json:"proven,omitempty"`
 }
 
 // pendingLine is a Line that is proposed but not committed, with the trial that it records.
@@ -91,8 +91,8 @@
 
 func (c *requestCase) line() Line {
 	l := Line{Fingerprint: c.fingerprint, Trials: c.trials, Proven: c.isProven}
-	for _, e := range c.ends {
-		l.Ends = append(l.Ends, e.endpoint)
+	for _, e := range c.terminations {
+		l.Terminations = append(l.Terminations, e.endpoint)
 	}
 	// A run whose outcome nobody reports counts as a termination.
 	switch {
@@ -100,7 +100,7 @@
 	case c.trial.isCounted:
 		l.Proven = true
 	default:
-		l.Ends = append(l.Ends, 0)
+		l.Terminations = append(l.Terminations, 0)
 	}
 	return l
 }
@@ -120,7 +120,7 @@
 func (b *Tracker) ApplyForeign(now event.Time, r Record) {
 	for _, line := range r.Lines {
 		b.markDirty(line.Fingerprint)
-		if len(line.Ends) == 0 {
+		if len(line.Terminations) == 0 {
 			continue
 		}
 		c, ok := b.cases[line.Fingerprint]
@@ -134,9 +134,9 @@
 		c.lastChange = now
 		c.trials = max(c.trials, line.Trials)
 		c.isProven = c.isProven || line.Proven
-		for _, endpoint := range line.Ends {
-			if len(c.ends) < maxEnds && !slices.ContainsFunc(c.ends, func(e termination) bool { return e.endpoint == endpoint }) {
-				c.ends = append(c.ends, termination{endpoint, now})
+		for _, endpoint := range line.Terminations {
+			if len(c.terminations) < maxTerminations && !slices.ContainsFunc(c.terminations, func(e terminatedInstance) bool { return e.endpoint == endpoint }) {
+				c.terminations = append(c.terminations, terminatedInstance{endpoint, now})
 			}
 		}
 		b.serialize(now, c)
@@ -180,7 +180,7 @@
 		l.lines = make(map[Fingerprint]Line)
 	}
 	for _, line := range r.Lines {
-		if len(line.Ends) == 0 {
+		if len(line.Terminations) == 0 {
 			delete(l.lines, line.Fingerprint)
 			continue
 		}
--- a/poison/trial.go
+++ b/poison/trial.go
@@ -28,10 +28,10 @@
 	attempt  int
 	deadline event.Time
 	// isCounted is set if it is one of maxTrials; else it is a run after a single termination.
-	isCounted     bool
-	isSaved       bool // recorded in the log
-	endpointEnded bool // its endpoint terminated
-	endpoint      event.EndpointID
+	isCounted          bool
+	isSaved            bool // recorded in the log
+	endpointTerminated bool // its endpoint terminated
+	endpoint           event.EndpointID
 }
 
 // Call is a call that is waiting to run.
@@ -156,10 +156,10 @@
 	if !ok {
 		return
 	}
-	if c.trial.isCounted && !c.trial.endpointEnded {
+	if c.trial.isCounted && !c.trial.endpointTerminated {
 		b.addChange(TrialInconclusive, c, request)
 	}
-	b.removeTrial(c, isAlive && len(c.ends) < provenEnds)
+	b.removeTrial(c, isAlive && len(c.terminations) < provenThreshold)
 	c.lastChange = now
 }
 
@@ -178,8 +178,8 @@
 		b.addChange(TrialOutcomeUnknown, c, t.request)
 		return
 	}
-	if !t.endpointEnded {
-		b.addTermination(now, c, termination{endpoint: hashOf(t.endpoint), at: now})
+	if !t.endpointTerminated {
+		b.addTermination(now, c, terminatedInstance{endpoint: hashOf(t.endpoint), at: now})
 	}
 }
 
--- a/routing/table.go
+++ b/routing/table.go
@@ -16,7 +16,7 @@
 	KindOnce Kind = iota
 	// KindRepeatable requests may run more than once.
 	KindRepeatable
-	// KindStream answers are event streams. Their requests run at most once
+	// KindStream responses are event streams. Their requests run at most once
 	// unless the route is resumable.
 	KindStream
 )
@@ -44,7 +44,7 @@
 	Kind   Kind
 	// Timeout is the maximum duration of a request.
 	Timeout time.Duration
-	// Target is the longest time to an answer, or to a stream's first event, at
+	// Target is the longest time to an response, or to a stream's first event, at
 	// full value. Gap is the longest pause between events at full value.
 	Target time.Duration
 	Gap    time.Duration
--- a/rpc/convert.go
+++ b/rpc/convert.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// Event returns the ticket as it came from entry.
+// Event returns the ticket as an event of an entry.
 func (t *Ticket) Event(entry event.BoxID) *event.Submitted {
 	return &event.Submitted{Entry: entry, Ticket: event.Ticket{
 		ID:           event.RequestID(t.Id),
@@ -48,8 +48,8 @@
 	}}
 }
 
-// Events returns all the news of an exchange, in the order in which they may
-// be applied.
+// Events returns the events that an exchange reports, in the order in which they
+// must be applied.
 func (r *ExchangeRequest) Events() []event.Event {
 	entry := event.BoxID(r.Entry)
 	events := make([]event.Event, 0, 1+len(r.Tickets)+len(r.Withdrawn)+len(r.Finished))
@@ -104,7 +104,7 @@
 	return e
 }
 
-// GrantDecision returns g as the decision with a number.
+// GrantDecision returns g as a message with the number of the decision.
 func GrantDecision(number uint64, g event.Granted) *Decision {
 	return &Decision{Number: number, Id: string(g.ID), Grant: &Grant{
 		Endpoint:    string(g.Endpoint),
@@ -114,7 +114,7 @@
 	}}
 }
 
-// RefusalDecision returns r as the decision with a number.
+// RefusalDecision returns r as a message with the number of the decision.
 func RefusalDecision(number uint64, r event.Refused) *Decision {
 	return &Decision{Number: number, Id: string(r.ID), Refusal: &Refusal{
 		Reason:       int32(r.Reason),
--- a/sched/doc.go
+++ b/sched/doc.go
@@ -31,11 +31,11 @@
 //     the next higher rank while a smaller fraction of them is served.
 //   - refusal (refuseOverdue): by the work queued before a request and the capacity,
 //     against its queue timeout. Run times are means by class, so the error is large
-//     where answers differ much in length.
+//     where responses differ much in length.
 //   - Retry-After (retryAfter): the time the queue takes to drain, with jitter of up
 //     to a quarter, and at least one second.
 //   - placement (costModel, isWorthWaiting): by the expected time to first token and to
-//     the end of the answer at each endpoint, against the target and the deadline.
+//     the end of the response at each endpoint, against the target and the deadline.
 //
 // Quotas are enforced by package admission. An entry without an owner runs the same
 // scheduler; package gateway decides which part of the capacity it uses.
--- a/sched/length.go
+++ b/sched/length.go
@@ -6,7 +6,7 @@
 const (
 	lengthWeight     = 0.05
 	minLengthSamples = 20
-	// maxLengthRatio caps a sample: where callers only guess, some answers are
+	// maxLengthRatio caps a sample: where callers only guess, some responses are
 	// much longer than expected.
 	maxLengthRatio = 3.0
 )
@@ -28,8 +28,8 @@
 	return l
 }
 
-// observe adds an answer with its tokens and the requested number. It ignores
-// answers for which either is unknown.
+// observe adds an response with its tokens and the requested number. It ignores
+// responses for which either is unknown.
 func (l *lengthRatio) observe(tokens, requested int) {
 	if tokens == 0 || requested == 0 {
 		return
@@ -47,7 +47,7 @@
 // requests by it.
 func (l *lengthRatio) hasEnoughSamples() bool { return l.samples >= minLengthSamples }
 
-// estimate returns the expected output tokens of an answer.
+// estimate returns the expected output tokens of an response.
 func (l *lengthRatio) estimate(requested int) int {
 	if !l.hasEnoughSamples() || requested == 0 {
 		return requested
--- a/sched/load_test.go
+++ b/sched/load_test.go
@@ -14,7 +14,7 @@
 
 // This file simulates overload: three kinds of requests, endpoints of three speeds, a
 // burst of twice the base load while a quarter of the endpoints is down and one team
-// sends more than its share. Callers estimate the lengths of their answers and retry once
+// sends more than its share. Callers estimate the lengths of their responses and retry once
 // when refused.
 
 // loadKind is a kind of request.
@@ -62,7 +62,7 @@
 	firstTry event.Time // time of its caller's first attempt
 	length   int
 	weight   float64 // factor on its kind's value, by size
-	isLong   bool    // among the tenth of its kind with the longest answers
+	isLong   bool    // among the tenth of its kind with the longest responses
 	tries    int
 	placed   bool
 }
@@ -76,7 +76,7 @@
 	refused           int
 	refusedTwice      int     // refused on the second attempt
 	refusedTwiceValue float64 // sum of their values
-	cutOff            int     // answers cut off by the deadline
+	cutOff            int     // responses cut off by the deadline
 	wastedSeconds     float64 // run time of these
 	runSeconds        float64
 }
@@ -108,7 +108,7 @@
 }
 
 // worstShare returns the smallest ratio of earned to possible value among the kinds and
-// their longest answers.
+// their longest responses.
 func (r *loadResult) worstShare() float64 {
 	worstShare := 1.0
 	for i := range r.possible {
--- a/sched/reading.go
+++ b/sched/reading.go
@@ -11,7 +11,7 @@
 // prefillQueue is the prefill work pending at an endpoint. An endpoint processes prompts
 // one at a time, in the order of the grants. The zero value is empty.
 type prefillQueue struct {
-	pending      []*grant   // grants whose answers have not begun, oldest first
+	pending      []*grant   // grants whose responses have not begun, oldest first
 	work         float64    // of all pending grants, in seconds at speed 1
 	headSince    event.Time // when the first pending grant became the head
 	plannedUntil event.Time // planned end of all prefills, for pools without Begun events
@@ -26,7 +26,7 @@
 	q.work += g.prefillWork
 }
 
-// remove deletes a grant whose answer has begun or which has ended.
+// remove deletes a grant whose response has begun or which has ended.
 func (q *prefillQueue) remove(now event.Time, g *grant) {
 	i := slices.Index(q.pending, g)
 	if i < 0 {
--- a/sched/reading_test.go
+++ b/sched/reading_test.go
@@ -50,7 +50,7 @@
 }
 
 // TestBegunAnswerLeavesPrefillQueue checks that a prompt counts against its endpoint
-// until its answer begins, and no longer.
+// until its response begins, and no longer.
 func TestBegunAnswerLeavesPrefillQueue(t *testing.T) {
 	s := discoveredPool(2, 4)
 	var out event.Effects
--- a/sched/view.go
+++ b/sched/view.go
@@ -98,7 +98,7 @@
 	prefill       float64
 	decode        float64
 	// toFirstToken says that timeLeft is to the first token, not to the end of
-	// the answer.
+	// the response.
 	toFirstToken  bool
 	prefillRate   float64 // prompt tokens per second
 	deadlineLeft  float64 // time left to the deadline
--- a/slot/slot_test.go
+++ b/slot/slot_test.go
@@ -117,7 +117,7 @@
 	})
 }
 
-// Append blocks once maxUnackedBytes are unacknowledged, and goes on after an
+// Append blocks once maxUnackedBytes are unacknowledged, and continues after an
 // acknowledgement.
 func TestAppendBlocksAtUnackedLimit(t *testing.T) {
 	a := NewResponseBuffer(false)
--- a/store/doc.go
+++ b/store/doc.go
@@ -9,7 +9,7 @@
 //
 // Each record has a checksum. Save returns once the data is synced; nothing counts as written
 // before. A torn record at the end of the log was never acknowledged and is cut off. Damage
-// anywhere else is an error and the box does not start: skipping it would forget what other members
-// were promised. An intact record of an unknown kind was written by a newer build: that is a
+// anywhere else is an error and the box does not start: skipping it would lose votes and entries that
+// other members rely on. An intact record of an unknown kind was written by a newer build: that is a
 // level.UnsupportedError, and the files stay as they are.
 package store
--- a/store/patient.go
+++ b/store/patient.go
@@ -17,7 +17,7 @@
 	logInterval   = 2 * time.Second
 )
 
-// RetryingDisk retries failed saves, as on a full disk, so that the process goes on; nothing counts
+// RetryingDisk retries failed saves, as on a full disk, so that the process continues; nothing counts
 // as saved meanwhile. Save returns an error only when the context is done.
 type RetryingDisk struct {
 	Disk    Disk
@@ -33,13 +33,13 @@
 		err := d.Disk.Save(r)
 		if err == nil {
 			if !lastLogged.IsZero() {
-				d.Log.Info("disk accepts writes again", zap.Duration("after", time.Since(began)))
+				d.Log.Info("saving to disk succeeded again", zap.Duration("after", time.Since(began)))
 			}
 			return nil
 		}
 		if time.Since(lastLogged) > logInterval {
 			lastLogged = time.Now()
-			d.Log.Warn("disk refuses writes", logx.Err(err))
+			d.Log.Warn("saving to disk failed; retrying", logx.Err(err))
 		}
 		select {
 		case <-d.Context.Done():
--- a/store/recover.go
+++ b/store/recover.go
@@ -36,6 +36,6 @@
 	if err := s.Save(&consensus.Ready{HardState: &hard, Entries: []consensus.Entry{entry}}); err != nil {
 		return err
 	}
-	id.Founders = slices.DeleteFunc(id.Founders, func(m consensus.Member) bool { return m.ID != self.ID })
+	id.InitialMembers = slices.DeleteFunc(id.InitialMembers, func(m consensus.Member) bool { return m.ID != self.ID })
 	return s.SetIdentity(id)
 }
--- a/store/store.go
+++ b/store/store.go
@@ -36,8 +36,8 @@
 	Disk event.Incarnation `json:"disk"`
 	// Group is the name of the control group; empty until the box belongs to one.
 	Group string `json:"group"`
-	// Founders are the initial members of the group, if the box is one of them.
-	Founders []consensus.Member `json:"founders,omitempty"`
+	// InitialMembers are the initial members of the group, if the box is one of them.
+	InitialMembers []consensus.Member `json:"founders,omitempty"`
 }
 
 // Member returns the member ID of the box with this disk.
