--- a/admission/poison_test.go
+++ b/admission/poison_test.go
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// endRun reports that the endpoint of a call terminated.
-func (r *poisonRig) endRun(id int, p poison.Fingerprint) {
+// reportTermination reports that the endpoint of a call terminated.
+func (r *poisonRig) reportTermination(id int, p poison.Fingerprint) {
 	request, endpoint := event.RequestID(fmt.Sprint(id)), r.granted(id)
 	r.RecordTerminations(r.now, []poison.Termination{{Print: p, Endpoint: endpoint, Request: request, Ran: event.Millisecond}}, &r.out)
 	r.Finish(r.now, &message.Finish{Finished: event.Finished{ID: request, Pool: "s", Failed: true}, Endpoint: endpoint, Print: p}, &r.out)
@@ -92,7 +92,7 @@
 func TestHeldCallsWaitForRunningCall(t *testing.T) {
 	r := newPoisonRig(t, 6, 4)
 	r.submit(1, badPrint)
-	r.endRun(1, badPrint)
+	r.reportTermination(1, badPrint)
 	before := spentOf(r.State, r.now, budget.Team("t"))
 	for id := 2; id < 6; id++ {
 		r.submit(id, badPrint)
@@ -126,7 +126,7 @@
 	for id := range 2 {
 		r.submit(id, badPrint)
 		r.save()
-		r.endRun(id, badPrint)
+		r.reportTermination(id, badPrint)
 		r.RemoveEndpoint(r.now, r.granted(id), &r.out)
 	}
 	r.submit(2, badPrint)
@@ -137,7 +137,7 @@
 	if one := r.refused(3); one == nil || one.Reason != event.ReasonPoison || one.RetryAfter <= 0 {
 		t.Errorf("a held call after its timeout: %+v", one)
 	}
-	r.endRun(2, badPrint)
+	r.reportTermination(2, badPrint)
 	r.submit(4, badPrint)
 	if one := r.refused(4); one == nil || one.Reason != event.ReasonPoison || one.RetryAfter <= event.Second {
 		t.Errorf("a call of a quarantined request: %+v", one)
@@ -157,7 +157,7 @@
 	if r.granted(3) != "" || r.granted(4) != "" {
 		t.Fatal("calls 3 and 4 are not queued")
 	}
-	r.endRun(2, badPrint)
+	r.reportTermination(2, badPrint)
 	r.succeed(1, "busy")
 	r.save()
 	if r.granted(3) == "" || r.granted(4) != "" {
@@ -187,7 +187,7 @@
 	if len(r.parked) != 3 {
 		t.Fatalf("%d calls wait for the quota", len(r.parked))
 	}
-	r.endRun(1, badPrint)
+	r.reportTermination(1, badPrint)
 	for range 40 {
 		r.now = r.now.Add(50 * event.Millisecond)
 		r.Tick(r.now, &r.out)
@@ -205,10 +205,10 @@
 	r.submit(1, badPrint)
 	r.submit(2, "finished before")
 	r.Finish(r.now, &message.Finish{Finished: event.Finished{ID: "2", Pool: "s"}, Endpoint: r.granted(2), Print: "finished before"}, &r.out)
-	lastHeard := r.now.Add(event.Second)
+	lastHeartbeat := r.now.Add(event.Second)
 	r.EntryRemoved(r.now, "entry", &r.out)
-	r.now = lastHeard.Add(4 * event.Second)
-	r.EndpointsLost(r.now, map[event.EndpointID]event.Time{"e1": lastHeard, "e2": lastHeard, "e3": lastHeard}, &r.out)
+	r.now = lastHeartbeat.Add(4 * event.Second)
+	r.EndpointsLost(r.now, map[event.EndpointID]event.Time{"e1": lastHeartbeat, "e2": lastHeartbeat, "e3": lastHeartbeat}, &r.out)
 	for id, p := range []poison.Fingerprint{badPrint, "finished before"} {
 		r.submit(10+id, p)
 	}
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -56,7 +56,7 @@
 }
 
 // setRetryLimit limits a service's retries by its recent requests. A retry may arrive up to
-// message.RetryWindow after its decision, so the window is extended by that.
+// message.MaxRetryAge after its decision, so the window is extended by that.
 func (s *State) setRetryLimit(now event.Time, name string, v *service) {
 	most := s.limits.RetryMin + int(s.limits.RetryRatio*float64(v.requests.Total(now)))
 	s.budget.SetLimit(now, budget.Retries(name), budget.Limit{
--- a/backpressure/doc.go
+++ b/backpressure/doc.go
@@ -15,5 +15,5 @@
 // degraded, and a new owner starts only when no other holds the lease.
 //
 // A Gate checks each request before an entry sends it, whoever granted it. It stops grants made without the latest
-// feedback: those already on their way, and those of a new owner.
+// feedback: those in transit, and those of a new owner.
 package backpressure
--- a/backpressure/gate.go
+++ b/backpressure/gate.go
@@ -43,10 +43,10 @@
 // endpointState is the state that an entry keeps of an endpoint.
 type endpointState struct {
 	Tracker
-	observedAt    event.Time // when the entry itself last received a limit or draining; 0 for never
-	cooldownUntil event.Time // the entry sends nothing before
-	probedAt      event.Time // when a PermitLegacy grant was last used
-	lastSeen      event.Time // when it was last registered
+	observedAt       event.Time // when the entry itself last received a limit or draining; 0 for never
+	cooldownUntil    event.Time // the entry sends nothing before
+	probedAt         event.Time // when a PermitLegacy grant was last used
+	lastRegisteredAt event.Time // when it was last registered
 }
 
 // IsTracking reports whether the gate holds state of any endpoint.
@@ -91,7 +91,7 @@
 		if g.endpoints == nil {
 			g.endpoints = make(map[event.EndpointID]*endpointState)
 		}
-		e = &endpointState{lastSeen: now}
+		e = &endpointState{lastRegisteredAt: now}
 		g.endpoints[endpoint] = e
 		g.count.Store(int64(len(g.endpoints)))
 	}
@@ -251,9 +251,9 @@
 	defer g.mu.Unlock()
 	for id, e := range g.endpoints {
 		if isRegistered(id) {
-			e.lastSeen = now
+			e.lastRegisteredAt = now
 		}
-		if !e.restricts(now) || now.Sub(e.lastSeen) > retention {
+		if !e.restricts(now) || now.Sub(e.lastRegisteredAt) > retention {
 			delete(g.endpoints, id)
 		}
 	}
--- a/budget/book.go
+++ b/budget/book.go
@@ -27,7 +27,7 @@
 	maxWindow event.Duration // longest window of a limit
 	// limitsVersion increases whenever an account gets or loses its limit.
 	limitsVersion uint64
-	// leaseTTL is how long an entry may use a lease without hearing from an owner, plus
+	// leaseTTL is how long an entry may use a lease without contact with an owner, plus
 	// leaseMargin.
 	leaseTTL event.Duration
 	// startedAt is when this owner started, prior the lines of earlier owners. isFirst is
@@ -48,7 +48,7 @@
 }
 
 // NewAllocator returns the Allocator of the first owner of a deployment: nothing was spent
-// before. leaseTTL is how long an entry may use its leases without hearing from an owner.
+// before. leaseTTL is how long an entry may use its leases without contact with an owner.
 func NewAllocator(now event.Time, leaseTTL event.Duration) *Allocator {
 	return &Allocator{
 		limits: make(map[Account]Limit), accounts: make(map[Account]*account),
@@ -59,7 +59,7 @@
 }
 
 // RestoreAllocator returns the Allocator of an owner that succeeds others, with the state in
-// the log. Every earlier owner must have ceased by now.
+// the log. Every earlier owner must have stopped by now.
 func RestoreAllocator(now event.Time, leaseTTL event.Duration, l *Ledger) *Allocator {
 	b := NewAllocator(now, leaseTTL)
 	b.isFirst = false
--- a/budget/pieces_test.go
+++ b/budget/pieces_test.go
@@ -86,9 +86,9 @@
 	}
 }
 
-// TestUnreportedSpendingIsNotForgotten: a lease that the owner revokes before it received
+// TestUnreportedSpendingIsNotDropped: a lease that the owner revokes before it received
 // the last spending must still be reported.
-func TestUnreportedSpendingIsNotForgotten(t *testing.T) {
+func TestUnreportedSpendingIsNotDropped(t *testing.T) {
 	var s Leases
 	s.Apply(LeaseUpdate{Number: 1, UpTo: []Lease{{Account: worldAccount, UpTo: 50}}})
 	s.Spend(0, "", worldAccount, 20)
--- a/cluster/bulk_sim_test.go
+++ b/cluster/bulk_sim_test.go
@@ -272,7 +272,7 @@
 // log over the leader's link.
 func TestLargeConfigurationForManyBoxes(t *testing.T) { testLargeConfiguration(t, 21) }
 
-// testLargeConfiguration submits a large configuration to three initialMembers and a number of boxes that join.
+// testLargeConfiguration submits a large configuration to three initial members and a number of boxes that join.
 func testLargeConfiguration(t *testing.T, joining int) {
 	s := newSlowSim(t, 3, joining)
 	s.run(event.Duration(6+joining) * second)
--- a/cluster/folders_test.go
+++ b/cluster/folders_test.go
@@ -15,7 +15,7 @@
 	"lynxramp.org/store"
 )
 
-// folderLevels are the format versions of the recorded folders, by the commit whose build wrote them.
+// folderVersions are the format versions of the recorded folders, by the commit whose build wrote them.
 var folderVersions = map[string]level.Level{
 	"d61e540": level.Listed, "50d3523": level.Listed, "e994de1": level.Chunked, "53e223b": level.Chunked, "de049ca": level.Suspects,
 	"9c63b0b": level.Negotiated, "a229638": level.Instances,
--- a/cluster/levels.go
+++ b/cluster/levels.go
@@ -130,7 +130,7 @@
 }
 
 // canServe reports whether a connecting entry supports the group's format version. An older entry would use ids of
-// endpoints that the group does not know: it gets no answer, so that it serves nothing and keeps retrying.
+// endpoints that the group does not know: it gets no reply, so that it serves nothing and keeps retrying.
 func (s *State) canServe(b *SessionOpened, out *Effects) bool {
 	if s.machine.formatVersion < level.Negotiated || !level.Affects(level.Entries, b.FormatVersion, s.machine.formatVersion) {
 		return true
--- a/cluster/levels_test.go
+++ b/cluster/levels_test.go
@@ -65,9 +65,9 @@
 	return string(data)
 }
 
-// TestSnapshotsOfAllLevels: this build must restore the snapshots of all format versions, and write those
+// TestSnapshotsOfAllFormatVersions: this build must restore the snapshots of all format versions, and write those
 // of an earlier one for a group that has it.
-func TestSnapshotsOfAllLevels(t *testing.T) {
+func TestSnapshotsOfAllFormatVersions(t *testing.T) {
 	for _, l := range []level.Level{level.Listed, level.Chunked, level.Suspects, level.Negotiated, level.Instances} {
 		m := fullMachine(t, l)
 		var restored stateMachine
@@ -109,7 +109,7 @@
 }
 
 // TestWholeDocumentIsNotParsedAsPart: a whole configuration and a part of one are commands of the same kind
-// and must be told apart by content.
+// and must be distinguished by content.
 func TestWholeDocumentIsNotParsedAsPart(t *testing.T) {
 	for _, text := range []string{"{}", "\t{}", " {}", "\n\n{}", `{"version":2,"routes":[]}`} {
 		var m stateMachine
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -40,7 +40,7 @@
 	budgetIndex      consensus.Index          // of the last budget record in the log
 	poison           *poison.Tracker          // poison requests
 	changedEndpoints map[string]bool          // ids of endpoints whose change is not yet sent to the entries
-	pages            map[uint64]registry.Page // by the preceding revision, valid at piecesRevision
+	pages            map[uint64]registry.Page // by the preceding revision, valid at pagesRevision
 	pagesRevision    uint64
 	packed           map[pageKey]packedPage
 	budgetsLoggedAt  event.Time // when high budgets were last logged
@@ -213,7 +213,7 @@
 		if e.session != 0 {
 			continue
 		}
-		if away := now.Sub(e.disconnectedAt); away > entryTimeout && !e.isForgotten {
+		if away := now.Sub(e.disconnectedAt); away > entryTimeout && !e.isExpired {
 			expired = append(expired, name)
 		} else if away > o.entryRetention {
 			delete(o.entries, name)
@@ -221,7 +221,7 @@
 	}
 	slices.Sort(expired)
 	for _, name := range expired[:min(len(expired), maxExpiredPerTick)] {
-		o.entries[name].isForgotten = true
+		o.entries[name].isExpired = true
 		o.admission.EntryRemoved(now, name, &o.effects)
 		o.admission.EntryTerminated(now, name, &o.effects)
 	}
--- a/cluster/owner_session.go
+++ b/cluster/owner_session.go
@@ -30,9 +30,9 @@
 	build          string
 	session        SessionID // 0 while disconnected
 	disconnectedAt event.Time
-	deferredAt     event.Time // when it last said that it leaves decisions to this owner; 0 if not yet in this session
-	// isForgotten reports whether its requests were taken as terminated since it disconnected.
-	isForgotten  bool
+	deferredAt     event.Time // when it last reported that it leaves decisions to this owner; 0 if not yet in this session
+	// isExpired reports whether its requests were treated as terminated since it disconnected.
+	isExpired    bool
 	terminations terminationProgress
 }
 
@@ -98,7 +98,7 @@
 		delete(o.sessions, e.session)
 		out.Closes = append(out.Closes, e.session)
 	}
-	e.session, e.isForgotten, e.deferredAt = b.Session, false, 0
+	e.session, e.isExpired, e.deferredAt = b.Session, false, 0
 	if newInstance {
 		e.terminations = terminationProgress{}
 		o.admission.EntryTerminated(now, name, &o.effects)
@@ -126,7 +126,7 @@
 		Field{"known", ok}, Field{"new_life", newInstance}, Field{"held", len(b.Hello.Held)}, Field{"level", uint8(b.FormatVersion)}, Field{"build", b.Build})
 }
 
-// receivePing answers a ping, which confirms that this box still owns the pools. While the lease has
+// receivePing replies to a ping, which confirms that this box still owns the pools. While the lease has
 // lapsed there is no pong; the entry retries.
 func (o *owner) receivePing(now event.Time, p *PingReceived, s *State, out *Effects) {
 	sess, ok := o.sessions[p.Session]
--- a/cluster/server.go
+++ b/cluster/server.go
@@ -36,9 +36,9 @@
 	transferTimeout = 600 * time.Millisecond
 )
 
-// founderIncarnation is the incarnation of the first disk of each founding member. It is the same
-// on all of them, so that each knows the ids of the others.
-const founderIncarnation = event.Incarnation(1)
+// initialIncarnation is the incarnation of the first disk of each initial member. It is the same
+// on all of them, so that each can derive the ids of the others.
+const initialIncarnation = event.Incarnation(1)
 
 // Config is the configuration of a control box.
 type Config struct {
@@ -84,13 +84,13 @@
 	disk := event.Incarnation(random.Number())
 	bootstraps := c.Bootstrap && slices.Contains(c.Seeds, c.OperatorAddress)
 	if bootstraps {
-		disk = founderIncarnation
+		disk = initialIncarnation
 	}
 	opened, identity, restored, err := store.Open(c.DataDir, event.BoxID(c.LinkAddress), disk)
 	if err != nil {
 		return nil, err
 	}
-	if bootstraps && identity.Group == "" && restored.Snapshot.Index == 0 && identity.Disk == founderIncarnation {
+	if bootstraps && identity.Group == "" && restored.Snapshot.Index == 0 && identity.Disk == initialIncarnation {
 		if restored, err = bootstrap(c, opened, identity); err != nil {
 			return nil, err
 		}
@@ -125,7 +125,7 @@
 	var initialMembers []consensus.Member
 	for _, seed := range c.Seeds {
 		initialMembers = append(initialMembers, consensus.Member{
-			ID: consensus.MakeID(event.BoxID(LinkAddress(seed, c.LinkAddress)), founderIncarnation), Address: seed,
+			ID: consensus.MakeID(event.BoxID(LinkAddress(seed, c.LinkAddress)), initialIncarnation), Address: seed,
 		})
 	}
 	slices.SortFunc(initialMembers, func(a, b consensus.Member) int { return cmp.Compare(a.ID, b.ID) })
--- a/cluster/sim_test.go
+++ b/cluster/sim_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// newSim starts a group of initialMembers, and boxes with empty disks that join it.
+// newSim starts a group of initial members, and boxes with empty disks that join it.
 func newSim(t testing.TB, initialMembers, joining int) *sim {
 	s := &sim{
 		t: t, boxes: make(map[string]*simBox), answers: make(map[CallID]Answer), closed: make(map[SessionID]bool),
@@ -124,7 +124,7 @@
 	var members []consensus.Member
 	for i := range initialMembers {
 		name := fmt.Sprintf("box%d", i+1)
-		members = append(members, consensus.Member{ID: consensus.MakeID(event.BoxID(name), founderIncarnation), Address: name + ":operators"})
+		members = append(members, consensus.Member{ID: consensus.MakeID(event.BoxID(name), initialIncarnation), Address: name + ":operators"})
 	}
 	for _, m := range members {
 		disk := &simDisk{member: m, restored: consensus.PersistentState{Snapshot: consensus.Snapshot{
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -158,9 +158,9 @@
 	document := r.upload()
 	m.upload = r.upload()
 	r.json(&m.registry)
-	var spending budget.Record
-	r.json(&spending)
-	m.budgets.Apply(spending)
+	var budgets budget.Record
+	r.json(&budgets)
+	m.budgets.Apply(budgets)
 	if m.formatVersion >= level.Suspects {
 		var known poison.Record
 		r.json(&known)
--- a/cluster/state.go
+++ b/cluster/state.go
@@ -365,7 +365,7 @@
 }
 
 // updateOwnership makes this box the owner when it becomes leader, and ends that when leadership is
-// lost. A short lapse of the lease within a term does not end it: a quorum that answers again in this
+// lost. A short lapse of the lease within a term does not end it: a quorum that replies again in this
 // term has followed no other leader. Restarting on each lapse would make all entries reconnect, which
 // could make the lease lapse again.
 func (s *State) updateOwnership(now event.Time, out *Effects) {
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestDeadVoterIsReplaced: an empty box replaces a voter that is lost for good, so that the group still
+// TestLostVoterIsReplaced: an empty box replaces a voter that is lost for good, so that the group still
 // commits after the loss of two more.
-func TestDeadVoterIsReplaced(t *testing.T) {
+func TestLostVoterIsReplaced(t *testing.T) {
 	s := newSim(t, 3, 2)
 	s.run(5 * second)
 	s.put(s.mustOwner(), 7)
--- a/cluster/takeup_test.go
+++ b/cluster/takeup_test.go
@@ -52,7 +52,7 @@
 	}
 	old := document(1, routing.Team{Name: "t", Rate: 1000, Burst: 1000})
 	newest := document(2, routing.Team{Name: "t", Rate: 500, Burst: 500}, routing.Team{Name: "u", Rate: 10, Burst: 10})
-	id := consensus.MakeID("box1", founderIncarnation)
+	id := consensus.MakeID("box1", initialIncarnation)
 	members := consensus.Membership{Voters: []consensus.Member{{ID: id, Address: "box1:operators"}}}
 	m := stateMachine{document: old}
 	r := consensus.PersistentState{
--- a/consensus/lost_disk_test.go
+++ b/consensus/lost_disk_test.go
@@ -48,7 +48,7 @@
 }
 
 // A member with a lost disk must become a voter again although the leader changes about once a
-// second, messages are lost, duplicated and reordered, commands and snapshots go on, and the member
+// second, messages are lost, duplicated and reordered, commands and snapshots continue, and the member
 // crashes once. Guards against each new leader restarting the snapshot transfer from its first
 // chunk.
 func TestLostDiskComesBack(t *testing.T) {
--- a/control/founding.go
+++ b/control/founding.go
@@ -37,7 +37,7 @@
 	// actionAdopt: the group has this box with its present disk among its initial members.
 	actionAdopt
 	// actionJoin: there is a group that doesn't have this box with its present disk
-	// as a founder.
+	// as an initial member.
 	actionJoin
 )
 
@@ -200,7 +200,7 @@
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	request := &rpc.JoinRequest{Group: p.group(), Member: &rpc.Member{Id: string(self.ID), Address: self.Address}}
-	// A box that isn't the leader or doesn't answer is asked again later.
+	// A box that isn't the leader or doesn't reply is asked again later.
 	if answer, err := client.Join(ctx, request); err == nil && answer.Done {
 		p.log.Info("added to the control group as a voter")
 	}
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -38,7 +38,7 @@
 	return false
 }
 
-// TestAttemptResultsAreReported: an end is reported only if the endpoint closed the connection before or during a
+// TestAttemptResultsAreReported: a termination is reported only if the endpoint closed the connection before or during a
 // response. Only a complete response that is framed counts as a success.
 func TestAttemptResultsAreReported(t *testing.T) {
 	cut := func(c net.Conn, r *http.Request) bool {
--- a/gateway/fresh.go
+++ b/gateway/fresh.go
@@ -15,14 +15,14 @@
 
 // versionConfirmation is an owner's confirmation that a version was the newest.
 type versionConfirmation struct {
-	version uint64
-	asked   event.Time // when the entry sent the ping; the version was the newest at some time after
+	version    uint64
+	pingSentAt event.Time // when the entry sent the ping; the version was the newest at some time after
 }
 
 // confirmVersion records an owner's confirmation that a version was the newest.
 func (a *OwnerClient) confirmVersion(now event.Time, w versionConfirmation) {
 	a.confirmations = slices.DeleteFunc(a.confirmations, func(old versionConfirmation) bool {
-		return old.version == w.version || now.Sub(old.asked) >= a.config.ConfigValidity
+		return old.version == w.version || now.Sub(old.pingSentAt) >= a.config.ConfigValidity
 	})
 	a.confirmations = append(a.confirmations, w)
 	a.extendValidity()
@@ -41,7 +41,7 @@
 		if w.version > t.Version {
 			return false
 		}
-		until = max(until, int64(w.asked.Add(a.config.ConfigValidity)))
+		until = max(until, int64(w.pingSentAt.Add(a.config.ConfigValidity)))
 		return true
 	})
 	a.validUntil.Store(until)
--- a/gateway/fresh_test.go
+++ b/gateway/fresh_test.go
@@ -56,7 +56,7 @@
 	a, put := newSessionClient()
 	at := func(ms int) event.Time { return event.Time(event.Duration(ms) * event.Millisecond) }
 	confirm := func(ms int, version uint64) {
-		a.confirmVersion(at(ms), versionConfirmation{version: version, asked: at(ms)})
+		a.confirmVersion(at(ms), versionConfirmation{version: version, pingSentAt: at(ms)})
 	}
 	serves := func(ms int) bool { return a.Table(at(ms)) != nil }
 	put(0, 1)
--- a/gateway/handover_test.go
+++ b/gateway/handover_test.go
@@ -27,7 +27,7 @@
 	a.Received(0, 1, &message.Envelope{View: &message.View{Version: 3}})
 }
 
-// TestWaitingRequestsAreSplit guards against submitting all waiting requests to a new owner in s message: the
+// TestWaitingRequestsAreSplit guards against submitting all waiting requests to a new owner in one message: the
 // reply to the next ping could arrive after ownerTimeout, and the entry would reconnect and submit them again.
 func TestWaitingRequestsAreSplit(t *testing.T) {
 	const held, most = 1850, 64 << 10 // 52 ms on a link of 1.25 MB/s
--- a/gateway/owner_session.go
+++ b/gateway/owner_session.go
@@ -162,7 +162,7 @@
 		a.ownerFound(now)
 	}
 	a.submitWaiting(now)
-	a.confirmVersion(now, versionConfirmation{version: p.Version, asked: p.Sent})
+	a.confirmVersion(now, versionConfirmation{version: p.Version, pingSentAt: p.Sent})
 }
 
 // ownerFound starts the session with a found owner: waiting requests, terminations and feedback are sent to it.
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestNotSentAfterSuspendPastDeadline: a request whose deadline passed during a suspend is not sent, and is answered
-// as not run.
+// TestNotSentAfterSuspendPastDeadline: a request whose deadline passed during a suspend is not sent, and gets a
+// response that it was not run.
 func TestNotSentAfterSuspendPastDeadline(t *testing.T) {
 	clock := &suspendableClock{}
 	first := newFakeEndpoint(t, func(c net.Conn, q *http.Request) bool {
--- a/message/forms.go
+++ b/message/forms.go
@@ -30,9 +30,9 @@
 // FormatVersion returns the format version that the peer reads; 0 before its first bytes.
 func (p *Peer) FormatVersion() level.Level { return level.Level(p.formatVersion.Load()) }
 
-// levelFields are names of fields that messages have from a level on, each with its length as in gob's type
-// definitions. The newest level comes first.
-var levelFields = []struct {
+// formatVersionFields are names of fields that messages have from a format version on, each with its length as in gob's type
+// definitions. The newest version comes first.
+var formatVersionFields = []struct {
 	level level.Level
 	field string
 }{
@@ -43,10 +43,10 @@
 	{level.Compressed, "\x08Revision"},
 }
 
-// detectLevel sets the level by a peer's first bytes, which hold the gob type definitions of its messages.
-// From level.Negotiated on the first message has the exact level (updateLevel).
-func (p *Peer) detectLevel(definitions []byte) {
-	for _, m := range levelFields {
+// detectFormatVersion sets the format version by a peer's first bytes, which hold the gob type definitions of its messages.
+// From level.Negotiated on the first message has the exact version (updateFormatVersion).
+func (p *Peer) detectFormatVersion(definitions []byte) {
+	for _, m := range formatVersionFields {
 		if bytes.Contains(definitions, []byte(m.field)) {
 			p.formatVersion.Store(uint32(m.level))
 			return
@@ -55,7 +55,7 @@
 	p.formatVersion.Store(uint32(level.Listed))
 }
 
-func (p *Peer) updateLevel(m *Envelope) {
+func (p *Peer) updateFormatVersion(m *Envelope) {
 	if m != nil && m.Level > 0 {
 		p.formatVersion.Store(uint32(m.Level))
 	}
@@ -75,14 +75,14 @@
 // View has other types.
 func (p *Peer) readerOf(older link.Reader[Envelope]) func([]byte) link.Reader[Envelope] {
 	return func(definitions []byte) link.Reader[Envelope] {
-		p.detectLevel(definitions)
+		p.detectFormatVersion(definitions)
 		read := readCurrent
 		if p.FormatVersion() < level.Compressed {
 			read = older
 		}
 		return func(in *gob.Decoder) (*Envelope, error) {
 			m, err := read(in)
-			p.updateLevel(m)
+			p.updateFormatVersion(m)
 			return m, err
 		}
 	}
@@ -96,7 +96,7 @@
 	return f.Message, err
 }
 
-// toControl has the messages to control boxes. It has no type that differs between levels: a box of
+// toControl has the messages to control boxes. It has no type that differs between format versions: a box of
 // level.Listed can read no message of a connection on which the type of View isn't its own.
 type toControl struct {
 	Hello     *Hello
@@ -135,7 +135,7 @@
 	}, nil
 }
 
-// frameReply returns the frame of a message to a box that connected to this one. Until the peer's level is
+// frameReply returns the frame of a message to a box that connected to this one. Until the peer's format version is
 // known only empty messages are sent.
 func (p *Peer) frameReply(m *Envelope) any {
 	switch formatVersion := p.FormatVersion(); {
--- a/message/forms_test.go
+++ b/message/forms_test.go
@@ -19,9 +19,9 @@
 	"lynxramp.org/registry"
 )
 
-// recordedLevels has the level of each build recorded in testdata, by commit. A file has the bytes that a
+// recordedVersions has the format version of each build recorded in testdata, by commit. A file has the bytes that a
 // control box or an entry of that build sends after dialling, or an owner to an entry: one message.
-var recordedLevels = map[string]level.Level{
+var recordedVersions = map[string]level.Level{
 	"d61e540": level.Listed, "50d3523": level.Compressed, "e994de1": level.Chunked, "53e223b": level.Chunked, "de049ca": level.Suspects,
 	"9c63b0b": level.Negotiated, "a229638": level.Instances,
 }
@@ -69,16 +69,16 @@
 // TestReadsMessagesOfEarlierBuilds: messages of earlier builds must be decoded, also where a field's type has changed
 // since, and must reveal the format version that the sender reads.
 func TestReadsMessagesOfEarlierBuilds(t *testing.T) {
-	for commit, want := range recordedLevels {
+	for commit, want := range recordedVersions {
 		var peer Peer
 		list := replay(t, commit+"-control.bytes", peer.ServerEncodings())
 		if len(list) != 1 || list[0].Consensus == nil || string(list[0].Consensus.Entries[0].Data) != "data" || peer.FormatVersion() != want {
-			t.Errorf("%s: a control box reads level %d, want %d; received %+v", commit, peer.FormatVersion(), want, list)
+			t.Errorf("%s: a control box reads format version %d, want %d; received %+v", commit, peer.FormatVersion(), want, list)
 		}
 		peer = Peer{}
 		list = replay(t, commit+"-entry.bytes", peer.ServerEncodings())
 		if len(list) != 1 || list[0].Hello == nil || list[0].Hello.Entry != "entry-1" || peer.FormatVersion() != want {
-			t.Errorf("%s: an entry reads level %d, want %d; received %+v", commit, peer.FormatVersion(), want, list)
+			t.Errorf("%s: an entry reads format version %d, want %d; received %+v", commit, peer.FormatVersion(), want, list)
 		}
 		peer = Peer{}
 		list = replay(t, commit+"-owner.bytes", peer.ClientEncodings())
@@ -101,7 +101,7 @@
 	}
 }
 
-// frameOfListed and frameOfPacked are the types into which builds of those levels decode views.
+// frameOfListed and frameOfPacked are the types into which builds of those versions decode views.
 type (
 	frameOfListed struct {
 		Message *struct {
@@ -138,7 +138,7 @@
 }
 
 // TestEarlierBuildsReadOurMessages: boxes of earlier builds must be able to decode what they are sent, also before
-// their level is known.
+// their format version is known.
 func TestEarlierBuildsReadOurMessages(t *testing.T) {
 	list := []Endpoint{{Endpoint: registry.Endpoint{ID: "i-1", Address: "a"}, Down: true}}
 	view := &Envelope{View: &View{Version: 4, Document: []byte("{}"), Endpoints: Pack(list), Revision: 5, Silent: []event.EndpointID{"i-1"}}}
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestFirstMessageCarriesLevel: the first message of a box must have its level and build, in few bytes.
-func TestFirstMessageCarriesLevel(t *testing.T) {
+// TestFirstMessageCarriesFormatVersion: the first message of a box must have its format version and build, in few bytes.
+func TestFirstMessageCarriesFormatVersion(t *testing.T) {
 	var wire bytes.Buffer
 	out := gob.NewEncoder(&wire)
 	hello := &Envelope{Hello: &Hello{Entry: "e", Life: 1}}
@@ -192,7 +192,7 @@
 		}
 	})
 	if received != 1 || peer.FormatVersion() != level.Newest {
-		t.Errorf("%d messages, level %d", received, peer.FormatVersion())
+		t.Errorf("%d messages, format version %d", received, peer.FormatVersion())
 	}
 	var without bytes.Buffer
 	if err := gob.NewEncoder(&without).Encode(frameToControl(hello)); err != nil {
@@ -201,13 +201,13 @@
 	// Not counted: the names, types and lengths of the two fields in the type definition.
 	const definition = len("Level") + len("Build") + 2*5
 	if limit, got := 64, wire.Len()-without.Len()+definition; got > limit {
-		t.Errorf("level and build take %d bytes, want at most %d", got, limit)
+		t.Errorf("format version and build take %d bytes, want at most %d", got, limit)
 	}
 }
 
 // FuzzPeer: no bytes of a peer may cause a panic or keep the connection open.
 func FuzzPeer(f *testing.F) {
-	for commit := range recordedLevels {
+	for commit := range recordedVersions {
 		for _, who := range []string{"control", "entry", "owner"} {
 			data, err := os.ReadFile("testdata/" + commit + "-" + who + ".bytes")
 			if err != nil {
--- a/message/message.go
+++ b/message/message.go
@@ -200,7 +200,7 @@
 	event.Finished
 	// Unsent is set if no byte was sent to the endpoint.
 	Unsent bool
-	// Suspect is set if the endpoint was unreachable or answered under another
+	// Suspect is set if the endpoint was unreachable or responded under another
 	// identity.
 	Suspect  bool
 	Endpoint event.EndpointID
@@ -213,9 +213,9 @@
 
 const (
 	// OutcomeUnknown: the run allows no conclusion. A termination of the endpoint is reported
-	// as an End.
+	// as a Termination.
 	OutcomeUnknown Outcome = iota
-	// OutcomeSuccess: the endpoint answered completely, without failure.
+	// OutcomeSuccess: the endpoint responded completely, without failure.
 	OutcomeSuccess
 	// OutcomeFailed: the endpoint reported that it failed or didn't run the request, so the
 	// request hasn't terminated it.
--- a/poison/book_test.go
+++ b/poison/book_test.go
@@ -31,8 +31,8 @@
 	return &Call{Fingerprint: bad, Entry: "entry", Request: event.RequestID(fmt.Sprint(id)), Remaining: left}
 }
 
-// reportEnd reports that an endpoint terminated during a call.
-func reportEnd(b *Tracker, now event.Time, id int, endpoint string) {
+// reportTermination reports that an endpoint terminated during a call.
+func reportTermination(b *Tracker, now event.Time, id int, endpoint string) {
 	b.RecordTermination(now, &Termination{Print: bad, Endpoint: event.EndpointID(endpoint), Request: call(id).Request, Ran: event.Millisecond})
 }
 
@@ -60,7 +60,7 @@
 	var times []event.Duration
 	for now := at; now < at.Add(provenQuarantine); now = now.Add(100 * event.Millisecond) {
 		if tryRun(b, &l, now, ran, fmt.Sprint("e", ran)) {
-			reportEnd(b, now, ran, fmt.Sprint("e", ran))
+			reportTermination(b, now, ran, fmt.Sprint("e", ran))
 			b.RecordFinish(now, call(ran).Request, false)
 			times = append(times, now.Sub(at))
 			ran++
@@ -83,7 +83,7 @@
 func TestCallsAreSerializedAfterTermination(t *testing.T) {
 	var l Ledger
 	b := NewTracker(0, &l)
-	reportEnd(b, at, 1, "e1")
+	reportTermination(b, at, 1, "e1")
 	for range 2 {
 		if v, _ := b.Check(at, call(2)); v != Wait {
 			t.Errorf("a run that is not committed: %v", v)
@@ -113,7 +113,7 @@
 	b := NewTracker(0, &l)
 	b.RecordSuccess(at, bad)
 	for i := range 5 {
-		reportEnd(b, at, i, fmt.Sprint("e", i))
+		reportTermination(b, at, i, fmt.Sprint("e", i))
 	}
 	if v, _ := b.Check(at, call(9)); v != Allow || len(b.TakeSerialized()) > 0 {
 		t.Errorf("a request with a recent success: %v", v)
@@ -134,13 +134,13 @@
 func TestTerminationIsCountedOnce(t *testing.T) {
 	var l Ledger
 	b := NewTracker(0, &l)
-	reportEnd(b, at, 1, "e")
-	reportEnd(b, at.Add(event.Millisecond), 2, "e")
+	reportTermination(b, at, 1, "e")
+	reportTermination(b, at.Add(event.Millisecond), 2, "e")
 	b.RecordTermination(at.Add(event.Second), &Termination{Print: bad, Endpoint: "e", Request: "1", Ran: event.Millisecond, Ago: event.Second})
 	if n := len(b.cases[bad].terminations); n != 1 {
 		t.Errorf("%d terminations, want 1", n)
 	}
-	reportEnd(b, at.Add(2*event.Second), 3, "e")
+	reportTermination(b, at.Add(2*event.Second), 3, "e")
 	if n := len(b.cases[bad].terminations); n != 2 {
 		t.Errorf("%d terminations of two instances of an endpoint, want 2", n)
 	}
@@ -164,7 +164,7 @@
 		t.Run(name, func(t *testing.T) {
 			var l Ledger
 			b := NewTracker(0, &l)
-			reportEnd(b, at, 1, "e1")
+			reportTermination(b, at, 1, "e1")
 			if !tryRun(b, &l, at, 2, "e2") {
 				t.Fatal("the request does not run after one termination")
 			}
@@ -196,8 +196,8 @@
 func TestUnsentTrialIsNotCounted(t *testing.T) {
 	var l Ledger
 	b := NewTracker(0, &l)
-	reportEnd(b, at, 1, "e1")
-	reportEnd(b, at, 2, "e2")
+	reportTermination(b, at, 1, "e1")
+	reportTermination(b, at, 2, "e2")
 	for i := range 20 {
 		if !tryRun(b, &l, at, i, "e") {
 			t.Fatalf("no trial after %d unsent ones", i)
@@ -232,8 +232,8 @@
 func TestTrackerIsBounded(t *testing.T) {
 	var l Ledger
 	b := NewTracker(0, &l)
-	reportEnd(b, at, 1, "e1")
-	reportEnd(b, at, 2, "e2")
+	reportTermination(b, at, 1, "e1")
+	reportTermination(b, at, 2, "e2")
 	for i := range 5 * maxCases {
 		b.RecordTermination(at.Add(event.Duration(i)), &Termination{Print: Fingerprint(fmt.Sprint("p", i)), Endpoint: "e", Ran: event.Millisecond})
 		if b.Due() && i%7 == 0 {
@@ -314,7 +314,7 @@
 				b.EntryTerminated(now, "entry")
 				return
 			}
-			reportEnd(b, now, id, fmt.Sprint("e", id))
+			reportTermination(b, now, id, fmt.Sprint("e", id))
 			b.RecordFinish(now, call(id).Request, false)
 		}
 		for range 60 {
--- a/routing/table.go
+++ b/routing/table.go
@@ -44,7 +44,7 @@
 	Kind   Kind
 	// Timeout is the maximum duration of a request.
 	Timeout time.Duration
-	// Target is the longest time to an response, or to a stream's first event, at
+	// Target is the longest time to a response, or to a stream's first event, at
 	// full value. Gap is the longest pause between events at full value.
 	Target time.Duration
 	Gap    time.Duration
--- a/sched/discover.go
+++ b/sched/discover.go
@@ -115,7 +115,7 @@
 }
 
 // observePrefill updates the pool's prefill rate and the endpoint's prefill
-// slowness from an response that has begun.
+// slowness from a response that has begun.
 func (s *State) observePrefill(now event.Time, e *endpoint, g *grant, firstToken event.Duration) {
 	if g.firstPrefill && firstToken > 0 {
 		s.prefill.observe(float64(g.prefillTokens)/e.speed(), firstToken.Seconds())
--- a/sched/discover_test.go
+++ b/sched/discover_test.go
@@ -254,7 +254,7 @@
 	for _, size := range [...]struct{ endpoints, waiting int }{{18, 200}, {110, 2000}, {1100, 2000}, {1100, 20000}} {
 		b.Run(fmt.Sprintf("endpoints=%d/waiting=%d", size.endpoints, size.waiting), func(b *testing.B) {
 			s := discoveredPool(size.endpoints, 10)
-			patient := func(k *event.Ticket) {
+			withoutTimeout := func(k *event.Ticket) {
 				k.Patience = 0
 				k.Deadline = 3600 * event.Second
 				k.Team = fmt.Sprint("team", len(k.ID)%7)
@@ -262,7 +262,7 @@
 			}
 			var out event.Effects
 			for i := range 10*size.endpoints + size.waiting {
-				s.Step(0, submission(i, patient), &out)
+				s.Step(0, submission(i, withoutTimeout), &out)
 			}
 			running := make([]event.RequestID, 0, len(out.Grants))
 			for _, g := range out.Grants {
@@ -270,7 +270,7 @@
 			}
 			submissions := make([]*event.Submitted, b.N)
 			for i := range submissions {
-				submissions[i] = submission(1_000_000+i, patient)
+				submissions[i] = submission(1_000_000+i, withoutTimeout)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -331,7 +331,7 @@
 func TestPrecedenceWithinRank(t *testing.T) {
 	s := discoveredPool(1, 1)
 	var out event.Effects
-	patient := func(change func(*event.Ticket)) func(*event.Ticket) {
+	withoutTimeout := func(change func(*event.Ticket)) func(*event.Ticket) {
 		return func(k *event.Ticket) {
 			k.Patience = 0
 			if change != nil {
@@ -340,10 +340,10 @@
 		}
 	}
 	s.Step(0, submission(0, nil), &out)
-	s.Step(0, submission(1, patient(func(k *event.Ticket) { k.Target = 100 * event.Millisecond })), &out)
-	s.Step(0, submission(2, patient(func(k *event.Ticket) { k.Returned = true })), &out)
-	s.Step(0, submission(3, patient(nil)), &out)
-	s.Step(0, submission(4, patient(func(k *event.Ticket) { k.Placed = true })), &out)
+	s.Step(0, submission(1, withoutTimeout(func(k *event.Ticket) { k.Target = 100 * event.Millisecond })), &out)
+	s.Step(0, submission(2, withoutTimeout(func(k *event.Ticket) { k.Returned = true })), &out)
+	s.Step(0, submission(3, withoutTimeout(nil)), &out)
+	s.Step(0, submission(4, withoutTimeout(func(k *event.Ticket) { k.Placed = true })), &out)
 	now := event.Time(200 * event.Millisecond)
 	s.Step(now, &event.Tick{}, &out)
 	want := []event.RequestID{"r4", "r3", "r1", "r2"}
--- a/sched/endpoint.go
+++ b/sched/endpoint.go
@@ -34,7 +34,7 @@
 	prefillQueue    prefillQueue
 	prefillSlowdown prefillSlowdown // relative to slowness
 	grants          map[event.RequestID]*grant
-	cachedHashes    prefixHashes
+	cachedHashes    cachedHashes
 	// slowness is the measured time per unit of work relative to the pool's
 	// profile; 0 if unknown.
 	slowness   float64
--- a/sched/length.go
+++ b/sched/length.go
@@ -28,7 +28,7 @@
 	return l
 }
 
-// observe adds an response with its tokens and the requested number. It ignores
+// observe adds a response with its tokens and the requested number. It ignores
 // responses for which either is unknown.
 func (l *lengthRatio) observe(tokens, requested int) {
 	if tokens == 0 || requested == 0 {
@@ -47,7 +47,7 @@
 // requests by it.
 func (l *lengthRatio) hasEnoughSamples() bool { return l.samples >= minLengthSamples }
 
-// estimate returns the expected output tokens of an response.
+// estimate returns the expected output tokens of a response.
 func (l *lengthRatio) estimate(requested int) int {
 	if !l.hasEnoughSamples() || requested == 0 {
 		return requested
--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -34,10 +34,10 @@
 	cached   int // tokens
 }
 
-// prefixHashes has the hashes of the prefixes that one endpoint probably has in
+// cachedHashes has the hashes of the prefixes that one endpoint probably has in
 // its cache. Two generations approximate an LRU order: when the young one is full it becomes
 // the old one, and the previous old one is discarded.
-type prefixHashes struct {
+type cachedHashes struct {
 	young, old map[uint64]struct{}
 }
 
--- a/sched/reading_test.go
+++ b/sched/reading_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestBegunAnswerLeavesPrefillQueue checks that a prompt counts against its endpoint
+// TestBegunResponseLeavesPrefillQueue checks that a prompt counts against its endpoint
 // until its response begins, and no longer.
-func TestBegunAnswerLeavesPrefillQueue(t *testing.T) {
+func TestBegunResponseLeavesPrefillQueue(t *testing.T) {
 	s := discoveredPool(2, 4)
 	var out event.Effects
 	long := func(k *event.Ticket) { k.PromptTokens = 8000 }
