--- a/cluster/levels.go
+++ b/cluster/levels.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// ensurePeerCapacity reports whether another control box may be tracked. Peers choose their own names, so the number
-// of names is bounded. It evicts a disconnected box that is not a member; members are always tracked.
+// ensurePeerCapacity reports whether another control box may be tracked. Peers choose their own names, so
+// the number of names is bounded. It evicts a disconnected box that is not a member; members are always tracked.
 func (s *State) ensurePeerCapacity(box event.BoxID) bool {
 	if len(s.formats.peers) < maxPeers {
 		return true
--- a/cluster/server.go
+++ b/cluster/server.go
@@ -79,7 +79,7 @@
 	lastSession SessionID
 }
 
-// Open opens a box's data directory and returns its server.
+// Open opens a box's data folder and returns its server.
 func Open(c Config) (*Server, error) {
 	disk := event.Incarnation(random.Number())
 	bootstraps := c.Bootstrap && slices.Contains(c.Seeds, c.OperatorAddress)
--- a/gateway/asked.go
+++ b/gateway/asked.go
@@ -35,8 +35,8 @@
 		return f
 	}
 	now := g.agent.clock.Now()
-	isKept := !a.decision.Degraded && a.decision.Permit != backpressure.PermitLegacy
-	isNew := g.agent.client.gate.Observe(now, now.Add(-time.Since(a.sent)), endpoint, f, isKept)
+	byOwner := !a.decision.Degraded && a.decision.Permit != backpressure.PermitLegacy
+	isNew := g.agent.client.gate.Observe(now, now.Add(-time.Since(a.sent)), endpoint, f, byOwner)
 	g.agent.ObserveFeedback(backpressure.Report{Endpoint: endpoint, Request: c.id, Word: f})
 	g.countFeedback(f)
 	fields := append(feedbackFields(f), zap.String("endpoint", string(endpoint)), zap.Int("answered", r.StatusCode))
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -27,7 +27,7 @@
 // Reasons to stop reading a body. Their texts are sent to callers.
 var (
 	errBodyTooLong = errors.New("the body is too long")
-	errTooMuchHeld = errors.New("too much is held")
+	errTooMuchHeld = errors.New("the request bodies in memory exceed the limit")
 )
 
 // readBody reads the complete body, as only complete requests are sent to endpoints. It responds itself if
@@ -57,9 +57,9 @@
 	case errors.Is(err, errTooMuchHeld):
 		c.respondError(http.StatusServiceUnavailable, retryAfterFull, err.Error())
 	case c.remaining() <= 0:
-		c.respondError(http.StatusServiceUnavailable, retryAfterNotRun, "the body did not come in time")
+		c.respondError(http.StatusServiceUnavailable, retryAfterNotRun, "the body did not arrive in time")
 	default:
-		c.respondError(http.StatusBadRequest, 0, "the body was not sent whole")
+		c.respondError(http.StatusBadRequest, 0, "the body is incomplete")
 	}
 	return false
 }
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -118,7 +118,8 @@
 	return terminations, well
 }
 
-// TestTerminationsAreReportedUntilSaved: a termination is reported at once, and again to each new owner until one has it in its log.
+// TestTerminationsAreReportedUntilSaved: a termination is reported at once, and again to each new owner until one
+// has it in its log.
 // Successes without an owner are reported to the next one.
 func TestTerminationsAreReportedUntilSaved(t *testing.T) {
 	a := ownedClient()
--- a/gateway/fresh.go
+++ b/gateway/fresh.go
@@ -8,7 +8,7 @@
 	"lynxramp.org/event"
 )
 
-// This file computes how long an entry may use its configuration: for ConfigValidity after it asked an owner
+// This file computes how long an entry may use its configuration: for ConfigValidity after it sent a ping to an owner
 // that then confirmed the version as the newest. A confirmation counts even if its version is put in force
 // only later. Otherwise all entries would refuse requests when an operator changes the configuration faster
 // than an entry fetches it, as each confirmation would name a version that they don't have yet.
@@ -29,7 +29,7 @@
 }
 
 // extendValidity extends the validity of the configuration in force. A version not lower than the confirmed
-// one includes everything that was acknowledged before the entry asked.
+// one includes everything that was acknowledged before the entry sent the ping.
 func (a *OwnerClient) extendValidity() {
 	t := a.table.Load()
 	if t == nil {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -197,7 +197,7 @@
 		g.streams.Add(1)
 		defer g.streams.Add(-1)
 		if g.refusesStreams.Load() {
-			c.respondError(http.StatusServiceUnavailable, retryAfterDraining, "the entry is about to end")
+			c.respondError(http.StatusServiceUnavailable, retryAfterDraining, "the entry is shutting down")
 			return
 		}
 	}
--- a/gateway/pass.go
+++ b/gateway/pass.go
@@ -78,7 +78,7 @@
 	c.gateway.meters.countResponse(r.status, c.rankLabel())
 	c.gateway.meters.observeFirstByte(c.arrived, c.rankLabel())
 	c.record.failed = c.record.failed || r.status >= http.StatusInternalServerError || c.isLate(time.Now())
-	c.addStep(stepEnded, zap.Int("status", r.status), zap.String("why", "the endpoint's own answer"), zap.Int("attempts", c.attempts))
+	c.addStep(stepEnded, zap.Int("status", r.status), zap.String("why", "the endpoint's own response"), zap.Int("attempts", c.attempts))
 }
 
 // isLate reports whether a response that starts at a time misses the route's target.
--- a/message/forms.go
+++ b/message/forms.go
@@ -15,8 +15,8 @@
 
 // This file encodes messages for boxes of other builds, and detects the format version that a peer reads.
 
-// WithFormatVersion returns a copy of the message with the format version and build of this box, as sent first on
-// a connection.
+// WithFormatVersion returns a copy of the message with the format version and build of this box, as sent first
+// on a connection.
 func (e *Envelope) WithFormatVersion() *Envelope {
 	m := *e
 	m.Level, m.Build = level.Newest, level.Build()
@@ -30,8 +30,8 @@
 // FormatVersion returns the format version that the peer reads; 0 before its first bytes.
 func (p *Peer) FormatVersion() level.Level { return level.Level(p.formatVersion.Load()) }
 
-// formatVersionFields are names of fields that messages have from a format version on, each with its length as in gob's type
-// definitions. The newest version comes first.
+// formatVersionFields are names of fields that messages have from a format version on, each with its length as
+// in gob's type definitions. The newest version comes first.
 var formatVersionFields = []struct {
 	level level.Level
 	field string
@@ -43,8 +43,8 @@
 	{level.Compressed, "\x08Revision"},
 }
 
-// detectFormatVersion sets the format version by a peer's first bytes, which hold the gob type definitions of its messages.
-// From level.Negotiated on the first message has the exact version (updateFormatVersion).
+// detectFormatVersion sets the format version by a peer's first bytes, which hold the gob type definitions of
+// its messages. From level.Negotiated on the first message has the exact version (updateFormatVersion).
 func (p *Peer) detectFormatVersion(definitions []byte) {
 	for _, m := range formatVersionFields {
 		if bytes.Contains(definitions, []byte(m.field)) {
--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -35,8 +35,8 @@
 }
 
 // cachedHashes has the hashes of the prefixes that one endpoint probably has in
-// its cache. Two generations approximate an LRU order: when the young one is full it becomes
-// the old one, and the previous old one is discarded.
+// its cache. Two generations approximate an LRU order: when the young one is full
+// it becomes the old one, and the previous old one is discarded.
 type cachedHashes struct {
 	young, old map[uint64]struct{}
 }
