--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -119,12 +119,12 @@
 	if len(out.Grants) != 0 {
 		t.Fatal("a recently unreachable endpoint was granted")
 	}
-	s.Tick(event.Time(suspectBackoff+event.Millisecond), &out)
+	s.Tick(event.Time(failureBackoff+event.Millisecond), &out)
 	if len(out.Grants) != 0 {
 		// The request's deadline is a second: it may have been refused instead.
 		return
 	}
-	s.Submit(event.Time(suspectBackoff+2*event.Millisecond), "entry", submission(3, 0, false), &out)
+	s.Submit(event.Time(failureBackoff+2*event.Millisecond), "entry", submission(3, 0, false), &out)
 	if len(out.Grants) != 1 {
 		t.Errorf("the endpoint was not tried again: %+v", out)
 	}
@@ -199,7 +199,7 @@
 	var out event.Effects
 	s.Submit(0, "entry", submission(1, 0, false), &out)
 	s.Finish(0, &message.Finish{Finished: event.Finished{ID: "1", Pool: "s", Void: true, Unused: true}, Endpoint: "e", Suspect: true}, &out)
-	now := event.Time(suspectBackoff + event.Millisecond)
+	now := event.Time(failureBackoff + event.Millisecond)
 	s.Tick(now, &out)
 	out.Reset()
 	for id := 2; id <= 4; id++ {
--- a/admission/park.go
+++ b/admission/park.go
@@ -33,7 +33,7 @@
 	timeout := (m.Ticket.Target+m.Ticket.Waited)/quotaWaitDivisor - m.Ticket.Waited
 	switch available := s.quotaAvailableIn(now, m); {
 	case s.budget.IsLeased() && s.quotaOf(m.Ticket.Team) != nil:
-		timeout = waitTimeout(&m.Ticket)
+		timeout = remainingQueueTimeout(&m.Ticket)
 	case available == 0:
 		timeout = max(timeout, recordTimeout)
 	case available > timeout:
@@ -45,9 +45,9 @@
 	})
 }
 
-// waitTimeout returns how much longer a request may wait. Time it waited before, also with another
+// remainingQueueTimeout returns how much longer a request may be queued. Time it waited before, also with another
 // scheduler, is subtracted.
-func waitTimeout(t *event.Ticket) event.Duration {
+func remainingQueueTimeout(t *event.Ticket) event.Duration {
 	if t.Patience == 0 {
 		return t.Target
 	}
--- a/admission/state.go
+++ b/admission/state.go
@@ -23,9 +23,9 @@
 // maxWaiting bounds the queue of a service, in requests.
 const maxWaiting = 4000
 
-// suspectBackoff is how long an endpoint gets no requests after its first failure. It grows with
+// failureBackoff is how long an endpoint gets no requests after its first failure. It grows with
 // consecutive failures.
-const suspectBackoff = event.Second
+const failureBackoff = event.Second
 
 // Limits bound the quotas and retries of a deployment.
 type Limits struct {
@@ -71,7 +71,7 @@
 type endpointState struct {
 	message.Endpoint
 	feedback     backpressure.Tracker
-	suspectUntil event.Time
+	backoffUntil event.Time
 	failures     int
 }
 
@@ -148,7 +148,7 @@
 			ID: event.EndpointID(k.ID), Concurrency: k.Slots, Speed: 1, Draining: k.isDraining(), DataCentre: k.DataCentre,
 		},
 		Address:  k.Address,
-		Down:     k.Down || now < k.suspectUntil,
+		Down:     k.Down || now < k.backoffUntil,
 		HalfOpen: k.failures > 0,
 		Limited:  k.feedback.Limited,
 		Limit:    k.feedback.Rate,
@@ -217,14 +217,14 @@
 		s.refundSubmission(now, f.ID)
 	}
 	s.removeCharge(f.ID)
-	s.suspect(now, f, out)
+	s.updateBackoff(now, f, out)
 	s.step(now, s.service(now, f.Pool), &f.Finished, out)
 	s.recordOutcome(now, f, out)
 }
 
-// suspect stops sending requests to an endpoint that could not be reached, for longer with each
-// consecutive failure.
-func (s *State) suspect(now event.Time, f *message.Finish, out *event.Effects) {
+// updateBackoff updates the backoff of an endpoint after a request: one that could not be reached gets no
+// requests, for longer with each consecutive failure.
+func (s *State) updateBackoff(now event.Time, f *message.Finish, out *event.Effects) {
 	k, ok := s.endpoints[f.Endpoint]
 	switch {
 	case !ok:
@@ -232,11 +232,11 @@
 		// The only endpoint of its service stays in use: it was reached, and may serve the next request.
 	case f.Suspect:
 		k.failures = min(k.failures+1, 4)
-		k.suspectUntil = now.Add(suspectBackoff * event.Duration(k.failures))
+		k.backoffUntil = now.Add(failureBackoff * event.Duration(k.failures))
 		s.updatePool(now, k, out)
 	case !f.Failed && !f.Void && k.failures > 0:
 		k.failures = 0
-		k.suspectUntil = now
+		k.backoffUntil = now
 		s.updatePool(now, k, out)
 	}
 }
@@ -244,7 +244,7 @@
 // hasAnother reports whether the service of an endpoint has another usable endpoint.
 func (s *State) hasAnother(now event.Time, k *endpointState) bool {
 	for _, other := range s.endpoints {
-		if other != k && other.Service == k.Service && !other.Down && !other.isDraining() && now >= other.suspectUntil {
+		if other != k && other.Service == k.Service && !other.Down && !other.isDraining() && now >= other.backoffUntil {
 			return true
 		}
 	}
@@ -287,8 +287,8 @@
 	s.ReleaseHeld(now, out)
 	s.Unpark(now, out)
 	for _, k := range s.endpoints {
-		if k.suspectUntil != 0 && now >= k.suspectUntil {
-			k.suspectUntil = 0
+		if k.backoffUntil != 0 && now >= k.backoffUntil {
+			k.backoffUntil = 0
 			s.updatePool(now, k, out)
 		}
 	}
--- a/event/event.go
+++ b/event/event.go
@@ -81,8 +81,8 @@
 	// Target is the remaining time in which the response should begin; 0 means that
 	// only the deadline counts.
 	Target Duration
-	// Patience is the longest wait that may be expected for the request, else it
-	// is refused; 0 is no limit.
+	// Patience is the queue timeout: the request is refused if its expected wait
+	// exceeds it; 0 is no limit.
 	Patience Duration
 	// Placed is set when the request was granted before, but was not served or its
 	// response broke off: it is not queued behind others again.
--- a/gateway/fresh.go
+++ b/gateway/fresh.go
@@ -8,9 +8,9 @@
 	"lynxramp.org/event"
 )
 
-// This file computes how long an entry may use its configuration: for ConfigValidity after it sent a ping to an owner
-// that then confirmed the version as the newest. A confirmation counts even if its version is put in force
-// only later. Otherwise all entries would refuse requests when an operator changes the configuration faster
+// This file computes how long an entry may use its configuration: for ConfigValidity after it sent a ping to
+// an owner that then confirmed the version as the newest. A confirmation counts even if its version is put in
+// force only later. Otherwise all entries would refuse requests when an operator changes the configuration faster
 // than an entry fetches it, as each confirmation would name a version that they don't have yet.
 
 // versionConfirmation is an owner's confirmation that a version was the newest.
--- a/gateway/ticket.go
+++ b/gateway/ticket.go
@@ -73,28 +73,28 @@
 		Ticket: event.Ticket{
 			ID: c.id, Team: c.teamName(), Rank: c.rank(), Service: c.service, Pool: c.service,
 			PromptTokens: c.promptTokens, OutputTokens: c.expectedOutputTokens(), Deadline: left,
-			Target: max(target, event.Millisecond), Patience: c.maxExpectedWait(left),
+			Target: max(target, event.Millisecond), Patience: c.queueTimeout(left),
 			Placed: c.wasGranted, Returned: c.wasRefused, Avoid: c.tried, Attempt: c.attempts, DataCentre: c.gateway.config.DataCentre,
 		},
 		Quota: c.quotaUnits(), Repeat: isRetry, Print: c.fingerprint,
 	}
 }
 
-// The longest expected wait, as a fraction of the route's target and of the remaining time.
+// The queue timeout of a request, as a fraction of the route's target and of the remaining time.
 const (
-	maxWaitOfTarget    = 0.9
-	maxWaitOfRemaining = 0.5
+	queueTimeoutOfTarget    = 0.9
+	queueTimeoutOfRemaining = 0.5
 )
 
-// maxExpectedWait returns the longest expected wait with which the request is accepted; 0 is no limit, for a
+// queueTimeout returns the longest expected wait with which the request is accepted. It is 0, no limit, for a
 // request that an endpoint may have run.
-func (c *call) maxExpectedWait(left event.Duration) event.Duration {
+func (c *call) queueTimeout(left event.Duration) event.Duration {
 	if c.mayHaveRun {
 		return 0
 	}
-	maxWait := event.Duration(float64(left) * maxWaitOfRemaining)
+	timeout := event.Duration(float64(left) * queueTimeoutOfRemaining)
 	if c.route.Target > 0 {
-		maxWait = min(maxWait, event.Duration(float64(c.route.Target)*maxWaitOfTarget))
+		timeout = min(timeout, event.Duration(float64(c.route.Target)*queueTimeoutOfTarget))
 	}
-	return max(maxWait, event.Millisecond)
+	return max(timeout, event.Millisecond)
 }
--- a/sched/rest.go
+++ b/sched/rest.go
@@ -76,7 +76,7 @@
 // wait, and reports whether it did.
 func (s *State) refuseInCooldown(now event.Time, k *ticket, out *event.Effects) bool {
 	end, all := s.cooldownEnd(now, k)
-	if !all || end <= k.waitDeadline() {
+	if !all || end <= k.queueDeadline() {
 		return false
 	}
 	wait := end.Sub(now)
@@ -84,8 +84,8 @@
 	return true
 }
 
-// waitDeadline returns when a ticket's queue timeout ends.
-func (k *ticket) waitDeadline() event.Time {
+// queueDeadline returns when a ticket's queue timeout ends.
+func (k *ticket) queueDeadline() event.Time {
 	if k.Patience == 0 {
 		return k.deadline
 	}
