--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -53,7 +53,7 @@
 
 // spentOf returns the amount spent from an account.
 func spentOf(s *State, now event.Time, a budget.Account) int {
-	spent, _ := s.budget.State(now, a)
+	spent, _ := s.budget.Usage(now, a)
 	return spent
 }
 
--- a/admission/park.go
+++ b/admission/park.go
@@ -17,8 +17,8 @@
 // committed, however long it has waited before. It allows for slow disks.
 const recordTimeout = 150 * event.Millisecond
 
-// parked is a request that waits for its team's quota, or for the outcome of another run.
-type parked struct {
+// deferredRequest is a request that waits for its team's quota, or for the outcome of another run.
+type deferredRequest struct {
 	entry      event.BoxID
 	submission message.Submission
 	queuedAt   event.Time
@@ -40,7 +40,7 @@
 		s.refuseQuota(now, entry, m, out)
 		return
 	}
-	s.parked = append(s.parked, parked{
+	s.parked = append(s.parked, deferredRequest{
 		entry: entry, submission: *m, queuedAt: now, until: now.Add(timeout),
 	})
 }
@@ -92,6 +92,6 @@
 
 // quotaInputs returns the amount that a team has spent and its limit, for the log.
 func (s *State) quotaInputs(now event.Time, name string) event.Inputs {
-	spent, limit := s.budget.State(now, budget.Team(name))
+	spent, limit := s.budget.Usage(now, budget.Team(name))
 	return event.Inputs{Spent: spent, Limit: limit}
 }
--- a/admission/poison.go
+++ b/admission/poison.go
@@ -27,7 +27,7 @@
 		s.separateTrial(m)
 		return true
 	case verdict == poison.Wait && len(s.held) < maxHeld:
-		s.held = append(s.held, parked{entry: entry, submission: *m, queuedAt: now, until: now.Add(max(remainingQueueTimeout(t), recordTimeout))})
+		s.held = append(s.held, deferredRequest{entry: entry, submission: *m, queuedAt: now, until: now.Add(max(remainingQueueTimeout(t), recordTimeout))})
 	case verdict == poison.Wait:
 		s.refuseHeld(entry, t.ID, heldRetryAfter, out)
 	default:
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -24,8 +24,8 @@
 	// IsLeased reports whether the budget was leased by an owner that is lost: a new owner may have more
 	// available at any time.
 	IsLeased() bool
-	// State returns the amount spent from an account and its limit, for the log.
-	State(now event.Time, a budget.Account) (spent, limit int)
+	// Usage returns the amount spent from an account and its limit, for the log.
+	Usage(now event.Time, a budget.Account) (spent, limit int)
 }
 
 // requestWindowRatio is the part of a retry window whose requests bound a service's retries. The rule
--- a/admission/size_test.go
+++ b/admission/size_test.go
@@ -93,7 +93,7 @@
 	next.Index()
 	s.SetTable(0, next)
 	for account, want := range map[budget.Account]bool{removed: false, unlimited: false, budget.Team("v"): true} {
-		if _, limit := s.budget.State(0, account); (limit > 0) != want {
+		if _, limit := s.budget.Usage(0, account); (limit > 0) != want {
 			t.Errorf("%s has a limit of %d, want one: %v", account, limit, want)
 		}
 	}
@@ -105,7 +105,7 @@
 	next := &routing.Table{Services: []routing.Service{{Name: "other"}}}
 	next.Index()
 	s.SetTable(0, next)
-	if _, limit := s.budget.State(0, budget.Retries("s")); limit > 0 {
+	if _, limit := s.budget.Usage(0, budget.Retries("s")); limit > 0 {
 		t.Errorf("a limit of %d for the retries of a removed service", limit)
 	}
 }
--- a/admission/state.go
+++ b/admission/state.go
@@ -56,9 +56,9 @@
 	budget    Budget
 	services  map[string]*service
 	endpoints map[event.EndpointID]*endpointState
-	parked    []parked // waiting for a quota, in order of arrival
+	parked    []deferredRequest // waiting for a quota, in order of arrival
 	poison    *poison.Tracker
-	held      []parked // waiting for the outcome of another run, in order of arrival
+	held      []deferredRequest // waiting for the outcome of another run, in order of arrival
 	charges   map[event.RequestID]*charge
 	// chargesByEntry indexes charges by entry, of which an owner has hundreds.
 	chargesByEntry map[event.BoxID]map[event.RequestID]*charge
@@ -199,7 +199,7 @@
 
 // Withdraw cancels a request that has not been granted.
 func (s *State) Withdraw(now event.Time, entry event.BoxID, w message.Withdrawal, out *event.Effects) {
-	isRequest := func(p parked) bool { return p.submission.Ticket.ID == w.ID }
+	isRequest := func(p deferredRequest) bool { return p.submission.Ticket.ID == w.ID }
 	s.parked, s.held = slices.DeleteFunc(s.parked, isRequest), slices.DeleteFunc(s.held, isRequest)
 	s.refund(now, w.ID)
 	s.poison.RecordUnsent(w.ID)
@@ -266,7 +266,7 @@
 
 // EntryRemoved removes the requests of an entry.
 func (s *State) EntryRemoved(now event.Time, entry event.BoxID, out *event.Effects) {
-	isOfEntry := func(p parked) bool { return p.entry == entry }
+	isOfEntry := func(p deferredRequest) bool { return p.entry == entry }
 	for _, p := range slices.Concat(s.parked, s.held) {
 		if isOfEntry(p) {
 			s.poison.RecordUnsent(p.submission.Ticket.ID)
--- a/budget/allowances.go
+++ b/budget/allowances.go
@@ -87,9 +87,9 @@
 // IsLeased returns true.
 func (s *Leases) IsLeased() bool { return true }
 
-// State returns what was spent of an account and the total up to which it may be spent, for
+// Usage returns what was spent of an account and the total up to which it may be spent, for
 // the log.
-func (s *Leases) State(_ event.Time, name Account) (spent, limit int) {
+func (s *Leases) Usage(_ event.Time, name Account) (spent, limit int) {
 	if l := s.leases[name]; l != nil {
 		return l.Spent, l.UpTo
 	}
--- a/budget/book.go
+++ b/budget/book.go
@@ -182,8 +182,8 @@
 	return a.spent.TimeUntilAtMost(now, float64(a.limit.Max-a.reserved()-amount))
 }
 
-// State returns what counts as spent of an account and how much may be, for the log.
-func (b *Allocator) State(now event.Time, name Account) (spent, limit int) {
+// Usage returns what counts as spent of an account and how much may be, for the log.
+func (b *Allocator) Usage(now event.Time, name Account) (spent, limit int) {
 	a := b.account(now, name)
 	if a == nil {
 		return 0, 0
--- a/budget/book_test.go
+++ b/budget/book_test.go
@@ -298,7 +298,7 @@
 	e.Apply(LeaseUpdate{Number: 1, Whole: true, UpTo: []Lease{{Account: worldAccount, UpTo: 300}}})
 	e.Spend(0, "", worldAccount, 100)
 	e.Refund(0, worldAccount, 0, 100)
-	if spent, _ := e.State(0, worldAccount); spent != 0 {
+	if spent, _ := e.Usage(0, worldAccount); spent != 0 {
 		t.Errorf("%d spent after all unreported spending was returned", spent)
 	}
 	e.Spend(0, "", worldAccount, 100)
--- a/budget/pieces_test.go
+++ b/budget/pieces_test.go
@@ -44,7 +44,7 @@
 	if len(l.UpTo) != 1 || l.UpTo[0].Spent != 500 || l.UpTo[0].UpTo <= 500 {
 		t.Errorf("leased %+v, want more than the 500 that were spent before", l)
 	}
-	if spent, _ := b.State(0, worldAccount); spent != 0 {
+	if spent, _ := b.Usage(0, worldAccount); spent != 0 {
 		t.Errorf("%d count as spent now", spent)
 	}
 }
