--- a/box/box.go
+++ b/box/box.go
@@ -38,7 +38,7 @@
 	if k.Boxes, err = settings.ReadKey(s.KeyFile); err != nil {
 		return k, err
 	}
-	if s.Has(settings.RoleControl) {
+	if s.HasRole(settings.RoleControl) {
 		k.Operators, err = settings.ReadKey(s.OperatorKeyFile)
 	}
 	return k, err
@@ -105,16 +105,16 @@
 		Box:          s.ID,
 		Instance:     uint64(l),
 		Key:          keys.Boxes,
-		MaxBody:      s.Limits.BodyBytes,
-		BodyTimeout:  time.Duration(s.Limits.BodyTime),
-		MaxRequests:  s.Limits.Requests,
-		MaxHeldBytes: s.Limits.HeldBytes,
+		MaxBody:      s.Limits.MaxBodyBytes,
+		BodyTimeout:  time.Duration(s.Limits.BodyTimeout),
+		MaxRequests:  s.Limits.MaxRequests,
+		MaxHeldBytes: s.Limits.MaxHeldBytes,
 	}, schedulers, log)
 }
 
 func newBox(s settings.Box, e *entry.Entry, c *controlPart, log *zap.Logger) (*Box, error) {
 	b := &Box{settings: s, log: log, entry: e, control: c}
-	if !s.Has(settings.RoleEntry) {
+	if !s.HasRole(settings.RoleEntry) {
 		return b, nil
 	}
 	var err error
@@ -152,13 +152,13 @@
 
 // drain stops the callers' side first: its requests need the other side.
 func (b *Box) drain() error {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(b.settings.Drain.Bound))
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(b.settings.Drain.Timeout))
 	defer cancel()
 	b.log.Info("draining", zap.Int("requests", b.entry.InFlight()))
 	var err error
 	if b.callers != nil {
 		b.entry.StartDraining()
-		wait.For(ctx, time.Duration(b.settings.Drain.Notice))
+		wait.For(ctx, time.Duration(b.settings.Drain.ShutdownDelay))
 		err = b.callers.drain(ctx)
 	}
 	if b.control != nil {
--- a/box/control.go
+++ b/box/control.go
@@ -55,10 +55,10 @@
 // newControl opens the data folder and the address of a control box; nil if the
 // box is none.
 func newControl(s settings.Box, c catalog.Catalog, keys Keys, client *http.Client, clock event.Clock, log *zap.Logger) (*controlPart, error) {
-	if !s.Has(settings.RoleControl) {
+	if !s.HasRole(settings.RoleControl) {
 		return nil, nil
 	}
-	disk, identity, restored, err := store.Open(s.Data, s.ID, event.Incarnation(random.Number()))
+	disk, identity, restored, err := store.Open(s.DataDir, s.ID, event.Incarnation(random.Uint64()))
 	if err != nil {
 		return nil, err
 	}
--- a/box/slot.go
+++ b/box/slot.go
@@ -36,7 +36,7 @@
 		EndpointURL: "http://" + s.EndpointAddress,
 		Address:     s.Address,
 		Model:       s.Kind == catalog.KindModel,
-		MaxBody:     s.BodyBytes,
+		MaxBody:     s.MaxBodyBytes,
 	}, event.Incarnation(time.Now().UnixNano()), log)
 	l, err := listen(s.Listen, guard.Handler(key), log)
 	if err != nil {
@@ -69,7 +69,7 @@
 		return group.Wait()
 	}
 	s.log.Info("draining", zap.Int("held", s.slot.InFlight()))
-	bound, cancel := context.WithTimeout(context.Background(), time.Duration(s.settings.Drain.Bound))
+	bound, cancel := context.WithTimeout(context.Background(), time.Duration(s.settings.Drain.Timeout))
 	defer cancel()
 	err := s.slot.Drain(bound)
 	if other := s.server.drain(bound); err == nil {
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -82,8 +82,8 @@
 	Speed float64 `yaml:"speed" json:"speed"`
 	// DataCentre is where it stands.
 	DataCentre string `yaml:"data_centre" json:"data_centre"`
-	// Leaving endpoints get no new work.
-	Leaving bool `yaml:"leaving" json:"leaving,omitempty"`
+	// Draining endpoints get no new work.
+	Draining bool `yaml:"leaving" json:"leaving,omitempty"`
 }
 
 // Rule binds a team to a service. The rule that names more of both wins.
@@ -115,7 +115,7 @@
 		if speed == 0 {
 			speed = 1
 		}
-		q.Endpoints = append(q.Endpoints, event.Endpoint{ID: e.Name, Concurrency: e.Concurrency, Speed: speed, Draining: e.Leaving})
+		q.Endpoints = append(q.Endpoints, event.Endpoint{ID: e.Name, Concurrency: e.Concurrency, Speed: speed, Draining: e.Draining})
 	}
 	return q
 }
--- a/cluster/incoming.go
+++ b/cluster/incoming.go
@@ -28,9 +28,9 @@
 // serve serves one connection until it ends.
 func (s *Server) serve(c *link.Conn[message.Envelope]) {
 	in := &inboundConn{server: s, conn: c, id: s.lastConnection.Add(1)}
-	c.SetForms(in.peer.ServerEncodings())
+	c.SetEncodings(in.peer.ServerEncodings())
 	err := c.Serve(in.receive)
-	if errors.Is(err, link.ErrTooLong) || errors.Is(err, link.ErrBehind) {
+	if errors.Is(err, link.ErrTooLong) || errors.Is(err, link.ErrSlowPeer) {
 		// On other errors the peer sees the loss too, and reconnects.
 		s.log.Warn("closed a connection: message too long or peer too slow", zap.String("peer", c.Remote()), logx.Err(err))
 	}
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -93,7 +93,7 @@
 	conn, err := link.Dial[message.Envelope](remote.address)
 	var other message.Peer
 	if err == nil {
-		conn.SetForms(other.ClientEncodings())
+		conn.SetEncodings(other.ClientEncodings())
 		conn.Send(first.WithFormatVersion())
 	}
 	p.mu.Lock()
--- a/cluster/server.go
+++ b/cluster/server.go
@@ -81,7 +81,7 @@
 
 // Open opens a box's data folder and returns its server.
 func Open(c Config) (*Server, error) {
-	disk := event.Incarnation(random.Number())
+	disk := event.Incarnation(random.Uint64())
 	bootstraps := c.Bootstrap && slices.Contains(c.Seeds, c.OperatorAddress)
 	if bootstraps {
 		disk = initialIncarnation
@@ -107,7 +107,7 @@
 		calls:     make(map[CallID]chan Answer),
 		sessions:  make(map[SessionID]*link.Conn[message.Envelope]),
 	}
-	c.Settings.Seed = random.Number()
+	c.Settings.Seed = random.Uint64()
 	s.state, err = NewState(s.clock.Now(), identity.Member(), restored, c.Settings)
 	if err != nil {
 		return nil, err
--- a/cmd/lynxramp/do.go
+++ b/cmd/lynxramp/do.go
@@ -137,8 +137,8 @@
 		return err
 	}
 	expect := present.Version
-	if command.At != nil {
-		expect = *command.At
+	if command.CatalogVersion != nil {
+		expect = *command.CatalogVersion
 	}
 	return c.apply(ctx, rand.Text(), expect, changes)
 }
--- a/cmd/lynxramp/operate.go
+++ b/cmd/lynxramp/operate.go
@@ -164,7 +164,7 @@
 	}
 	for _, p := range s.Control {
 		if p.ID == s.ID {
-			if err := store.Recover(s.Data, event.BoxID(s.ID), p.Address); err != nil {
+			if err := store.Recover(s.DataDir, event.BoxID(s.ID), p.Address); err != nil {
 				return err
 			}
 			fmt.Println("this box is now the group's only voter; start it, then the others with empty data folders")
--- a/cmd/lynxramp/replay.go
+++ b/cmd/lynxramp/replay.go
@@ -22,7 +22,7 @@
 
 // Run implements the command.
 func (c *traceCommand) Run() error {
-	t, err := trace.Make(c.Deployment, c.Scenario, c.Seed)
+	t, err := trace.Generate(c.Deployment, c.Scenario, c.Seed)
 	if err != nil {
 		return err
 	}
@@ -52,7 +52,7 @@
 			r.Policy = p.Name
 			row(table, r)
 			if i == 0 {
-				for _, m := range r.Misses(t.Header.Outcomes) {
+				for _, m := range r.Violations(t.Header.Objectives) {
 					missed++
 					fmt.Fprintf(table, "%s\tMISSED\t%s\n", r.Trace, m)
 				}
@@ -74,7 +74,7 @@
 	for _, n := range r.SortedRanks() {
 		tiers += fmt.Sprintf("%.3f ", r.Ranks[n].Goodput())
 		refused += r.Ranks[n].Refused
-		late += r.Ranks[n].Late
+		late += r.Ranks[n].TimedOut
 	}
 	fmt.Fprintf(w, "%s\t%s\t%.3f\t%s\t%d\t%d\t%d\t%d\t%.3f\n", r.Trace, r.Policy, r.Goodput(), tiers, refused, late, r.Prefilled, r.Wasted(), r.WastedShare())
 }
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -105,14 +105,14 @@
 		Roles:      []settings.Role{settings.RoleEntry, settings.RoleControl},
 		Listen:     settings.Listen{Callers: callers, Boxes: boxes},
 		Control:    control,
-		Data:       data,
+		DataDir:       data,
 		Limits: settings.Limits{
-			BodyBytes: settings.DefaultBodyBytes,
-			HeldBytes: settings.DefaultHeldBytes,
-			Requests:  settings.DefaultRequests,
-			BodyTime:  catalog.Duration(settings.DefaultBodyTime),
+			MaxBodyBytes: settings.DefaultMaxBodyBytes,
+			MaxHeldBytes: settings.DefaultMaxHeldBytes,
+			MaxRequests:  settings.DefaultMaxRequests,
+			BodyTimeout:  catalog.Duration(settings.DefaultBodyTimeout),
 		},
-		Drain: settings.Drain{Bound: catalog.Duration(settings.DefaultDrainBound)},
+		Drain: settings.Drain{Timeout: catalog.Duration(settings.DefaultDrainTimeout)},
 	}
 }
 
@@ -157,8 +157,8 @@
 		Address:         slotAddress,
 		EndpointAddress: listener.Addr().String(),
 		Control:         control,
-		BodyBytes:       settings.DefaultBodyBytes,
-		Drain:           settings.Drain{Bound: catalog.Duration(settings.DefaultDrainBound)},
+		MaxBodyBytes:       settings.DefaultMaxBodyBytes,
+		Drain:           settings.Drain{Timeout: catalog.Duration(settings.DefaultDrainTimeout)},
 	}, key, log)
 	if err != nil {
 		return err
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -30,7 +30,7 @@
 )
 
 func runEntry(ctx context.Context, file string, f settings.Fleet, d Dialect, log *zap.Logger) error {
-	one := random.Number()
+	one := random.Uint64()
 	run, end := context.WithCancel(context.Background())
 	defer end()
 	agent := gateway.NewAgent(gateway.ClientConfig{
@@ -38,12 +38,12 @@
 		Instance:         one,
 		ControlAddresses: controlLinks(f),
 		Limits:           limits(f.Bounds),
-		ConfigValidity:   event.Duration(f.Bounds.Fresh),
+		ConfigValidity:   event.Duration(f.Bounds.ConfigValidity),
 		Decode:           d.Decode,
 		Log:              log,
 	})
 	g := gateway.New(gateway.Config{
-		Agent: agent, Headers: d.Names, ParseFeedback: d.Word, Log: log, Entry: f.ID, DataCentre: f.DataCentre, Instance: one,
+		Agent: agent, Headers: d.Headers, ParseFeedback: d.ParseFeedback, Log: log, Entry: f.ID, DataCentre: f.DataCentre, Instance: one,
 		MaxHeldBytes: int64(float64(f.Resources.MemoryMB<<20) * heldPart), Descriptors: f.Resources.Descriptors,
 	})
 	go agent.Run(run)
@@ -59,7 +59,7 @@
 	}
 	go watch(run, file, log, func(f settings.Fleet) { agent.AddControlBoxes(controlLinks(f)) })
 	<-ctx.Done()
-	return stopEntry(g, callers, time.Duration(f.Bounds.Stop), log)
+	return stopEntry(g, callers, time.Duration(f.Bounds.StopTimeout), log)
 }
 
 // callersServer returns the server of callers, who may rest for as long as idle says, on as
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -48,13 +48,13 @@
 
 // Dialect is how a deployment speaks to the boxes of a fleet.
 type Dialect struct {
-	Names gateway.HeaderNames
+	Headers gateway.HeaderNames
 	// Decode reads a configuration; its error has all findings.
 	Decode func([]byte) (*routing.Table, error)
-	// Word reads what an endpoint asks for in an answer; its error names what can't be read.
-	Word func(status int, h http.Header) (backpressure.Feedback, error)
-	// Operators serves operators and endpoints by a control box.
-	Operators func(*cluster.Server) http.Handler
+	// ParseFeedback reads what an endpoint asks for in an answer; its error names what can't be read.
+	ParseFeedback func(status int, h http.Header) (backpressure.Feedback, error)
+	// OperatorHandler serves operators and endpoints by a control box.
+	OperatorHandler func(*cluster.Server) http.Handler
 	// ReadyPath is where an entry is asked whether it is ready.
 	ReadyPath string
 	// MetricsPath is where figures are told.
@@ -77,7 +77,7 @@
 	limitMemory(f.Resources)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	log.Info("starts", zap.String("role", string(f.Role)), zap.Strings("seeds", f.Seeds), zap.Bool("found", f.Found),
+	log.Info("starts", zap.String("role", string(f.Role)), zap.Strings("seeds", f.Seeds), zap.Bool("found", f.Bootstrap),
 		zap.Bool("links_without_keys", f.Unprotected))
 	if f.Role == settings.RoleControl {
 		err = runControl(ctx, file, f, d, log)
@@ -143,13 +143,13 @@
 		LinkListenAddress: f.Listen.LinkBind,
 		OperatorAddress:   f.Listen.Operators,
 		Seeds:             f.Seeds,
-		Bootstrap:         f.Found,
-		DataDir:           f.Data,
+		Bootstrap:         f.Bootstrap,
+		DataDir:           f.DataDir,
 		Settings: cluster.Settings{
 			Limits:            limits(f.Bounds),
-			Members:           consensus.MembershipLimits{MaxVoters: 2*f.Bounds.Tolerated + 1, ReplaceAfter: deadAfter},
-			HeartbeatInterval: event.Duration(f.Bounds.Beat),
-			ConfigValidity:    event.Duration(f.Bounds.Fresh),
+			Members:           consensus.MembershipLimits{MaxVoters: 2*f.Bounds.ToleratedFailures + 1, ReplaceAfter: deadAfter},
+			HeartbeatInterval: event.Duration(f.Bounds.HeartbeatInterval),
+			ConfigValidity:    event.Duration(f.Bounds.ConfigValidity),
 			Decode:            d.Decode,
 		},
 		Log: log,
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	handler := withMetrics(d.Operators(server), d)
+	handler := withMetrics(d.OperatorHandler(server), d)
 	operators, err := serve(f.Listen.Operators, newServer(handler, idleTimeout))
 	if err != nil {
 		return err
@@ -185,7 +185,7 @@
 }
 
 func serve(address string, s *http.Server) (*http.Server, error) {
-	config := net.ListenConfig{KeepAliveConfig: link.Probing}
+	config := net.ListenConfig{KeepAliveConfig: link.KeepAlive}
 	l, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
--- a/gateway/agent.go
+++ b/gateway/agent.go
@@ -121,7 +121,7 @@
 			}
 		case <-ticker.C:
 			for id, c := range a.links {
-				a.client.SetReceivedBytes(id, c.Received())
+				a.client.SetReceivedBytes(id, c.BytesReceived())
 			}
 			a.client.Tick(a.clock.Now())
 		}
@@ -168,7 +168,7 @@
 	}
 	linkID := <-id
 	var owner message.Peer
-	conn.SetForms(owner.ClientEncodings())
+	conn.SetEncodings(owner.ClientEncodings())
 	err = conn.Serve(func(m *message.Envelope) {
 		formatVersion := owner.FormatVersion()
 		a.input <- func(now event.Time) {
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -46,9 +46,9 @@
 	if c.r.ContentLength == 0 {
 		return true
 	}
-	body := progress.Reader{Body: c.r.Body, Control: http.NewResponseController(c.w), Silence: c.gateway.bodyIdleTimeout, Until: time.Now().Add(c.remaining())}
+	body := progress.Reader{Body: c.r.Body, Control: http.NewResponseController(c.w), IdleTimeout: c.gateway.bodyIdleTimeout, Deadline: time.Now().Add(c.remaining())}
 	err := c.receiveBody(io.TeeReader(&body, printer), limit)
-	body.End()
+	body.ClearDeadline()
 	switch {
 	case err == nil:
 		return true
--- a/gateway/record.go
+++ b/gateway/record.go
@@ -90,7 +90,7 @@
 
 // logSuppressed logs how many lines were suppressed, and how many failed requests have no line at all.
 func (g *Gateway) logSuppressed() {
-	failed, sampled, unlogged, feedback := g.failedBudget.TakeLeftOut(), g.sampledBudget.TakeLeftOut(), g.briefBudget.TakeLeftOut(), g.feedbackBudget.TakeLeftOut()
+	failed, sampled, unlogged, feedback := g.failedBudget.TakeDropped(), g.sampledBudget.TakeDropped(), g.briefBudget.TakeDropped(), g.feedbackBudget.TakeDropped()
 	if failed+sampled+unlogged+feedback > 0 {
 		g.log.Info("log lines suppressed", zap.Uint64("of_failed", failed), zap.Uint64("of_others", sampled), zap.Uint64("failed_without_a_line", unlogged),
 			zap.Uint64("of_what_endpoints_ask", feedback))
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -118,7 +118,7 @@
 		_ = c.Close() // expired or closed by the endpoint
 	}
 	u.evictIdle()
-	dialer := net.Dialer{Timeout: connectTimeout, KeepAliveConfig: link.Probing}
+	dialer := net.Dialer{Timeout: connectTimeout, KeepAliveConfig: link.KeepAlive}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(errNotSent, err.Error())
--- a/internal/logx/budget.go
+++ b/internal/logx/budget.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Budget bounds how many lines of a kind are written. It is safe for concurrent
+// RateLimiter bounds how many lines of a kind are written. It is safe for concurrent
 // use.
-type Budget struct {
+type RateLimiter struct {
 	mu      sync.Mutex
 	rate    float64 // lines a second
 	most    float64
@@ -18,14 +18,14 @@
 	leftOut uint64
 }
 
-// NewBudget returns a budget of so many lines a second, and as many at once.
-func NewBudget(rate float64) *Budget {
-	return &Budget{rate: rate, most: rate, lines: rate}
+// NewRateLimiter returns a budget of so many lines a second, and as many at once.
+func NewRateLimiter(rate float64) *RateLimiter {
+	return &RateLimiter{rate: rate, most: rate, lines: rate}
 }
 
 // Allow reports whether so many lines may be written now; if not, they are counted
 // as left out.
-func (b *Budget) Allow(now time.Time, lines int) bool {
+func (b *RateLimiter) Allow(now time.Time, lines int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.filled.IsZero() {
@@ -40,8 +40,8 @@
 	return true
 }
 
-// TakeLeftOut returns how many lines were left out since it was last called.
-func (b *Budget) TakeLeftOut() uint64 {
+// TakeDropped returns how many lines were left out since it was last called.
+func (b *RateLimiter) TakeDropped() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := b.leftOut
--- a/internal/progress/reader.go
+++ b/internal/progress/reader.go
@@ -15,20 +15,20 @@
 type Reader struct {
 	Body    io.Reader
 	Control *http.ResponseController
-	Silence time.Duration
-	Until   time.Time // of the whole; zero is without a bound
+	IdleTimeout time.Duration
+	Deadline   time.Time // of the whole; zero is without a bound
 }
 
 // Read implements io.Reader.
 func (r *Reader) Read(p []byte) (int, error) {
-	until := time.Now().Add(r.Silence)
-	if !r.Until.IsZero() && r.Until.Before(until) {
-		until = r.Until
+	until := time.Now().Add(r.IdleTimeout)
+	if !r.Deadline.IsZero() && r.Deadline.Before(until) {
+		until = r.Deadline
 	}
 	// A connection that can't have a deadline is bounded by its sender's.
 	_ = r.Control.SetReadDeadline(until)
 	return r.Body.Read(p)
 }
 
-// End lets the connection rest without a deadline.
-func (r *Reader) End() { _ = r.Control.SetReadDeadline(time.Time{}) }
+// ClearDeadline lets the connection rest without a deadline.
+func (r *Reader) ClearDeadline() { _ = r.Control.SetReadDeadline(time.Time{}) }
--- a/internal/progress/reader_test.go
+++ b/internal/progress/reader_test.go
@@ -35,12 +35,12 @@
 			}
 			got := make(chan result, 1)
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				reader := Reader{Body: r.Body, Control: http.NewResponseController(w), Silence: silence}
+				reader := Reader{Body: r.Body, Control: http.NewResponseController(w), IdleTimeout: silence}
 				if c.bound > 0 {
-					reader.Until = time.Now().Add(c.bound)
+					reader.Deadline = time.Now().Add(c.bound)
 				}
 				data, err := io.ReadAll(&reader)
-				reader.End()
+				reader.ClearDeadline()
 				got <- result{len(data), err}
 			}))
 			defer s.Close()
--- a/internal/random/random.go
+++ b/internal/random/random.go
@@ -8,9 +8,9 @@
 	"encoding/binary"
 )
 
-// Number returns a number that is not 0 and, by all that is likely, no other process
+// Uint64 returns a number that is not 0 and, by all that is likely, no other process
 // ever draws.
-func Number() uint64 {
+func Uint64() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return binary.BigEndian.Uint64(b[:]) | 1
--- a/lang/command.go
+++ b/lang/command.go
@@ -33,7 +33,7 @@
 	if !ok {
 		return catalog.Change{}, errors.Errorf("there is no endpoint %q", name)
 	}
-	e.Leaving = leaves
+	e.Draining = leaves
 	return catalog.Change{Endpoint: &catalog.EndpointChange{Pool: pool, Endpoint: e}}, nil
 }
 
--- a/lang/lang.go
+++ b/lang/lang.go
@@ -44,8 +44,8 @@
 	Return *string  `parser:" | 'return' 'endpoint' @Word"`
 	Set    *Setting `parser:" | 'set' @@"`
 	Delete *Target  `parser:" | 'delete' @@ )"`
-	// At is the version that the command is meant for; nil for the present one.
-	At *uint64 `parser:"('at' @Number)?"`
+	// CatalogVersion is the version that the command is meant for; nil for the present one.
+	CatalogVersion *uint64 `parser:"('at' @Number)?"`
 }
 
 // Setting sets one property of one thing.
--- a/link/bounds_test.go
+++ b/link/bounds_test.go
@@ -67,7 +67,7 @@
 		}
 		break
 	}
-	endsBy(t, ended, ErrBehind)
+	endsBy(t, ended, ErrSlowPeer)
 	// One may be in the writer's hands, and one is taken when just as much waits as may.
 	if sent < most/size || sent > most/size+3 {
 		t.Errorf("the peer's connection ended with message %d, want about %d", sent, most/size)
--- a/link/conn.go
+++ b/link/conn.go
@@ -39,17 +39,17 @@
 // operators may send, 32 MB, with what else is in force. It is that of a store's record.
 const MaxMessage = 64 << 20
 
-// Probing finds connections that have fallen silent for good, without a reset, while nothing
+// KeepAlive finds connections that have fallen silent for good, without a reset, while nothing
 // that was sent on them awaits an acknowledgement: a peer that answers no probe for 3 s after
 // a second without a packet ends the connection. The system's own default is minutes, in
 // which a request on such a connection waits for an answer that can't come.
-var Probing = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
+var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
 
 // ErrClosed says that a connection was closed on this side.
 var ErrClosed = errors.New("the link is closed")
 
-// ErrBehind says that more waits for the peer than a connection holds.
-var ErrBehind = errors.New("the peer takes too little")
+// ErrSlowPeer says that more waits for the peer than a connection holds.
+var ErrSlowPeer = errors.New("the peer takes too little")
 
 // Sized is a message that knows about how long it is, in bytes, when it is sent. It is asked
 // once a connection, so it must be cheap; parts of fixed size needn't be counted. Others
@@ -70,7 +70,7 @@
 	reason  error // of the end, before done is closed
 
 	maxMessage, maxWaiting int64 // bytes
-	forms                  Forms[M]
+	forms                  Encodings[M]
 }
 
 // queued is a message that waits for the writer.
@@ -84,7 +84,7 @@
 
 // Dial connects to an address (IP:port).
 func Dial[M any](address string) (*Conn[M], error) {
-	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: Probing}
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: KeepAlive}
 	raw, err := dialer.Dial("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "link")
@@ -98,12 +98,12 @@
 		raw: raw, flow: flow{raw: raw, patience: silence},
 		queue: make(chan queued[M], queueDepth), done: make(chan struct{}),
 		maxMessage: MaxMessage, maxWaiting: queueBytes,
-		forms: Forms[M]{}.orUsual(),
+		forms: Encodings[M]{}.orUsual(),
 	}
 }
 
-// SetForms says how messages look on the connection. It must be called before Serve.
-func (c *Conn[M]) SetForms(f Forms[M]) { c.forms = f.orUsual() }
+// SetEncodings says how messages look on the connection. It must be called before Serve.
+func (c *Conn[M]) SetEncodings(f Encodings[M]) { c.forms = f.orUsual() }
 
 // SetUserTimeout bounds how long, in milliseconds, sent bytes may stay
 // unacknowledged on a TCP connection. Other connections are left as they are.
@@ -125,16 +125,16 @@
 // Remote returns the peer's address.
 func (c *Conn[M]) Remote() string { return c.raw.RemoteAddr().String() }
 
-// Received returns how many bytes have come on the connection. Any goroutine may call it,
+// BytesReceived returns how many bytes have come on the connection. Any goroutine may call it,
 // also after the connection's end.
-func (c *Conn[M]) Received() int64 { return c.flow.received.Load() }
+func (c *Conn[M]) BytesReceived() int64 { return c.flow.received.Load() }
 
 // Sent returns how many bytes the system has taken from the connection's writer; the peer
 // need not have them. Any goroutine may call it, also after the connection's end.
 func (c *Conn[M]) Sent() int64 { return c.flow.sent.Load() }
 
 // Send queues a message. It never waits; a peer for which too much waits loses the
-// connection, as does one for which a message is too long: Serve returns ErrBehind or
+// connection, as does one for which a message is too long: Serve returns ErrSlowPeer or
 // ErrTooLong. The message must not be changed afterwards.
 func (c *Conn[M]) Send(m *M) {
 	size := sizeOf(m)
@@ -144,14 +144,14 @@
 	}
 	// What waits before it counts, not the message: a long one may leave when little waits.
 	if waits := c.waiting.Add(size) - size; waits > c.maxWaiting {
-		c.end(errors.Wrapf(ErrBehind, "%d bytes wait", waits))
+		c.end(errors.Wrapf(ErrSlowPeer, "%d bytes wait", waits))
 		return
 	}
 	select {
 	case <-c.done:
 	case c.queue <- queued[M]{m, size}:
 	default:
-		c.end(errors.Wrapf(ErrBehind, "%d messages wait", queueDepth))
+		c.end(errors.Wrapf(ErrSlowPeer, "%d messages wait", queueDepth))
 	}
 }
 
@@ -235,7 +235,7 @@
 // Listen accepts connections at an address and calls serve for each, on a
 // goroutine of its own, until the listener is closed.
 func Listen[M any](address string, serve func(*Conn[M])) (net.Listener, error) {
-	config := net.ListenConfig{KeepAliveConfig: Probing}
+	config := net.ListenConfig{KeepAliveConfig: KeepAlive}
 	l, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "link")
--- a/link/flow_test.go
+++ b/link/flow_test.go
@@ -33,7 +33,7 @@
 	if _, err := far.Write(part); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(time.Second); c.Received() < int64(len(part)) && time.Now().Before(end); {
+	for end := time.Now().Add(time.Second); c.BytesReceived() < int64(len(part)) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	// A write is counted when it has returned: when the rest of the message is read too.
@@ -46,7 +46,7 @@
 	if c.Sent() < size || c.Sent() > size+1000 {
 		t.Errorf("%d bytes are counted as sent, want %d and a little", c.Sent(), size)
 	}
-	if c.Received() != int64(len(part)) {
-		t.Errorf("%d bytes are counted as received, want %d", c.Received(), len(part))
+	if c.BytesReceived() != int64(len(part)) {
+		t.Errorf("%d bytes are counted as received, want %d", c.BytesReceived(), len(part))
 	}
 }
--- a/link/forms.go
+++ b/link/forms.go
@@ -7,9 +7,9 @@
 	"io"
 )
 
-// Forms says how messages look on a connection, where a peer may be of another build. The zero
+// Encodings says how messages look on a connection, where a peer may be of another build. The zero
 // value is for peers of the same build.
-type Forms[M any] struct {
+type Encodings[M any] struct {
 	// Frame returns what is encoded for a message: a value with a field Message that is a pointer,
 	// nil where the message is. It is called by the connection's writer.
 	Frame func(*M) any
@@ -21,7 +21,7 @@
 // Reader reads the next message; nil if it is an empty one.
 type Reader[M any] func(*gob.Decoder) (*M, error)
 
-func (f Forms[M]) orUsual() Forms[M] {
+func (f Encodings[M]) orUsual() Encodings[M] {
 	if f.Frame == nil {
 		f.Frame = func(m *M) any { return frame[M]{m} }
 	}
--- a/link/probing_test.go
+++ b/link/probing_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dialer := net.Dialer{KeepAliveConfig: Probing}
+	dialer := net.Dialer{KeepAliveConfig: KeepAlive}
 	near, err := dialer.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/message/forms.go
+++ b/message/forms.go
@@ -62,16 +62,16 @@
 }
 
 // ClientEncodings returns the encodings of a connection that this box opened to a control box.
-func (p *Peer) ClientEncodings() link.Forms[Envelope] {
-	return link.Forms[Envelope]{Frame: frameToControl, Reader: p.readerOf(readListed)}
+func (p *Peer) ClientEncodings() link.Encodings[Envelope] {
+	return link.Encodings[Envelope]{Frame: frameToControl, Reader: p.readerOf(readListed)}
 }
 
 // ServerEncodings returns the encodings of a connection that another box opened to this control box.
-func (p *Peer) ServerEncodings() link.Forms[Envelope] {
-	return link.Forms[Envelope]{Frame: p.frameReply, Reader: p.readerOf(readToControl)}
+func (p *Peer) ServerEncodings() link.Encodings[Envelope] {
+	return link.Encodings[Envelope]{Frame: p.frameReply, Reader: p.readerOf(readToControl)}
 }
 
-// readerOf returns a link.Forms.Reader. It reads with older what a peer below level.Compressed sends, whose
+// readerOf returns a link.Encodings.Reader. It reads with older what a peer below level.Compressed sends, whose
 // View has other types.
 func (p *Peer) readerOf(older link.Reader[Envelope]) func([]byte) link.Reader[Envelope] {
 	return func(definitions []byte) link.Reader[Envelope] {
--- a/message/forms_test.go
+++ b/message/forms_test.go
@@ -27,7 +27,7 @@
 }
 
 // replay serves a connection on which a peer sends recorded bytes, and returns the messages received.
-func replay(t *testing.T, file string, forms link.Forms[Envelope]) []*Envelope {
+func replay(t *testing.T, file string, forms link.Encodings[Envelope]) []*Envelope {
 	t.Helper()
 	data, err := os.ReadFile("testdata/" + file)
 	if err != nil {
@@ -38,11 +38,11 @@
 	return list
 }
 
-func serveBytes(t testing.TB, data []byte, forms link.Forms[Envelope], receive func(*Envelope)) {
+func serveBytes(t testing.TB, data []byte, forms link.Encodings[Envelope], receive func(*Envelope)) {
 	t.Helper()
 	served := make(chan struct{})
 	l, err := link.Listen("127.0.0.1:0", func(c *link.Conn[Envelope]) {
-		c.SetForms(forms)
+		c.SetEncodings(forms)
 		_ = c.Serve(receive) // returns at the end of the bytes
 		close(served)
 	})
@@ -218,7 +218,7 @@
 	}
 	f.Add([]byte{0xfc, 0x7f, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		for _, forms := range []link.Forms[Envelope]{(&Peer{}).ServerEncodings(), (&Peer{}).ClientEncodings()} {
+		for _, forms := range []link.Encodings[Envelope]{(&Peer{}).ServerEncodings(), (&Peer{}).ClientEncodings()} {
 			serveBytes(t, data, forms, func(m *Envelope) {
 				if m.Consensus != nil {
 					m.Consensus.Valid()
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -20,8 +20,8 @@
 	last event.Time
 }
 
-// Add takes note that tokens came a span after the one before in their stream.
-func (m *Meter) Add(now event.Time, tokens int, span event.Duration) {
+// Observe takes note that tokens came a span after the one before in their stream.
+func (m *Meter) Observe(now event.Time, tokens int, span event.Duration) {
 	if tokens < 1 || span <= 0 {
 		return
 	}
@@ -34,8 +34,8 @@
 	m.last = now
 }
 
-// Gap returns the mean time between tokens; 0 if it is not known.
-func (m *Meter) Gap(now event.Time) event.Duration {
+// TokenGap returns the mean time between tokens; 0 if it is not known.
+func (m *Meter) TokenGap(now event.Time) event.Duration {
 	if m.gap == 0 || now.Sub(m.last) > Stale {
 		return 0
 	}
--- a/proc/failure_test.go
+++ b/proc/failure_test.go
@@ -403,7 +403,7 @@
 	l := c.startLoad(10, 4, 0, 1)
 	l.more(20)
 	leaving := catalog.EndpointChange{Pool: "chef", Endpoint: catalog.Endpoint{
-		Name: "chef-0", Concurrency: 16, Speed: 4, Leaving: true,
+		Name: "chef-0", Concurrency: 16, Speed: 4, Draining: true,
 	}}
 	c.apply("drain", c.show(0).Version, catalog.Change{Endpoint: &leaving})
 	accepted := time.Now()
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -25,7 +25,7 @@
 				t.Fatal(err)
 			}
 			r := Run(recorded, Policies[0].New)
-			for _, m := range r.Misses(recorded.Header.Outcomes) {
+			for _, m := range r.Violations(recorded.Header.Objectives) {
 				t.Error(m)
 			}
 		})
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	for _, p := range Policies[1:] {
-		if r := Run(recorded, p.New); len(r.Misses(recorded.Header.Outcomes)) == 0 {
+		if r := Run(recorded, p.New); len(r.Violations(recorded.Header.Objectives)) == 0 {
 			t.Errorf("%s reaches the stated outcomes", p.Name)
 		}
 	}
@@ -48,7 +48,7 @@
 
 // TestReplayRepeats checks that a replay gives the same result each time.
 func TestReplayRepeats(t *testing.T) {
-	recorded, err := trace.Make("tbilisi", "mix", 4)
+	recorded, err := trace.Generate("tbilisi", "mix", 4)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/replay/result.go
+++ b/replay/result.go
@@ -13,7 +13,7 @@
 type RankResult struct {
 	Offered int
 	InTime  int // answered whole before the caller's deadline
-	Late    int // the caller hung up
+	TimedOut    int // the caller hung up
 	Refused int
 }
 
@@ -73,8 +73,8 @@
 	return ranks
 }
 
-// Misses returns what falls short of the stated outcomes, a line each.
-func (r Result) Misses(want trace.Outcomes) []string {
+// Violations returns what falls short of the stated outcomes, a line each.
+func (r Result) Violations(want trace.Outcomes) []string {
 	var misses []string
 	for _, n := range r.SortedRanks() {
 		if least, ok := want.Goodput[n]; ok && r.Ranks[n].Goodput() < least {
--- a/replay/run.go
+++ b/replay/run.go
@@ -206,7 +206,7 @@
 	for _, o := range s.model.Advance(r.now, nil) {
 		q := r.requests[event.RequestID(o.ID)]
 		if q.last != 0 {
-			s.meter.Add(r.now, 1, r.now.Sub(q.last))
+			s.meter.Observe(r.now, 1, r.now.Sub(q.last))
 		}
 		q.last = r.now
 		if o.Done {
@@ -237,7 +237,7 @@
 		return
 	}
 	r.end(q)
-	r.result.rank(q.Rank).Late++
+	r.result.rank(q.Rank).TimedOut++
 	s := q.endpoint
 	if s == nil {
 		r.later(hop, func() { r.tell(&event.Withdrawn{Entry: entry, ID: q.ticket.ID, Pool: r.pool.Name}) })
@@ -284,7 +284,7 @@
 	}
 	rep := event.Report{
 		Endpoint: s.id, Pool: r.pool.Name, Address: string(s.id), Incarnation: 1, Draining: s.leaving,
-		QueueLength: s.loads[0].waiting, LoadAge: r.now.Sub(s.loads[0].at), TokenGap: s.meter.Gap(r.now),
+		QueueLength: s.loads[0].waiting, LoadAge: r.now.Sub(s.loads[0].at), TokenGap: s.meter.TokenGap(r.now),
 	}
 	for id := range s.running {
 		rep.Running = append(rep.Running, id.Dispatch(0))
--- a/settings/box.go
+++ b/settings/box.go
@@ -44,8 +44,8 @@
 	// Platform is the URL (http://IP:port/path) of the platform's list of boxes;
 	// empty if there is none.
 	Platform string `yaml:"platform"`
-	// Data is the folder of a control box's state.
-	Data string `yaml:"data"`
+	// DataDir is the folder of a control box's state.
+	DataDir string `yaml:"data"`
 	// Catalog is the file of the catalog that a new control group begins with.
 	Catalog string `yaml:"catalog"`
 	Limits  Limits `yaml:"limits"`
@@ -67,20 +67,20 @@
 
 // Limits bounds what an entry holds; 0 stands for the default.
 type Limits struct {
-	BodyBytes int64 `yaml:"body_bytes"`
-	HeldBytes int64 `yaml:"held_bytes"`
-	Requests  int   `yaml:"requests"`
-	// BodyTime is how long a caller may take to send a body.
-	BodyTime catalog.Duration `yaml:"body_time"`
+	MaxBodyBytes int64 `yaml:"body_bytes"`
+	MaxHeldBytes int64 `yaml:"held_bytes"`
+	MaxRequests  int   `yaml:"requests"`
+	// BodyTimeout is how long a caller may take to send a body.
+	BodyTimeout catalog.Duration `yaml:"body_time"`
 }
 
 // Drain says how a planned stop goes.
 type Drain struct {
-	// Notice is how long a stopping entry still takes requests after /readyz
+	// ShutdownDelay is how long a stopping entry still takes requests after /readyz
 	// said no.
-	Notice catalog.Duration `yaml:"notice"`
-	// Bound is how long requests in flight may go on.
-	Bound catalog.Duration `yaml:"bound"`
+	ShutdownDelay catalog.Duration `yaml:"notice"`
+	// Timeout is how long requests in flight may go on.
+	Timeout catalog.Duration `yaml:"bound"`
 }
 
 // Log says what is logged.
@@ -102,19 +102,19 @@
 	EndpointAddress string `yaml:"endpoint_address"`
 	Control         []Peer `yaml:"control"`
 	KeyFile         string `yaml:"key_file"`
-	BodyBytes       int64  `yaml:"body_bytes"`
+	MaxBodyBytes       int64  `yaml:"body_bytes"`
 	Drain           Drain  `yaml:"drain"`
 	Log             Log    `yaml:"log"`
 }
 
 // Defaults of what a file leaves out.
 const (
-	DefaultBodyBytes   = 4 << 20
-	DefaultHeldBytes   = 1 << 30
-	DefaultRequests    = 50_000
-	DefaultBodyTime    = 30 * time.Second
+	DefaultMaxBodyBytes   = 4 << 20
+	DefaultMaxHeldBytes   = 1 << 30
+	DefaultMaxRequests    = 50_000
+	DefaultBodyTimeout    = 30 * time.Second
 	DefaultDrainNotice = 2 * time.Second
-	DefaultDrainBound  = 5 * time.Minute
+	DefaultDrainTimeout  = 5 * time.Minute
 	defaultLevel       = "info"
 )
 
@@ -149,7 +149,7 @@
 	}
 	b.KeyFile = beside(file, b.KeyFile)
 	b.OperatorKeyFile = beside(file, b.OperatorKeyFile)
-	b.Data = beside(file, b.Data)
+	b.DataDir = beside(file, b.DataDir)
 	b.setDefaults()
 	return b, c, d.findings.orNil()
 }
@@ -266,12 +266,12 @@
 			d.addAt(at("roles", i), "%q is neither %q nor %q", r, RoleEntry, RoleControl)
 		}
 	}
-	if b.Has(RoleEntry) {
+	if b.HasRole(RoleEntry) {
 		d.address("listen.callers", b.Listen.Callers)
 	}
-	if b.Has(RoleControl) {
+	if b.HasRole(RoleControl) {
 		d.require("catalog", b.Catalog)
-		d.require("data", b.Data)
+		d.require("data", b.DataDir)
 		d.require("operator_key_file", b.OperatorKeyFile)
 		d.address("listen.boxes", b.Listen.Boxes)
 		if !slices.ContainsFunc(b.Control, func(p Peer) bool { return p.ID == b.ID }) {
@@ -299,8 +299,8 @@
 		d.address("address", s.Address)
 	}
 	d.peers(s.Control)
-	if s.BodyBytes < 0 {
-		d.addAt("body_bytes", "%d is negative", s.BodyBytes)
+	if s.MaxBodyBytes < 0 {
+		d.addAt("body_bytes", "%d is negative", s.MaxBodyBytes)
 	}
 	d.checkDrain(s.Drain)
 	d.checkLog(s.Log)
@@ -316,8 +316,8 @@
 			need += e.Concurrency
 		}
 	}
-	if b.Limits.Requests > 0 && b.Limits.Requests < need {
-		d.addAt("limits.requests", "%d is less than the %d that the pools may hold; tiers would not be regarded", b.Limits.Requests, need)
+	if b.Limits.MaxRequests > 0 && b.Limits.MaxRequests < need {
+		d.addAt("limits.requests", "%d is less than the %d that the pools may hold; tiers would not be regarded", b.Limits.MaxRequests, need)
 	}
 }
 
@@ -364,13 +364,13 @@
 }
 
 func (d *decoder) checkLimits(l Limits) {
-	if l.BodyBytes < 0 || l.HeldBytes < 0 || l.Requests < 0 || l.BodyTime < 0 {
+	if l.MaxBodyBytes < 0 || l.MaxHeldBytes < 0 || l.MaxRequests < 0 || l.BodyTimeout < 0 {
 		d.addAt("limits", "a limit is negative")
 	}
 }
 
 func (d *decoder) checkDrain(r Drain) {
-	if r.Notice < 0 || r.Bound < 0 {
+	if r.ShutdownDelay < 0 || r.Timeout < 0 {
 		d.addAt("drain", "a time is negative")
 	}
 }
@@ -382,28 +382,28 @@
 }
 
 func (b *Box) setDefaults() {
-	b.Limits.BodyBytes = orDefault(b.Limits.BodyBytes, DefaultBodyBytes)
-	b.Limits.HeldBytes = orDefault(b.Limits.HeldBytes, DefaultHeldBytes)
-	b.Limits.Requests = orDefault(b.Limits.Requests, DefaultRequests)
-	b.Limits.BodyTime = orDefault(b.Limits.BodyTime, catalog.Duration(DefaultBodyTime))
+	b.Limits.MaxBodyBytes = orDefault(b.Limits.MaxBodyBytes, DefaultMaxBodyBytes)
+	b.Limits.MaxHeldBytes = orDefault(b.Limits.MaxHeldBytes, DefaultMaxHeldBytes)
+	b.Limits.MaxRequests = orDefault(b.Limits.MaxRequests, DefaultMaxRequests)
+	b.Limits.BodyTimeout = orDefault(b.Limits.BodyTimeout, catalog.Duration(DefaultBodyTimeout))
 	b.Drain.setDefaults()
 	b.Log.Level = orDefault(b.Log.Level, defaultLevel)
 }
 
 func (s *Slot) setDefaults() {
 	s.Address = orDefault(s.Address, s.Listen)
-	s.BodyBytes = orDefault(s.BodyBytes, DefaultBodyBytes)
+	s.MaxBodyBytes = orDefault(s.MaxBodyBytes, DefaultMaxBodyBytes)
 	s.Drain.setDefaults()
 	s.Log.Level = orDefault(s.Log.Level, defaultLevel)
 }
 
 func (r *Drain) setDefaults() {
-	r.Notice = orDefault(r.Notice, catalog.Duration(DefaultDrainNotice))
-	r.Bound = orDefault(r.Bound, catalog.Duration(DefaultDrainBound))
+	r.ShutdownDelay = orDefault(r.ShutdownDelay, catalog.Duration(DefaultDrainNotice))
+	r.Timeout = orDefault(r.Timeout, catalog.Duration(DefaultDrainTimeout))
 }
 
-// Has reports whether the box plays a role.
-func (b Box) Has(r Role) bool { return slices.Contains(b.Roles, r) }
+// HasRole reports whether the box plays a role.
+func (b Box) HasRole(r Role) bool { return slices.Contains(b.Roles, r) }
 
 // ReadKey returns the shared key in a file.
 func ReadKey(file string) (string, error) {
--- a/settings/fleet.go
+++ b/settings/fleet.go
@@ -18,12 +18,12 @@
 	Listen     FleetListen `yaml:"listen"`
 	// Seeds are operators' addresses (IP:port) of control boxes, perhaps old ones.
 	Seeds []string `yaml:"seeds"`
-	// Found says that the seeds found the control group, on empty disks.
-	Found bool `yaml:"found"`
+	// Bootstrap says that the seeds found the control group, on empty disks.
+	Bootstrap bool `yaml:"found"`
 	// Unprotected says that links between boxes carry no key. It must be set: a
 	// fleet without keys is run on purpose or not at all.
 	Unprotected bool           `yaml:"unprotected"`
-	Data        string         `yaml:"data"`
+	DataDir        string         `yaml:"data"`
 	Resources   FleetResources `yaml:"resources"`
 	Bounds      FleetBounds    `yaml:"bounds"`
 	Log         Log            `yaml:"log"`
@@ -48,15 +48,15 @@
 
 // FleetBounds are what the deployment promises.
 type FleetBounds struct {
-	// Tolerated is how many control boxes may be lost at once.
-	Tolerated int `yaml:"tolerated"`
-	// Beat is the rhythm in which endpoints tell of themselves.
-	Beat catalog.Duration `yaml:"beat"`
-	// Stop is how long a planned stop may take.
-	Stop catalog.Duration `yaml:"stop"`
-	// Fresh is how long an entry may serve without knowing that its configuration
+	// ToleratedFailures is how many control boxes may be lost at once.
+	ToleratedFailures int `yaml:"tolerated"`
+	// HeartbeatInterval is the rhythm in which endpoints tell of themselves.
+	HeartbeatInterval catalog.Duration `yaml:"beat"`
+	// StopTimeout is how long a planned stop may take.
+	StopTimeout catalog.Duration `yaml:"stop"`
+	// ConfigValidity is how long an entry may serve without knowing that its configuration
 	// is the newest.
-	Fresh       catalog.Duration `yaml:"fresh"`
+	ConfigValidity       catalog.Duration `yaml:"fresh"`
 	QuotaWindow catalog.Duration `yaml:"quota_window"`
 	// A quota may be overrun by QuotaOvershoot of it and QuotaSlack on top.
 	QuotaOvershoot float64          `yaml:"quota_overshoot"`
@@ -107,7 +107,7 @@
 		d.address("listen.readiness", f.Listen.Readiness)
 	case RoleControl:
 		d.address("listen.operators", f.Listen.Operators)
-		d.require("data", f.Data)
+		d.require("data", f.DataDir)
 	default:
 		d.addAt("role", "%q is neither %q nor %q", f.Role, RoleEntry, RoleControl)
 	}
@@ -129,8 +129,8 @@
 }
 
 func (d *decoder) checkFleetBounds(b FleetBounds) {
-	if b.Tolerated < 0 {
-		d.addAt("bounds.tolerated", "%d is negative", b.Tolerated)
+	if b.ToleratedFailures < 0 {
+		d.addAt("bounds.tolerated", "%d is negative", b.ToleratedFailures)
 	}
 	switch b.Placement {
 	case "", PlacementForecast, PlacementLeastOutstanding:
@@ -144,7 +144,7 @@
 		d.addAt("bounds.quota_overshoot", "a quota's overshoot and slack are not negative")
 	}
 	for path, value := range map[string]catalog.Duration{
-		"bounds.beat": b.Beat, "bounds.stop": b.Stop, "bounds.fresh": b.Fresh,
+		"bounds.beat": b.HeartbeatInterval, "bounds.stop": b.StopTimeout, "bounds.fresh": b.ConfigValidity,
 		"bounds.quota_window": b.QuotaWindow, "bounds.retry_window": b.RetryWindow,
 	} {
 		if value < 0 {
@@ -156,9 +156,9 @@
 func (f *Fleet) setDefaults() {
 	f.Log.Level = orDefault(f.Log.Level, defaultLevel)
 	b := &f.Bounds
-	b.Beat = orDefault(b.Beat, catalog.Duration(defaultBeat))
-	b.Stop = orDefault(b.Stop, catalog.Duration(defaultStop))
-	b.Fresh = orDefault(b.Fresh, catalog.Duration(defaultFresh))
+	b.HeartbeatInterval = orDefault(b.HeartbeatInterval, catalog.Duration(defaultBeat))
+	b.StopTimeout = orDefault(b.StopTimeout, catalog.Duration(defaultStop))
+	b.ConfigValidity = orDefault(b.ConfigValidity, catalog.Duration(defaultFresh))
 	b.QuotaWindow = orDefault(b.QuotaWindow, catalog.Duration(defaultWindow))
 	b.RetryWindow = orDefault(b.RetryWindow, catalog.Duration(defaultWindow))
 }
--- a/settings/fleet_test.go
+++ b/settings/fleet_test.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if time.Duration(f.Bounds.QuotaWindow) != 8*time.Second || time.Duration(f.Bounds.Fresh) != defaultFresh {
+	if time.Duration(f.Bounds.QuotaWindow) != 8*time.Second || time.Duration(f.Bounds.ConfigValidity) != defaultFresh {
 		t.Errorf("bounds %+v", f.Bounds)
 	}
 	if kind, err := Check(file); kind != KindFleet || err != nil {
--- a/slot/slot.go
+++ b/slot/slot.go
@@ -101,7 +101,7 @@
 func (s *Slot) recordTokens(now event.Time, tokens int, span event.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.meter.Add(now, tokens, span)
+	s.meter.Observe(now, tokens, span)
 }
 
 // endRun ends a run. The id of a request that never reached the endpoint is made void
@@ -231,7 +231,7 @@
 	r.QueueLength, r.LoadAge, r.Down = s.load.read(s.clock.Now())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r.TokenGap = s.meter.Gap(s.clock.Now())
+	r.TokenGap = s.meter.TokenGap(s.clock.Now())
 	r.Draining = s.guard.IsDraining()
 	for id, u := range s.runs {
 		if !u.buffer.Ended() {
--- a/trace/make.go
+++ b/trace/make.go
@@ -91,8 +91,8 @@
 	},
 }
 
-// Make returns a trace of a deployment's workload under a scenario.
-func Make(deployment, scenario string, seed uint64) (Trace, error) {
+// Generate returns a trace of a deployment's workload under a scenario.
+func Generate(deployment, scenario string, seed uint64) (Trace, error) {
 	w, ok := workloads[deployment]
 	if !ok {
 		return Trace{}, errors.Errorf("no deployment %q", deployment)
@@ -101,7 +101,7 @@
 		Name: fmt.Sprintf("%s-%s-%d", deployment, scenario, seed), Pool: w.pool,
 		MaxWaiting: maxWaiting, LoadLagMillis: loadLagMillis, PrefillWeight: w.prefillWeight,
 	}}
-	t.Header.Outcomes = statedOutcomes[deployment+"-"+scenario]
+	t.Header.Objectives = statedOutcomes[deployment+"-"+scenario]
 	for i := range replicas {
 		t.Header.Endpoints = append(t.Header.Endpoints, Endpoint{
 			Name: fmt.Sprintf("%s-%02d", w.pool, i), Speed: w.speeds[i%len(w.speeds)],
