--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -27,10 +27,10 @@
 	return t
 }
 
-// recordedAllocator is an owner's Allocator whose records are committed at once.
-type recordedAllocator struct{ *budget.Allocator }
+// committingAllocator is an owner's Allocator whose records are committed at once.
+type committingAllocator struct{ *budget.Allocator }
 
-func (b recordedAllocator) Spend(now event.Time, entry event.BoxID, a budget.Account, amount int) bool {
+func (b committingAllocator) Spend(now event.Time, entry event.BoxID, a budget.Account, amount int) bool {
 	if b.Allocator.Spend(now, entry, a, amount) {
 		return true
 	}
@@ -44,7 +44,7 @@
 
 // newTestState returns a State with one endpoint that has a large capacity.
 func newTestState(now event.Time) *State {
-	s := New(testLimits, 1, recordedAllocator{budget.NewAllocator(now, 5*event.Second)}, emptyPoisonTracker())
+	s := New(testLimits, 1, committingAllocator{budget.NewAllocator(now, 5*event.Second)}, emptyPoisonTracker())
 	s.SetTable(now, testTable())
 	var out event.Effects
 	s.SetEndpoint(now, message.Endpoint{Endpoint: registry.Endpoint{ID: "e", Service: "s", Address: "10.0.0.1:80", Slots: 1 << 20, Sequence: 1}}, &out)
--- a/admission/poison.go
+++ b/admission/poison.go
@@ -29,9 +29,9 @@
 	case verdict == poison.Wait && len(s.held) < maxHeld:
 		s.held = append(s.held, deferredRequest{entry: entry, submission: *m, queuedAt: now, until: now.Add(max(remainingQueueTimeout(t), recordTimeout))})
 	case verdict == poison.Wait:
-		s.refuseHeld(entry, t.ID, heldRetryAfter, out)
+		s.refusePoison(entry, t.ID, heldRetryAfter, out)
 	default:
-		s.refuseHeld(entry, t.ID, wait, out)
+		s.refusePoison(entry, t.ID, wait, out)
 	}
 	return false
 }
@@ -41,7 +41,7 @@
 	return s.poison.Check(now, &poison.Call{Fingerprint: m.Print, Entry: entry, Request: t.ID, Attempt: t.Attempt, Remaining: t.Deadline})
 }
 
-func (s *State) refuseHeld(entry event.BoxID, id event.RequestID, after event.Duration, out *event.Effects) {
+func (s *State) refusePoison(entry event.BoxID, id event.RequestID, after event.Duration, out *event.Effects) {
 	s.poison.RecordUnsent(id)
 	out.Refusals = append(out.Refusals, event.Refused{Entry: entry, ID: id, Reason: event.ReasonPoison, RetryAfter: after})
 }
@@ -114,7 +114,7 @@
 	s.held = nil
 	for _, p := range held {
 		if now >= p.until {
-			s.refuseHeld(p.entry, p.submission.Ticket.ID, heldRetryAfter, out)
+			s.refusePoison(p.entry, p.submission.Ticket.ID, heldRetryAfter, out)
 			continue
 		}
 		m := afterWait(&p.submission, now.Sub(p.queuedAt))
@@ -125,7 +125,7 @@
 		case poison.Wait:
 			s.held = append(s.held, p)
 		default:
-			s.refuseHeld(p.entry, m.Ticket.ID, wait, out)
+			s.refusePoison(p.entry, m.Ticket.ID, wait, out)
 		}
 	}
 }
--- a/admission/poison_test.go
+++ b/admission/poison_test.go
@@ -28,7 +28,7 @@
 func newPoisonRig(t *testing.T, endpoints, slots int) *poisonRig {
 	r := &poisonRig{t: t, now: event.Time(event.Second)}
 	r.tracker = poison.NewTracker(r.now, &r.ledger)
-	r.State = New(testLimits, 1, recordedAllocator{budget.NewAllocator(r.now, 5*event.Second)}, r.tracker)
+	r.State = New(testLimits, 1, committingAllocator{budget.NewAllocator(r.now, 5*event.Second)}, r.tracker)
 	r.SetTable(r.now, testTable())
 	for i := range endpoints {
 		r.SetEndpoint(r.now, message.Endpoint{Endpoint: registry.Endpoint{
--- a/admission/size_test.go
+++ b/admission/size_test.go
@@ -29,7 +29,7 @@
 	var past budget.Ledger
 	past.Apply(budget.Record{})
 	past.MarkReceived(0)
-	return New(testLimits, 1, recordedAllocator{budget.RestoreAllocator(0, 5*event.Second, &past)}, emptyPoisonTracker())
+	return New(testLimits, 1, committingAllocator{budget.RestoreAllocator(0, 5*event.Second, &past)}, emptyPoisonTracker())
 }
 
 // maxTableTime is the longest that an owner may take to apply a new configuration, which blocks its
--- a/backpressure/backpressure_test.go
+++ b/backpressure/backpressure_test.go
@@ -12,9 +12,9 @@
 
 func limitOf(rate float64) Feedback { return Feedback{Limited: true, Rate: rate} }
 
-// TestEarlierRequestEndsNoLimit: a response without a limit, to a request sent before the limit was received, must
+// TestResponseToEarlierRequestLiftsNoLimit: a response without a limit, to a request sent before the limit was received, must
 // not lift the limit; one to a later request must.
-func TestEarlierRequestEndsNoLimit(t *testing.T) {
+func TestResponseToEarlierRequestLiftsNoLimit(t *testing.T) {
 	var a Tracker
 	a.Observe(10, 5, limitOf(2))
 	if a.Observe(20, 9, Feedback{}) || !a.Limited {
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestOnlyOwnerEndsItsLimit: an entry must keep reporting responses without a limit until the owner lifts it.
-func TestOnlyOwnerEndsItsLimit(t *testing.T) {
+// TestOnlyOwnerLiftsItsLimit: an entry must keep reporting responses without a limit until the owner lifts it.
+func TestOnlyOwnerLiftsItsLimit(t *testing.T) {
 	var g Gate
 	g.Observe(1, 1, "e", limitOf(2), true)
 	g.Observe(5, 4, "e", Feedback{}, true)
--- a/budget/bench_test.go
+++ b/budget/bench_test.go
@@ -76,7 +76,7 @@
 			allocator, now := benchAllocator(size.accounts, size.entries)
 			sent := 0
 			for i := 0; b.Loop(); i++ {
-				now = now.Add(time200ms / event.Duration(size.entries))
+				now = now.Add(pingInterval / event.Duration(size.entries))
 				name := event.BoxID(fmt.Sprint(i % size.entries))
 				update := allocator.UpdateLeases(now, name, size.entries)
 				sent += len(update.UpTo)
@@ -87,8 +87,8 @@
 	}
 }
 
-// time200ms is the interval of an entry's pings.
-const time200ms = 200 * event.Millisecond
+// pingInterval is the interval of an entry's pings.
+const pingInterval = 200 * event.Millisecond
 
 // BenchmarkSpend measures the spending of one request.
 func BenchmarkSpend(b *testing.B) {
--- a/budget/book_test.go
+++ b/budget/book_test.go
@@ -19,7 +19,7 @@
 // newTestAllocator returns the Allocator of a first owner, with a committed Record.
 func newTestAllocator(now event.Time) *Allocator {
 	b := NewAllocator(now, testLeaseTTL)
-	b.SetLimit(now, worldAccount, testLimit)
+	b.SetLimit(now, testAccount, testLimit)
 	commit(now, b)
 	return b
 }
@@ -36,7 +36,7 @@
 	const amount = 16
 	sum := 0
 	for {
-		if !b.Spend(now, "entry", worldAccount, amount) {
+		if !b.Spend(now, "entry", testAccount, amount) {
 			if !b.Due() {
 				return sum
 			}
@@ -54,24 +54,24 @@
 // otherwise at most the headroom of the line.
 func TestSpendNeedsCoveringRecord(t *testing.T) {
 	b := NewAllocator(0, testLeaseTTL)
-	b.SetLimit(0, worldAccount, testLimit)
-	if b.Spend(0, "entry", worldAccount, 1) {
+	b.SetLimit(0, testAccount, testLimit)
+	if b.Spend(0, "entry", testAccount, 1) {
 		t.Error("spent before a Record was committed")
 	}
 	commit(0, b)
 	sum := 0
-	for b.Spend(0, "entry", worldAccount, 10) {
+	for b.Spend(0, "entry", testAccount, 10) {
 		sum += 10
 	}
 	if want := int(testMax * headroomFraction); sum > want || sum < want-10 {
 		t.Errorf("%d spent of a headroom of %d", sum, want)
 	}
 	b.MakeRecord(0)
-	if b.Spend(0, "entry", worldAccount, 10) {
+	if b.Spend(0, "entry", testAccount, 10) {
 		t.Error("spent beyond the headroom while the next Record is pending")
 	}
 	b.Committed()
-	if !b.Spend(0, "entry", worldAccount, 10) {
+	if !b.Spend(0, "entry", testAccount, 10) {
 		t.Error("nothing can be spent after the next Record")
 	}
 }
@@ -91,7 +91,7 @@
 	}
 	now := at(2 * event.Second)
 	next := inheritAllocator(now, testLeaseTTL, last, at(1100*event.Millisecond))
-	next.SetLimit(now, worldAccount, testLimit)
+	next.SetLimit(now, testAccount, testLimit)
 	commit(now, next)
 	if got := spendAll(now, next); got > 0 {
 		t.Errorf("%d spent in a window in which %d were spent before", got, before)
@@ -111,7 +111,7 @@
 	usual := 0
 	for ms := 0; ms < 8000; ms += 100 {
 		now := at(event.Duration(ms) * event.Millisecond)
-		if !b.Spend(now, "entry", worldAccount, testMax*4/10/80) {
+		if !b.Spend(now, "entry", testAccount, testMax*4/10/80) {
 			commit(now, b)
 			continue
 		}
@@ -123,7 +123,7 @@
 	last := b.MakeRecord(at(8 * event.Second))
 	now := at(9 * event.Second)
 	next := inheritAllocator(now, testLeaseTTL, last, at(8*event.Second))
-	next.SetLimit(now, worldAccount, testLimit)
+	next.SetLimit(now, testAccount, testLimit)
 	commit(now, next)
 	if got := spendAll(now, next); got < testMax/5 {
 		t.Errorf("%d of %d free after a change of owner, %d were spent in a window", got, testMax, usual)
@@ -134,7 +134,7 @@
 // left the window, and no longer.
 func TestInheritedSpendingExpires(t *testing.T) {
 	b := inheritAllocator(0, testLeaseTTL, Record{}, 0)
-	b.SetLimit(0, worldAccount, testLimit)
+	b.SetLimit(0, testAccount, testLimit)
 	commit(0, b)
 	if got := spendAll(0, b); got > testMax/2 {
 		t.Errorf("%d of %d spent at once by an owner with an empty log", got, testMax)
@@ -174,7 +174,7 @@
 	}
 	degraded := 0
 	for _, e := range entries {
-		for e.Spend(at(4*event.Second), "", worldAccount, 8) {
+		for e.Spend(at(4*event.Second), "", testAccount, 8) {
 			degraded += 8
 		}
 	}
@@ -189,7 +189,7 @@
 	b := newTestAllocator(0)
 	b.BeginSession(0, "busy", 1, nil)
 	b.BeginSession(0, "idle", 2, nil)
-	b.Spend(0, "busy", worldAccount, 500)
+	b.Spend(0, "busy", testAccount, 500)
 	leased := func(name event.BoxID) int {
 		l := b.UpdateLeases(0, name, 2)
 		if !l.Whole || len(l.UpTo) != 1 {
@@ -210,17 +210,17 @@
 	b.BeginSession(0, "a", 1, nil)
 	first := b.UpdateLeases(0, "a", 1)
 	b.ApplyReport(0, "a", first.Number, nil)
-	have := b.accounts[worldAccount].leased
+	have := b.accounts[testAccount].leased
 	spendAll(0, b)
 	less := b.UpdateLeases(0, "a", 1)
 	if len(less.UpTo) != 1 || less.UpTo[0].UpTo >= first.UpTo[0].UpTo {
 		t.Fatalf("leased %+v after %+v, want less", less, first)
 	}
-	if got := b.accounts[worldAccount].leased; got != have {
+	if got := b.accounts[testAccount].leased; got != have {
 		t.Errorf("%d leased before the entry acknowledged the update, want %d", got, have)
 	}
 	b.ApplyReport(0, "a", less.Number, nil)
-	if got := b.accounts[worldAccount].leased; got != less.UpTo[0].UpTo {
+	if got := b.accounts[testAccount].leased; got != less.UpTo[0].UpTo {
 		t.Errorf("%d leased, want %d", got, less.UpTo[0].UpTo)
 	}
 }
@@ -229,12 +229,12 @@
 // leases of the owner before.
 func TestNoLeaseBeforeFirstRecord(t *testing.T) {
 	e := &Leases{}
-	e.Apply(LeaseUpdate{Number: 3, Whole: true, UpTo: []Lease{{Account: worldAccount, UpTo: 100}}})
+	e.Apply(LeaseUpdate{Number: 3, Whole: true, UpTo: []Lease{{Account: testAccount, UpTo: 100}}})
 	b := inheritAllocator(0, testLeaseTTL, Record{}, 0)
-	b.SetLimit(0, worldAccount, testLimit)
+	b.SetLimit(0, testAccount, testLimit)
 	b.BeginSession(0, "a", 1, e.BeginSession())
 	e.Apply(b.UpdateLeases(0, "a", 1))
-	if e.Spend(0, "a", worldAccount, 1) {
+	if e.Spend(0, "a", testAccount, 1) {
 		t.Error("spent an earlier owner's lease that was extended by an owner without a Record")
 	}
 }
@@ -245,15 +245,15 @@
 	for ms := 0; ms < 600; ms += 7 {
 		spent := at(20*event.Second + event.Duration(ms)*event.Millisecond)
 		b := newTestAllocator(spent)
-		b.Spend(spent, "a", worldAccount, 100)
+		b.Spend(spent, "a", testAccount, 100)
 		for late := event.Duration(0); late < 2*event.Second; late += 30 * event.Millisecond {
-			line := Line{Account: worldAccount, Spent: b.accounts[worldAccount].spentByAge(spent.Add(late))}
+			line := Line{Account: testAccount, Spent: b.accounts[testAccount].spentByAge(spent.Add(late))}
 			for clock := event.Duration(0); clock < 50*event.Millisecond; clock += 9 * event.Millisecond {
 				received := spent.Add(late + clock)
 				next := inheritAllocator(received, testLeaseTTL, Record{Lines: []Line{line}}, received)
-				next.SetLimit(received, worldAccount, testLimit)
+				next.SetLimit(received, testAccount, testLimit)
 				last := spent.Add(clock + testLimit.Window - event.Millisecond)
-				if got := next.accounts[worldAccount].spent.Total(last); got != 100 {
+				if got := next.accounts[testAccount].spent.Total(last); got != 100 {
 					t.Fatalf("spent at %v, recorded %v later: %d of 100 count at the end of the window", event.Duration(spent), late, got)
 				}
 			}
@@ -269,7 +269,7 @@
 	leased := b.UpdateLeases(0, "a", 1).UpTo[0].UpTo
 	now := at(event.Second)
 	b.BeginSession(now, "a", 2, nil)
-	a := b.accounts[worldAccount]
+	a := b.accounts[testAccount]
 	if a.leased != 0 || a.spent.Total(now) != leased {
 		t.Errorf("%d leased and %d spent, want 0 and %d", a.leased, a.spent.Total(now), leased)
 	}
@@ -281,9 +281,9 @@
 // TestNewOwnerLeasesAtOnce: an owner must lease what is free beside the leases of earlier
 // owners without waiting for those to expire.
 func TestNewOwnerLeasesAtOnce(t *testing.T) {
-	last := Record{Lines: []Line{{Account: worldAccount, Spent: []int{testMax / 4}, Headroom: testMax / 16, Leased: testMax / 4}}}
+	last := Record{Lines: []Line{{Account: testAccount, Spent: []int{testMax / 4}, Headroom: testMax / 16, Leased: testMax / 4}}}
 	b := inheritAllocator(0, testLeaseTTL, last, 0)
-	b.SetLimit(0, worldAccount, testLimit)
+	b.SetLimit(0, testAccount, testLimit)
 	commit(0, b)
 	b.BeginSession(0, "a", 1, nil)
 	if l := b.UpdateLeases(0, "a", 1); len(l.UpTo) != 1 || l.UpTo[0].UpTo < int(testMax*minLeaseFraction) {
@@ -291,43 +291,43 @@
 	}
 }
 
-// TestReportedSpendingIsNotReturned: an owner counts spending when it is reported. If an
+// TestReportedSpendingIsNotRefunded: an owner counts spending when it is reported. If an
 // entry returned it and spent it again, the owner would count it too early.
-func TestReportedSpendingIsNotReturned(t *testing.T) {
+func TestReportedSpendingIsNotRefunded(t *testing.T) {
 	e := &Leases{}
-	e.Apply(LeaseUpdate{Number: 1, Whole: true, UpTo: []Lease{{Account: worldAccount, UpTo: 300}}})
-	e.Spend(0, "", worldAccount, 100)
-	e.Refund(0, worldAccount, 0, 100)
-	if spent, _ := e.Usage(0, worldAccount); spent != 0 {
+	e.Apply(LeaseUpdate{Number: 1, Whole: true, UpTo: []Lease{{Account: testAccount, UpTo: 300}}})
+	e.Spend(0, "", testAccount, 100)
+	e.Refund(0, testAccount, 0, 100)
+	if spent, _ := e.Usage(0, testAccount); spent != 0 {
 		t.Errorf("%d spent after all unreported spending was returned", spent)
 	}
-	e.Spend(0, "", worldAccount, 100)
+	e.Spend(0, "", testAccount, 100)
 	e.BeginSession()
-	e.Spend(0, "", worldAccount, 50)
-	e.Refund(0, worldAccount, 0, 100)
-	e.Spend(0, "", worldAccount, 100)
+	e.Spend(0, "", testAccount, 50)
+	e.Refund(0, testAccount, 0, 100)
+	e.Spend(0, "", testAccount, 100)
 	if held := e.BeginSession(); held[0].Spent != 200 {
 		t.Errorf("%d reported as spent, want the 100 reported before and the 100 spent since", held[0].Spent)
 	}
 }
 
-// TestReturnedInheritedLeasesAreFree: a new owner must withhold the leases of earlier
+// TestReleasedInheritedLeasesAreFree: a new owner must withhold the leases of earlier
 // owners only until the entries that hold them acknowledge its first update. What an entry
 // spent of them, and what unreachable entries hold, stays withheld.
-func TestReturnedInheritedLeasesAreFree(t *testing.T) {
-	last := Record{Lines: []Line{{Account: worldAccount, Spent: []int{0}, Headroom: 0, Leased: testMax / 4}}}
+func TestReleasedInheritedLeasesAreFree(t *testing.T) {
+	last := Record{Lines: []Line{{Account: testAccount, Spent: []int{0}, Headroom: 0, Leased: testMax / 4}}}
 	b := inheritAllocator(0, testLeaseTTL, last, 0)
-	b.SetLimit(0, worldAccount, testLimit)
+	b.SetLimit(0, testAccount, testLimit)
 	commit(0, b)
-	inherited := func() int { return b.accounts[worldAccount].inherited }
-	held := []Lease{{Account: worldAccount, Spent: 100, UpTo: 100 + testMax/10}}
+	inherited := func() int { return b.accounts[testAccount].inherited }
+	held := []Lease{{Account: testAccount, Spent: 100, UpTo: 100 + testMax/10}}
 	b.BeginSession(0, "one", 1, held)
 	first := b.UpdateLeases(0, "one", 2)
 	if got := inherited(); got != testMax/4 || !first.Whole {
 		t.Fatalf("%d withheld before the entry acknowledged the new owner's update, want %d", got, testMax/4)
 	}
 	spent := testMax / 40 // not yet reported
-	b.ApplyReport(0, "one", 0, []Lease{{Account: worldAccount, Spent: 100 + spent, UpTo: 100 + testMax/10}})
+	b.ApplyReport(0, "one", 0, []Lease{{Account: testAccount, Spent: 100 + spent, UpTo: 100 + testMax/10}})
 	if got := inherited(); got != testMax/4 {
 		t.Errorf("%d withheld after the entry spent without acknowledging, want %d", got, testMax/4)
 	}
@@ -349,10 +349,10 @@
 // reported as held.
 func TestExpiredLeasesAreNotReported(t *testing.T) {
 	var s Leases
-	s.Apply(LeaseUpdate{Number: 1, UpTo: []Lease{{Account: worldAccount, UpTo: 50}}})
-	s.Spend(0, "e", worldAccount, 20)
+	s.Apply(LeaseUpdate{Number: 1, UpTo: []Lease{{Account: testAccount, UpTo: 50}}})
+	s.Spend(0, "e", testAccount, 20)
 	s.Expire()
-	if s.Spend(0, "e", worldAccount, 1) {
+	if s.Spend(0, "e", testAccount, 1) {
 		t.Error("spent from an expired lease")
 	}
 	if held := s.BeginSession(); len(held) != 1 || held[0].UpTo != held[0].Spent {
--- a/budget/pieces_test.go
+++ b/budget/pieces_test.go
@@ -38,13 +38,13 @@
 	if l := b.UpdateLeases(0, "a", 1); !l.Whole || len(l.UpTo) != 0 || l.Number != 0 {
 		t.Errorf("leased %+v while there is more to report, want nothing", l)
 	}
-	b.ApplyReport(0, "a", 0, []Lease{{Account: worldAccount, Spent: 500, UpTo: 500}})
+	b.ApplyReport(0, "a", 0, []Lease{{Account: testAccount, Spent: 500, UpTo: 500}})
 	b.CompleteReport("a")
 	l := b.UpdateLeases(0, "a", 1)
 	if len(l.UpTo) != 1 || l.UpTo[0].Spent != 500 || l.UpTo[0].UpTo <= 500 {
 		t.Errorf("leased %+v, want more than the 500 that were spent before", l)
 	}
-	if spent, _ := b.Usage(0, worldAccount); spent != 0 {
+	if spent, _ := b.Usage(0, testAccount); spent != 0 {
 		t.Errorf("%d count as spent now", spent)
 	}
 }
@@ -55,44 +55,44 @@
 	b := newTestAllocator(0)
 	b.BeginSession(0, "a", 1, nil)
 	b.ApplyReport(0, "a", b.UpdateLeases(0, "a", 1).Number, nil)
-	have := b.accounts[worldAccount].leased
+	have := b.accounts[testAccount].leased
 	spendAll(0, b)
-	b.BeginSession(0, "a", 1, []Lease{{Account: worldAccount, UpTo: have}})
+	b.BeginSession(0, "a", 1, []Lease{{Account: testAccount, UpTo: have}})
 	less := b.UpdateLeases(0, "a", 1)
 	if !less.Whole || len(less.UpTo) != 1 || less.UpTo[0].UpTo >= have {
 		t.Fatalf("leased %+v, want all to be replaced by less than %d", less, have)
 	}
-	if got := b.accounts[worldAccount].leased; got != have {
+	if got := b.accounts[testAccount].leased; got != have {
 		t.Errorf("%d leased before the entry acknowledged the update, want %d", got, have)
 	}
 }
 
-// TestSpendingOfDroppedAccountIsNotReturned: an account that is leased again after the entry
+// TestSpendingOfRevokedLeaseIsNotRefunded: an account that is leased again after the entry
 // dropped it starts with what was reported to the owner as spent. If that were returned, it could be
 // spent twice.
-func TestSpendingOfDroppedAccountIsNotReturned(t *testing.T) {
+func TestSpendingOfRevokedLeaseIsNotRefunded(t *testing.T) {
 	var s Leases
-	s.Apply(LeaseUpdate{Number: 1, UpTo: []Lease{{Account: worldAccount, UpTo: 50}}})
-	s.Spend(0, "", worldAccount, 50)
+	s.Apply(LeaseUpdate{Number: 1, UpTo: []Lease{{Account: testAccount, UpTo: 50}}})
+	s.Spend(0, "", testAccount, 50)
 	s.Changes()
-	s.Apply(LeaseUpdate{Number: 2, UpTo: []Lease{{Account: worldAccount, Spent: 50, UpTo: 50}}})
+	s.Apply(LeaseUpdate{Number: 2, UpTo: []Lease{{Account: testAccount, Spent: 50, UpTo: 50}}})
 	if held := s.BeginSession(); len(held) != 0 {
 		t.Fatalf("reported %+v of an account that was revoked", held)
 	}
-	s.Apply(LeaseUpdate{Number: 3, UpTo: []Lease{{Account: worldAccount, Spent: 50, UpTo: 60}}})
-	s.Refund(0, worldAccount, 0, 50)
-	if !s.Spend(0, "", worldAccount, 10) || s.Spend(0, "", worldAccount, 1) {
+	s.Apply(LeaseUpdate{Number: 3, UpTo: []Lease{{Account: testAccount, Spent: 50, UpTo: 60}}})
+	s.Refund(0, testAccount, 0, 50)
+	if !s.Spend(0, "", testAccount, 10) || s.Spend(0, "", testAccount, 1) {
 		t.Error("want exactly 10 to be available")
 	}
 }
 
-// TestUnreportedSpendingIsNotDropped: a lease that the owner revokes before it received
+// TestRevokedLeaseReportsLastSpending: a lease that the owner revokes before it received
 // the last spending must still be reported.
-func TestUnreportedSpendingIsNotDropped(t *testing.T) {
+func TestRevokedLeaseReportsLastSpending(t *testing.T) {
 	var s Leases
-	s.Apply(LeaseUpdate{Number: 1, UpTo: []Lease{{Account: worldAccount, UpTo: 50}}})
-	s.Spend(0, "", worldAccount, 20)
-	s.Apply(LeaseUpdate{Number: 2, UpTo: []Lease{{Account: worldAccount}}})
+	s.Apply(LeaseUpdate{Number: 1, UpTo: []Lease{{Account: testAccount, UpTo: 50}}})
+	s.Spend(0, "", testAccount, 20)
+	s.Apply(LeaseUpdate{Number: 2, UpTo: []Lease{{Account: testAccount}}})
 	if _, reported := s.Changes(); len(reported) != 1 || reported[0].Spent != 20 {
 		t.Errorf("reported %+v, want 20 spent", reported)
 	}
@@ -146,13 +146,13 @@
 // line of it.
 func TestAccountOfPendingRecordIsKept(t *testing.T) {
 	b := NewAllocator(0, testLeaseTTL)
-	b.SetLimit(0, worldAccount, testLimit)
-	b.Spend(0, "a", worldAccount, 1) // blocked until a Record
+	b.SetLimit(0, testAccount, testLimit)
+	b.Spend(0, "a", testAccount, 1) // blocked until a Record
 	r := b.MakeRecord(0)
 	b.Tick(at(2 * event.Second))
 	b.Committed()
 	sum := 0
-	for b.Spend(at(2*event.Second), "a", worldAccount, 10) {
+	for b.Spend(at(2*event.Second), "a", testAccount, 10) {
 		sum += 10
 	}
 	if most := r.Lines[0].Headroom; sum > most {
--- a/budget/property_test.go
+++ b/budget/property_test.go
@@ -15,12 +15,12 @@
 // may, at random times.
 
 const (
-	worldLeaseTTL = 5 * event.Second
-	worldWindow   = 8 * event.Second
-	worldMax      = 10000
+	simLeaseTTL = 5 * event.Second
+	simWindow   = 8 * event.Second
+	simMax      = 10000
 )
 
-var worldAccount = Team("t")
+var testAccount = Team("t")
 
 // tightBounds make a few accounts split into as many messages and Records as many accounts
 // do: each has one account.
@@ -30,44 +30,44 @@
 var wideBounds = bounds{scans: 2, useSpan: 700 * event.Millisecond, messageBytes: 40, recordBytes: 120}
 
 // tightAccounts are the accounts of a simulation with tight bounds.
-var tightAccounts = []Account{worldAccount, Team("u"), Team("v"), Team("w"), Team("x")}
+var tightAccounts = []Account{testAccount, Team("u"), Team("v"), Team("w"), Team("x")}
 
-// worldSpent is an amount that was spent.
-type worldSpent struct {
+// simSpending is an amount that was spent.
+type simSpending struct {
 	account Account
 	at      event.Time
 	amount  int
 }
 
-// worldReply is a reply in transit to an entry, with the time when its ping was sent.
-type worldReply struct {
+// simReply is a reply in transit to an entry, with the time when its ping was sent.
+type simReply struct {
 	sentAt event.Time
 	leases LeaseUpdate
 }
 
-// worldEntry is an entry. Its clock is that of the simulation.
-type worldEntry struct {
+// simEntry is an entry. Its clock is that of the simulation.
+type simEntry struct {
 	name        event.BoxID
 	instance    uint64
 	leases      *Leases
 	leaseUntil  event.Time // until when it may spend its leases
 	isConnected bool       // has a session with the owner
 	isDegraded  bool       // has no reply of the owner and decides by itself
-	inFlight    []worldReply
+	inFlight    []simReply
 }
 
 // disconnect ends its session.
-func (e *worldEntry) disconnect() { e.isConnected, e.isDegraded, e.inFlight = false, true, nil }
+func (e *simEntry) disconnect() { e.isConnected, e.isDegraded, e.inFlight = false, true, nil }
 
-// world is a deployment reduced to its budgets.
-type world struct {
+// simulation is a deployment reduced to its budgets.
+type simulation struct {
 	random    *rand.Rand
 	faultRate float64 // probability of a fault
 	now       event.Time
 	allocator *Allocator // nil while there is no owner
 	log       Ledger
-	entries   []*worldEntry
-	spent     []worldSpent
+	entries   []*simEntry
+	spent     []simSpending
 	instances uint64
 	// accounts are all accounts that are spent from. isTight is true if bounds are tight
 	// and the messages of a session overlap.
@@ -77,40 +77,40 @@
 }
 
 // randomAccount returns one of the accounts.
-func (w *world) randomAccount() Account {
+func (w *simulation) randomAccount() Account {
 	if len(w.accounts) == 1 {
 		return w.accounts[0]
 	}
 	return w.accounts[w.random.IntN(len(w.accounts))]
 }
 
-func newWorld(entries int, seed uint64, isTight bool) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, uint64(entries))), accounts: []Account{worldAccount}, isTight: isTight}
+func newSimulation(entries int, seed uint64, isTight bool) *simulation {
+	w := &simulation{random: rand.New(rand.NewPCG(seed, uint64(entries))), accounts: []Account{testAccount}, isTight: isTight}
 	if isTight {
 		w.accounts = tightAccounts
 		w.bounds = []bounds{tightBounds, wideBounds}[seed%2]
 	}
 	w.faultRate = w.random.Float64() * w.random.Float64()
 	for i := range entries {
-		e := &worldEntry{name: event.BoxID(fmt.Sprint(i))}
+		e := &simEntry{name: event.BoxID(fmt.Sprint(i))}
 		w.restart(e)
 		w.entries = append(w.entries, e)
 	}
-	w.allocator = NewAllocator(w.now, worldLeaseTTL)
+	w.allocator = NewAllocator(w.now, simLeaseTTL)
 	w.setLimits()
 	return w
 }
 
-func (w *world) setLimits() {
+func (w *simulation) setLimits() {
 	if w.isTight {
 		w.allocator.bounds = w.bounds
 	}
 	for _, name := range w.accounts {
-		w.allocator.SetLimit(w.now, name, Limit{Window: worldWindow, Max: worldMax, Base: worldMax})
+		w.allocator.SetLimit(w.now, name, Limit{Window: simWindow, Max: simMax, Base: simMax})
 	}
 }
 
-func (w *world) restart(e *worldEntry) {
+func (w *simulation) restart(e *simEntry) {
 	w.instances++
 	e.instance, e.leases, e.leaseUntil = w.instances, &Leases{}, 0
 	e.disconnect()
@@ -119,12 +119,12 @@
 	}
 }
 
-func (w *world) count(name Account, amount int) {
-	w.spent = append(w.spent, worldSpent{name, w.now, amount})
+func (w *simulation) count(name Account, amount int) {
+	w.spent = append(w.spent, simSpending{name, w.now, amount})
 }
 
 // step performs one random action.
-func (w *world) step() {
+func (w *simulation) step() {
 	e := w.entries[w.random.IntN(len(w.entries))]
 	switch w.random.IntN(16) {
 	case 0, 1, 2:
@@ -143,9 +143,9 @@
 }
 
 // isFaulty reports whether a fault occurs now.
-func (w *world) isFaulty() bool { return w.random.Float64() < w.faultRate }
+func (w *simulation) isFaulty() bool { return w.random.Float64() < w.faultRate }
 
-func (w *world) injectFault(e *worldEntry) {
+func (w *simulation) injectFault(e *simEntry) {
 	switch {
 	case !w.isFaulty():
 	case w.random.IntN(6) == 0:
@@ -163,7 +163,7 @@
 }
 
 // advance lets time pass, mostly a little.
-func (w *world) advance() {
+func (w *simulation) advance() {
 	step := 200 * event.Millisecond
 	if w.random.IntN(4) == 0 {
 		step = 4 * event.Second
@@ -175,12 +175,12 @@
 }
 
 // spendWithOwner spends repeatedly through the owner.
-func (w *world) spendWithOwner(e *worldEntry) {
+func (w *simulation) spendWithOwner(e *simEntry) {
 	if w.allocator == nil || !e.isConnected {
 		return
 	}
 	name := w.randomAccount()
-	for amount := 1 + w.random.IntN(worldMax/10); w.random.IntN(30) > 0 && w.allocator.Spend(w.now, e.name, name, amount); {
+	for amount := 1 + w.random.IntN(simMax/10); w.random.IntN(30) > 0 && w.allocator.Spend(w.now, e.name, name, amount); {
 		if w.random.IntN(20) == 0 { // reached no endpoint
 			w.allocator.Refund(w.now, name, w.now, amount)
 			continue
@@ -190,7 +190,7 @@
 }
 
 // spendDegraded spends what an entry was leased, or a part of it.
-func (w *world) spendDegraded(e *worldEntry) {
+func (w *simulation) spendDegraded(e *simEntry) {
 	if !e.isDegraded || w.now >= e.leaseUntil {
 		return
 	}
@@ -198,7 +198,7 @@
 		w.spendDegraded(e)
 	}
 	name := w.randomAccount()
-	for amount := 1 + w.random.IntN(worldMax/40); w.random.IntN(30) > 0 && e.leases.Spend(w.now, e.name, name, amount); {
+	for amount := 1 + w.random.IntN(simMax/40); w.random.IntN(30) > 0 && e.leases.Spend(w.now, e.name, name, amount); {
 		if w.isTight && w.random.IntN(20) == 0 { // reached no endpoint
 			e.leases.Refund(w.now, name, w.now, amount)
 			continue
@@ -208,7 +208,7 @@
 }
 
 // ping sends an entry's ping to the owner. The ping or its reply may be lost.
-func (w *world) ping(e *worldEntry, isAnswered bool) {
+func (w *simulation) ping(e *simEntry, isAnswered bool) {
 	if w.allocator == nil {
 		return
 	}
@@ -244,16 +244,16 @@
 		e.disconnect()
 		return
 	}
-	e.inFlight = append(e.inFlight, worldReply{sent, leases})
+	e.inFlight = append(e.inFlight, simReply{sent, leases})
 	w.deliver(e)
 }
 
 // deliver delivers replies to an entry. With tight bounds some are still in flight at the
 // next ping.
-func (w *world) deliver(e *worldEntry) {
+func (w *simulation) deliver(e *simEntry) {
 	for len(e.inFlight) > 0 && (!w.isTight || w.random.IntN(3) > 0) {
 		e.leases.Apply(e.inFlight[0].leases)
-		e.leaseUntil = e.inFlight[0].sentAt.Add(worldLeaseTTL)
+		e.leaseUntil = e.inFlight[0].sentAt.Add(simLeaseTTL)
 		e.isDegraded = false
 		e.inFlight = e.inFlight[1:]
 	}
@@ -261,7 +261,7 @@
 
 // commitRecord commits a Record. The owner may terminate before it observes that the Record is
 // committed, or before it is committed.
-func (w *world) commitRecord(isKnown bool) {
+func (w *simulation) commitRecord(isKnown bool) {
 	if w.allocator == nil || !w.allocator.Due() {
 		return
 	}
@@ -285,13 +285,13 @@
 }
 
 // applyRecord applies a Record to the log.
-func (w *world) applyRecord(r Record) {
+func (w *simulation) applyRecord(r Record) {
 	w.log.Apply(r)
 	w.log.MarkReceived(w.now)
 }
 
 // changeOwner terminates the owner; another starts at once or later.
-func (w *world) changeOwner() {
+func (w *simulation) changeOwner() {
 	w.allocator = nil
 	for _, e := range w.entries {
 		if e.isConnected {
@@ -304,21 +304,21 @@
 			w.advance()
 		}
 	}
-	w.allocator = RestoreAllocator(w.now, worldLeaseTTL, &w.log)
+	w.allocator = RestoreAllocator(w.now, simLeaseTTL, &w.log)
 	w.setLimits()
 }
 
 // maxInWindow returns the largest amount that was spent of an account in any window.
-func (w *world) maxInWindow(name Account) int {
+func (w *simulation) maxInWindow(name Account) int {
 	maxInWindow, sum := 0, 0
-	var in []worldSpent
+	var in []simSpending
 	for _, s := range w.spent {
 		if s.account != name {
 			continue
 		}
 		in = append(in, s)
 		sum += s.amount
-		for in[0].at < s.at.Add(-worldWindow) {
+		for in[0].at < s.at.Add(-simWindow) {
 			sum -= in[0].amount
 			in = in[1:]
 		}
@@ -331,7 +331,7 @@
 // in every window, for any number of entries, and come near it.
 func TestNoWindowExceedsLimit(t *testing.T) {
 	for entries, worlds := range map[int]uint64{1: 400, 4: 800, 22: 300, 103: 100} {
-		checkWorlds(t, entries, worlds, 3000, false)
+		checkSimulations(t, entries, worlds, 3000, false)
 	}
 }
 
@@ -340,30 +340,30 @@
 // again.
 func TestNoWindowExceedsLimitWithPartialMessages(t *testing.T) {
 	for entries, worlds := range map[int]uint64{1: 200, 4: 400, 22: 160} {
-		checkWorlds(t, entries, worlds, 9000, true)
+		checkSimulations(t, entries, worlds, 9000, true)
 	}
 }
 
-// checkWorlds runs simulations and checks all windows of all accounts.
-func checkWorlds(t *testing.T, entries int, worlds uint64, steps int, isTight bool) {
+// checkSimulations runs simulations and checks all windows of all accounts.
+func checkSimulations(t *testing.T, entries int, worlds uint64, steps int, isTight bool) {
 	t.Helper()
 	near := 0
 	for seed := range worlds {
-		w := newWorld(entries, seed+1, isTight)
+		w := newSimulation(entries, seed+1, isTight)
 		for range steps {
 			w.step()
 		}
 		for _, name := range w.accounts {
 			maxInWindow := w.maxInWindow(name)
-			if maxInWindow > worldMax {
-				t.Errorf("%d entries, seed %d: %d spent of %s in a window, the limit is %d", entries, seed+1, maxInWindow, name, worldMax)
+			if maxInWindow > simMax {
+				t.Errorf("%d entries, seed %d: %d spent of %s in a window, the limit is %d", entries, seed+1, maxInWindow, name, simMax)
 			}
-			if maxInWindow > worldMax*9/10 {
+			if maxInWindow > simMax*9/10 {
 				near++
 			}
 		}
 	}
-	if all := int(worlds) * len(newWorld(entries, 1, isTight).accounts); near < all/10 {
+	if all := int(worlds) * len(newSimulation(entries, 1, isTight).accounts); near < all/10 {
 		t.Errorf("%d entries: only %d of %d accounts came near the limit", entries, near, all)
 	}
 }
--- a/budget/window.go
+++ b/budget/window.go
@@ -29,14 +29,14 @@
 	}
 	for steps := 0; w.newest < number && steps <= binsPerWindow; steps++ {
 		w.newest++
-		slot := w.slot(w.newest)
+		slot := w.binIndex(w.newest)
 		w.sum -= w.bins[slot]
 		w.bins[slot] = 0
 	}
 	w.newest = max(w.newest, number)
 }
 
-func (w *Window) slot(number int64) int {
+func (w *Window) binIndex(number int64) int {
 	n := int64(len(w.bins))
 	return int((number%n + n) % n)
 }
@@ -56,7 +56,7 @@
 	if number <= w.newest-int64(len(w.bins)) {
 		return
 	}
-	w.bins[w.slot(number)] += amount
+	w.bins[w.binIndex(number)] += amount
 	w.sum += amount
 }
 
@@ -67,7 +67,7 @@
 	if number <= w.newest-int64(len(w.bins)) {
 		return
 	}
-	slot := w.slot(number)
+	slot := w.binIndex(number)
 	removed := min(amount, w.bins[slot])
 	w.bins[slot] -= removed
 	w.sum -= removed
@@ -87,7 +87,7 @@
 		if left <= limit {
 			return max(0, event.Duration(int64(len(w.bins))-1-back)*w.bin)
 		}
-		left -= float64(w.bins[w.slot(w.newest-back)])
+		left -= float64(w.bins[w.binIndex(w.newest-back)])
 	}
 	return event.Duration(len(w.bins)) * w.bin
 }
@@ -97,7 +97,7 @@
 func (w *Window) each(now event.Time, f func(age event.Duration, amount int)) {
 	w.slide(now)
 	for back := int64(len(w.bins)) - 1; back >= 0; back-- {
-		if amount := w.bins[w.slot(w.newest-back)]; amount > 0 {
+		if amount := w.bins[w.binIndex(w.newest-back)]; amount > 0 {
 			f(event.Duration(max(0, back-1))*w.bin, amount)
 		}
 	}
--- a/cluster/absent_test.go
+++ b/cluster/absent_test.go
@@ -12,10 +12,10 @@
 	"lynxramp.org/message"
 )
 
-// TestTickTimeWithAbsentEntries guards against ticks whose cost grows with the number of absent entries:
+// TestTickTimeWithDisconnectedEntries guards against ticks whose cost grows with the number of absent entries:
 // the owner used to scan all requests for each of them at each tick. It takes the best of several runs, as
 // the machine may be busy.
-func TestTickTimeWithAbsentEntries(t *testing.T) {
+func TestTickTimeWithDisconnectedEntries(t *testing.T) {
 	const (
 		entries, absent = 390, 130
 		requests        = 20000
--- a/cluster/asked.go
+++ b/cluster/asked.go
@@ -132,9 +132,9 @@
 // spans several pings and is shorter than the time after which an entry without an answer decides by itself.
 const deferTimeout = 500 * event.Millisecond
 
-// receiveOwned records whether a ping says that the entry leaves decisions to this owner. An entry whose format
+// recordDeferral records whether a ping says that the entry leaves decisions to this owner. An entry whose format
 // version has no rate limits uses no share of them, so it counts as well.
-func (e *entry) receiveOwned(now event.Time, p *message.Ping) {
+func (e *entry) recordDeferral(now event.Time, p *message.Ping) {
 	if p.Owned || e.formatVersion < level.Feedback {
 		e.deferredAt = now
 	}
--- a/cluster/document.go
+++ b/cluster/document.go
@@ -47,10 +47,10 @@
 	Sum     [sha256.Size]byte
 }
 
-// keyBytes is the length of an encoded key, partHeader that of the header of a part.
+// keyBytes is the length of an encoded key, partHeaderBytes that of the header of a part.
 const (
-	keyBytes   = 8 + 4 + sha256.Size
-	partHeader = keyBytes + 4
+	keyBytes        = 8 + 4 + sha256.Size
+	partHeaderBytes = keyBytes + 4
 )
 
 // pack splits the document into compressed parts. It is slow for a large one, so a Server calls it
@@ -113,7 +113,7 @@
 
 // encodePart returns the command with one part of a packed document.
 func (p *packed) encodePart(number int) []byte {
-	data := make([]byte, 0, 1+partHeader+len(p.parts[number]))
+	data := make([]byte, 0, 1+partHeaderBytes+len(p.parts[number]))
 	data = appendKey(append(data, commandDocument), p.key)
 	data = binary.BigEndian.AppendUint32(data, uint32(number))
 	return append(data, p.parts[number]...)
@@ -203,7 +203,7 @@
 
 // applyPart applies a part of a document; the last one completes the document.
 func (m *stateMachine) applyPart(body []byte) (change, error) {
-	if len(body) < partHeader {
+	if len(body) < partHeaderBytes {
 		return change{}, errors.New("document part is shorter than its header")
 	}
 	key := parseKey(body)
@@ -223,7 +223,7 @@
 	if number != uint32(len(m.upload.parts)) {
 		return change{}, nil // a duplicate, or out of order
 	}
-	err := m.upload.add(body[partHeader:])
+	err := m.upload.add(body[partHeaderBytes:])
 	if err != nil || !m.upload.isComplete() {
 		return change{}, m.dropUploadOnError(err)
 	}
--- a/cluster/levels.go
+++ b/cluster/levels.go
@@ -47,7 +47,7 @@
 func (s *State) peerConnected(e *PeerConnected, out *Effects) {
 	p, ok := s.formats.peers[e.Box]
 	if !ok {
-		if !s.ensurePeerCapacity(e.Box) {
+		if !s.admitPeer(e.Box) {
 			out.logInfo("too many control boxes connected; ignoring one", Field{"peer", string(e.Box)}, Field{"most", maxPeers})
 			return
 		}
@@ -71,9 +71,9 @@
 	}
 }
 
-// ensurePeerCapacity reports whether another control box may be tracked. Peers choose their own names, so
+// admitPeer reports whether another control box may be tracked. Peers choose their own names, so
 // the number of names is bounded. It evicts a disconnected box that is not a member; members are always tracked.
-func (s *State) ensurePeerCapacity(box event.BoxID) bool {
+func (s *State) admitPeer(box event.BoxID) bool {
 	if len(s.formats.peers) < maxPeers {
 		return true
 	}
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -181,7 +181,7 @@
 }
 
 func (o *owner) tick(now event.Time, s *State, out *Effects) {
-	o.expireAbsentEntries(now)
+	o.expireEntries(now)
 	o.budgets.Tick(now)
 	limit := downAfterHeartbeats * s.settings.HeartbeatInterval
 	lost := make(map[event.EndpointID]event.Time)
@@ -205,9 +205,9 @@
 	o.raiseFormatVersion(now, s, out)
 }
 
-// expireAbsentEntries treats the requests of long disconnected entries as terminated. The number of
+// expireEntries treats the requests of long disconnected entries as terminated. The number of
 // entries per tick is bounded to keep the step short: each scans all requests.
-func (o *owner) expireAbsentEntries(now event.Time) {
+func (o *owner) expireEntries(now event.Time) {
 	var expired []event.BoxID
 	for name, e := range o.entries {
 		if e.session != 0 {
--- a/cluster/owner_session.go
+++ b/cluster/owner_session.go
@@ -138,7 +138,7 @@
 		return
 	}
 	o.applyPing(now, sess.entry, &p.Ping)
-	o.entries[sess.entry].receiveOwned(now, &p.Ping)
+	o.entries[sess.entry].recordDeferral(now, &p.Ping)
 	if !s.owns(now) {
 		return
 	}
--- a/cluster/upload_property_test.go
+++ b/cluster/upload_property_test.go
@@ -60,7 +60,7 @@
 	case n < 10:
 		c.send()
 	case n < 20:
-		c.change()
+		c.changeEndpoints()
 	case n < 43 && c.stopped == nil:
 		c.stopped = c.boxes[c.order[c.random.IntN(len(c.order))]]
 		if owner := c.owner(); owner != nil && n < 42 {
@@ -92,8 +92,8 @@
 	c.check()
 }
 
-// change changes some endpoints, so that the log is compacted.
-func (c *chaosSim) change() {
+// changeEndpoints changes some endpoints, so that the log is compacted.
+func (c *chaosSim) changeEndpoints() {
 	owner := c.owner()
 	for i := 0; owner != nil && i < 4; i++ {
 		e := manyEndpoint(i, uint64(c.lastCall)+1)
--- a/cluster/upload_test.go
+++ b/cluster/upload_test.go
@@ -159,10 +159,10 @@
 	var m stateMachine
 	list := encodeParts(noiseDocument(1, 2*maxPartBytes))
 	for name, bad := range map[string][]byte{
-		"no content": list[1][:partHeader],
+		"no content": list[1][:partHeaderBytes],
 		"truncated":  list[1][:len(list[1])-5],
-		"other part": append(bytes.Clone(list[1][:1+partHeader]), list[0][1+partHeader:]...),
-		"too long":   append(bytes.Clone(list[1][:1+partHeader]), compress(make([]byte, maxPartBytes+1))...),
+		"other part": append(bytes.Clone(list[1][:1+partHeaderBytes]), list[0][1+partHeaderBytes:]...),
+		"too long":   append(bytes.Clone(list[1][:1+partHeaderBytes]), compress(make([]byte, maxPartBytes+1))...),
 	} {
 		apply(t, &m, list[0])
 		if _, err := m.apply(9, bad); err == nil {
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -105,7 +105,7 @@
 		Roles:      []settings.Role{settings.RoleEntry, settings.RoleControl},
 		Listen:     settings.Listen{Callers: callers, Boxes: boxes},
 		Control:    control,
-		DataDir:       data,
+		DataDir:    data,
 		Limits: settings.Limits{
 			MaxBodyBytes: settings.DefaultMaxBodyBytes,
 			MaxHeldBytes: settings.DefaultMaxHeldBytes,
@@ -157,7 +157,7 @@
 		Address:         slotAddress,
 		EndpointAddress: listener.Addr().String(),
 		Control:         control,
-		MaxBodyBytes:       settings.DefaultMaxBodyBytes,
+		MaxBodyBytes:    settings.DefaultMaxBodyBytes,
 		Drain:           settings.Drain{Timeout: catalog.Duration(settings.DefaultDrainTimeout)},
 	}, key, log)
 	if err != nil {
--- a/gateway/asked.go
+++ b/gateway/asked.go
@@ -25,7 +25,7 @@
 	f, err := g.config.ParseFeedback(r.StatusCode, r.Header)
 	if err != nil {
 		g.meters.feedback(feedbackInvalid).Inc()
-		if g.feedbackBudget.Allow(time.Now(), 1) {
+		if g.feedbackLimiter.Allow(time.Now(), 1) {
 			g.log.Warn("invalid feedback in endpoint response; ignoring the invalid header", zap.String("endpoint", string(a.decision.Endpoint)),
 				zap.String("request", c.callerID), logx.Err(err))
 		}
@@ -43,7 +43,7 @@
 	if f.Restricts() {
 		c.addStep(stepFeedback, fields...)
 	}
-	if isNew && g.feedbackBudget.Allow(time.Now(), 1) {
+	if isNew && g.feedbackLimiter.Allow(time.Now(), 1) {
 		g.log.With(zap.String("request", c.callerID)).Info(stepFeedback, fields...)
 	}
 	return f
--- a/gateway/body_test.go
+++ b/gateway/body_test.go
@@ -12,7 +12,7 @@
 
 // slowBody is a body that arrives in chunks of ten bytes, each after a pause.
 type slowBody struct {
-	pieces int
+	chunks int
 	pause  time.Duration
 	stall  time.Duration // additional pause before the last chunk
 }
@@ -21,10 +21,10 @@
 
 // Read implements io.Reader.
 func (b *slowBody) Read(p []byte) (int, error) {
-	if b.pieces == 0 {
+	if b.chunks == 0 {
 		return 0, io.EOF
 	}
-	if b.pieces--; b.pieces == 0 {
+	if b.chunks--; b.chunks == 0 {
 		time.Sleep(b.stall)
 	}
 	time.Sleep(b.pause)
@@ -34,7 +34,7 @@
 // sendBody sends a request with a slow body, chunked or with its length.
 func (r *testGateway) sendBody(t *testing.T, body *slowBody, chunked bool, deadline string) (status int, took time.Duration) {
 	t.Helper()
-	size := int64(body.pieces * len(slowBodyChunk))
+	size := int64(body.chunks * len(slowBodyChunk))
 	q := r.request(http.MethodPost, "/safe/x", "")
 	q.Header.Set("X-Deadline", deadline)
 	q.Body = io.NopCloser(body)
@@ -55,7 +55,7 @@
 			e := newFakeEndpoint(t, whole(200, "answer"))
 			r := newTestGateway(t, e)
 			r.gateway.bodyIdleTimeout = 300 * time.Millisecond
-			status, _ := r.sendBody(t, &slowBody{pieces: 12, pause: 100 * time.Millisecond}, chunked, "2500")
+			status, _ := r.sendBody(t, &slowBody{chunks: 12, pause: 100 * time.Millisecond}, chunked, "2500")
 			if status != http.StatusOK || e.runs() != 1 {
 				t.Fatalf("status %d and %d runs, want 200 and 1", status, e.runs())
 			}
@@ -75,8 +75,8 @@
 		deadline string
 		want     int
 	}{
-		"it stalls":             {slowBody{pieces: 4, pause: 10 * time.Millisecond, stall: 2 * time.Second}, "2500", http.StatusBadRequest},
-		"it comes for too long": {slowBody{pieces: 40, pause: 50 * time.Millisecond}, "400", http.StatusServiceUnavailable},
+		"it stalls":             {slowBody{chunks: 4, pause: 10 * time.Millisecond, stall: 2 * time.Second}, "2500", http.StatusBadRequest},
+		"it comes for too long": {slowBody{chunks: 40, pause: 50 * time.Millisecond}, "400", http.StatusServiceUnavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newFakeEndpoint(t, whole(200, "answer"))
@@ -100,9 +100,9 @@
 	e := newFakeEndpoint(t, whole(200, "answer"))
 	r := newTestGateway(t, e)
 	r.gateway.config.MaxHeldBytes = 100
-	go r.sendBody(t, &slowBody{pieces: 8, pause: time.Millisecond, stall: time.Second}, true, "2500")
+	go r.sendBody(t, &slowBody{chunks: 8, pause: time.Millisecond, stall: time.Second}, true, "2500")
 	waitFor(t, "the received bytes are held", func() bool { return r.gateway.bodyBytes.Load() == 70 })
-	if status, _ := r.sendBody(t, &slowBody{pieces: 4}, true, "2500"); status != http.StatusServiceUnavailable {
+	if status, _ := r.sendBody(t, &slowBody{chunks: 4}, true, "2500"); status != http.StatusServiceUnavailable {
 		t.Errorf("status %d beyond the limit, want 503", status)
 	}
 	waitFor(t, "nothing is held", func() bool { return r.gateway.bodyBytes.Load() == 0 })
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -32,8 +32,8 @@
 	return whole(200, "x")(c, r)
 }
 
-// unresponsive never responds.
-func unresponsive(c net.Conn, _ *http.Request) bool {
+// noResponse never responds.
+func noResponse(c net.Conn, _ *http.Request) bool {
 	time.Sleep(4 * time.Second)
 	return false
 }
@@ -67,7 +67,7 @@
 		"cut in a stream":     {"/single/1", events(2, true), true, message.OutcomeUnknown},
 		"end that is no sign": {"/once/1", unframed, false, message.OutcomeUnknown},
 		"foreign":             {"/once/1", foreign, false, message.OutcomeUnknown},
-		"no answer in time":   {"/once/1", unresponsive, false, message.OutcomeUnknown},
+		"no answer in time":   {"/once/1", noResponse, false, message.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -73,7 +73,7 @@
 	refusesStreams     atomic.Bool // new streams are refused
 	meters             meters
 
-	failedBudget, briefBudget, sampledBudget, feedbackBudget *logx.RateLimiter
+	failedLimiter, briefLimiter, sampledLimiter, feedbackLimiter *logx.RateLimiter
 }
 
 // New returns a gateway. Run closes its idle connections and logs what was suppressed.
@@ -81,8 +81,8 @@
 	g := &Gateway{config: c, agent: c.Agent, log: c.Log, upstream: newUpstream(), maxTimeouts: newMaxTimeouts(), inFlightLimit: inFlightLimit(c.Descriptors), bodyIdleTimeout: bodyIdleTimeout, callerWriteTimeout: callerWriteTimeout}
 	g.upstream.maxConnections = MaxConnections(c.Descriptors)
 	g.meters = newMeters(g)
-	g.failedBudget, g.briefBudget, g.sampledBudget = logx.NewRateLimiter(failedLines), logx.NewRateLimiter(briefLines), logx.NewRateLimiter(sampledLines)
-	g.feedbackBudget = logx.NewRateLimiter(feedbackLines)
+	g.failedLimiter, g.briefLimiter, g.sampledLimiter = logx.NewRateLimiter(failedLines), logx.NewRateLimiter(briefLines), logx.NewRateLimiter(sampledLines)
+	g.feedbackLimiter = logx.NewRateLimiter(feedbackLines)
 	return g
 }
 
--- a/gateway/owner_config.go
+++ b/gateway/owner_config.go
@@ -29,18 +29,18 @@
 type configFetch struct {
 	hashtree.Fetcher
 	window int
-	// hasOffer is set once the current owner announced the newest version; only then it has the nodes.
-	hasOffer bool
-	started  event.Time
+	// isAnnounced is set once the current owner announced the newest version; only then it has the nodes.
+	isAnnounced bool
+	started     event.Time
 }
 
 // disconnected records that the connection to the owner ended. If nodes were in flight, it halves the window,
 // as the link may be too slow for it.
 func (c *configFetch) disconnected() {
-	if c.hasOffer && c.InFlightBytes() > 0 {
+	if c.isAnnounced && c.InFlightBytes() > 0 {
 		c.window = max(minWindow, c.window/2)
 	}
-	c.hasOffer = false
+	c.isAnnounced = false
 	c.ConnectionLost()
 }
 
@@ -53,7 +53,7 @@
 		a.log.Error("owner announced a configuration without a root hash; ignoring it", zap.Uint64("version", v.Version))
 		return
 	}
-	a.fetch.hasOffer = true
+	a.fetch.isAnnounced = true
 	a.announcedVersion.Store(v.Version)
 	if v.Version > a.fetch.Version() {
 		a.fetch.started = now
@@ -82,7 +82,7 @@
 
 // continueFetch requests more nodes of the configuration, and puts it in force once it is complete.
 func (a *OwnerClient) continueFetch(now event.Time) {
-	if !a.fetch.hasOffer {
+	if !a.fetch.isAnnounced {
 		return
 	}
 	if a.fetch.IsIncomplete() {
--- a/gateway/record.go
+++ b/gateway/record.go
@@ -64,16 +64,16 @@
 func (c *call) logSteps() {
 	g, now := c.gateway, time.Now()
 	if !c.record.failed {
-		if isSampled(c.callerID) && g.sampledBudget.Allow(now, len(c.record.steps)) {
+		if isSampled(c.callerID) && g.sampledLimiter.Allow(now, len(c.record.steps)) {
 			c.writeSteps(c.record.steps)
 		}
 		return
 	}
-	if g.failedBudget.Allow(now, len(c.record.steps)) {
+	if g.failedLimiter.Allow(now, len(c.record.steps)) {
 		c.writeSteps(c.record.steps)
 		return
 	}
-	if steps := c.record.steps; len(steps) > 0 && g.briefBudget.Allow(now, 1) {
+	if steps := c.record.steps; len(steps) > 0 && g.briefLimiter.Allow(now, 1) {
 		c.writeSteps(steps[len(steps)-1:])
 	}
 }
@@ -90,7 +90,7 @@
 
 // logSuppressed logs how many lines were suppressed, and how many failed requests have no line at all.
 func (g *Gateway) logSuppressed() {
-	failed, sampled, unlogged, feedback := g.failedBudget.TakeDropped(), g.sampledBudget.TakeDropped(), g.briefBudget.TakeDropped(), g.feedbackBudget.TakeDropped()
+	failed, sampled, unlogged, feedback := g.failedLimiter.TakeDropped(), g.sampledLimiter.TakeDropped(), g.briefLimiter.TakeDropped(), g.feedbackLimiter.TakeDropped()
 	if failed+sampled+unlogged+feedback > 0 {
 		g.log.Info("log lines suppressed", zap.Uint64("of_failed", failed), zap.Uint64("of_others", sampled), zap.Uint64("failed_without_a_line", unlogged),
 			zap.Uint64("of_what_endpoints_ask", feedback))
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -171,8 +171,8 @@
 	next         int
 	refuse       event.Reason
 	unresponsive bool // ignores all messages
-	// beforeRepeat is called before a decision on a retry.
-	beforeRepeat func()
+	// beforeRetry is called before a decision on a retry.
+	beforeRetry  func()
 	hold         bool // decides nothing
 	finished     []message.Finish
 	terminations []poison.Termination
@@ -249,8 +249,8 @@
 	d := &message.Decisions{}
 	for _, s := range b.Submit {
 		o.submits = append(o.submits, s)
-		if s.Repeat && o.beforeRepeat != nil {
-			o.beforeRepeat()
+		if s.Repeat && o.beforeRetry != nil {
+			o.beforeRetry()
 		}
 		if o.refuse != event.ReasonNone || o.next >= len(o.endpoints) {
 			d.Refusals = append(d.Refusals, event.Refused{ID: s.Ticket.ID, Reason: max(o.refuse, event.ReasonShed), RetryAfter: event.Second})
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -24,8 +24,8 @@
 // maxUnsentAttempts limits the endpoints tried for a request of which no byte was sent.
 const maxUnsentAttempts = 4
 
-// errCallerLeft is returned when the caller no longer accepts its response.
-var errCallerLeft = errors.New("caller disconnected")
+// errCallerDisconnected is returned when the caller no longer accepts its response.
+var errCallerDisconnected = errors.New("caller disconnected")
 
 // retryAfterNotRun is the Retry-After for a request that no endpoint ran.
 const retryAfterNotRun = 300 * event.Millisecond
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -52,7 +52,7 @@
 		}
 		if !c.forwardEvent(control, data, id) {
 			x.abort()
-			a.err = errCallerLeft
+			a.err = errCallerDisconnected
 			a.outcome = outcomeDone
 			break
 		}
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -93,7 +93,7 @@
 	first, second := newFakeEndpoint(t, reset), newFakeEndpoint(t, whole(200, "ok"))
 	r := newTestGatewayWithClock(t, event.NewClockFrom(clock.now), first, second)
 	r.owner.mu.Lock()
-	r.owner.beforeRepeat = func() { clock.suspend(2500 * time.Millisecond) }
+	r.owner.beforeRetry = func() { clock.suspend(2500 * time.Millisecond) }
 	r.owner.mu.Unlock()
 	status, _, _ := r.do(t, r.request("POST", "/safe/1", ""))
 	if second.runs() != 0 || status == http.StatusOK {
--- a/gateway/view_test.go
+++ b/gateway/view_test.go
@@ -23,10 +23,10 @@
 	return message.Pack(list)
 }
 
-// TestEndpointListIsReceivedInParts: an entry requests each next part of an endpoint list at once. Known endpoints
+// TestEndpointListIsReceivedInPages: an entry requests each next part of an endpoint list at once. Known endpoints
 // are kept until the last part arrives, also over another connection, and only then the unlisted ones are removed.
 // Changes between the parts do not end the list.
-func TestEndpointListIsReceivedInParts(t *testing.T) {
+func TestEndpointListIsReceivedInPages(t *testing.T) {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", ControlAddresses: []string{"box"}, ConfigValidity: 5 * event.Second, Log: zap.NewNop()})
 	receive := func(v message.View) (asked bool) {
 		a.Received(0, a.link, &message.Envelope{View: &v})
--- a/gateway/word_test.go
+++ b/gateway/word_test.go
@@ -60,7 +60,7 @@
 			if data.Len() > maxSessionMessage+8<<10 { // 8 kB for type definitions, which gob sends once a connection
 				t.Fatalf("a message of %d bytes at the beginning of a session, want %d at the most", data.Len(), maxSessionMessage)
 			}
-			note(s.Message, running, held)
+			addReported(s.Message, running, held)
 		}
 		now = now.Add(pingInterval)
 		a.Received(now, 2, &message.Envelope{Pong: &message.Pong{Lent: budget.LeaseUpdate{Whole: true}}})
@@ -71,8 +71,8 @@
 	}
 }
 
-// note adds the requests and accounts in a message.
-func note(m *message.Envelope, running map[event.RequestID]bool, held map[budget.Account]bool) {
+// addReported adds the requests and accounts in a message.
+func addReported(m *message.Envelope, running map[event.RequestID]bool, held map[budget.Account]bool) {
 	var requests []message.Running
 	var accounts []budget.Lease
 	switch {
@@ -97,7 +97,7 @@
 	a.Connected(0, 2, "box")
 	running := make(map[event.RequestID]bool)
 	for _, s := range a.TakeEffects().Sends {
-		note(s.Message, running, make(map[budget.Account]bool))
+		addReported(s.Message, running, make(map[budget.Account]bool))
 	}
 	var ended event.RequestID
 	for id := range a.running {
@@ -111,7 +111,7 @@
 		a.Received(now, 2, &message.Envelope{Pong: &message.Pong{}})
 		a.Tick(now)
 		for _, s := range a.TakeEffects().Sends {
-			note(s.Message, running, make(map[budget.Account]bool))
+			addReported(s.Message, running, make(map[budget.Account]bool))
 		}
 	}
 	if running[ended] || len(running) != manyRunning-1 {
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestWaitingRequestsAreBounded: all waiting requests are submitted to a new owner once, in order, and in
+// TestWaitingRequestsAreSubmittedOnceInOrder: all waiting requests are submitted to a new owner once, in order, and in
 // messages of bounded size.
-func TestWaitingRequestsAreBounded(t *testing.T) {
+func TestWaitingRequestsAreSubmittedOnceInOrder(t *testing.T) {
 	a := NewOwnerClient(ClientConfig{Entry: "entry", ControlAddresses: []string{"box"}, ConfigValidity: 5 * event.Second, Log: zap.NewNop()})
 	for i := range manyRunning {
 		t := event.Ticket{
--- a/internal/progress/reader.go
+++ b/internal/progress/reader.go
@@ -13,10 +13,10 @@
 // Reader reads a request's body. Each Read fails that brings no byte within Silence, or
 // after Until. It owns no memory.
 type Reader struct {
-	Body    io.Reader
-	Control *http.ResponseController
+	Body        io.Reader
+	Control     *http.ResponseController
 	IdleTimeout time.Duration
-	Deadline   time.Time // of the whole; zero is without a bound
+	Deadline    time.Time // of the whole; zero is without a bound
 }
 
 // Read implements io.Reader.
--- a/message/message.go
+++ b/message/message.go
@@ -230,8 +230,8 @@
 
 // Approximate size of a lease and of a running request in a message, in bytes.
 const (
-	leaseSize   = 40
-	runningSize = 120
+	leaseBytes   = 40
+	runningBytes = 120
 )
 
 // Approximate size in gob of a report on a request, an endpoint's feedback, its ID and a fingerprint, in bytes.
@@ -254,11 +254,11 @@
 			size += len(s.Data)
 		}
 	case e.Hello != nil:
-		size += leaseSize*len(e.Hello.Held) + runningSize*len(e.Hello.Running)
+		size += leaseBytes*len(e.Hello.Held) + runningBytes*len(e.Hello.Running)
 	case e.Ping != nil:
-		size += leaseSize*len(e.Ping.Spent) + runningSize*len(e.Ping.Running)
+		size += leaseBytes*len(e.Ping.Spent) + runningBytes*len(e.Ping.Running)
 	case e.Pong != nil:
-		size += leaseSize * len(e.Pong.Lent.UpTo)
+		size += leaseBytes * len(e.Pong.Lent.UpTo)
 	case e.Batch != nil:
 		b := e.Batch
 		size += (len(b.Submit)+len(b.Withdraw)+len(b.Begun)+len(b.Finish)+len(b.Ends))*ticketBytes + len(b.Heard)*feedbackBytes + len(b.Well)*fingerprintBytes
--- a/replay/result.go
+++ b/replay/result.go
@@ -11,10 +11,10 @@
 
 // RankResult is what came of the requests of one tier.
 type RankResult struct {
-	Offered int
-	InTime  int // answered whole before the caller's deadline
-	TimedOut    int // the caller hung up
-	Refused int
+	Offered  int
+	InTime   int // answered whole before the caller's deadline
+	TimedOut int // the caller hung up
+	Refused  int
 }
 
 // Goodput returns the share of requests answered in time.
--- a/sched/load_test.go
+++ b/sched/load_test.go
@@ -130,8 +130,8 @@
 		r.timedOut, r.refused, r.refusedTwice, r.cutOff, 100*r.wastedSeconds/r.runSeconds)
 }
 
-// replay simulates a load on a scheduler.
-type replay struct {
+// simulation simulates a load on a scheduler.
+type simulation struct {
 	load     load
 	random   *rand.Rand
 	s        *State
@@ -164,12 +164,12 @@
 	return last
 }
 
-func (r *replay) at(t event.Time, do func()) {
+func (r *simulation) at(t event.Time, do func()) {
 	r.seq++
 	heap.Push(&r.timers, timer{at: t, seq: r.seq, do: do})
 }
 
-func (r *replay) step(e event.Event) {
+func (r *simulation) step(e event.Event) {
 	var out event.Effects
 	r.s.Step(r.now, e, &out)
 	for _, g := range out.Grants {
@@ -182,7 +182,7 @@
 
 // runLoad simulates a load and returns its totals.
 func runLoad(l load) *loadResult {
-	r := &replay{
+	r := &simulation{
 		load: l, random: rand.New(rand.NewPCG(l.seed, 7)), requests: make(map[event.RequestID]*loadRequest),
 		engines: make(map[event.EndpointID]*loadEngine),
 		s: New(0, event.Pool{Name: pool, MaxWaiting: 4000, Discovered: true, Profile: event.Profile{
@@ -213,13 +213,13 @@
 
 func loadEndpoint(i int) event.EndpointID { return event.EndpointID(fmt.Sprintf("e%03d", i)) }
 
-func (r *replay) slowness(id event.EndpointID) float64 {
+func (r *simulation) slowness(id event.EndpointID) float64 {
 	n := 0
 	_, _ = fmt.Sscanf(string(id), "e%d", &n)
 	return loadSlowness[n%len(loadSlowness)]
 }
 
-func (r *replay) updateEndpoint(i int, down bool) {
+func (r *simulation) updateEndpoint(i int, down bool) {
 	r.step(&event.EndpointUpdated{
 		Endpoint: event.Endpoint{ID: loadEndpoint(i), Concurrency: 10, Speed: 1}, Address: "10.0.0.1:80", Down: down || i < r.load.limited && r.load.limit < 0,
 		Limited: i < r.load.limited && r.load.limit > 0, Limit: r.load.limit,
@@ -228,7 +228,7 @@
 
 // setQuarterDown marks a quarter of the endpoints as down or up. Running requests
 // continue.
-func (r *replay) setQuarterDown(down bool) {
+func (r *simulation) setQuarterDown(down bool) {
 	for i := range r.load.endpoints {
 		if i%4 == 1 {
 			r.updateEndpoint(i, down)
@@ -236,7 +236,7 @@
 	}
 }
 
-func (r *replay) tick() {
+func (r *simulation) tick() {
 	r.step(&event.Tick{})
 	if r.now < r.load.length.Add(16*event.Second) {
 		r.at(r.now.Add(50*event.Millisecond), r.tick)
@@ -244,7 +244,7 @@
 }
 
 // scheduleArrival schedules the next request of a kind and the ones after it.
-func (r *replay) scheduleArrival(kind *loadKind, at event.Time) {
+func (r *simulation) scheduleArrival(kind *loadKind, at event.Time) {
 	rate := r.load.baseLoad * kind.perSecond * float64(r.load.endpoints) / 54
 	if at >= event.Time(2*event.Second) && at < event.Time(7*event.Second) {
 		rate *= r.load.burst
@@ -261,11 +261,11 @@
 
 // logNormal draws from a log-normal distribution with the given mean and standard
 // deviation of the logarithm.
-func (r *replay) logNormal(mean, sigma float64) float64 {
+func (r *simulation) logNormal(mean, sigma float64) float64 {
 	return mean * math.Exp(r.random.NormFloat64()*sigma-sigma*sigma/2)
 }
 
-func (r *replay) newRequest(kind *loadKind) *loadRequest {
+func (r *simulation) newRequest(kind *loadKind) *loadRequest {
 	prompt := max(60, int(r.logNormal(kind.prompt, kind.promptSigma)))
 	length := min(kind.maxOutput, max(6, int(r.logNormal(kind.output, kind.outputSigma))))
 	guess := min(kind.maxOutput, max(1, int(r.logNormal(float64(length), r.load.guessSigma)*math.Exp(r.load.guessSigma*r.load.guessSigma/2))))
@@ -288,7 +288,7 @@
 	return k
 }
 
-func (r *replay) kindIndex(kind *loadKind) int {
+func (r *simulation) kindIndex(kind *loadKind) int {
 	for i := range loadKinds {
 		if &loadKinds[i] == kind {
 			return i
@@ -298,7 +298,7 @@
 }
 
 // submit sends one attempt of a request.
-func (r *replay) submit(k *loadRequest) {
+func (r *simulation) submit(k *loadRequest) {
 	k.tries++
 	r.seq++
 	k.ticket.ID = event.RequestID(fmt.Sprintf("r%d", r.seq))
@@ -313,7 +313,7 @@
 }
 
 // abandon withdraws a request whose deadline has passed.
-func (r *replay) abandon(id event.RequestID) {
+func (r *simulation) abandon(id event.RequestID) {
 	if k, ok := r.requests[id]; ok && !k.placed {
 		delete(r.requests, id)
 		r.result.timedOut++
@@ -322,7 +322,7 @@
 }
 
 // refused retries a request once, after Retry-After but within a third of the time left.
-func (r *replay) refused(f event.Refused) {
+func (r *simulation) refused(f event.Refused) {
 	k := r.requests[f.ID]
 	delete(r.requests, f.ID)
 	if f.Reason == event.ReasonDeadline {
@@ -353,7 +353,7 @@
 	loadLatency = 4 * event.Millisecond
 )
 
-func (r *replay) granted(g event.Granted) {
+func (r *simulation) granted(g event.Granted) {
 	k := r.requests[g.ID]
 	k.placed = true
 	e, ok := r.engines[g.Endpoint]
@@ -373,7 +373,7 @@
 }
 
 // run starts a request on an engine.
-func (r *replay) run(e *loadEngine, k *loadRequest, id event.RequestID, granted event.Time) {
+func (r *simulation) run(e *loadEngine, k *loadRequest, id event.RequestID, granted event.Time) {
 	e.running++
 	prefill := event.Duration(float64(k.ticket.PromptTokens) / 56600 * e.slowness * float64(event.Second))
 	begin := max(r.now, e.prefillUntil).Add(prefill + 16*event.Millisecond)
@@ -400,7 +400,7 @@
 	}
 }
 
-func (r *replay) end(id event.RequestID, k *loadRequest, granted, begin event.Time, gap event.Duration, completed bool) {
+func (r *simulation) end(id event.RequestID, k *loadRequest, granted, begin event.Time, gap event.Duration, completed bool) {
 	delete(r.requests, id)
 	f := &event.Finished{ID: id, Pool: pool, Tokens: k.length, FirstAfter: begin.Sub(granted), TokenGap: gap, Failed: !completed}
 	r.result.runSeconds += r.now.Sub(granted).Seconds()
--- a/sched/reading_test.go
+++ b/sched/reading_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestPrefillSlowdownIsLearned checks that the factor follows its samples and expires.
-func TestPrefillSlowdownIsLearned(t *testing.T) {
+// TestPrefillSlowdownFollowsSamplesAndExpires checks that the factor follows its samples and expires.
+func TestPrefillSlowdownFollowsSamplesAndExpires(t *testing.T) {
 	var p prefillSlowdown
 	if p.get(0) != 1 {
 		t.Errorf("slowness %v without a sample", p.get(0))
--- a/settings/box.go
+++ b/settings/box.go
@@ -102,20 +102,20 @@
 	EndpointAddress string `yaml:"endpoint_address"`
 	Control         []Peer `yaml:"control"`
 	KeyFile         string `yaml:"key_file"`
-	MaxBodyBytes       int64  `yaml:"body_bytes"`
+	MaxBodyBytes    int64  `yaml:"body_bytes"`
 	Drain           Drain  `yaml:"drain"`
 	Log             Log    `yaml:"log"`
 }
 
 // Defaults of what a file leaves out.
 const (
-	DefaultMaxBodyBytes   = 4 << 20
-	DefaultMaxHeldBytes   = 1 << 30
-	DefaultMaxRequests    = 50_000
-	DefaultBodyTimeout    = 30 * time.Second
-	DefaultDrainNotice = 2 * time.Second
-	DefaultDrainTimeout  = 5 * time.Minute
-	defaultLevel       = "info"
+	DefaultMaxBodyBytes = 4 << 20
+	DefaultMaxHeldBytes = 1 << 30
+	DefaultMaxRequests  = 50_000
+	DefaultBodyTimeout  = 30 * time.Second
+	DefaultDrainNotice  = 2 * time.Second
+	DefaultDrainTimeout = 5 * time.Minute
+	defaultLevel        = "info"
 )
 
 // minKeyBytes is the least length of the shared key.
--- a/settings/fleet.go
+++ b/settings/fleet.go
@@ -23,7 +23,7 @@
 	// Unprotected says that links between boxes carry no key. It must be set: a
 	// fleet without keys is run on purpose or not at all.
 	Unprotected bool           `yaml:"unprotected"`
-	DataDir        string         `yaml:"data"`
+	DataDir     string         `yaml:"data"`
 	Resources   FleetResources `yaml:"resources"`
 	Bounds      FleetBounds    `yaml:"bounds"`
 	Log         Log            `yaml:"log"`
@@ -56,8 +56,8 @@
 	StopTimeout catalog.Duration `yaml:"stop"`
 	// ConfigValidity is how long an entry may serve without knowing that its configuration
 	// is the newest.
-	ConfigValidity       catalog.Duration `yaml:"fresh"`
-	QuotaWindow catalog.Duration `yaml:"quota_window"`
+	ConfigValidity catalog.Duration `yaml:"fresh"`
+	QuotaWindow    catalog.Duration `yaml:"quota_window"`
 	// A quota may be overrun by QuotaOvershoot of it and QuotaSlack on top.
 	QuotaOvershoot float64          `yaml:"quota_overshoot"`
 	QuotaSlack     float64          `yaml:"quota_slack"`
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -34,7 +34,7 @@
 	LoadLagMillis int64 `json:"load_lag_ms"`
 	// PrefillWeight is the service's weight of wasted prefill.
 	PrefillWeight float64  `json:"prefill_weight"`
-	Objectives      Outcomes `json:"outcomes"`
+	Objectives    Outcomes `json:"outcomes"`
 }
 
 // Endpoint is an engine of the pool.
