--- a/budget/property_test.go
+++ b/budget/property_test.go
@@ -259,7 +259,7 @@
 	}
 }
 
-// commitRecord commits a Record. The owner may terminate before it knows that the Record is
+// commitRecord commits a Record. The owner may terminate before it observes that the Record is
 // committed, or before it is committed.
 func (w *simulation) commitRecord(isKnown bool) {
 	if w.allocator == nil || !w.allocator.Due() {
--- a/cluster/levels_test.go
+++ b/cluster/levels_test.go
@@ -109,7 +109,7 @@
 }
 
 // TestWholeDocumentIsNotParsedAsPart: a whole configuration and a part of one are commands of the same kind
-// and must be told apart by content.
+// and must be distinguished by content.
 func TestWholeDocumentIsNotParsedAsPart(t *testing.T) {
 	for _, text := range []string{"{}", "\t{}", " {}", "\n\n{}", `{"version":2,"routes":[]}`} {
 		var m stateMachine
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -15,8 +15,8 @@
 	"lynxramp.org/registry"
 )
 
-// entryTimeout is how long an entry may be disconnected before its running requests are taken as
-// terminated.
+// entryTimeout is how long an entry may be disconnected before its running requests are treated
+// as terminated.
 const entryTimeout = 4 * event.Second
 
 // owner is the state that the owner keeps beside the replicated state. A new owner rebuilds it from
@@ -101,7 +101,7 @@
 	return budget.RestoreAllocator(now, s.settings.ConfigValidity, &s.machine.budgets)
 }
 
-// leaseGracePeriod is how long the lease may lapse before the owner ends. It exceeds
+// leaseGracePeriod is how long the lease may lapse before the owner stops. It exceeds
 // the heartbeat interval of the log, so that a slow leader can receive the next responses.
 const leaseGracePeriod = 150 * event.Millisecond
 
@@ -157,7 +157,7 @@
 	}
 	index, err := s.node.Propose(now, encodeBudgets(o.budgets.MakeRecord(now)), &out.Ready)
 	if err != nil {
-		// No longer the leader. Until this owner ends, nothing is spent beyond what the
+		// No longer the leader. Until this owner stops, nothing is spent beyond what the
 		// previous record covers.
 		out.logInfo("budget record not proposed: no longer the leader", Field{"error", err.Error()})
 		return
--- a/cluster/owner_session.go
+++ b/cluster/owner_session.go
@@ -126,7 +126,7 @@
 		Field{"known", ok}, Field{"new_life", newInstance}, Field{"held", len(b.Hello.Held)}, Field{"level", uint8(b.FormatVersion)}, Field{"build", b.Build})
 }
 
-// receivePing answers a ping, which confirms that this box still owns the pools. While the lease has
+// receivePing replies to a ping, which confirms that this box still owns the pools. While the lease has
 // lapsed there is no pong; the entry retries.
 func (o *owner) receivePing(now event.Time, p *PingReceived, s *State, out *Effects) {
 	sess, ok := o.sessions[p.Session]
--- a/cluster/server.go
+++ b/cluster/server.go
@@ -36,8 +36,8 @@
 	transferTimeout = 600 * time.Millisecond
 )
 
-// initialIncarnation is the incarnation of the first disk of each founding member. It is the same
-// on all of them, so that each knows the ids of the others.
+// initialIncarnation is the incarnation of the first disk of each initial member. It is the same
+// on all of them, so that each can derive the ids of the others.
 const initialIncarnation = event.Incarnation(1)
 
 // Config is the configuration of a control box.
@@ -79,7 +79,7 @@
 	lastSession SessionID
 }
 
-// Open opens a box's data directory and returns its server.
+// Open opens a box's data folder and returns its server.
 func Open(c Config) (*Server, error) {
 	disk := event.Incarnation(random.Uint64())
 	bootstraps := c.Bootstrap && slices.Contains(c.Seeds, c.OperatorAddress)
@@ -122,21 +122,21 @@
 
 // bootstrap writes the first membership, all seeds, to an empty disk.
 func bootstrap(c Config, disk *store.Store, identity store.Identity) (consensus.PersistentState, error) {
-	var founders []consensus.Member
+	var initialMembers []consensus.Member
 	for _, seed := range c.Seeds {
-		founders = append(founders, consensus.Member{
+		initialMembers = append(initialMembers, consensus.Member{
 			ID: consensus.MakeID(event.BoxID(LinkAddress(seed, c.LinkAddress)), initialIncarnation), Address: seed,
 		})
 	}
-	slices.SortFunc(founders, func(a, b consensus.Member) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(initialMembers, func(a, b consensus.Member) int { return cmp.Compare(a.ID, b.ID) })
 	r := consensus.PersistentState{Snapshot: consensus.Snapshot{
-		Index: 1, Members: consensus.Membership{Voters: founders}, Data: bootstrapState(),
+		Index: 1, Members: consensus.Membership{Voters: initialMembers}, Data: bootstrapState(),
 	}}
 	if err := disk.Save(&consensus.Ready{Snapshot: &r.Snapshot}); err != nil {
 		return r, err
 	}
-	identity.Group = string(founders[0].ID)
-	identity.InitialMembers = founders
+	identity.Group = string(initialMembers[0].ID)
+	identity.InitialMembers = initialMembers
 	return r, disk.SetIdentity(identity)
 }
 
@@ -300,8 +300,7 @@
 	delete(s.sessions, id)
 }
 
-// maintainMembership asks the group to add this box while it is no voter or has no contact with
-// a leader.
+// maintainMembership asks the group to add this box while it is not a voter or has no contact with a leader.
 func (s *Server) maintainMembership(ctx context.Context) {
 	s.AddSeeds(s.config.Seeds)
 	ticker := time.NewTicker(joinInterval)
--- a/cluster/state.go
+++ b/cluster/state.go
@@ -213,7 +213,7 @@
 	return leader != "" && leader != s.node.ID() && now.Sub(s.node.LastLeaderContact()) < consensus.MinElectionTimeout
 }
 
-// leaderGracePeriod is how long a box without a leader goes on accepting heartbeats that change
+// leaderGracePeriod is how long a box without a leader continues to accept heartbeats that change
 // nothing. It covers an election, as a rejected endpoint would retry at all boxes in turn, and is
 // shorter than the time after which an owner marks an endpoint down.
 const leaderGracePeriod = 2 * event.Second
@@ -365,7 +365,7 @@
 }
 
 // updateOwnership makes this box the owner when it becomes leader, and ends that when leadership is
-// lost. A short lapse of the lease within a term does not end it: a quorum that answers again in this
+// lost. A short lapse of the lease within a term does not end it: a quorum that replies again in this
 // term has followed no other leader. Restarting on each lapse would make all entries reconnect, which
 // could make the lease lapse again.
 func (s *State) updateOwnership(now event.Time, out *Effects) {
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -124,7 +124,7 @@
 	n.sendAll(now, out)
 }
 
-// checkQuorum makes a leader step down once no quorum has answered it for MinElectionTimeout after
+// checkQuorum makes a leader step down once no quorum has replied to it for MinElectionTimeout after
 // its lease ended.
 func (n *Node) checkQuorum(now event.Time) {
 	if n.role == leader && now > n.leaseEnd(now).Add(MinElectionTimeout) {
@@ -155,7 +155,7 @@
 	n.tryTransfer(now, out)
 }
 
-// isTransferCandidate reports whether a member has answered in this term and reads the log's
+// isTransferCandidate reports whether a member has replied in this term and reads the log's
 // encoding.
 func (n *Node) isTransferCandidate(id ID) bool {
 	p := n.progress[id]
--- a/consensus/members.go
+++ b/consensus/members.go
@@ -79,7 +79,7 @@
 	return p != nil && p.match >= n.commit && p.hasReplied && now.Sub(p.lastRepliedSentAt) < MinElectionTimeout
 }
 
-// unreachableVoter returns a voter that has not answered for ReplaceAfter; empty if there is none
+// unreachableVoter returns a voter that has not replied for ReplaceAfter; empty if there is none
 // or replacement is off.
 func (n *Node) unreachableVoter(now event.Time) ID {
 	if n.limits.ReplaceAfter == 0 || now.Sub(n.leaderSince) < n.limits.ReplaceAfter {
--- a/consensus/replicate.go
+++ b/consensus/replicate.go
@@ -222,7 +222,7 @@
 	n.matched = max(n.matched, last, n.commit)
 }
 
-// acknowledge answers a message whose log matches up to last. The immediate reply says what is on
+// acknowledge replies to a message whose log matches up to last. The immediate reply says what is on
 // disk now; it does not wait for the disk, so that a slow disk neither ends the lease nor stalls
 // the leader. A payload is acknowledged by a second reply once it is saved.
 func (n *Node) acknowledge(m Message, last Index, offset uint64, hasPayload bool, out *Ready) {
@@ -234,7 +234,7 @@
 	}
 }
 
-// replyImmediately answers a message without waiting for a save. If the sender takes only one
+// replyImmediately replies to a message without waiting for a save. If the sender takes only one
 // reply, it is sent in the usual order.
 func (n *Node) replyImmediately(m, with Message, out *Ready) {
 	if m.expectsSingleReply() {
--- a/control/service.go
+++ b/control/service.go
@@ -83,16 +83,16 @@
 // catalogUpdate returns the update from a version to the current one; nil if there is
 // none.
 func (s *Service) catalogUpdate(ctx context.Context, since uint64) (*rpc.CatalogNews, error) {
-	var news *rpc.CatalogNews
+	var update *rpc.CatalogNews
 	err := s.loop.Inspect(ctx, func(now event.Time, state *State) {
 		if state.Status(now).Owner {
-			news = s.makeUpdate(state.Machine(), since)
+			update = s.makeUpdate(state.Machine(), since)
 		}
 	})
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
-	return news, nil
+	return update, nil
 }
 
 // makeUpdate builds an update of the catalog, or reuses the last one if it matches.
--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// recordSuccess records a successful run of a request without an owner. The next owner may know of ends
+// recordSuccess records a successful run of a request without an owner. The next owner may know of terminations
 // during this request, and needs the successes to judge it.
 func (a *OwnerClient) recordSuccess(f *message.Finish) {
 	if f.Ran != message.OutcomeSuccess || f.Print == "" || len(a.succeeded) >= maxSuccesses {
--- a/gateway/owner_session.go
+++ b/gateway/owner_session.go
@@ -52,7 +52,7 @@
 func (a *OwnerClient) DialFailed(now event.Time, address string, err error) {
 	a.dialing = false
 	a.dialAt = now.Add(redialDelay)
-	a.log.Debug("control box not reached", zap.String("address", address), logx.Err(err))
+	a.log.Debug("can't connect to control box; trying the next one", zap.String("address", address), logx.Err(err))
 }
 
 // Connected starts a session on a new connection to a control box.
@@ -75,7 +75,7 @@
 	a.send((&message.Envelope{Hello: hello}).WithFormatVersion())
 	a.sendPing(now)
 	a.batch = message.Batch{}
-	a.log.Debug("connected to control box, session started", zap.String("address", address), zap.Int("waiting", len(a.waiting)), zap.Int("running", len(a.running)))
+	a.log.Debug("connected to control box", zap.String("address", address), zap.Int("waiting", len(a.waiting)), zap.Int("running", len(a.running)))
 }
 
 // SetPeerFormatVersion sets the format version that the peer of a connection supports.
@@ -165,7 +165,7 @@
 	a.confirmVersion(now, versionConfirmation{version: p.Version, pingSentAt: p.Sent})
 }
 
-// ownerFound starts the session with a found owner: waiting requests, ends and feedback go to it.
+// ownerFound starts the session with a found owner: waiting requests, terminations and feedback are sent to it.
 func (a *OwnerClient) ownerFound(now event.Time) {
 	a.hasOwner = true
 	a.degraded = nil
@@ -181,7 +181,7 @@
 	endpoints, err := v.DecodeEndpoints()
 	if err != nil {
 		// Without its endpoints the rest of the view is useless. The next session asks for all.
-		a.log.Error("cannot decode endpoints, reconnecting to the owner", logx.Err(err))
+		a.log.Error("endpoints can't be decoded; reconnecting to the owner", logx.Err(err))
 		a.revision = 0
 		a.disconnect(now, "invalid endpoint list", err)
 		return
--- a/gateway/ticket.go
+++ b/gateway/ticket.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// The longest expected wait, as a fraction of the route's target and of the remaining time.
+// The queue timeout of a request, as a fraction of the route's target and of the remaining time.
 const (
 	queueTimeoutOfTarget    = 0.9
 	queueTimeoutOfRemaining = 0.5
--- a/message/forms.go
+++ b/message/forms.go
@@ -15,8 +15,8 @@
 
 // This file encodes messages for boxes of other builds, and detects the format version that a peer reads.
 
-// WithFormatVersion returns a copy of the message with the format version and build of this box, as sent first on
-// a connection.
+// WithFormatVersion returns a copy of the message with the format version and build of this box, as sent first
+// on a connection.
 func (e *Envelope) WithFormatVersion() *Envelope {
 	m := *e
 	m.Level, m.Build = level.Newest, level.Build()
@@ -30,8 +30,8 @@
 // FormatVersion returns the format version that the peer reads; 0 before its first bytes.
 func (p *Peer) FormatVersion() level.Level { return level.Level(p.formatVersion.Load()) }
 
-// formatVersionFields are names of fields that messages have from a level on, each with its length as in gob's type
-// definitions. The newest level comes first.
+// formatVersionFields are names of fields that messages have from a format version on, each with its length as
+// in gob's type definitions. The newest version comes first.
 var formatVersionFields = []struct {
 	level level.Level
 	field string
@@ -43,8 +43,8 @@
 	{level.Compressed, "\x08Revision"},
 }
 
-// detectFormatVersion sets the level by a peer's first bytes, which hold the gob type definitions of its messages.
-// From level.Negotiated on the first message has the exact level (updateFormatVersion).
+// detectFormatVersion sets the format version by a peer's first bytes, which hold the gob type definitions of
+// its messages. From level.Negotiated on the first message has the exact version (updateFormatVersion).
 func (p *Peer) detectFormatVersion(definitions []byte) {
 	for _, m := range formatVersionFields {
 		if bytes.Contains(definitions, []byte(m.field)) {
@@ -96,7 +96,7 @@
 	return f.Message, err
 }
 
-// toControl has the messages to control boxes. It has no type that differs between levels: a box of
+// toControl has the messages to control boxes. It has no type that differs between format versions: a box of
 // level.Listed can read no message of a connection on which the type of View isn't its own.
 type toControl struct {
 	Hello     *Hello
@@ -135,13 +135,13 @@
 	}, nil
 }
 
-// frameReply returns the frame of a message to a box that connected to this one. Until the peer's level is
+// frameReply returns the frame of a message to a box that connected to this one. Until the peer's format version is
 // known only empty messages are sent.
 func (p *Peer) frameReply(m *Envelope) any {
-	switch peerLevel := p.FormatVersion(); {
-	case peerLevel == 0:
+	switch formatVersion := p.FormatVersion(); {
+	case formatVersion == 0:
 		return frameToControl(m)
-	case peerLevel < level.Compressed:
+	case formatVersion < level.Compressed:
 		return frameListed(m)
 	default:
 		return currentFrame{m}
--- a/message/forms_test.go
+++ b/message/forms_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// frameOfListed and frameOfPacked are the types into which builds of those levels decode views.
+// frameOfListed and frameOfPacked are the types into which builds of those versions decode views.
 type (
 	frameOfListed struct {
 		Message *struct {
@@ -138,7 +138,7 @@
 }
 
 // TestEarlierBuildsReadOurMessages: boxes of earlier builds must be able to decode what they are sent, also before
-// their level is known.
+// their format version is known.
 func TestEarlierBuildsReadOurMessages(t *testing.T) {
 	list := []Endpoint{{Endpoint: registry.Endpoint{ID: "i-1", Address: "a"}, Down: true}}
 	view := &Envelope{View: &View{Version: 4, Document: []byte("{}"), Endpoints: Pack(list), Revision: 5, Silent: []event.EndpointID{"i-1"}}}
@@ -201,7 +201,7 @@
 	// Not counted: the names, types and lengths of the two fields in the type definition.
 	const definition = len("Level") + len("Build") + 2*5
 	if limit, got := 64, wire.Len()-without.Len()+definition; got > limit {
-		t.Errorf("level and build take %d bytes, want at most %d", got, limit)
+		t.Errorf("format version and build take %d bytes, want at most %d", got, limit)
 	}
 }
 
--- a/message/message.go
+++ b/message/message.go
@@ -89,7 +89,7 @@
 	Owned bool
 }
 
-// Pong answers a Ping: the sender owned the pools at the time Sent of the Ping.
+// Pong is the reply to a Ping: the sender owned the pools at the time Sent of the Ping.
 type Pong struct {
 	Sent    event.Time // of the Ping
 	Version uint64     // newest configuration version
@@ -149,7 +149,7 @@
 // Want asks the owner for nodes of the configuration's hash tree.
 type Want struct{ Sums []hashtree.Sum }
 
-// Nodes answers a Want. Unknown has the requested nodes that the owner doesn't have, as they belong to
+// Nodes is the reply to a Want. Unknown has the requested nodes that the owner doesn't have, as they belong to
 // another version than its newest.
 type Nodes struct {
 	List    []Node
@@ -200,7 +200,7 @@
 	event.Finished
 	// Unsent is set if no byte was sent to the endpoint.
 	Unsent bool
-	// Suspect is set if the endpoint was unreachable or answered under another
+	// Suspect is set if the endpoint was unreachable or responded under another
 	// identity.
 	Suspect  bool
 	Endpoint event.EndpointID
@@ -213,9 +213,9 @@
 
 const (
 	// OutcomeUnknown: the run allows no conclusion. A termination of the endpoint is reported
-	// as an End.
+	// as a Termination.
 	OutcomeUnknown Outcome = iota
-	// OutcomeSuccess: the endpoint answered completely, without failure.
+	// OutcomeSuccess: the endpoint responded completely, without failure.
 	OutcomeSuccess
 	// OutcomeFailed: the endpoint reported that it failed or didn't run the request, so the
 	// request hasn't terminated it.
--- a/poison/book.go
+++ b/poison/book.go
@@ -21,7 +21,7 @@
 	// Request is the call that ran, and Attempt the number of times it was sent before.
 	Request event.RequestID
 	Attempt int
-	// Ran is how long it had run, and Ago the time from the End to the report of it.
+	// Ran is how long it had run, and Ago the time from the Termination to the report of it.
 	Ran, Ago event.Duration
 }
 
@@ -145,11 +145,11 @@
 		b.cases[e.Print] = c
 	}
 	isTrial := c.trial != nil && c.trial.request == e.Request && c.trial.attempt == e.Attempt
-	end := terminatedInstance{endpoint: hashOf(e.Endpoint), at: now.Add(-e.Ago)}
-	if !isTrial && c.coversRun(end, end.at.Add(-e.Ran)) {
+	instance := terminatedInstance{endpoint: hashOf(e.Endpoint), at: now.Add(-e.Ago)}
+	if !isTrial && c.coversRun(instance, instance.at.Add(-e.Ran)) {
 		return
 	}
-	b.addTermination(now, c, end)
+	b.addTermination(now, c, instance)
 	if isTrial {
 		c.trial.endpointTerminated = true
 		c.isProven = c.isProven || c.trial.isCounted
--- a/poison/record.go
+++ b/poison/record.go
@@ -21,7 +21,7 @@
 	Lines []Line `json:"lines"`
 }
 
-// Line is the state of a request; one without Ends deletes it.
+// Line is the state of a request; one without Terminations deletes it.
 type Line struct {
 	Fingerprint Fingerprint `json:"print"`
 	// Terminations are hashes of the names of the endpoints that terminated under it; 0 is a run in progress.
--- a/sched/discover.go
+++ b/sched/discover.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// recordBegun removes a request from its endpoint's prefill queue: its answer
+// recordBegun removes a request from its endpoint's prefill queue: its response
 // has begun, so its prompt has been processed.
 func (s *State) recordBegun(now event.Time, b *event.Begun) {
 	g, ok := s.grants[b.ID]
