--- a/cluster/sim_test.go
+++ b/cluster/sim_test.go
@@ -99,7 +99,7 @@
 func simSettings(seed uint64) Settings {
 	return Settings{
 		Limits:            simAdmissionLimits,
-		Members:           consensus.MembershipLimits{MaxVoters: 5, ReplaceAfter: 1800 * event.Millisecond},
+		MembershipLimits:  consensus.MembershipLimits{MaxVoters: 5, ReplaceAfter: 1800 * event.Millisecond},
 		HeartbeatInterval: event.Second,
 		ConfigValidity:    5 * event.Second,
 		Seed:              seed,
--- a/cluster/state.go
+++ b/cluster/state.go
@@ -32,7 +32,7 @@
 // Settings are the deployment settings of a State.
 type Settings struct {
 	Limits            admission.Limits
-	Members           consensus.MembershipLimits
+	MembershipLimits  consensus.MembershipLimits
 	HeartbeatInterval event.Duration
 	// ConfigValidity is how long an entry serves requests without an owner.
 	ConfigValidity event.Duration
@@ -95,7 +95,7 @@
 			return nil, err
 		}
 	}
-	s.node.SetLimits(settings.Members)
+	s.node.SetLimits(settings.MembershipLimits)
 	if s.formats.own >= level.Negotiated {
 		s.node.SetDefaultPeerMode(consensus.PeerMode{HeartbeatsOnly: true}) // until the peer has reported its format version
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -152,7 +152,7 @@
 		DataDir:           f.DataDir,
 		Settings: cluster.Settings{
 			Limits:            newLimits(f.Bounds),
-			Members:           consensus.MembershipLimits{MaxVoters: 2*f.Bounds.ToleratedFailures + 1, ReplaceAfter: replaceVoterAfter},
+			MembershipLimits:  consensus.MembershipLimits{MaxVoters: 2*f.Bounds.ToleratedFailures + 1, ReplaceAfter: replaceVoterAfter},
 			HeartbeatInterval: event.Duration(f.Bounds.HeartbeatInterval),
 			ConfigValidity:    event.Duration(f.Bounds.ConfigValidity),
 			Decode:            d.Decode,
