--- a/gateway/asked.go
+++ b/gateway/asked.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		g.meters.feedback(feedbackInvalid).Inc()
 		if g.feedbackLimiter.Allow(time.Now(), 1) {
-			g.log.Warn("invalid feedback in endpoint response, ignoring the invalid header", zap.String("endpoint", string(a.decision.Endpoint)),
+			g.log.Warn("invalid feedback in endpoint response; ignoring the invalid header", zap.String("endpoint", string(a.decision.Endpoint)),
 				zap.String("request", c.callerID), logx.Err(err))
 		}
 	}
--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -62,7 +62,7 @@
 	a.lastTerminationNumber++
 	e.Number = a.lastTerminationNumber
 	if len(a.unsavedTerminations) >= maxUnsavedTerminations {
-		a.log.Warn("too many unsaved endpoint terminations, dropping the oldest", zap.Stringer("print", a.unsavedTerminations[0].termination.Print), zap.String("endpoint", string(a.unsavedTerminations[0].termination.Endpoint)))
+		a.log.Warn("too many unsaved endpoint terminations; dropping the oldest", zap.Stringer("print", a.unsavedTerminations[0].termination.Print), zap.String("endpoint", string(a.unsavedTerminations[0].termination.Endpoint)))
 		a.unsavedTerminations = a.unsavedTerminations[1:]
 	}
 	a.unsavedTerminations = append(a.unsavedTerminations, unsavedTermination{e, now})
@@ -107,7 +107,7 @@
 // logPoisonChanges logs the changes in what is known of requests that terminate endpoints, while degraded.
 func (a *OwnerClient) logPoisonChanges() {
 	for _, c := range a.degradedPoison.TakeChanges() {
-		a.log.Info("request under which endpoints ended", zap.Stringer("what", c.Kind), zap.Stringer("print", c.Fingerprint),
+		a.log.Info("suspected poison request changed state", zap.Stringer("what", c.Kind), zap.Stringer("print", c.Fingerprint),
 			zap.Int("ends", c.Terminations), zap.Bool("alone", true))
 	}
 }
