--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -40,7 +40,7 @@
 	budgetIndex      consensus.Index          // of the last budget record in the log
 	poison           *poison.Tracker          // poison requests
 	changedEndpoints map[string]bool          // ids of endpoints whose change is not yet sent to the entries
-	pages            map[uint64]registry.Page // by the preceding revision, valid at piecesRevision
+	pages            map[uint64]registry.Page // by the preceding revision, valid at pagesRevision
 	pagesRevision    uint64
 	packed           map[pageKey]packedPage
 	budgetsLoggedAt  event.Time // when high budgets were last logged
