--- a/cluster/server.go
+++ b/cluster/server.go
@@ -371,7 +371,7 @@
 }
 
 // PutDocument replicates a configuration. StatusDone means that it or a higher version is
-// committed. An invalid configuration is not replicated; the error has all findings.
+// committed. An invalid configuration is not replicated; the error has all problems.
 func (s *Server) PutDocument(ctx context.Context, data []byte) (Answer, error) {
 	table, err := s.decoder.decode(data)
 	if err != nil {
--- a/routing/check.go
+++ b/routing/check.go
@@ -7,31 +7,31 @@
 	"strings"
 )
 
-// Finding is a fault in a table.
-type Finding struct {
+// Problem is a fault in a table.
+type Problem struct {
 	Path    string // such as routes[3].timeout
 	Message string
 }
 
-// Findings has all faults of a table; its error text has one line each.
-type Findings []Finding
+// Problems has all problems of a table; its error text has one line each.
+type Problems []Problem
 
 // Error implements error.
-func (f Findings) Error() string {
-	lines := make([]string, len(f))
-	for i, one := range f {
+func (p Problems) Error() string {
+	lines := make([]string, len(p))
+	for i, one := range p {
 		lines[i] = one.Path + ": " + one.Message
 	}
 	return strings.Join(lines, "\n")
 }
 
-func (f *Findings) add(path, format string, args ...any) {
-	*f = append(*f, Finding{Path: path, Message: fmt.Sprintf(format, args...)})
+func (p *Problems) add(path, format string, args ...any) {
+	*p = append(*p, Problem{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// Check returns all faults of a table.
-func Check(t *Table) Findings {
-	var found Findings
+// Check returns all problems of a table.
+func Check(t *Table) Problems {
+	var found Problems
 	services := checkServices(t, &found)
 	seen := make(map[routeKey]string)
 	for i := range t.Routes {
@@ -41,7 +41,7 @@
 	return found
 }
 
-func checkServices(t *Table, found *Findings) map[string]bool {
+func checkServices(t *Table, found *Problems) map[string]bool {
 	names := make(map[string]bool, len(t.Services))
 	for i, s := range t.Services {
 		path := fmt.Sprintf("services[%d].name", i)
@@ -56,7 +56,7 @@
 	return names
 }
 
-func checkRoute(path string, r *Route, services map[string]bool, seen map[routeKey]string, found *Findings) {
+func checkRoute(path string, r *Route, services map[string]bool, seen map[routeKey]string, found *Problems) {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		found.add(path+".prefix", "%q must begin and end with a slash", r.Prefix)
 	}
@@ -83,7 +83,7 @@
 	}
 }
 
-func checkTeams(t *Table, found *Findings) {
+func checkTeams(t *Table, found *Problems) {
 	names := make(map[string]bool)
 	keys := make(map[string]string)
 	for i, team := range t.Teams {
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -85,7 +85,7 @@
 			t.Errorf("%s: error text does not contain the path: %s", name, found)
 		}
 	}
-	if diff := cmp.Diff(Findings(nil), Check(validTable())); diff != "" {
+	if diff := cmp.Diff(Problems(nil), Check(validTable())); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/settings/box.go
+++ b/settings/box.go
@@ -145,16 +145,16 @@
 	d.checkBox(&b)
 	var c catalog.Catalog
 	if b.Catalog != "" {
-		var found Findings
+		var found Problems
 		c, found = loadCatalog(resolvePath(file, b.Catalog))
-		d.findings = append(d.findings, found...)
+		d.problems = append(d.problems, found...)
 		d.checkCapacity(b, c)
 	}
 	b.KeyFile = resolvePath(file, b.KeyFile)
 	b.OperatorKeyFile = resolvePath(file, b.OperatorKeyFile)
 	b.DataDir = resolvePath(file, b.DataDir)
 	b.setDefaults()
-	return b, c, d.findings.asError()
+	return b, c, d.problems.asError()
 }
 
 // LoadSlot reads the settings of lynxslotd.
@@ -167,20 +167,20 @@
 	d.checkSlot(&s)
 	s.KeyFile = resolvePath(file, s.KeyFile)
 	s.setDefaults()
-	return s, d.findings.asError()
+	return s, d.problems.asError()
 }
 
 // LoadCatalog reads a catalog file.
 func LoadCatalog(file string) (catalog.Catalog, error) {
-	c, findings := loadCatalog(file)
-	return c, findings.asError()
+	c, problems := loadCatalog(file)
+	return c, problems.asError()
 }
 
-// Check reads a file of any kind and returns its kind. The error has all findings.
+// Check reads a file of any kind and returns its kind. The error has all problems.
 func Check(file string) (Kind, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return "", fileFindings(file, err)
+		return "", fileProblems(file, err)
 	}
 	switch guessKind(string(data)) {
 	case KindCatalog:
@@ -218,34 +218,34 @@
 func decodeFile(file string, v any) (*decoder, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return nil, fileFindings(file, err)
+		return nil, fileProblems(file, err)
 	}
 	d := &decoder{file: file}
 	d.decode(data, v)
 	return d, nil
 }
 
-func fileFindings(file string, err error) Findings {
-	return Findings{{File: file, Path: rootPath, Message: err.Error()}}
+func fileProblems(file string, err error) Problems {
+	return Problems{{File: file, Path: rootPath, Message: err.Error()}}
 }
 
-func loadCatalog(file string) (catalog.Catalog, Findings) {
+func loadCatalog(file string) (catalog.Catalog, Problems) {
 	var c catalog.Catalog
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return c, fileFindings(file, err)
+		return c, fileProblems(file, err)
 	}
 	return parseCatalog(file, data)
 }
 
-func parseCatalog(file string, data []byte) (catalog.Catalog, Findings) {
+func parseCatalog(file string, data []byte) (catalog.Catalog, Problems) {
 	var c catalog.Catalog
 	d := &decoder{file: file}
 	d.decode(data, &c)
 	for _, p := range catalog.Check(c) {
 		d.addAt(p.Path, "%s", p.Message)
 	}
-	return c, d.findings
+	return c, d.problems
 }
 
 // resolvePath resolves a path relative to the directory of file.
--- a/settings/decode.go
+++ b/settings/decode.go
@@ -12,44 +12,44 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Finding is a fault in a file and its position.
-type Finding struct {
+// Problem is a fault in a file and its position.
+type Problem struct {
 	File    string
 	Line    int    // from 1; 0 for the file as a whole
 	Path    string // of YAML keys, such as teams[2].tier; "." for the whole document
 	Message string
 }
 
-// String returns the finding as FILE:LINE: PATH: MESSAGE.
-func (f Finding) String() string {
-	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Path, f.Message)
+// String returns the problem as FILE:LINE: PATH: MESSAGE.
+func (p Problem) String() string {
+	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Path, p.Message)
 }
 
-// Findings is a list of faults; as an error it has one per line.
-type Findings []Finding
+// Problems is a list of problems; as an error it has one per line.
+type Problems []Problem
 
 // Error implements error.
-func (f Findings) Error() string {
-	lines := make([]string, len(f))
-	for i, one := range f {
+func (p Problems) Error() string {
+	lines := make([]string, len(p))
+	for i, one := range p {
 		lines[i] = one.String()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// asError returns f as an error, nil if f is empty.
-func (f Findings) asError() error {
-	if len(f) == 0 {
+// asError returns p as an error, nil if p is empty.
+func (p Problems) asError() error {
+	if len(p) == 0 {
 		return nil
 	}
-	return f
+	return p
 }
 
-// decoder fills Go values from YAML nodes and collects all faults instead of stopping at the
+// decoder fills Go values from YAML nodes and collects all problems instead of stopping at the
 // first.
 type decoder struct {
 	file     string
-	findings Findings
+	problems Problems
 	lines    map[string]int // line of each path that is in the file
 }
 
@@ -75,12 +75,12 @@
 }
 
 func (d *decoder) add(line int, path, format string, args ...any) {
-	d.findings = append(d.findings, Finding{
+	d.problems = append(d.problems, Problem{
 		File: d.file, Line: line, Path: path, Message: fmt.Sprintf(format, args...),
 	})
 }
 
-// addAt adds a finding at a path, with the line of the nearest enclosing path that
+// addAt adds a problem at a path, with the line of the nearest enclosing path that
 // is in the file.
 func (d *decoder) addAt(path, format string, args ...any) {
 	nearest := path
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -2,8 +2,8 @@
 
 // Package settings reads the YAML files of the daemons and the catalog.
 //
-// A file is read completely and all faults are reported together, each with its
+// A file is read completely and all problems are reported together, each with its
 // file, line and path: unknown keys, wrong types, invalid addresses, references to
 // undefined names, overlapping rules. A process does not start on a file with
-// findings.
+// problems.
 package settings
--- a/settings/fleet.go
+++ b/settings/fleet.go
@@ -104,7 +104,7 @@
 	}
 	d.checkFleet(&f)
 	f.setDefaults()
-	return f, d.findings.asError()
+	return f, d.problems.asError()
 }
 
 func (d *decoder) checkFleet(f *Fleet) {
--- a/settings/fleet_test.go
+++ b/settings/fleet_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestFleetFindingsHavePaths guards against faults that are accepted or reported at the wrong
+// TestFleetProblemsHavePaths guards against faults that are accepted or reported at the wrong
 // place.
-func TestFleetFindingsHavePaths(t *testing.T) {
+func TestFleetProblemsHavePaths(t *testing.T) {
 	for name, c := range map[string]struct{ old, with, want string }{
 		"no seed":       {`["127.0.0.1:83"]`, `[]`, ":7: seeds:"},
 		"unprotected":   {"unprotected: true", "unprotected: false", ":8: unprotected:"},
@@ -65,7 +65,7 @@
 	} {
 		_, err := LoadFleet(writeFleet(t, strings.Replace(validFleet, c.old, c.with, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want a finding at %s", name, err, c.want)
+			t.Errorf("%s: %v, want a problem at %s", name, err, c.want)
 		}
 	}
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -20,7 +20,7 @@
 	return file
 }
 
-// check compares the findings in a file with want, a line each, without the file's directory.
+// check compares the problems in a file with want, a line each, without the file's directory.
 func check(t *testing.T, content string, want []string) {
 	t.Helper()
 	file := write(t, "f.yaml", content)
@@ -30,12 +30,12 @@
 		got = strings.Split(strings.ReplaceAll(err.Error(), filepath.Dir(file)+"/", ""), "\n")
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("findings (-want +got):\n%s", diff)
+		t.Errorf("problems (-want +got):\n%s", diff)
 	}
 }
 
-// TestCatalogFindings guards against catalog faults that are missed or reported at the wrong place.
-func TestCatalogFindings(t *testing.T) {
+// TestCatalogProblems guards against catalog problems that are missed or reported at the wrong place.
+func TestCatalogProblems(t *testing.T) {
 	check(t, `tiers:
   - {name: gold, rank: high}
   - {name: silver, rank: 2, colour: grey}
@@ -70,8 +70,8 @@
 	})
 }
 
-// TestBoxFindings guards against box settings faults that are missed or reported at the wrong place.
-func TestBoxFindings(t *testing.T) {
+// TestBoxProblems guards against box settings faults that are missed or reported at the wrong place.
+func TestBoxProblems(t *testing.T) {
 	check(t, `id: a
 id: b
 roles: [entry, control, cook]
@@ -98,8 +98,8 @@
 	})
 }
 
-// TestSlotFindings guards against slot settings faults that are missed or reported at the wrong place.
-func TestSlotFindings(t *testing.T) {
+// TestSlotProblems guards against slot settings faults that are missed or reported at the wrong place.
+func TestSlotProblems(t *testing.T) {
 	check(t, "endpoint: e\npool: p\nkind: cake\nlisten: x\n", []string{
 		`f.yaml:1: data_centre: required value is missing`,
 		`f.yaml:1: key_file: required value is missing`,
@@ -123,15 +123,15 @@
 	}
 }
 
-// FuzzCatalog guards against findings without a line or a message.
+// FuzzCatalog guards against problems without a line or a message.
 func FuzzCatalog(f *testing.F) {
 	f.Add([]byte("tiers: [{name: gold, rank: 3}]\nrules: [{team: '*', service: '*', tier: gold}]\n"))
 	f.Add([]byte("a: &a [*a]\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		_, findings := parseCatalog("f", data)
-		for _, one := range findings {
+		_, problems := parseCatalog("f", data)
+		for _, one := range problems {
 			if one.Line < 1 || one.Message == "" {
-				t.Errorf("finding without a line or a message: %v", one)
+				t.Errorf("problem without a line or a message: %v", one)
 			}
 		}
 	})
