--- a/cmd/lynxramp/do.go
+++ b/cmd/lynxramp/do.go
@@ -76,7 +76,7 @@
 func (c *doCommand) query(ctx context.Context, q *lang.Query) error {
 	var rows []lang.Row
 	err := c.callLeader(ctx, func(ctx context.Context, o rpc.Operator) (bool, error) {
-		r, err := o.Count(ctx, &rpc.CountRequest{What: q.What})
+		r, err := o.Count(ctx, &rpc.CountRequest{What: q.State})
 		if err != nil || !r.Leads {
 			return false, err
 		}
--- a/lang/lang.go
+++ b/lang/lang.go
@@ -18,8 +18,8 @@
 
 // Query counts requests in a state, grouped by fields.
 type Query struct {
-	// What is the state of the requests to count.
-	What  string      `parser:"'show' @('waiting'|'running'|'refused')"`
+	// State is the state of the requests to count.
+	State string      `parser:"'show' @('waiting'|'running'|'refused')"`
 	By    []string    `parser:"('by' @('team'|'tier'|'pool'|'endpoint'|'reason') (',' @('team'|'tier'|'pool'|'endpoint'|'reason'))*)?"`
 	Where []Condition `parser:"('where' @@ ('and' @@)*)?"`
 	Order *Order      `parser:"@@?"`
