--- a/box/slot.go
+++ b/box/slot.go
@@ -34,7 +34,7 @@
 		Pool:        s.Pool,
 		EndpointURL: "http://" + s.EndpointAddress,
 		Address:     s.Address,
-		Model:       s.Kind == catalog.KindModel,
+		IsModel:     s.Kind == catalog.KindModel,
 		MaxBody:     s.MaxBodyBytes,
 	}, event.Incarnation(time.Now().UnixNano()), log)
 	l, err := listen(s.Listen, core.Handler(key), log)
--- a/cluster/incoming.go
+++ b/cluster/incoming.go
@@ -32,7 +32,7 @@
 	err := c.Serve(in.receive)
 	if errors.Is(err, link.ErrTooLong) || errors.Is(err, link.ErrSlowPeer) {
 		// On other errors the peer sees the loss too, and reconnects.
-		s.log.Warn("closed a connection: message too long or peer too slow", zap.String("peer", c.Remote()), logx.Err(err))
+		s.log.Warn("closed a connection: message too long or peer too slow", zap.String("peer", c.RemoteAddress()), logx.Err(err))
 	}
 	if in.session != 0 {
 		s.removeSession(in.session)
@@ -73,8 +73,8 @@
 	}
 }
 
-// reportPeer sends the loop the box of the connection and its format version, before any log message
-// of that box.
+// reportPeer sends the loop the box of the connection and its format version, before any
+// consensus message of that box.
 func (in *inboundConn) reportPeer(box event.BoxID) {
 	if version := in.peer.FormatVersion(); in.box != box || in.reportedVersion != version {
 		in.box, in.reportedVersion = box, version
--- a/control/events.go
+++ b/control/events.go
@@ -93,9 +93,9 @@
 
 // Status is the state that callers get after their events.
 type Status struct {
-	// Owner is set if this box owns the pools.
-	Owner bool
-	Epoch event.Epoch
+	// IsOwner is set if this box owns the pools.
+	IsOwner bool
+	Epoch   event.Epoch
 	// Leader is the address of the leader; empty if unknown.
 	Leader string
 	// Version is that of the catalog applied on this box.
--- a/control/loop.go
+++ b/control/loop.go
@@ -82,7 +82,7 @@
 		b.inspect(now, l.state)
 	}
 	status := l.state.Status(now)
-	if !status.Owner {
+	if !status.IsOwner {
 		// Undelivered decisions expire with the leader's lease.
 		effects.Grants = effects.Grants[:0]
 		effects.Refusals = effects.Refusals[:0]
--- a/control/outbox.go
+++ b/control/outbox.go
@@ -28,10 +28,10 @@
 }
 
 type outbox struct {
-	next        uint64 // number of the next decision
-	decisions   []*rpc.Decision
-	changed     chan struct{} // closed at the next decision or catalog version
-	incarnation uint64        // the entry's incarnation
+	next      uint64 // number of the next decision
+	decisions []*rpc.Decision
+	changed   chan struct{} // closed at the next decision or catalog version
+	instance  uint64        // the entry's instance
 }
 
 // NewOutboxes returns empty Outboxes that save and send through writer.
@@ -100,14 +100,14 @@
 	delete(o.answers, token)
 }
 
-// SetIncarnation sets the entry's incarnation. Decisions for an earlier one are
+// SetInstance sets the entry's instance. Decisions for an earlier one are
 // dropped.
-func (o *Outboxes) SetIncarnation(entry event.BoxID, incarnation uint64) {
+func (o *Outboxes) SetInstance(entry event.BoxID, instance uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	b := o.box(entry)
-	if b.incarnation != incarnation {
-		b.incarnation = incarnation
+	if b.instance != instance {
+		b.instance = instance
 		b.decisions = nil
 	}
 }
--- a/control/service.go
+++ b/control/service.go
@@ -39,13 +39,13 @@
 	if entry == "" {
 		return nil, twirp.RequiredArgumentError("entry")
 	}
-	s.outboxes.SetIncarnation(entry, r.Incarnation)
+	s.outboxes.SetInstance(entry, r.Incarnation)
 	status, err := s.loop.Post(ctx, r.Events()...)
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
-	answer := &rpc.ExchangeResponse{Epoch: uint64(status.Epoch), Owner: status.Owner, Leader: status.Leader}
-	if !status.Owner {
+	answer := &rpc.ExchangeResponse{Epoch: uint64(status.Epoch), Owner: status.IsOwner, Leader: status.Leader}
+	if !status.IsOwner {
 		return answer, nil
 	}
 	ack := r.Ack
@@ -85,7 +85,7 @@
 func (s *Service) catalogUpdate(ctx context.Context, since uint64) (*rpc.CatalogNews, error) {
 	var update *rpc.CatalogNews
 	err := s.loop.Inspect(ctx, func(now event.Time, state *State) {
-		if state.Status(now).Owner {
+		if state.Status(now).IsOwner {
 			update = s.makeUpdate(state.Machine(), since)
 		}
 	})
@@ -135,5 +135,5 @@
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
-	return &rpc.ReportResponse{Epoch: uint64(status.Epoch), Owner: status.Owner, Leader: status.Leader}, nil
+	return &rpc.ReportResponse{Epoch: uint64(status.Epoch), Owner: status.IsOwner, Leader: status.Leader}, nil
 }
--- a/control/state.go
+++ b/control/state.go
@@ -90,7 +90,7 @@
 // Status returns the current status.
 func (s *State) Status(now event.Time) Status {
 	_, version := s.machine.Catalog()
-	return Status{Owner: s.isOwner(now), Epoch: s.epoch, Leader: s.leaderAddress(), Version: version}
+	return Status{IsOwner: s.isOwner(now), Epoch: s.epoch, Leader: s.leaderAddress(), Version: version}
 }
 
 // Node returns the box's consensus node.
--- a/link/conn.go
+++ b/link/conn.go
@@ -123,8 +123,8 @@
 	})
 }
 
-// Remote returns the peer's address.
-func (c *Conn[M]) Remote() string { return c.raw.RemoteAddr().String() }
+// RemoteAddress returns the peer's address.
+func (c *Conn[M]) RemoteAddress() string { return c.raw.RemoteAddr().String() }
 
 // BytesReceived returns the number of bytes received on the connection. It is safe for
 // concurrent use, also after the connection has ended.
--- a/slot/http.go
+++ b/slot/http.go
@@ -113,7 +113,7 @@
 	}
 	id := event.DispatchID(chi.URLParam(r, "id"))
 	u := s.findRun(id)
-	if u == nil && s.config.Model && r.URL.Query().Has(QueryAdopt) {
+	if u == nil && s.config.IsModel && r.URL.Query().Has(QueryAdopt) {
 		u = s.adopt(id, offset)
 	}
 	if u == nil {
--- a/slot/run.go
+++ b/slot/run.go
@@ -130,7 +130,7 @@
 
 // resumeAtEngine fetches the rest of a lost response from a model engine.
 func (s *Slot) resumeAtEngine(ctx context.Context, u *run) error {
-	if !s.config.Model {
+	if !s.config.IsModel {
 		return errors.New("connection to the endpoint was lost, and a plain service cannot resume")
 	}
 	response, err := s.fetchFromEngine(ctx, u.call.id, u.buffer.Size())
--- a/slot/slot.go
+++ b/slot/slot.go
@@ -36,7 +36,7 @@
 	Pool        string
 	EndpointURL string // http://IP:port
 	Address     string // at which entries reach this slot, as IP:port
-	Model       bool   // whether the endpoint is a model engine, not a plain service
+	IsModel     bool   // whether the endpoint is a model engine, not a plain service
 	MaxBody     int64  // maximum size of a request body, in bytes
 }
 
@@ -138,7 +138,7 @@
 		return
 	}
 	u.cancel()
-	if !s.config.Model {
+	if !s.config.IsModel {
 		return
 	}
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
