--- a/admission/poison.go
+++ b/admission/poison.go
@@ -17,7 +17,7 @@
 // timeout: about the duration of a run.
 const heldRetryAfter = event.Second
 
-// checkPoison reports whether a call may run, given the terminations under earlier runs of its request.
+// checkPoison reports whether a call may run, given the terminations during earlier runs of its request.
 // A call that has to wait is held, one that may not run is refused.
 func (s *State) checkPoison(now event.Time, entry event.BoxID, m *message.Submission, out *event.Effects) bool {
 	t := &m.Ticket
@@ -63,10 +63,10 @@
 }
 
 // RecordTerminations records endpoints that terminated during runs.
-func (s *State) RecordTerminations(now event.Time, ends []poison.Termination, out *event.Effects) {
-	for i := range ends {
-		delete(s.runs, ends[i].Request)
-		s.poison.RecordTermination(now, &ends[i])
+func (s *State) RecordTerminations(now event.Time, terminations []poison.Termination, out *event.Effects) {
+	for i := range terminations {
+		delete(s.runs, terminations[i].Request)
+		s.poison.RecordTermination(now, &terminations[i])
 	}
 	s.holdQueued(now, out)
 }
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -66,12 +66,12 @@
 		}
 	}
 	slices.Sort(ids)
-	var ends []poison.Termination
+	var terminations []poison.Termination
 	for _, id := range ids {
 		r := s.runs[id]
-		ends = append(ends, poison.Termination{Print: r.fingerprint, Endpoint: r.endpoint, Request: id, Attempt: r.attempt, Ran: now.Sub(r.startedAt)})
+		terminations = append(terminations, poison.Termination{Print: r.fingerprint, Endpoint: r.endpoint, Request: id, Attempt: r.attempt, Ran: now.Sub(r.startedAt)})
 	}
-	s.RecordTerminations(now, ends, out)
+	s.RecordTerminations(now, terminations, out)
 }
 
 // sweepRuns removes expired runs.
--- a/backpressure/asked.go
+++ b/backpressure/asked.go
@@ -18,40 +18,40 @@
 // Observe applies feedback from the response to a request sent at the given time, and reports whether the state
 // changed. Responses arrive out of order: only the response to a request that was sent after the limit was last
 // received may raise or lift it. A lower limit takes effect at once.
-func (a *Tracker) Observe(now, sent event.Time, f Feedback) bool {
-	before := *a
-	a.Draining = a.Draining || f.Leaving
-	isNewer := sent > a.limitedAt
+func (t *Tracker) Observe(now, sent event.Time, f Feedback) bool {
+	before := *t
+	t.Draining = t.Draining || f.Leaving
+	isNewer := sent > t.limitedAt
 	switch {
 	case f.Unread:
 	case f.Limited:
-		if !a.Limited || f.Rate < a.Rate || isNewer {
-			a.Limited, a.Rate = true, f.Rate
+		if !t.Limited || f.Rate < t.Rate || isNewer {
+			t.Limited, t.Rate = true, f.Rate
 		}
-		a.limitedAt = now
-	case a.Limited && isNewer:
-		a.Limited, a.Rate = false, 0
+		t.limitedAt = now
+	case t.Limited && isNewer:
+		t.Limited, t.Rate = false, 0
 	}
-	return a.differs(before)
+	return t.differs(before)
 }
 
 // Apply takes over the state published by another box, and reports whether it changed anything.
-func (a *Tracker) Apply(now event.Time, s State) bool {
-	before := *a
-	a.Limited, a.Rate, a.Draining = s.Limited, s.Rate, a.Draining || s.Leaving
+func (t *Tracker) Apply(now event.Time, s State) bool {
+	before := *t
+	t.Limited, t.Rate, t.Draining = s.Limited, s.Rate, t.Draining || s.Leaving
 	if s.Limited {
-		a.limitedAt = now
+		t.limitedAt = now
 	}
-	return a.differs(before)
+	return t.differs(before)
 }
 
-func (a *Tracker) differs(b Tracker) bool {
-	return a.Limited != b.Limited || a.Rate != b.Rate || a.Draining != b.Draining
+func (t *Tracker) differs(b Tracker) bool {
+	return t.Limited != b.Limited || t.Rate != b.Rate || t.Draining != b.Draining
 }
 
 // State returns the state to publish to other boxes.
-func (a *Tracker) State(endpoint event.EndpointID) State {
-	return State{Endpoint: endpoint, Limited: a.Limited, Rate: a.Rate, Leaving: a.Draining}
+func (t *Tracker) State(endpoint event.EndpointID) State {
+	return State{Endpoint: endpoint, Limited: t.Limited, Rate: t.Rate, Leaving: t.Draining}
 }
 
 // State is the feedback of an endpoint as boxes publish it to each other. A State without restrictions lifts
--- a/cluster/absent_test.go
+++ b/cluster/absent_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// expiredEntries returns the number of entries whose requests an owner has taken as terminated.
+// expiredEntries returns the number of entries whose requests an owner has treated as terminated.
 func expiredEntries(o *owner) int {
 	n := 0
 	for _, e := range o.entries {
--- a/cluster/levels.go
+++ b/cluster/levels.go
@@ -101,7 +101,7 @@
 	s.setPeerEncoding(e.Box, p, out)
 }
 
-// setPeerEncoding selects the encoding of log messages to a box. A box that does not support the group's format
+// setPeerEncoding selects the encoding of consensus messages to a box. A box that does not support the group's format
 // version is sent nothing: it would skip commands and its state would diverge.
 func (s *State) setPeerEncoding(box event.BoxID, p *peerBox, out *Effects) {
 	disconnected, excluded := len(p.connections) == 0, s.isBelowGroup(p.formatVersion)
--- a/cluster/owner.go
+++ b/cluster/owner.go
@@ -53,7 +53,7 @@
 	feedback         feedbackTracker // of endpoints
 }
 
-// maxExpiredPerTick bounds the disconnected entries whose requests one tick takes as terminated.
+// maxExpiredPerTick bounds the disconnected entries whose requests one tick treats as terminated.
 const maxExpiredPerTick = 16
 
 // reclaimAfterHeartbeats is the number of heartbeat intervals without a heartbeat of an endpoint after
@@ -205,7 +205,7 @@
 	o.raiseFormatVersion(now, s, out)
 }
 
-// expireEntries takes the requests of entries disconnected for longer than entryTimeout as
+// expireEntries treats the requests of entries disconnected for longer than entryTimeout as
 // terminated. The number of entries per tick is bounded to keep the step short: each scans all
 // requests.
 func (o *owner) expireEntries(now event.Time) {
--- a/cluster/owner_session.go
+++ b/cluster/owner_session.go
@@ -31,7 +31,7 @@
 	session        SessionID // 0 while disconnected
 	disconnectedAt event.Time
 	deferredAt     event.Time // when it last said that it leaves decisions to this owner; 0 if not yet in this session
-	// isExpired reports whether its requests were taken as terminated since it disconnected.
+	// isExpired reports whether its requests were treated as terminated since it disconnected.
 	isExpired    bool
 	terminations terminationProgress
 }
--- a/cluster/poison.go
+++ b/cluster/poison.go
@@ -8,7 +8,7 @@
 	"lynxramp.org/poison"
 )
 
-// This file records poison requests, under which endpoints terminate: an owner receives the terminations
+// This file records poison requests, which terminate the endpoints that run them: an owner receives the terminations
 // from entries, records them in the log, and sends entries the requests that must not run without an owner.
 
 // terminationProgress has the numbers up to which the terminations reported by an entry were processed.
@@ -21,10 +21,10 @@
 // receiveTerminations applies the terminations that an entry reports, and skips repeated ones.
 func (o *owner) receiveTerminations(now event.Time, e *entry, b *message.Batch) {
 	var added []poison.Termination
-	for _, end := range b.Ends {
-		if end.Number > e.terminations.received {
-			e.terminations.received = end.Number
-			added = append(added, end)
+	for _, t := range b.Ends {
+		if t.Number > e.terminations.received {
+			e.terminations.received = t.Number
+			added = append(added, t)
 		}
 	}
 	o.admission.RecordTerminations(now, added, &o.effects)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -56,7 +56,7 @@
 	// Decode parses a configuration; its error lists all problems.
 	Decode func([]byte) (*routing.Table, error)
 	// ParseFeedback parses the feedback of an endpoint in response headers; its error names the
-	// malformed headers.
+	// last malformed header.
 	ParseFeedback func(status int, h http.Header) (backpressure.Feedback, error)
 	// OperatorHandler returns a control box's handler for operators and endpoints.
 	OperatorHandler func(*cluster.Server) http.Handler
--- a/gateway/agent.go
+++ b/gateway/agent.go
@@ -89,8 +89,8 @@
 }
 
 // RecordTermination reports that an endpoint terminated while it ran a request.
-func (a *Agent) RecordTermination(e poison.Termination) {
-	a.input <- func(now event.Time) { a.client.recordTermination(now, e) }
+func (a *Agent) RecordTermination(t poison.Termination) {
+	a.input <- func(now event.Time) { a.client.recordTermination(now, t) }
 }
 
 // ObserveFeedback reports feedback received from an endpoint.
--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -20,7 +20,7 @@
 // if the connection or the owner changes.
 
 const (
-	// maxUnsavedTerminations limits the ends kept until the owner's log has them: 18 kB in one message.
+	// maxUnsavedTerminations limits the terminations kept until the owner's log has them: 18 kB in one message.
 	maxUnsavedTerminations = 120
 	// maxSuccesses limits the requests kept that succeeded without an owner, for a report to the next
 	// one: 9 kB.
@@ -46,31 +46,31 @@
 	return false
 }
 
-// unsavedTermination is an end and the time at which it was observed.
+// unsavedTermination is a termination and the time at which it was observed.
 type unsavedTermination struct {
 	termination poison.Termination
 	at          event.Time
 }
 
 // RecordTermination records that an endpoint terminated while it ran a request.
-func (a *OwnerClient) RecordTermination(now event.Time, e poison.Termination) {
-	a.recordTermination(now, e)
+func (a *OwnerClient) RecordTermination(now event.Time, t poison.Termination) {
+	a.recordTermination(now, t)
 	a.deliverDecisions(now)
 }
 
-func (a *OwnerClient) recordTermination(now event.Time, e poison.Termination) {
+func (a *OwnerClient) recordTermination(now event.Time, t poison.Termination) {
 	a.lastTerminationNumber++
-	e.Number = a.lastTerminationNumber
+	t.Number = a.lastTerminationNumber
 	if len(a.unsavedTerminations) >= maxUnsavedTerminations {
 		a.log.Warn("too many unsaved endpoint terminations; dropping the oldest", zap.Stringer("print", a.unsavedTerminations[0].termination.Print), zap.String("endpoint", string(a.unsavedTerminations[0].termination.Endpoint)))
 		a.unsavedTerminations = a.unsavedTerminations[1:]
 	}
-	a.unsavedTerminations = append(a.unsavedTerminations, unsavedTermination{e, now})
+	a.unsavedTerminations = append(a.unsavedTerminations, unsavedTermination{t, now})
 	if a.hasOwner {
-		a.batch.Ends = append(a.batch.Ends, e)
+		a.batch.Ends = append(a.batch.Ends, t)
 	}
 	if a.degraded != nil {
-		a.degraded.RecordTerminations(now, []poison.Termination{e}, &a.effects)
+		a.degraded.RecordTerminations(now, []poison.Termination{t}, &a.effects)
 	}
 }
 
@@ -86,18 +86,18 @@
 	a.succeeded[f.Print] = true
 }
 
-// reportTerminations reports to a new owner all ends that the log may lack and all successes.
+// reportTerminations reports to a new owner all terminations that the log may lack and all successes.
 func (a *OwnerClient) reportTerminations(now event.Time) {
 	a.batch.Well = slices.Sorted(maps.Keys(a.succeeded))
 	a.succeeded = nil
 	for _, u := range a.unsavedTerminations {
-		e := u.termination
-		e.Ago = now.Sub(u.at)
-		a.batch.Ends = append(a.batch.Ends, e)
+		t := u.termination
+		t.Ago = now.Sub(u.at)
+		a.batch.Ends = append(a.batch.Ends, t)
 	}
 }
 
-// dropSavedTerminations drops the ends that the owner's log has, up to a number.
+// dropSavedTerminations drops the terminations that the owner's log has, up to a number.
 func (a *OwnerClient) dropSavedTerminations(number uint64) {
 	for len(a.unsavedTerminations) > 0 && a.unsavedTerminations[0].termination.Number <= number {
 		a.unsavedTerminations = a.unsavedTerminations[1:]
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -51,10 +51,10 @@
 		return false
 	}
 	for name, one := range map[string]struct {
-		path   string
-		script responder
-		isEnd  bool
-		ran    message.Outcome
+		path          string
+		script        responder
+		isTermination bool
+		ran           message.Outcome
 	}{
 		"whole":              {"/once/1", whole(200, "x"), false, message.OutcomeSuccess},
 		"not found":          {"/once/1", whole(404, "x"), false, message.OutcomeSuccess},
@@ -83,8 +83,8 @@
 			}
 			r.owner.mu.Lock()
 			defer r.owner.mu.Unlock()
-			if got := len(r.owner.terminations); (got == 1) != one.isEnd {
-				t.Errorf("%d ends reported, want one: %v", got, one.isEnd)
+			if got := len(r.owner.terminations); (got == 1) != one.isTermination {
+				t.Errorf("%d terminations reported, want one: %v", got, one.isTermination)
 			}
 			for _, e := range r.owner.terminations {
 				if e.Print != want.Sum() || e.Endpoint != "e1" || e.Request != f.ID || e.Number != 1 {
@@ -108,14 +108,14 @@
 	return a
 }
 
-// sentTerminations returns the ends of endpoints and the fingerprints of successful requests that a client sends.
-func sentTerminations(a *OwnerClient) (ends []poison.Termination, successes []poison.Fingerprint) {
+// sentTerminations returns the terminations of endpoints and the fingerprints of successful requests that a client sends.
+func sentTerminations(a *OwnerClient) (terminations []poison.Termination, successes []poison.Fingerprint) {
 	for _, s := range a.TakeEffects().Sends {
 		if b := s.Message.Batch; b != nil {
-			ends, successes = append(ends, b.Ends...), append(successes, b.Well...)
+			terminations, successes = append(terminations, b.Ends...), append(successes, b.Well...)
 		}
 	}
-	return ends, successes
+	return terminations, successes
 }
 
 // TestTerminationsAreReportedUntilSaved: the end of an endpoint is reported at once, and again to each new owner until one has
@@ -124,8 +124,8 @@
 	a := ownedClient()
 	a.RecordTermination(0, poison.Termination{Print: "p", Endpoint: "e1"})
 	a.RecordTermination(0, poison.Termination{Print: "q", Endpoint: "e2"})
-	if ends, _ := sentTerminations(a); len(ends) != 2 || ends[0].Number != 1 || ends[1].Number != 2 {
-		t.Fatalf("reported at once: %+v, want ends 1 and 2", ends)
+	if terminations, _ := sentTerminations(a); len(terminations) != 2 || terminations[0].Number != 1 || terminations[1].Number != 2 {
+		t.Fatalf("reported at once: %+v, want terminations 1 and 2", terminations)
 	}
 	a.Received(0, 1, &message.Envelope{Pong: &message.Pong{Ends: 1}})
 	a.Disconnected(0, 1, nil)
@@ -133,22 +133,22 @@
 	later := event.Time(event.Second)
 	a.Connected(later, 2, "box")
 	a.Received(later, 2, &message.Envelope{Pong: &message.Pong{}})
-	ends, successes := sentTerminations(a)
-	if len(ends) != 1 || ends[0].Print != "q" || ends[0].Number != 2 || ends[0].Ago != event.Second {
-		t.Errorf("reported to the next owner: %+v, want only end 2 with its age", ends)
+	terminations, successes := sentTerminations(a)
+	if len(terminations) != 1 || terminations[0].Print != "q" || terminations[0].Number != 2 || terminations[0].Ago != event.Second {
+		t.Errorf("reported to the next owner: %+v, want only termination 2 with its age", terminations)
 	}
 	if len(successes) != 1 || successes[0] != "w" {
 		t.Errorf("reported successes: %v, want w", successes)
 	}
 	a.Received(later, 2, &message.Envelope{Pong: &message.Pong{Ends: 2}})
 	if len(a.unsavedTerminations) != 0 {
-		t.Errorf("%d ends are kept although the owner has saved them", len(a.unsavedTerminations))
+		t.Errorf("%d terminations are kept although the owner has saved them", len(a.unsavedTerminations))
 	}
 	for i := range 5 * maxUnsavedTerminations {
 		a.RecordTermination(later, poison.Termination{Print: poison.Fingerprint(fmt.Sprint(i)), Endpoint: "e"})
 	}
 	if len(a.unsavedTerminations) > maxUnsavedTerminations {
-		t.Errorf("%d ends are kept, more than maxUnsavedEnds", len(a.unsavedTerminations))
+		t.Errorf("%d terminations are kept, more than maxUnsavedTerminations", len(a.unsavedTerminations))
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -40,8 +40,8 @@
 type Config struct {
 	Agent   *Agent
 	Headers HeaderNames
-	// ParseFeedback reads the feedback in an endpoint's response; its error names the header that
-	// cannot be parsed. If it is nil, responses carry no feedback.
+	// ParseFeedback reads the feedback in an endpoint's response; its error names the last header
+	// that cannot be parsed. If it is nil, responses carry no feedback.
 	ParseFeedback func(status int, h http.Header) (backpressure.Feedback, error)
 	// MaxHeldBytes limits the total size of the request bodies held at once.
 	MaxHeldBytes int64
--- a/gateway/owner_client.go
+++ b/gateway/owner_client.go
@@ -117,7 +117,7 @@
 	unreported            []event.RequestID           // running when the session started, not reported yet
 	unsubmitted           []*waiter                   // waiting when the owner was found, not submitted to it yet
 	unsavedTerminations   []unsavedTermination        // not known to be in the owner's log
-	lastTerminationNumber uint64                      // number of the newest end
+	lastTerminationNumber uint64                      // number of the newest termination
 	succeeded             map[poison.Fingerprint]bool // requests that succeeded without an owner
 	// suspects are the requests that must not run without an owner, as the last owner sent them.
 	suspects []poison.Fingerprint
--- a/gateway/owner_word.go
+++ b/gateway/owner_word.go
@@ -24,7 +24,7 @@
 	runningOverhead = 72
 )
 
-// sendPing sends a ping, which asks the owner whether it still leads.
+// sendPing sends a ping, which asks the owner to confirm that it still owns the pools.
 func (a *OwnerClient) sendPing(now event.Time) {
 	a.lastPing = now
 	ping := &message.Ping{Sent: now, Running: a.takeUnreported(), Revision: a.revision, Owned: a.hasOwner}
--- a/poison/book.go
+++ b/poison/book.go
@@ -14,18 +14,18 @@
 // Termination reports that an endpoint terminated, or a connection to it broke, during a run of a request.
 // Its field names are part of the wire format.
 type Termination struct {
-	// Number is the sequence number of the End, from 1, within one instance of the entry.
+	// Number is its sequence number, from 1, within one instance of the entry.
 	Number   uint64
 	Print    Fingerprint
 	Endpoint event.EndpointID
 	// Request is the call that ran, and Attempt the number of times it was sent before.
 	Request event.RequestID
 	Attempt int
-	// Ran is how long it had run, and Ago the time from the Termination to the report of it.
+	// Ran is how long it had run, and Ago the time from the termination to its report.
 	Ran, Ago event.Duration
 }
 
-// Tracker tracks requests under which endpoints terminated, and decides which calls may run. Use
+// Tracker tracks requests that endpoints ran when they terminated, and decides which calls may run. Use
 // NewTracker or NewDegradedTracker to make one. It is a reducer and not safe for concurrent use.
 type Tracker struct {
 	cases           map[Fingerprint]*requestCase
@@ -131,36 +131,36 @@
 }
 
 // RecordTermination records a termination, unless that of the same endpoint instance is recorded.
-func (b *Tracker) RecordTermination(now event.Time, e *Termination) {
-	if e.Print == "" {
+func (b *Tracker) RecordTermination(now event.Time, t *Termination) {
+	if t.Print == "" {
 		return
 	}
-	c, ok := b.cases[e.Print]
+	c, ok := b.cases[t.Print]
 	if !ok {
 		if !b.ensureCapacity() {
-			b.addChange(Untracked, &requestCase{fingerprint: e.Print}, "")
+			b.addChange(Untracked, &requestCase{fingerprint: t.Print}, "")
 			return
 		}
-		c = &requestCase{fingerprint: e.Print}
-		b.cases[e.Print] = c
+		c = &requestCase{fingerprint: t.Print}
+		b.cases[t.Print] = c
 	}
-	isTrial := c.trial != nil && c.trial.request == e.Request && c.trial.attempt == e.Attempt
-	instance := terminatedInstance{endpoint: hashOf(e.Endpoint), at: now.Add(-e.Ago)}
-	if !isTrial && c.coversRun(instance, instance.at.Add(-e.Ran)) {
+	isTrial := c.trial != nil && c.trial.request == t.Request && c.trial.attempt == t.Attempt
+	instance := terminatedInstance{endpoint: hashOf(t.Endpoint), at: now.Add(-t.Ago)}
+	if !isTrial && c.coversRun(instance, instance.at.Add(-t.Ran)) {
 		return
 	}
 	b.addTermination(now, c, instance)
 	if isTrial {
 		c.trial.endpointTerminated = true
 		c.isProven = c.isProven || c.trial.isCounted
-		b.addChange(TrialTerminatedEndpoint, c, e.Request)
+		b.addChange(TrialTerminatedEndpoint, c, t.Request)
 	}
 	b.serialize(now, c)
 }
 
-func (b *Tracker) addTermination(now event.Time, c *requestCase, end terminatedInstance) {
+func (b *Tracker) addTermination(now event.Time, c *requestCase, instance terminatedInstance) {
 	wasSuspected := c.isSuspected()
-	c.terminations = append(c.terminations, end)
+	c.terminations = append(c.terminations, instance)
 	c.terminations = c.terminations[max(0, len(c.terminations)-maxTerminations):]
 	c.lastChange = now
 	b.markDirty(c.fingerprint)
@@ -187,8 +187,8 @@
 
 // coversRun reports whether a run that started at began was on an endpoint instance whose
 // termination is recorded; a new instance may have the same name.
-func (c *requestCase) coversRun(end terminatedInstance, began event.Time) bool {
-	return slices.ContainsFunc(c.terminations, func(t terminatedInstance) bool { return t.endpoint == end.endpoint && began <= t.at })
+func (c *requestCase) coversRun(instance terminatedInstance, began event.Time) bool {
+	return slices.ContainsFunc(c.terminations, func(t terminatedInstance) bool { return t.endpoint == instance.endpoint && began <= t.at })
 }
 
 // ensureCapacity makes room for one more request by evicting the oldest one that is not suspected.
--- a/poison/book_test.go
+++ b/poison/book_test.go
@@ -107,7 +107,7 @@
 }
 
 // TestRecentlySuccessfulRequestIsNotSerialized: a request with a successful run within
-// successWindow is not serialized, however many endpoints terminate under it; later it is.
+// successWindow is not serialized, however many endpoints terminate while they run it; later it is.
 func TestRecentlySuccessfulRequestIsNotSerialized(t *testing.T) {
 	var l Ledger
 	b := NewTracker(0, &l)
--- a/poison/doc.go
+++ b/poison/doc.go
@@ -5,7 +5,7 @@
 //
 // Callers retry such a request as new calls, through any entry. Calls of the same request are
 // recognised by a Fingerprint of their content. A Tracker keeps, for each Fingerprint, the
-// endpoints that terminated under it since one of its runs last succeeded:
+// endpoints that terminated while they ran it since one of its runs last succeeded:
 //
 //   - After one termination the request is serialized: its calls run one at a time, each only
 //     once the replicated log has the run. A run that succeeds clears the request. Other requests
--- a/poison/record.go
+++ b/poison/record.go
@@ -24,7 +24,7 @@
 // Line is the state of a request; one without Terminations deletes it.
 type Line struct {
 	Fingerprint Fingerprint `json:"print"`
-	// Terminations are hashes of the names of the endpoints that terminated under it; 0 is a run in progress.
+	// Terminations are hashes of the names of the endpoints that terminated while they ran it; 0 is a run in progress.
 	Terminations []uint64 `json:"ends,omitempty"`
 	Trials       int      `json:"trials,omitempty"`
 	Proven       bool     `json:"proven,omitempty"`
@@ -91,8 +91,8 @@
 
 func (c *requestCase) line() Line {
 	l := Line{Fingerprint: c.fingerprint, Trials: c.trials, Proven: c.isProven}
-	for _, e := range c.terminations {
-		l.Terminations = append(l.Terminations, e.endpoint)
+	for _, t := range c.terminations {
+		l.Terminations = append(l.Terminations, t.endpoint)
 	}
 	// A run whose outcome nobody reports counts as a termination.
 	switch {
@@ -135,7 +135,7 @@
 		c.trials = max(c.trials, line.Trials)
 		c.isProven = c.isProven || line.Proven
 		for _, endpoint := range line.Terminations {
-			if len(c.terminations) < maxTerminations && !slices.ContainsFunc(c.terminations, func(e terminatedInstance) bool { return e.endpoint == endpoint }) {
+			if len(c.terminations) < maxTerminations && !slices.ContainsFunc(c.terminations, func(t terminatedInstance) bool { return t.endpoint == endpoint }) {
 				c.terminations = append(c.terminations, terminatedInstance{endpoint, now})
 			}
 		}
@@ -170,8 +170,8 @@
 	return b.listed, b.revision
 }
 
-// Ledger is the state of the log: the latest Line of each request. The zero value is empty. It is
-// not safe for concurrent use.
+// Ledger is the state of all tracked requests in the replicated log: the latest Line of each. The zero
+// value is empty. It is not safe for concurrent use.
 type Ledger struct{ lines map[Fingerprint]Line }
 
 // Apply applies a Record of the log.
--- a/sched/discover.go
+++ b/sched/discover.go
@@ -37,11 +37,11 @@
 	for request := range e.grants {
 		s.release(now, request)
 	}
-	for mark := range e.cachedHashes.young {
-		s.prefix.remove(mark, e)
+	for hash := range e.cachedHashes.young {
+		s.prefix.remove(hash, e)
 	}
-	for mark := range e.cachedHashes.old {
-		s.prefix.remove(mark, e)
+	for hash := range e.cachedHashes.old {
+		s.prefix.remove(hash, e)
 	}
 	s.dropEndpoint(e)
 	s.updateMaxSpeed(now)
@@ -115,7 +115,7 @@
 }
 
 // observePrefill updates the pool's prefill rate and the endpoint's prefill
-// slowdown from an answer that has begun.
+// slowdown from a response that has begun.
 func (s *State) observePrefill(now event.Time, e *endpoint, g *grant, firstToken event.Duration) {
 	if g.firstPrefill && firstToken > 0 {
 		s.prefill.observe(float64(g.prefillTokens)/e.speed(), firstToken.Seconds())
