--- a/cluster/poison_sim_test.go
+++ b/cluster/poison_sim_test.go
@@ -15,7 +15,7 @@
 	"lynxramp.org/registry"
 )
 
-// This file simulates endpoints that crash under some requests, and some that crash by themselves, while
+// This file simulates endpoints that some requests crash, and some that crash by themselves, while
 // faults are injected into entries and control boxes, also at the moment of a crash.
 
 const (
--- a/cluster/poison_test.go
+++ b/cluster/poison_test.go
@@ -62,7 +62,7 @@
 }
 
 // TestRunOfLostEntryCountsAsCrash: an entry that restarts or stays disconnected can't report the outcome of
-// its runs. A run of a request under which an endpoint crashed before is counted as a crash.
+// its runs. A run of a request that crashed an endpoint before is counted as a crash.
 func TestRunOfLostEntryCountsAsCrash(t *testing.T) {
 	for name, loseEntry := range map[string]func(s *sim, b *simBox){
 		"restarted": func(s *sim, b *simBox) {
--- a/cluster/upgrade_sim_test.go
+++ b/cluster/upgrade_sim_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// reportCrash has an entry report that an endpoint crashed under a request.
+// reportCrash has an entry report that an endpoint crashed while it ran a request.
 func (u *upgradeSim) reportCrash(owner *simBox) {
 	u.session++
 	u.number++
--- a/poison/book_test.go
+++ b/poison/book_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestCallsAreSerializedAfterTermination: while one call of a request under
-// which an endpoint terminated runs, others wait; a run that succeeds lets all of them run.
+// TestCallsAreSerializedAfterTermination: while one call of a request that
+// terminated an endpoint runs, others wait; a run that succeeds lets all of them run.
 func TestCallsAreSerializedAfterTermination(t *testing.T) {
 	var l Ledger
 	b := NewTracker(0, &l)
